--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -27,7 +27,7 @@
 pub use store::{BadStore, Batch, Disk, Folder, Store};
 pub use table::{Change, Held, Holder, Seat, Table, What, DUTIES_MAX, HISTORY};
 pub use voter::{Action, Figures, Note, Setup, Standing, Voter};
-pub use word::{Answer, Ask, Reply, Told, Wish, Word, NAME_MAX, WORD_MAX};
+pub use word::{Answer, Ask, Hello, Reply, Told, Wish, Word, You, NAME_MAX, WORD_MAX};
 
 use std::time::Duration;
 
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -8,7 +8,7 @@
 mod show;
 
 pub use lists::Lists;
-pub use roll::Wanted;
+pub use roll::{Wanted, Word as RollWord};
 pub use show::{post, show};
 
 use crate::counters::Counters;
@@ -55,9 +55,12 @@
 
 /// What nodes tell each other beside their view.
 #[derive(Serialize, Deserialize)]
-enum Talk {
+pub enum Talk {
+    /// Between voters and clients.
     Duties(Word),
+    /// Between nodes of a zone.
     Lists(Gossip),
+    /// Between the holder of the roll and the nodes.
     Roll(roll::Word),
 }
 
--- a/node/src/duties/roll.rs
+++ b/node/src/duties/roll.rs
@@ -39,11 +39,26 @@
     /// To the holder.
     Wanted(Wanted),
     /// This process is to drain and end.
-    Go { token: u64, boot: u64 },
+    Go {
+        /// The holder's token.
+        token: u64,
+        /// The process.
+        boot: u64,
+    },
     /// How do the jobs go?
-    Look { token: u64 },
+    Look {
+        /// The holder's token.
+        token: u64,
+    },
     /// So.
-    Health { boot: u64, failed: u64, ended: u64 },
+    Health {
+        /// The process.
+        boot: u64,
+        /// Jobs that failed since its start.
+        failed: u64,
+        /// Jobs that ended since its start.
+        ended: u64,
+    },
 }
 
 /// What this node has to do with rolls.
