--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,13 @@
 //! A small dispatcher's surroundings: settings, lists, and a driver that keeps time.
 #![allow(dead_code)]
 
+pub mod fleet;
+pub mod recording;
+pub mod world;
+
 use dewlever::api::*;
 use dewlever::Policy;
+use recording::Recording;
 
 pub const MS: Time = 1_000;
 pub const S: Time = 1_000_000;
