--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -11,23 +11,30 @@
 #![warn(missing_docs)]
 
 mod client;
-mod fence;
+mod fencing;
+mod lease_table;
+mod list_broadcast;
 mod log;
-mod roll;
-mod spread;
+mod message;
+mod rolling_restart;
 mod store;
-mod table;
 mod voter;
-mod word;
 
-pub use client::{Client, Errand, Lost};
-pub use fence::{Fence, Stale};
-pub use roll::{End, Member, Move, Progress, Roll};
-pub use spread::{Change as ListChange, Counts, Gossip, Line, Spread, Step};
-pub use store::{BadStore, Batch, Disk, Folder, Store};
-pub use table::{Change, Held, Holder, Seat, Table, What, DUTIES_MAX, HISTORY};
-pub use voter::{Action, Figures, Note, Setup, Standing, Voter};
-pub use word::{Answer, Ask, Hello, Reply, Told, Wish, Word, You, NAME_MAX, WORD_MAX};
+pub use client::{Client, ClientAction, LeaseLost};
+pub use fencing::{FencingGuard, StaleToken};
+pub use lease_table::{
+    ChangeKind, Holder, LeaseChange, LeaseRecord, LeaseTable, VoterMember, HISTORY_MAX, LEASES_MAX,
+};
+pub use list_broadcast::{
+    BroadcastAction, BroadcastMessage, BroadcastMetrics, Entry, ListBroadcast, ListDelta,
+};
+pub use message::{
+    ClusterStatus, Handshake, Message, Operation, Outcome, Request, Response, VoterStatus, MESSAGE_MAX,
+    NAME_MAX,
+};
+pub use rolling_restart::{Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+pub use store::{DiskIdentity, Store, StoreContents, StoreError, WriteBatch};
+pub use voter::{Voter, VoterAction, VoterConfig, VoterEvent, VoterMetrics, VoterState};
 
 use std::time::Duration;
 
@@ -49,12 +56,12 @@
 impl Timing {
     /// For which a holder may act from the moment at which it *asked*. The grantor counts the whole lease from a later
     /// moment; what is left over covers two clocks of which one runs 5% fast and the other 5% slow.
-    pub fn usable(&self) -> Duration {
+    pub fn holder_validity(&self) -> Duration {
         self.lease * 17 / 20
     }
 
     /// Between two asks of a holder.
-    pub(crate) fn renew(&self) -> Duration {
+    pub(crate) fn renew_interval(&self) -> Duration {
         self.lease / 5
     }
 }
--- a/duties/src/spread.rs
+++ b/duties/src/list_broadcast.rs
@@ -29,104 +29,107 @@
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     /// Which: a worker's id.
     pub key: String,
     /// It is told for the last time.
-    pub gone: bool,
+    pub removed: bool,
     /// What it says.
     pub bytes: Vec<u8>,
 }
 
 /// What is new in a list, or all of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct ListDelta {
     /// The version that it leads to.
     pub version: u64,
     /// These are all lines.
-    pub whole: bool,
+    pub complete: bool,
     /// The lines.
-    pub lines: Vec<Line>,
+    pub entries: Vec<Entry>,
 }
 
 /// What nodes of a zone tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Gossip {
+pub enum BroadcastMessage {
     /// The holder is there, and the one that passes this on has this version.
-    Beat {
+    Heartbeat {
         /// The holder's token, its name, and the number of this word of it.
         token: u64,
         /// Its name.
         holder: String,
         /// Only grows under one token.
-        number: u64,
+        sequence: u64,
         /// Which discovery the versions are of.
         source: u64,
         /// What the one that passes it on has.
         version: u64,
     },
     /// What is new since this version, or all of it where that is 0.
-    Want {
+    Fetch {
         /// Of which discovery.
         source: u64,
         /// The asker's version.
         version: u64,
     },
     /// An answer, or what is passed on unasked.
-    Part {
+    Chunk {
         /// The token of the holder that it came from.
         token: u64,
         /// Of which discovery.
         source: u64,
         /// It leads from this version; from nothing where that is 0.
-        since: u64,
+        base_version: u64,
         /// To this one.
         version: u64,
         /// Which part.
         index: u16,
         /// Of how many.
-        of: u16,
+        count: u16,
         /// Its lines.
-        lines: Vec<Line>,
+        entries: Vec<Entry>,
     },
 }
 
 /// What the embedder is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum BroadcastAction {
     /// Bring a word to this node of the zone.
     Send {
         /// Where it is reached.
         to: SocketAddr,
         /// What.
-        gossip: Gossip,
+        message: BroadcastMessage,
     },
     /// Take this in, in place of what discovery would have told.
-    Feed(Change),
+    Apply(ListDelta),
     /// Ask discovery from here on, or let it be.
-    Ask(bool),
+    PollDiscovery(bool),
 }
 
 /// Counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct BroadcastMetrics {
     /// Words sent.
     pub sent: u64,
     /// Versions taken from another node.
-    pub fed: u64,
+    #[serde(rename = "fed")]
+    pub applied: u64,
     /// How often discovery had to be asked for want of a word.
-    pub silences: u64,
+    #[serde(rename = "silences")]
+    pub holder_timeouts: u64,
     /// Words of a holder whose token was over.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub stale_messages: u64,
 }
 
 struct Parts {
     id: (u64, u64, u64, u16),
-    lines: Vec<Option<Vec<Line>>>,
+    lines: Vec<Option<Vec<Entry>>>,
 }
 
 /// One node's part in its zone's list.
-pub struct Spread {
+pub struct ListBroadcast {
     name: String,
     /// The zone's nodes by name, this one included.
     peers: Vec<(String, SocketAddr)>,
@@ -137,21 +140,21 @@
     number: u64,
     source: u64,
     version: u64,
-    lines: BTreeMap<String, Line>,
-    changes: VecDeque<(u64, u64, Vec<Line>)>,
+    lines: BTreeMap<String, Entry>,
+    changes: VecDeque<(u64, u64, Vec<Entry>)>,
     parts: Option<Parts>,
     asks: bool,
     heard: Option<Duration>,
     beat_at: Duration,
     burst: u32,
-    steps: VecDeque<Step>,
-    counts: Counts,
+    steps: VecDeque<BroadcastAction>,
+    metrics: BroadcastMetrics,
 }
 
-impl Spread {
+impl ListBroadcast {
     /// A node that has just started: it asks discovery, as it does without all this, until it hears a holder.
-    pub fn new(name: &str, source: u64) -> Spread {
-        Spread {
+    pub fn new(name: &str, source: u64) -> ListBroadcast {
+        ListBroadcast {
             name: name.to_string(),
             peers: Vec::new(),
             token: None,
@@ -167,18 +170,18 @@
             beat_at: Duration::MAX,
             burst: 0,
             steps: VecDeque::new(),
-            counts: Counts::default(),
+            metrics: BroadcastMetrics::default(),
         }
     }
 
     /// The next thing to do, if there is one.
-    pub fn step(&mut self) -> Option<Step> {
+    pub fn next_action(&mut self) -> Option<BroadcastAction> {
         self.steps.pop_front()
     }
 
     /// Counters.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn metrics(&self) -> BroadcastMetrics {
+        self.metrics
     }
 
     /// The version that is had here.
@@ -187,18 +190,18 @@
     }
 
     /// Whether discovery is asked from here.
-    pub fn asks(&self) -> bool {
+    pub fn polls_discovery(&self) -> bool {
         self.asks
     }
 
     /// The zone's nodes that take jobs, as the view has them: name and where each is reached.
-    pub fn peers(&mut self, mut peers: Vec<(String, SocketAddr)>) {
+    pub fn set_peers(&mut self, mut peers: Vec<(String, SocketAddr)>) {
         peers.sort();
         self.peers = peers;
     }
 
     /// Discovery is another one from here on: its versions have nothing to do with those before.
-    pub fn moved(&mut self, source: u64) {
+    pub fn set_source(&mut self, source: u64) {
         if self.source != source {
             self.source = source;
             self.version = 0;
@@ -207,7 +210,7 @@
     }
 
     /// The duty is this node's, under this token.
-    pub fn hold(&mut self, now: Duration, token: u64) {
+    pub fn lease_acquired(&mut self, now: Duration, token: u64) {
         self.token = Some(token);
         self.seen = (token, self.name.clone());
         (self.number, self.beat_at) = (0, now);
@@ -215,14 +218,14 @@
     }
 
     /// The duty is this node's no more. It asks on until it hears the next holder.
-    pub fn release(&mut self, now: Duration) {
+    pub fn lease_lost(&mut self, now: Duration) {
         if self.token.take().is_some() {
             (self.heard, self.beat_at) = (Some(now), Duration::MAX);
         }
     }
 
     /// When [`Spread::tick`] is due next.
-    pub fn due(&self) -> Duration {
+    pub fn next_tick(&self) -> Duration {
         match (self.token, self.asks) {
             (Some(_), _) => self.beat_at,
             (None, false) => self.heard.map_or(Duration::MAX, |at| at + SILENCE + self.turn()),
@@ -241,8 +244,8 @@
                     self.beat(token, self.number);
                 }
             }
-            None if !self.asks && now >= self.due() => {
-                self.counts.silences += 1;
+            None if !self.asks && now >= self.next_tick() => {
+                self.metrics.holder_timeouts += 1;
                 self.ask(true);
             }
             _ => {}
@@ -250,7 +253,7 @@
     }
 
     /// Discovery told this node; what is new goes on to the others, if the duty is held here and may be acted on.
-    pub fn told(&mut self, now: Duration, change: &Change, holds: bool) {
+    pub fn publish(&mut self, now: Duration, change: &ListDelta, holds: bool) {
         if !self.take(change) {
             return;
         }
@@ -263,12 +266,12 @@
     }
 
     /// Takes a word of another node in.
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, gossip: Gossip) {
+    pub fn receive(&mut self, now: Duration, from: SocketAddr, gossip: BroadcastMessage) {
         match gossip {
-            Gossip::Beat { token, holder, number, source, version } => {
+            BroadcastMessage::Heartbeat { token, holder, sequence: number, source, version } => {
                 let last = if token == self.seen.0 { self.number } else { 0 };
                 if token < self.seen.0 {
-                    self.counts.refused += 1;
+                    self.metrics.stale_messages += 1;
                     return;
                 }
                 if number <= last || self.token.is_some_and(|own| own >= token) {
@@ -280,19 +283,29 @@
                     return; // it follows another discovery, and is of no use here until this node does, too
                 }
                 if version > self.version {
-                    self.send(from, Gossip::Want { source, version: self.version });
+                    self.send(from, BroadcastMessage::Fetch { source, version: self.version });
                 } else {
                     self.ask(false);
                 }
                 self.beat(token, number);
             }
-            Gossip::Want { source, version } if source == self.source && self.version > version => {
+            BroadcastMessage::Fetch { source, version }
+                if source == self.source && self.version > version =>
+            {
                 self.give(from, version)
             }
-            Gossip::Want { .. } => {}
-            Gossip::Part { token, source, since, version, index, of, lines } => {
+            BroadcastMessage::Fetch { .. } => {}
+            BroadcastMessage::Chunk {
+                token,
+                source,
+                base_version: since,
+                version,
+                index,
+                count: of,
+                entries: lines,
+            } => {
                 if token < self.seen.0 {
-                    self.counts.refused += 1;
+                    self.metrics.stale_messages += 1;
                     return;
                 }
                 let of_use =
@@ -301,10 +314,10 @@
                     return;
                 }
                 let Some(lines) = self.gather((token, since, version, of), index, lines) else { return };
-                let change = Change { version, whole: since == 0, lines };
+                let change = ListDelta { version, complete: since == 0, entries: lines };
                 if self.take(&change) {
-                    self.counts.fed += 1;
-                    self.steps.push_back(Step::Feed(change.clone()));
+                    self.metrics.applied += 1;
+                    self.steps.push_back(BroadcastAction::Apply(change.clone()));
                     self.pass(token, &change);
                     if self.heard.is_some_and(|at| now - at < SILENCE) {
                         self.ask(false);
@@ -317,7 +330,7 @@
     fn ask(&mut self, asks: bool) {
         if self.asks != asks {
             self.asks = asks;
-            self.steps.push_back(Step::Ask(asks));
+            self.steps.push_back(BroadcastAction::PollDiscovery(asks));
         }
     }
 
@@ -329,22 +342,22 @@
     }
 
     /// Whether it is newer than what is had here.
-    fn take(&mut self, change: &Change) -> bool {
+    fn take(&mut self, change: &ListDelta) -> bool {
         // A list never goes back, and the same version is nothing new.
         if change.version <= self.version {
             return false;
         }
-        if change.whole {
+        if change.complete {
             self.lines.clear();
             self.changes.clear();
         } else {
-            self.changes.push_back((self.version, change.version, change.lines.clone()));
+            self.changes.push_back((self.version, change.version, change.entries.clone()));
             if self.changes.len() > KEPT {
                 self.changes.pop_front();
             }
         }
-        for line in &change.lines {
-            if line.gone {
+        for line in &change.entries {
+            if line.removed {
                 self.lines.remove(&line.key);
             } else {
                 self.lines.insert(line.key.clone(), line.clone());
@@ -370,26 +383,35 @@
         one.chain(other).map(|i| self.peers[i].1).collect()
     }
 
-    fn send(&mut self, to: SocketAddr, gossip: Gossip) {
-        self.counts.sent += 1;
-        self.steps.push_back(Step::Send { to, gossip });
+    fn send(&mut self, to: SocketAddr, gossip: BroadcastMessage) {
+        self.metrics.sent += 1;
+        self.steps.push_back(BroadcastAction::Send { to, message: gossip });
     }
 
     fn beat(&mut self, token: u64, number: u64) {
         let (holder, source, version) = (self.seen.1.clone(), self.source, self.version);
         for to in self.children() {
-            self.send(to, Gossip::Beat { token, holder: holder.clone(), number, source, version });
+            self.send(
+                to,
+                BroadcastMessage::Heartbeat {
+                    token,
+                    holder: holder.clone(),
+                    sequence: number,
+                    source,
+                    version,
+                },
+            );
         }
     }
 
     /// Passes a change on that was just taken in.
-    fn pass(&mut self, token: u64, change: &Change) {
+    fn pass(&mut self, token: u64, change: &ListDelta) {
         let since = match self.changes.back() {
-            Some((since, to, _)) if *to == change.version && !change.whole => *since,
+            Some((since, to, _)) if *to == change.version && !change.complete => *since,
             _ => 0,
         };
         for to in self.children() {
-            self.part(to, token, since, &change.lines);
+            self.part(to, token, since, &change.entries);
         }
     }
 
@@ -399,22 +421,22 @@
         let first = self.changes.iter().position(|(from, ..)| *from == since);
         match first.filter(|_| since != 0) {
             Some(first) => {
-                let mut lines: BTreeMap<String, Line> = BTreeMap::new();
+                let mut lines: BTreeMap<String, Entry> = BTreeMap::new();
                 for (_, _, changed) in self.changes.iter().skip(first) {
                     lines.extend(changed.iter().map(|l| (l.key.clone(), l.clone())));
                 }
-                let lines: Vec<Line> = lines.into_values().collect();
+                let lines: Vec<Entry> = lines.into_values().collect();
                 self.part(to, token, since, &lines);
             }
             None => {
-                let lines: Vec<Line> = self.lines.values().cloned().collect();
+                let lines: Vec<Entry> = self.lines.values().cloned().collect();
                 self.part(to, token, 0, &lines);
             }
         }
     }
 
-    fn part(&mut self, to: SocketAddr, token: u64, since: u64, lines: &[Line]) {
-        let mut parts: Vec<Vec<Line>> = vec![Vec::new()];
+    fn part(&mut self, to: SocketAddr, token: u64, since: u64, lines: &[Entry]) {
+        let mut parts: Vec<Vec<Entry>> = vec![Vec::new()];
         let mut room = PART;
         for line in lines {
             let size = line.bytes.len() + line.key.len() + 16;
@@ -434,11 +456,22 @@
         let (of, source, version) = (parts.len() as u16, self.source, self.version);
         for (index, lines) in parts.into_iter().enumerate() {
             let index = index as u16;
-            self.send(to, Gossip::Part { token, source, since, version, index, of, lines });
+            self.send(
+                to,
+                BroadcastMessage::Chunk {
+                    token,
+                    source,
+                    base_version: since,
+                    version,
+                    index,
+                    count: of,
+                    entries: lines,
+                },
+            );
         }
     }
 
-    fn gather(&mut self, id: (u64, u64, u64, u16), index: u16, lines: Vec<Line>) -> Option<Vec<Line>> {
+    fn gather(&mut self, id: (u64, u64, u64, u16), index: u16, lines: Vec<Entry>) -> Option<Vec<Entry>> {
         let of = usize::from(id.3);
         if usize::from(index) >= of || of > PARTS {
             return None;
@@ -464,8 +497,8 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn line(key: &str, gone: bool, length: usize) -> Line {
-        Line { key: key.into(), gone, bytes: vec![7; length] }
+    fn line(key: &str, gone: bool, length: usize) -> Entry {
+        Entry { key: key.into(), removed: gone, bytes: vec![7; length] }
     }
 
     fn at(i: usize) -> SocketAddr {
@@ -473,14 +506,14 @@
     }
 
     /// Nodes that hear each other at once.
-    struct Zone(Vec<Spread>, Vec<Vec<Change>>);
+    struct Zone(Vec<ListBroadcast>, Vec<Vec<ListDelta>>);
 
     impl Zone {
         fn new(nodes: usize) -> Zone {
             let peers: Vec<(String, SocketAddr)> = (0..nodes).map(|i| (format!("n{i:03}"), at(i))).collect();
             let node = |i: usize| {
-                let mut spread = Spread::new(&peers[i].0, 1);
-                spread.peers(peers.clone());
+                let mut spread = ListBroadcast::new(&peers[i].0, 1);
+                spread.set_peers(peers.clone());
                 spread
             };
             Zone((0..nodes).map(node).collect(), vec![Vec::new(); nodes])
@@ -488,49 +521,49 @@
 
         /// Brings all words, less those that `lost` says; the most that one node sent.
         fn pass(&mut self, now: Duration, lost: impl Fn(usize, usize) -> bool) -> u64 {
-            let before: Vec<u64> = self.0.iter().map(|s| s.counts.sent).collect();
+            let before: Vec<u64> = self.0.iter().map(|s| s.metrics.sent).collect();
             let mut quiet = false;
             while !quiet {
                 quiet = true;
                 for from in 0..self.0.len() {
-                    while let Some(step) = self.0[from].step() {
+                    while let Some(step) = self.0[from].next_action() {
                         quiet = false;
                         match step {
-                            Step::Send { to, gossip } => {
+                            BroadcastAction::Send { to, message: gossip } => {
                                 let to = (to.port() - 1000) as usize;
                                 if !lost(from, to) {
-                                    self.0[to].hear(now, at(from), gossip);
+                                    self.0[to].receive(now, at(from), gossip);
                                 }
                             }
-                            Step::Feed(change) => self.1[from].push(change),
-                            Step::Ask(_) => {}
+                            BroadcastAction::Apply(change) => self.1[from].push(change),
+                            BroadcastAction::PollDiscovery(_) => {}
                         }
                     }
                 }
             }
-            self.0.iter().zip(before).map(|(s, b)| s.counts.sent - b).max().unwrap_or(0)
+            self.0.iter().zip(before).map(|(s, b)| s.metrics.sent - b).max().unwrap_or(0)
         }
     }
 
-    fn whole(version: u64, lines: Vec<Line>) -> Change {
-        Change { version, whole: true, lines }
+    fn whole(version: u64, lines: Vec<Entry>) -> ListDelta {
+        ListDelta { version, complete: true, entries: lines }
     }
 
     #[test]
     fn a_version_reaches_all_and_nobody_tells_more_than_a_few() {
         let mut zone = Zone::new(300);
         let now = MS * 1000;
-        zone.0[7].hold(now, 5);
-        let list: Vec<Line> = (0..400).map(|i| line(&format!("w{i}"), false, 300)).collect();
-        zone.0[7].told(now, &whole(3, list.clone()), true);
+        zone.0[7].lease_acquired(now, 5);
+        let list: Vec<Entry> = (0..400).map(|i| line(&format!("w{i}"), false, 300)).collect();
+        zone.0[7].publish(now, &whole(3, list.clone()), true);
         zone.0[7].tick(now, true);
         let most = zone.pass(now, |_, _| false);
         assert!(zone.0.iter().all(|s| s.version == 3 && s.lines.len() == 400));
         assert!(most <= 16 * 8, "a whole list of some words to each of sixteen: {most}");
         assert_eq!(zone.0.iter().filter(|s| s.asks).count(), 1, "the holder alone asks");
         // A change costs one word to each.
-        let change = Change { version: 4, whole: false, lines: vec![line("w3", true, 0)] };
-        zone.0[7].told(now, &change, true);
+        let change = ListDelta { version: 4, complete: false, entries: vec![line("w3", true, 0)] };
+        zone.0[7].publish(now, &change, true);
         let most = zone.pass(now, |_, _| false);
         assert!(most <= 16 && zone.0.iter().all(|s| s.version == 4 && s.lines.len() == 399), "{most}");
     }
@@ -538,14 +571,14 @@
     #[test]
     fn what_was_missed_comes_with_the_next_beat() {
         let mut zone = Zone::new(20);
-        zone.0[0].hold(MS, 5);
+        zone.0[0].lease_acquired(MS, 5);
         zone.0[0].tick(MS, true);
         zone.pass(MS, |_, _| false);
-        zone.0[0].told(MS, &whole(1, vec![line("a", false, 9), line("b", false, 9)]), true);
+        zone.0[0].publish(MS, &whole(1, vec![line("a", false, 9), line("b", false, 9)]), true);
         zone.pass(MS, |_, _| false);
         for version in 2..5 {
-            let change = Change { version, whole: false, lines: vec![line("a", version == 4, 9)] };
-            zone.0[0].told(MS, &change, true);
+            let change = ListDelta { version, complete: false, entries: vec![line("a", version == 4, 9)] };
+            zone.0[0].publish(MS, &change, true);
             zone.pass(MS, |_, to| to == 3 || to > 15);
         }
         assert_eq!((zone.0[3].version, zone.0[19].version), (1, 1));
@@ -553,55 +586,69 @@
         zone.0[0].tick(now, true);
         zone.pass(now, |_, _| false);
         assert!(zone.0.iter().all(|s| s.version == 4 && s.lines.len() == 1));
-        assert_eq!(zone.1[3].last().unwrap().lines.len(), 1, "the changes, not the whole list");
+        assert_eq!(zone.1[3].last().unwrap().entries.len(), 1, "the changes, not the whole list");
     }
 
     /// An old holder's list never replaces a newer one, nor does a new holder's that is behind.
     #[test]
     fn a_list_never_goes_back() {
         let mut zone = Zone::new(3);
-        zone.0[0].hold(MS, 5);
-        zone.0[0].told(MS, &whole(9, vec![line("a", false, 9)]), true);
+        zone.0[0].lease_acquired(MS, 5);
+        zone.0[0].publish(MS, &whole(9, vec![line("a", false, 9)]), true);
         zone.pass(MS, |_, _| false);
-        zone.0[1].hold(MS, 6);
+        zone.0[1].lease_acquired(MS, 6);
         zone.0[1].tick(MS, true);
         zone.pass(MS, |_, _| false);
         // The old one stood still and goes on.
-        let change = Change { version: 12, whole: true, lines: vec![] };
-        let part =
-            Gossip::Part { token: 5, source: 1, since: 0, version: 12, index: 0, of: 1, lines: vec![] };
-        zone.0[2].hear(MS, at(0), part);
-        assert_eq!((zone.0[2].version, zone.0[2].counts.refused), (9, 1));
+        let change = ListDelta { version: 12, complete: true, entries: vec![] };
+        let part = BroadcastMessage::Chunk {
+            token: 5,
+            source: 1,
+            base_version: 0,
+            version: 12,
+            index: 0,
+            count: 1,
+            entries: vec![],
+        };
+        zone.0[2].receive(MS, at(0), part);
+        assert_eq!((zone.0[2].version, zone.0[2].metrics.stale_messages), (9, 1));
         // It hears of the next one, and tells nothing more even if discovery tells it.
-        zone.0[0].told(MS, &change, true);
+        zone.0[0].publish(MS, &change, true);
         zone.pass(MS, |_, _| false);
         assert_eq!(zone.0[2].version, 9);
         // The new one is told an older list by discovery.
-        zone.0[1].told(MS, &whole(8, vec![]), true);
+        zone.0[1].publish(MS, &whole(8, vec![]), true);
         zone.pass(MS, |_, _| false);
         assert!(zone.0[2].version == 9 && zone.0[2].lines.len() == 1);
         // From another discovery nothing counts here, until this node follows that one.
-        let part =
-            Gossip::Part { token: 7, source: 2, since: 0, version: 20, index: 0, of: 1, lines: vec![] };
-        zone.0[2].hear(MS, at(1), part.clone());
+        let part = BroadcastMessage::Chunk {
+            token: 7,
+            source: 2,
+            base_version: 0,
+            version: 20,
+            index: 0,
+            count: 1,
+            entries: vec![],
+        };
+        zone.0[2].receive(MS, at(1), part.clone());
         assert_eq!(zone.0[2].version, 9);
-        zone.0[2].moved(2);
-        zone.0[2].hear(MS, at(1), part);
+        zone.0[2].set_source(2);
+        zone.0[2].receive(MS, at(1), part);
         assert_eq!(zone.0[2].version, 20);
     }
 
     #[test]
     fn where_the_holder_falls_silent_all_ask_in_turn() {
         let mut zone = Zone::new(100);
-        zone.0[0].hold(MS, 5);
-        zone.0[0].told(MS, &whole(1, vec![]), true);
+        zone.0[0].lease_acquired(MS, 5);
+        zone.0[0].publish(MS, &whole(1, vec![]), true);
         zone.0[0].tick(MS, true);
         zone.pass(MS, |_, _| false);
         let mut asking = Vec::new();
         for ms in 1..1500 {
             let now = MS * ms;
             for i in 1..100 {
-                if !zone.0[i].asks && zone.0[i].due() <= now {
+                if !zone.0[i].asks && zone.0[i].next_tick() <= now {
                     zone.0[i].tick(now, false);
                     asking.push(ms);
                 }
@@ -612,7 +659,7 @@
         let most = asking.chunk_by(|a, b| a == b).map(<[u32]>::len).max().unwrap();
         assert!(most <= 2, "{most} at once");
         // The next holder: they let it be.
-        zone.0[4].hold(MS * 2000, 6);
+        zone.0[4].lease_acquired(MS * 2000, 6);
         zone.0[4].tick(MS * 2000, true);
         zone.pass(MS * 2000, |_, _| false);
         assert_eq!(zone.0.iter().filter(|s| s.asks).count(), 1);
@@ -621,8 +668,8 @@
     #[test]
     fn one_that_may_not_act_tells_nothing() {
         let mut zone = Zone::new(3);
-        zone.0[0].hold(MS, 5);
-        zone.0[0].told(MS, &whole(2, vec![]), false);
+        zone.0[0].lease_acquired(MS, 5);
+        zone.0[0].publish(MS, &whole(2, vec![]), false);
         zone.0[0].tick(MS, false);
         assert_eq!(zone.pass(MS, |_, _| false), 0);
         assert_eq!(zone.0[1].version, 0);
--- a/duties/src/log.rs
+++ b/duties/src/log.rs
@@ -7,8 +7,8 @@
 /// A log: a snapshot, and the entries behind it.
 #[derive(Default)]
 pub(crate) struct Log {
-    pub hard: HardState,
-    pub conf: ConfState,
+    pub hard_state: HardState,
+    pub conf_state: ConfState,
     pub snapshot: Snapshot,
     pub entries: Vec<Entry>,
 }
@@ -34,9 +34,9 @@
     /// Begins anew from a snapshot that another one sent.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
-        self.hard.commit = self.hard.commit.max(meta.index);
-        self.hard.term = self.hard.term.max(meta.term);
-        self.conf = meta.get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(meta.index);
+        self.hard_state.term = self.hard_state.term.max(meta.term);
+        self.conf_state = meta.get_conf_state().clone();
         self.entries.clear();
         self.snapshot = snapshot;
     }
@@ -51,7 +51,7 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
+        Ok(RaftState::new(self.hard_state.clone(), self.conf_state.clone()))
     }
 
     fn entries(
--- a/duties/src/word.rs
+++ b/duties/src/message.rs
@@ -1,21 +1,21 @@
 //! What voters and clients tell each other. The embedder carries it, sealed and for one receiver each.
 
-use crate::table::{Holder, Seat, Table};
+use crate::lease_table::{Holder, LeaseTable, VoterMember};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// The longest name of a node or duty, in bytes.
 pub const NAME_MAX: usize = 64;
 /// The longest word, in bytes: a snapshot of a full table goes in.
-pub const WORD_MAX: usize = 64 * 1024;
+pub const MESSAGE_MAX: usize = 64 * 1024;
 
 /// A word.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Between voters: `raft`'s own, from one disk to another.
     Raft {
         /// The foundation that both belong to.
-        founded: u64,
+        cluster_id: u64,
         /// From which disk.
         from: u64,
         /// To which.
@@ -24,155 +24,157 @@
         bytes: Vec<u8>,
     },
     /// Between voters: who is there, with which disk.
-    Hello(Hello),
+    Handshake(Handshake),
     /// A client's wish.
-    Ask(Ask),
+    Request(Request),
     /// The voters' answer.
-    Answer(Answer),
+    Response(Response),
 }
 
 /// A voter says who it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Handshake {
     /// Its name.
     pub name: String,
     /// Its disk: drawn when the folder was made.
-    pub disk: u64,
+    pub disk_id: u64,
     /// How often this folder has been started from: one that goes back is an older copy.
     pub starts: u64,
     /// The process.
-    pub boot: u64,
+    pub process_id: u64,
     /// The foundation it belongs to, if it was founded.
-    pub founded: Option<u64>,
+    pub cluster_id: Option<u64>,
     /// Whom it would found a new set of voters with: a hash of their names and places.
-    pub founders: u64,
+    pub founders_digest: u64,
     /// To one that asked: which start of which process it was, and what that is here. Guards a process against an answer
     /// that is late, and was for the one before it. None in a question.
-    pub you: Option<(u64, u64, You)>,
+    pub answer: Option<(u64, u64, VoterStatus)>,
 }
 
 /// What a voter is to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum You {
+pub enum VoterStatus {
     /// Nothing is known that speaks against it.
-    Fine,
+    Current,
     /// Its disk is not among the voters'.
-    Unseated,
+    NotMember,
     /// A later start of its disk was seen here: its folder is an older copy.
-    Older,
+    StaleCopy,
 }
 
 /// A client's wish.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Comes back with the answer.
-    pub number: u64,
+    pub id: u64,
     /// Who asks.
-    pub who: Holder,
+    pub client: Holder,
     /// How long ago it heard anything of the voters last, in milliseconds. Guards a duty against a holder that is heard
     /// and hears nothing: its lease would be extended for ever, and it would never know.
-    pub heard_ms: u64,
+    pub silence_ms: u64,
     /// What for.
-    pub wish: Wish,
+    pub operation: Operation,
 }
 
 /// What a client wishes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wish {
+pub enum Operation {
     /// To have a duty, or to hold on to it.
-    Have {
+    Acquire {
         /// Which.
-        duty: String,
+        lease: String,
         /// The token it holds it under; 0 where it does not.
         token: u64,
     },
     /// To give it back.
-    Give {
+    Release {
         /// Which.
-        duty: String,
+        lease: String,
         /// Its token.
         token: u64,
     },
     /// To leave word for the next holder.
-    Leave {
+    SaveState {
         /// Of which duty.
-        duty: String,
+        lease: String,
         /// Its token.
         token: u64,
         /// What.
-        left: Vec<u8>,
+        state: Vec<u8>,
     },
     /// To see all of it.
-    Show,
+    Status,
     /// An operator's word: this one is to be a voter, too.
-    Add(Seat),
+    AddVoter(VoterMember),
     /// An operator's word: this one is to be none.
-    Remove(String),
+    RemoveVoter(String),
 }
 
 /// The voters' answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Response {
     /// The ask's.
-    pub number: u64,
+    pub request_id: u64,
     /// The process that asked. Guards the next process of its name against an answer that is late: it counts its asks from
     /// the start, too, and would take a lease that began long ago for one that begins now.
-    pub boot: u64,
+    pub process_id: u64,
     /// Who answers.
-    pub name: String,
+    pub voter: String,
     /// What it says.
-    pub reply: Reply,
+    pub outcome: Outcome,
 }
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum Outcome {
     /// The duty is the asker's, from when it asked.
     Granted {
         /// Which.
-        duty: String,
+        lease: String,
         /// Its token.
         token: u64,
         /// What the holder before left.
-        left: Vec<u8>,
+        state: Vec<u8>,
     },
     /// Another holds it. The wish is kept for a moment, in case it is given back.
-    Busy {
+    HeldByOther {
         /// Which.
-        duty: String,
+        lease: String,
         /// Who.
         holder: String,
         /// Under which token.
         token: u64,
     },
     /// The asker does not hold it: it gave it back, or another has it.
-    Gone {
+    NotHolder {
         /// Which.
-        duty: String,
+        lease: String,
         /// The token of its last grant.
         token: u64,
     },
     /// It was done.
     Done,
     /// The asker has heard nothing for long: nothing is done before it asks again and says that it heard this.
-    Listen,
+    ConfirmReceipt,
     /// Another voter leads; `None` where none is known to.
-    Elsewhere(Option<SocketAddr>),
+    NotLeader(Option<SocketAddr>),
     /// It can't be done, and why.
-    No(String),
+    Rejected(String),
     /// All of it.
-    Shown(Box<Told>),
+    Status(Box<ClusterStatus>),
 }
 
 /// What the leader tells an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ClusterStatus {
     /// The duties, voters and last changes.
-    pub table: Table,
+    pub table: LeaseTable,
     /// The foundation.
-    pub founded: u64,
+    #[serde(rename = "founded")]
+    pub cluster_id: u64,
     /// The leader's term.
     pub term: u64,
     /// How long each duty's lease has yet to go, as its grantor counts, in milliseconds.
-    pub left_ms: Vec<(String, u64)>,
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: Vec<(String, u64)>,
 }
--- a/duties/src/roll.rs
+++ b/duties/src/rolling_restart.rs
@@ -21,36 +21,58 @@
 
 /// How a roll ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum RestartOutcome {
     /// All nodes were started anew.
-    Done,
+    #[serde(rename = "Done")]
+    Completed,
     /// An operator stopped it.
-    Asked,
+    #[serde(rename = "Asked")]
+    Cancelled,
     /// This node did not come back.
-    NotBack(String),
+    #[serde(rename = "NotBack")]
+    NodeNotBack(String),
     /// So many nodes are missing that it did not take away.
-    Missing(u16),
+    #[serde(rename = "Missing")]
+    NodesMissing(u16),
     /// Of so many jobs that ended so many failed.
-    JobsFail(u64, u64),
+    #[serde(rename = "JobsFail")]
+    JobsFailed(u64, u64),
+}
+
+/// The words that operators see.
+impl std::fmt::Display for RestartOutcome {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            RestartOutcome::Completed => write!(f, "Done"),
+            RestartOutcome::Cancelled => write!(f, "Asked"),
+            RestartOutcome::NodeNotBack(name) => write!(f, "NotBack({name:?})"),
+            RestartOutcome::NodesMissing(count) => write!(f, "Missing({count})"),
+            RestartOutcome::JobsFailed(failed, ended) => write!(f, "JobsFail({failed}, {ended})"),
+        }
+    }
 }
 
 /// How far a roll is: what a holder leaves for the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Progress {
+pub struct RestartProgress {
     /// Which roll: when it was asked for.
     pub id: u64,
     /// Nodes of one zone that may be away at once.
-    pub away: u8,
+    #[serde(rename = "away")]
+    pub max_unavailable: u8,
     /// The last node, by name, that was told to go.
     pub cursor: String,
     /// Those that are under way, with the process that was told.
-    pub under_way: Vec<(String, u64)>,
+    #[serde(rename = "under_way")]
+    pub in_progress: Vec<(String, u64)>,
     /// Nodes that there were at its begin.
     pub total: u16,
     /// Nodes that are back.
-    pub done: u16,
+    #[serde(rename = "done")]
+    pub completed: u16,
     /// How it ended.
-    pub end: Option<End>,
+    #[serde(rename = "end")]
+    pub outcome: Option<RestartOutcome>,
 }
 
 /// A node that takes jobs.
@@ -63,92 +85,92 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its process.
-    pub boot: u64,
+    pub process_id: u64,
 }
 
 /// What the embedder is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum RestartStep {
     /// Leave this for the next holder.
-    Save(Progress),
+    SaveProgress(RestartProgress),
     /// Tell this process to drain and end.
-    Go {
+    Restart {
         /// The node.
         name: String,
         /// Where it is reached.
-        to: SocketAddr,
+        address: SocketAddr,
         /// The process.
-        boot: u64,
+        process_id: u64,
     },
 }
 
 /// A roll in the hands of its holder.
-pub struct Roll {
+pub struct RollingRestart {
     own: String,
-    progress: Progress,
+    progress: RestartProgress,
     zones: BTreeMap<String, String>,
     told: BTreeMap<String, (Duration, Duration)>, // first, and last
     missing_since: Option<Duration>,
-    moves: VecDeque<Move>,
+    steps: VecDeque<RestartStep>,
 }
 
-impl Roll {
+impl RollingRestart {
     /// A new one, of these nodes.
-    pub fn begin(own: &str, id: u64, away: u8, members: &[Member]) -> Roll {
-        let progress = Progress {
+    pub fn start(own: &str, id: u64, max_unavailable: u8, members: &[Member]) -> RollingRestart {
+        let progress = RestartProgress {
             id,
-            away: away.clamp(1, UNDER_WAY as u8),
+            max_unavailable: max_unavailable.clamp(1, UNDER_WAY as u8),
             cursor: String::new(),
-            under_way: Vec::new(),
+            in_progress: Vec::new(),
             total: members.len().min(usize::from(u16::MAX)) as u16,
-            done: 0,
-            end: None,
+            completed: 0,
+            outcome: None,
         };
-        let mut roll = Roll::go_on(own, progress);
+        let mut roll = RollingRestart::resume(own, progress);
         roll.save();
         roll
     }
 
     /// One that another holder left.
-    pub fn go_on(own: &str, progress: Progress) -> Roll {
-        Roll {
+    pub fn resume(own: &str, progress: RestartProgress) -> RollingRestart {
+        RollingRestart {
             own: own.to_string(),
             progress,
             zones: BTreeMap::new(),
             told: BTreeMap::new(),
             missing_since: None,
-            moves: VecDeque::new(),
+            steps: VecDeque::new(),
         }
     }
 
     /// How far it is.
-    pub fn progress(&self) -> &Progress {
+    pub fn progress(&self) -> &RestartProgress {
         &self.progress
     }
 
     /// The next thing to do, if there is one.
-    pub fn step(&mut self) -> Option<Move> {
-        self.moves.pop_front()
+    pub fn next_step(&mut self) -> Option<RestartStep> {
+        self.steps.pop_front()
     }
 
     /// It ends here.
-    pub fn stop(&mut self, end: End) {
-        if self.progress.end.is_none() {
-            self.progress.end = Some(end);
+    pub fn stop(&mut self, outcome: RestartOutcome) {
+        if self.progress.outcome.is_none() {
+            self.progress.outcome = Some(outcome);
             self.save();
         }
     }
 
     /// What jobs came to since it began, at all nodes that were asked.
-    pub fn health(&mut self, failed: u64, ended: u64) {
+    pub fn record_jobs(&mut self, failed: u64, ended: u64) {
         if ended >= ENDED && failed * FAILS > ended {
-            self.stop(End::JobsFail(failed, ended));
+            self.stop(RestartOutcome::JobsFailed(failed, ended));
         }
     }
 
     /// Looks at the nodes that take jobs now, and goes on.
-    pub fn look(&mut self, now: Duration, members: &[Member]) {
-        if self.progress.end.is_some() {
+    pub fn advance(&mut self, now: Duration, members: &[Member]) {
+        if self.progress.outcome.is_some() {
             return;
         }
         let before = self.progress.clone();
@@ -156,22 +178,23 @@
         for m in members {
             self.zones.insert(m.name.clone(), m.zone.clone());
         }
-        let back = |(name, boot): &(String, u64)| process(name).is_some_and(|m| m.boot != *boot);
-        self.progress.done += self.progress.under_way.iter().filter(|u| back(u)).count() as u16;
-        self.progress.under_way.retain(|u| !back(u));
-        let under_way = &self.progress.under_way;
-        self.told.retain(|name, _| under_way.iter().any(|(n, _)| n == name));
+        let back =
+            |(name, process_id): &(String, u64)| process(name).is_some_and(|m| m.process_id != *process_id);
+        self.progress.completed += self.progress.in_progress.iter().filter(|u| back(u)).count() as u16;
+        self.progress.in_progress.retain(|u| !back(u));
+        let in_progress = &self.progress.in_progress;
+        self.told.retain(|name, _| in_progress.iter().any(|(n, _)| n == name));
         if let Some((name, _)) = self.told.iter().find(|(_, (first, _))| now.saturating_sub(*first) >= BACK) {
             let name = name.clone();
-            return self.stop(End::NotBack(name));
+            return self.stop(RestartOutcome::NodeNotBack(name));
         }
         // Those that are gone and were not told to go.
-        let gone = under_way.iter().filter(|(name, _)| process(name).is_none()).count();
+        let gone = in_progress.iter().filter(|(name, _)| process(name).is_none()).count();
         let missing = usize::from(self.progress.total).saturating_sub(members.len() + gone);
         if missing > 0 {
             let since = *self.missing_since.get_or_insert(now);
             if now.saturating_sub(since) >= MISSING {
-                return self.stop(End::Missing(missing as u16));
+                return self.stop(RestartOutcome::NodesMissing(missing as u16));
             }
         } else {
             self.missing_since = None;
@@ -179,24 +202,24 @@
         // Nobody more goes while some are missing, or where the view is not yet whole.
         let mut rest: Vec<&Member> = members.iter().filter(|m| m.name > self.progress.cursor).collect();
         rest.sort_by(|a, b| a.name.cmp(&b.name));
-        if rest.is_empty() && self.progress.under_way.is_empty() && missing == 0 {
-            return self.stop(End::Done);
+        if rest.is_empty() && self.progress.in_progress.is_empty() && missing == 0 {
+            return self.stop(RestartOutcome::Completed);
         }
         for m in rest {
             let away = |zone: &str| {
                 let same = |(n, _): &&(String, u64)| self.zones.get(n).is_some_and(|z| z == zone);
-                self.progress.under_way.iter().filter(same).count()
+                self.progress.in_progress.iter().filter(same).count()
             };
-            let full = self.progress.under_way.len() >= UNDER_WAY;
-            if missing > 0 || full || away(&m.zone) >= usize::from(self.progress.away) {
+            let full = self.progress.in_progress.len() >= UNDER_WAY;
+            if missing > 0 || full || away(&m.zone) >= usize::from(self.progress.max_unavailable) {
                 break;
             }
             // The holder goes when nobody else is away: the next one finds only that to wait for.
-            if m.name == self.own && !self.progress.under_way.is_empty() {
+            if m.name == self.own && !self.progress.in_progress.is_empty() {
                 break;
             }
             self.progress.cursor = m.name.clone();
-            self.progress.under_way.push((m.name.clone(), m.boot));
+            self.progress.in_progress.push((m.name.clone(), m.process_id));
             if m.name == self.own {
                 break;
             }
@@ -205,8 +228,8 @@
         if self.progress != before {
             self.save();
         }
-        for (name, boot) in &self.progress.under_way {
-            let Some(m) = process(name).filter(|m| m.boot == *boot) else {
+        for (name, process_id) in &self.progress.in_progress {
+            let Some(m) = process(name).filter(|m| m.process_id == *process_id) else {
                 self.told.entry(name.clone()).or_insert((now, now));
                 continue;
             };
@@ -214,13 +237,17 @@
             if due {
                 let first = self.told.get(name).map_or(now, |(first, _)| *first);
                 self.told.insert(name.clone(), (first, now));
-                self.moves.push_back(Move::Go { name: name.clone(), to: m.address, boot: *boot });
+                self.steps.push_back(RestartStep::Restart {
+                    name: name.clone(),
+                    address: m.address,
+                    process_id: *process_id,
+                });
             }
         }
     }
 
     fn save(&mut self) {
-        self.moves.push_back(Move::Save(self.progress.clone()));
+        self.steps.push_back(RestartStep::SaveProgress(self.progress.clone()));
     }
 }
 
@@ -235,26 +262,29 @@
             name: format!("n{i}"),
             zone: format!("z{}", i % 2),
             address: SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16)),
-            boot: 1,
+            process_id: 1,
         };
         (0..n).map(member).collect()
     }
 
     /// Those that were told to go are gone for a look, and back with another process at the next.
     fn step(
-        roll: &mut Roll,
+        roll: &mut RollingRestart,
         now: Duration,
         members: &mut Vec<Member>,
         away: &mut Vec<Member>,
     ) -> Vec<String> {
         members.append(away);
-        roll.look(now, members);
+        roll.advance(now, members);
         let mut told = Vec::new();
-        while let Some(next) = roll.step() {
-            if let Move::Go { name, boot, .. } = next {
-                let at = members.iter().position(|m| m.name == name && m.boot == boot).expect("it is there");
+        while let Some(next) = roll.next_step() {
+            if let RestartStep::Restart { name, process_id, .. } = next {
+                let at = members
+                    .iter()
+                    .position(|m| m.name == name && m.process_id == process_id)
+                    .expect("it is there");
                 let m = members.remove(at);
-                away.push(Member { boot: boot + 1, ..m });
+                away.push(Member { process_id: process_id + 1, ..m });
                 told.push(name);
             }
         }
@@ -264,9 +294,9 @@
     #[test]
     fn all_nodes_go_once_and_never_too_many_of_a_zone() {
         let (mut members, mut away) = (fleet(8), Vec::new());
-        let mut roll = Roll::begin("n3", 7, 1, &members);
+        let mut roll = RollingRestart::start("n3", 7, 1, &members);
         let (mut order, mut now) = (Vec::new(), S);
-        while roll.progress().end.is_none() {
+        while roll.progress().outcome.is_none() {
             let told = step(&mut roll, now, &mut members, &mut away);
             for zone in ["z0", "z1"] {
                 assert!(away.iter().filter(|m| m.zone == zone).count() <= 1);
@@ -277,48 +307,48 @@
             // The holder goes alone, and another goes on with what it left.
             if order.last().is_some_and(|n| n == "n3") && roll.own == "n3" {
                 assert_eq!(away.len(), 1);
-                roll = Roll::go_on("n0", roll.progress().clone());
+                roll = RollingRestart::resume("n0", roll.progress().clone());
             }
         }
-        assert_eq!(roll.progress().end, Some(End::Done));
-        assert_eq!((order.len(), roll.progress().done), (8, 8), "{order:?}");
-        assert!(members.iter().all(|m| m.boot == 2) && members.len() == 8);
+        assert_eq!(roll.progress().outcome, Some(RestartOutcome::Completed));
+        assert_eq!((order.len(), roll.progress().completed), (8, 8), "{order:?}");
+        assert!(members.iter().all(|m| m.process_id == 2) && members.len() == 8);
     }
 
     #[test]
     fn it_stops_where_others_go_missing_jobs_fail_or_one_does_not_come_back() {
-        let begin = || Roll::begin("n0", 7, 1, &fleet(4));
+        let begin = || RollingRestart::start("n0", 7, 1, &fleet(4));
         let mut roll = begin();
         let three = fleet(3);
-        roll.look(S, &three);
-        assert!(roll.progress().under_way.is_empty(), "nobody goes while one is missing");
-        roll.look(S + MISSING, &three);
-        assert_eq!(roll.progress().end, Some(End::Missing(1)));
+        roll.advance(S, &three);
+        assert!(roll.progress().in_progress.is_empty(), "nobody goes while one is missing");
+        roll.advance(S + MISSING, &three);
+        assert_eq!(roll.progress().outcome, Some(RestartOutcome::NodesMissing(1)));
         let mut roll = begin();
-        roll.health(1, 30);
-        assert_eq!(roll.progress().end, None);
-        roll.health(2, 30);
-        assert_eq!(roll.progress().end, Some(End::JobsFail(2, 30)));
+        roll.record_jobs(1, 30);
+        assert_eq!(roll.progress().outcome, None);
+        roll.record_jobs(2, 30);
+        assert_eq!(roll.progress().outcome, Some(RestartOutcome::JobsFailed(2, 30)));
         let (mut roll, mut members) = (begin(), fleet(4));
-        roll.look(S, &members);
+        roll.advance(S, &members);
         members.remove(0);
-        roll.look(2 * S, &members);
-        roll.look(S + BACK, &members);
-        assert_eq!(roll.progress().end, Some(End::NotBack("n0".into())));
+        roll.advance(2 * S, &members);
+        roll.advance(S + BACK, &members);
+        assert_eq!(roll.progress().outcome, Some(RestartOutcome::NodeNotBack("n0".into())));
     }
 
     #[test]
     fn what_is_left_for_the_next_holder_is_short() {
         let long = "n".repeat(64);
-        let progress = Progress {
+        let progress = RestartProgress {
             id: u64::MAX,
-            away: 4,
+            max_unavailable: 4,
             cursor: long.clone(),
-            under_way: vec![(long.clone(), u64::MAX); UNDER_WAY],
+            in_progress: vec![(long.clone(), u64::MAX); UNDER_WAY],
             total: u16::MAX,
-            done: u16::MAX,
-            end: Some(End::NotBack(long)),
+            completed: u16::MAX,
+            outcome: Some(RestartOutcome::NodeNotBack(long)),
         };
-        assert!(postcard::to_stdvec(&progress).unwrap().len() <= crate::table::LEFT_MAX);
+        assert!(postcard::to_stdvec(&progress).unwrap().len() <= crate::lease_table::STATE_MAX);
     }
 }
--- a/duties/src/store.rs
+++ b/duties/src/store.rs
@@ -23,84 +23,84 @@
 
 /// What is known of the folder itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Folder {
+pub struct DiskIdentity {
     /// The fleet that it belongs to.
     pub fleet: String,
     /// The node that it belongs to.
-    pub name: String,
+    pub node: String,
     /// Drawn when it was made. The voters know each other by it: a folder that was lost is another voter.
-    pub disk: u64,
+    pub disk_id: u64,
     /// How often it was started from, this time included.
     pub starts: u64,
     /// Told by the embedder: what tells this file from a copy of it, such as its inode.
-    pub place: u64,
+    pub location: u64,
     /// It is an older copy of itself, or a copy in another place: it never votes again.
-    pub older: bool,
+    pub is_stale_copy: bool,
     /// The foundation that it belongs to.
-    pub founded: Option<u64>,
+    pub cluster_id: Option<u64>,
     /// The latest start of each other voter's disk that was seen, and which process that was.
-    pub seen: BTreeMap<u64, (u64, u64)>,
+    pub peer_starts: BTreeMap<u64, (u64, u64)>,
 }
 
 /// What is to be written, whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Batch {
+pub struct WriteBatch {
     /// For [`crate::Voter::written`].
     pub number: u64,
-    pub(crate) folder: Option<Folder>,
-    pub(crate) hard: Option<HardState>,
+    pub(crate) identity: Option<DiskIdentity>,
+    pub(crate) hard_state: Option<HardState>,
     pub(crate) snapshot: Option<Snapshot>,
     /// The snapshot is another's, and nothing of the log before it counts.
-    pub(crate) anew: bool,
+    pub(crate) replaces_log: bool,
     pub(crate) entries: Vec<Entry>,
 }
 
-impl Batch {
+impl WriteBatch {
     pub(crate) fn is_empty(&self) -> bool {
-        *self == Batch { number: self.number, ..Batch::default() }
+        *self == WriteBatch { number: self.number, ..WriteBatch::default() }
     }
 }
 
 /// Why a store was not taken, or a write failed.
 #[derive(Debug, thiserror::Error)]
-pub enum BadStore {
+pub enum StoreError {
     /// The disk says no: full, read-only, gone.
     #[error("the disk refuses: {0}")]
-    Disk(String),
+    Io(String),
     /// What was read is not what was written.
     #[error("it is damaged: {0}")]
-    Damaged(String),
+    Corrupt(String),
     /// It was written by a later version of the program.
     #[error("it has format {0}, and this program knows {FORMAT} at most")]
-    Later(u32),
+    NewerFormat(u32),
     /// It belongs to another fleet or node.
-    #[error("it belongs to node {name} of fleet {fleet}")]
-    Foreign {
+    #[error("it belongs to node {node} of fleet {fleet}")]
+    WrongOwner {
         /// That fleet.
         fleet: String,
         /// That node.
-        name: String,
+        node: String,
     },
 }
 
-impl<E: Into<redb::Error>> From<E> for BadStore {
-    fn from(e: E) -> BadStore {
+impl<E: Into<redb::Error>> From<E> for StoreError {
+    fn from(e: E) -> StoreError {
         match e.into() {
             e @ (redb::Error::Corrupted(_) | redb::Error::UpgradeRequired(_)) => {
-                BadStore::Damaged(e.to_string())
+                StoreError::Corrupt(e.to_string())
             }
             redb::Error::Io(e) if e.kind() == std::io::ErrorKind::InvalidData => {
-                BadStore::Damaged(e.to_string())
+                StoreError::Corrupt(e.to_string())
             }
-            e => BadStore::Disk(e.to_string()),
+            e => StoreError::Io(e.to_string()),
         }
     }
 }
 
 /// What a store held when it was opened, and what is drawn where it is new.
-pub struct Disk {
+pub struct StoreContents {
     /// Its folder.
-    pub folder: Folder,
+    pub identity: DiskIdentity,
     pub(crate) log: Log,
 }
 
@@ -115,63 +115,63 @@
     pub fn open(
         backend: impl StorageBackend,
         fleet: &str,
-        name: &str,
-        disk: u64,
-        place: u64,
-    ) -> Result<(Store, Disk), BadStore> {
+        node: &str,
+        disk_id: u64,
+        location: u64,
+    ) -> Result<(Store, StoreContents), StoreError> {
         // A disk whose structure was changed may be told by a panic of the library's, not by an error.
         let open = || Database::builder().set_cache_size(CACHE).create_with_backend(backend);
         let db = std::panic::catch_unwind(std::panic::AssertUnwindSafe(open));
-        let mut db = db.map_err(|_| BadStore::Damaged("its structure can't be read".into()))??;
+        let mut db = db.map_err(|_| StoreError::Corrupt("its structure can't be read".into()))??;
         let check = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| db.check_integrity()));
-        if !check.map_err(|_| BadStore::Damaged("its structure can't be read".into()))?? {
-            return Err(BadStore::Damaged("its structure was changed".into()));
+        if !check.map_err(|_| StoreError::Corrupt("its structure can't be read".into()))?? {
+            return Err(StoreError::Corrupt("its structure was changed".into()));
         }
         let store = Store { db };
-        let new = Folder {
+        let new = DiskIdentity {
             fleet: fleet.to_string(),
-            name: name.to_string(),
-            disk,
+            node: node.to_string(),
+            disk_id,
             starts: 0,
-            place,
-            older: false,
-            founded: None,
-            seen: BTreeMap::new(),
+            location,
+            is_stale_copy: false,
+            cluster_id: None,
+            peer_starts: BTreeMap::new(),
         };
-        let mut disk = store.load()?.unwrap_or(Disk { folder: new, log: Log::default() });
-        if (disk.folder.fleet.as_str(), disk.folder.name.as_str()) != (fleet, name) {
-            return Err(BadStore::Foreign { fleet: disk.folder.fleet, name: disk.folder.name });
+        let mut disk = store.load()?.unwrap_or(StoreContents { identity: new, log: Log::default() });
+        if (disk.identity.fleet.as_str(), disk.identity.node.as_str()) != (fleet, node) {
+            return Err(StoreError::WrongOwner { fleet: disk.identity.fleet, node: disk.identity.node });
         }
-        disk.folder.older |= disk.folder.place != place;
-        disk.folder.starts += 1;
-        store.write(&Batch { folder: Some(disk.folder.clone()), ..Batch::default() })?;
+        disk.identity.is_stale_copy |= disk.identity.location != location;
+        disk.identity.starts += 1;
+        store.write(&WriteBatch { identity: Some(disk.identity.clone()), ..WriteBatch::default() })?;
         Ok((store, disk))
     }
 
-    fn load(&self) -> Result<Option<Disk>, BadStore> {
+    fn load(&self) -> Result<Option<StoreContents>, StoreError> {
         let read = self.db.begin_read()?;
         let facts = match read.open_table(FACTS) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             facts => facts?,
         };
-        let fact = |name: &str| -> Result<Option<Vec<u8>>, BadStore> {
+        let fact = |name: &str| -> Result<Option<Vec<u8>>, StoreError> {
             facts.get(name)?.map(|v| open(name, v.value()).map(<[u8]>::to_vec)).transpose()
         };
-        let damaged = |what: &str| BadStore::Damaged(format!("the record '{what}' can't be read"));
+        let damaged = |what: &str| StoreError::Corrupt(format!("the record '{what}' can't be read"));
         let format = fact("format")?.ok_or(damaged("format"))?;
         let format = u32::from_be_bytes(format.try_into().map_err(|_| damaged("format"))?);
         if format > FORMAT {
-            return Err(BadStore::Later(format));
+            return Err(StoreError::NewerFormat(format));
         }
-        let folder = fact("folder")?.ok_or(damaged("folder"))?;
-        let folder: Folder = postcard::from_bytes(&folder).map_err(|_| damaged("folder"))?;
+        let identity = fact("folder")?.ok_or(damaged("folder"))?;
+        let identity: DiskIdentity = postcard::from_bytes(&identity).map_err(|_| damaged("folder"))?;
         let mut log = Log::default();
         if let Some(bytes) = fact("hard")? {
-            log.hard = HardState::parse_from_bytes(&bytes).map_err(|_| damaged("hard"))?;
+            log.hard_state = HardState::parse_from_bytes(&bytes).map_err(|_| damaged("hard"))?;
         }
         if let Some(bytes) = fact("snapshot")? {
             log.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(|_| damaged("snapshot"))?;
-            log.conf = log.snapshot.get_metadata().get_conf_state().clone();
+            log.conf_state = log.snapshot.get_metadata().get_conf_state().clone();
         }
         let entries = read.open_table(LOG)?;
         for line in entries.range(log.base() + 1..)? {
@@ -180,37 +180,37 @@
             let entry = Entry::parse_from_bytes(open(&name, bytes.value())?).map_err(|_| damaged(&name))?;
             let next = log.base() + log.entries.len() as u64 + 1;
             if entry.index != next || index.value() != next {
-                return Err(BadStore::Damaged(format!("entry {next} is missing")));
+                return Err(StoreError::Corrupt(format!("entry {next} is missing")));
             }
             log.entries.push(entry);
         }
-        if log.hard.commit > log.base() + log.entries.len() as u64 {
-            return Err(BadStore::Damaged("entries that were agreed on are missing".into()));
+        if log.hard_state.commit > log.base() + log.entries.len() as u64 {
+            return Err(StoreError::Corrupt("entries that were agreed on are missing".into()));
         }
-        Ok(Some(Disk { folder, log }))
+        Ok(Some(StoreContents { identity, log }))
     }
 
     /// Writes a batch: all of it is on the disk when this returns, or none.
-    pub fn write(&self, batch: &Batch) -> Result<(), BadStore> {
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), StoreError> {
         let write = self.db.begin_write()?;
         {
             let mut facts = write.open_table(FACTS)?;
-            let mut put = |name: &str, bytes: &[u8]| -> Result<(), BadStore> {
+            let mut put = |name: &str, bytes: &[u8]| -> Result<(), StoreError> {
                 facts.insert(name, seal(name, bytes).as_slice())?;
                 Ok(())
             };
-            let written = |m: &dyn Message| m.write_to_bytes().map_err(|e| BadStore::Disk(e.to_string()));
-            if let Some(folder) = &batch.folder {
+            let written = |m: &dyn Message| m.write_to_bytes().map_err(|e| StoreError::Io(e.to_string()));
+            if let Some(identity) = &batch.identity {
                 put("format", &FORMAT.to_be_bytes())?;
-                put("folder", &postcard::to_stdvec(folder).map_err(|e| BadStore::Disk(e.to_string()))?)?;
+                put("folder", &postcard::to_stdvec(identity).map_err(|e| StoreError::Io(e.to_string()))?)?;
             }
-            if let Some(hard) = &batch.hard {
-                put("hard", &written(hard)?)?;
+            if let Some(hard_state) = &batch.hard_state {
+                put("hard", &written(hard_state)?)?;
             }
             let mut log = write.open_table(LOG)?;
             if let Some(snapshot) = &batch.snapshot {
                 put("snapshot", &written(snapshot)?)?;
-                log.retain(|index, _| !batch.anew && index > snapshot.get_metadata().index)?;
+                log.retain(|index, _| !batch.replaces_log && index > snapshot.get_metadata().index)?;
             }
             if let Some(first) = batch.entries.first() {
                 log.retain_in(first.index.., |_, _| false)?;
@@ -232,10 +232,10 @@
     sealed
 }
 
-fn open<'a>(name: &str, sealed: &'a [u8]) -> Result<&'a [u8], BadStore> {
+fn open<'a>(name: &str, sealed: &'a [u8]) -> Result<&'a [u8], StoreError> {
     match sealed.split_at_checked(DIGEST) {
         Some((tag, bytes)) if tag == digest(name, bytes) => Ok(bytes),
-        _ => Err(BadStore::Damaged(format!("the record '{name}' was changed"))),
+        _ => Err(StoreError::Corrupt(format!("the record '{name}' was changed"))),
     }
 }
 
--- a/duties/tests/golden_bytes/cluster.rs
+++ b/duties/tests/golden_bytes/cluster.rs
@@ -4,7 +4,8 @@
 pub mod image;
 
 use duties::{
-    Action, Answer, Ask, Holder, Reply, Seat, Setup, Standing, Store, Table, Timing, Told, Voter, Wish, Word,
+    ClusterStatus, Holder, LeaseTable, Message, Operation, Outcome, Request, Response, Store, Timing, Voter,
+    VoterAction, VoterConfig, VoterMember, VoterState,
 };
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
@@ -75,13 +76,13 @@
 pub struct Status {
     pub founded: u64,
     pub term: u64,
-    table: Table,
+    table: LeaseTable,
 }
 
 impl Status {
     pub fn leases(&self) -> Vec<(&str, Option<&str>, u64)> {
         self.table
-            .held
+            .leases
             .iter()
             .map(|(name, held)| (name.as_str(), held.holder.as_ref().map(|h| h.name.as_str()), held.token))
             .collect()
@@ -92,11 +93,11 @@
     }
 
     pub fn left(&self, duty: &str) -> &[u8] {
-        &self.table.held[duty].left
+        &self.table.leases[duty].state
     }
 
     pub fn voters(&self) -> Vec<&str> {
-        self.table.seats.values().map(|s| s.name.as_str()).collect()
+        self.table.voters.values().map(|s| s.name.as_str()).collect()
     }
 
     pub fn history_length(&self) -> usize {
@@ -109,8 +110,8 @@
     now: Duration,
     disks: Vec<Disk>,
     voters: Vec<(Voter, Store)>,
-    on_the_way: VecDeque<(SocketAddr, SocketAddr, Word)>,
-    answers: Vec<Answer>,
+    on_the_way: VecDeque<(SocketAddr, SocketAddr, Message)>,
+    answers: Vec<Response>,
     number: u64,
     sent: u64,
     digest: Sha256,
@@ -136,17 +137,17 @@
     }
 
     fn start(disks: Vec<Disk>, boot: u64) -> Cluster {
-        let seat = |voter: usize| Seat { name: format!("v{voter}"), address: address(voter) };
+        let seat = |voter: usize| VoterMember { name: format!("v{voter}"), address: address(voter) };
         let now = Duration::from_secs(1);
         let voter = |(i, disk): (usize, &Disk)| {
             let (name, number) = (format!("v{i}"), 100 + i as u64);
             let (store, found) = Store::open(disk.clone(), FLEET, &name, number, number).unwrap();
-            assert_eq!(found.folder.disk, number);
-            let setup = Setup {
-                seat: seat(i),
+            assert_eq!(found.identity.disk_id, number);
+            let setup = VoterConfig {
+                member: seat(i),
                 founders: (0..3).map(seat).collect(),
                 timing: Timing { lease: Duration::from_secs(10), election: Duration::from_secs(1) },
-                boot: boot + 1 + i as u64,
+                process_id: boot + 1 + i as u64,
                 seed: 5 + i as u64,
                 unix_ms: UNIX_MS,
             };
@@ -169,7 +170,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..self.voters.len()).find(|i| self.voters[*i].0.standing() == Standing::Leading)
+        (0..self.voters.len()).find(|i| self.voters[*i].0.state() == VoterState::Leader)
     }
 
     fn run(&mut self, span: Duration) {
@@ -177,7 +178,7 @@
         while self.now < end {
             self.now += STEP;
             for i in 0..self.voters.len() {
-                if self.voters[i].0.due() <= self.now {
+                if self.voters[i].0.next_tick() <= self.now {
                     self.voters[i].0.tick(self.now);
                 }
             }
@@ -189,43 +190,43 @@
     fn carry_out(&mut self) {
         loop {
             for i in 0..self.voters.len() {
-                while let Some(action) = self.voters[i].0.action() {
+                while let Some(action) = self.voters[i].0.next_action() {
                     match action {
-                        Action::Send { to, word } => {
+                        VoterAction::Send { to, message } => {
                             self.sent += 1;
                             self.digest.update(to.to_string());
-                            self.digest.update(postcard::to_stdvec(&word).unwrap());
-                            self.on_the_way.push_back((address(i), to, word));
+                            self.digest.update(postcard::to_stdvec(&message).unwrap());
+                            self.on_the_way.push_back((address(i), to, message));
                         }
-                        Action::Write(batch) => {
+                        VoterAction::Write(batch) => {
                             let outcome = self.voters[i].1.write(&batch);
-                            self.voters[i].0.written(self.now, batch.number, outcome);
+                            self.voters[i].0.persisted(self.now, batch.number, outcome);
                         }
-                        Action::Note(_) => {}
+                        VoterAction::Report(_) => {}
                     }
                 }
             }
-            let Some((from, to, word)) = self.on_the_way.pop_front() else { return };
-            match (word, (0..3).find(|i| address(*i) == to)) {
+            let Some((from, to, message)) = self.on_the_way.pop_front() else { return };
+            match (message, (0..3).find(|i| address(*i) == to)) {
                 (_, Some(i)) if i >= self.voters.len() => {} // it is not there
-                (word, Some(i)) => self.voters[i].0.word(self.now, from, word),
-                (Word::Answer(answer), None) => self.answers.push(answer),
-                (word, None) => panic!("{word:?} to a client"),
+                (message, Some(i)) => self.voters[i].0.receive(self.now, from, message),
+                (Message::Response(answer), None) => self.answers.push(answer),
+                (message, None) => panic!("{message:?} to a client"),
             }
         }
     }
 
     /// Asks the leader, and takes its answer to this very request; time passes until it is there.
-    fn ask(&mut self, client: usize, wish: Wish) -> Reply {
+    fn ask(&mut self, client: usize, wish: Operation) -> Outcome {
         self.number += 1;
-        let who = Holder { name: CLIENTS[client].into(), boot: 50 + client as u64 };
-        let ask = Ask { number: self.number, who, heard_ms: 0, wish };
+        let who = Holder { name: CLIENTS[client].into(), process_id: 50 + client as u64 };
+        let ask = Request { id: self.number, client: who, silence_ms: 0, operation: wish };
         let leader = self.leader().unwrap();
-        self.voters[leader].0.word(self.now, client_address(), Word::Ask(ask));
+        self.voters[leader].0.receive(self.now, client_address(), Message::Request(ask));
         self.carry_out();
         for _ in 0..500 {
-            if let Some(at) = self.answers.iter().position(|a| a.number == self.number) {
-                return self.answers.remove(at).reply;
+            if let Some(at) = self.answers.iter().position(|a| a.request_id == self.number) {
+                return self.answers.remove(at).outcome;
             }
             self.run(STEP);
         }
@@ -234,15 +235,18 @@
 
     /// Takes or renews a lease; its token.
     pub fn renew(&mut self, duty: &str, client: usize, token: u64) -> u64 {
-        match self.ask(client, Wish::Have { duty: duty.into(), token }) {
-            Reply::Granted { duty: of, token, .. } if of == duty => token,
+        match self.ask(client, Operation::Acquire { lease: duty.into(), token }) {
+            Outcome::Granted { lease: of, token, .. } if of == duty => token,
             other => panic!("{other:?}"),
         }
     }
 
     /// Whether another holds this lease.
     pub fn is_refused(&mut self, duty: &str, client: usize) -> bool {
-        matches!(self.ask(client, Wish::Have { duty: duty.into(), token: 0 }), Reply::Busy { .. })
+        matches!(
+            self.ask(client, Operation::Acquire { lease: duty.into(), token: 0 }),
+            Outcome::HeldByOther { .. }
+        )
     }
 
     /// Grants, a release, what a holder leaves for the next, and so many entries that a snapshot is taken.
@@ -250,22 +254,22 @@
         let first = self.renew("errand/a", 0, 0);
         let second = self.renew("lists/z", 1, 0);
         for n in 0..ENTRIES {
-            let wish = Wish::Leave { duty: "errand/a".into(), token: first, left: vec![n] };
-            assert_eq!(self.ask(0, wish), Reply::Done);
+            let wish = Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![n] };
+            assert_eq!(self.ask(0, wish), Outcome::Done);
         }
         let third = self.renew("roll", 2, 0);
         assert!(first < second && second < third);
-        assert_eq!(self.ask(1, Wish::Give { duty: "lists/z".into(), token: second }), Reply::Done);
-        let wish = Wish::Leave { duty: "errand/a".into(), token: first, left: vec![7, 3] };
-        assert_eq!(self.ask(0, wish), Reply::Done);
+        assert_eq!(self.ask(1, Operation::Release { lease: "lists/z".into(), token: second }), Outcome::Done);
+        let wish = Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![7, 3] };
+        assert_eq!(self.ask(0, wish), Outcome::Done);
         self.run(Duration::from_secs(1));
     }
 
     /// What the leader tells.
     pub fn status(&mut self) -> Status {
-        match self.ask(0, Wish::Show) {
-            Reply::Shown(told) => {
-                let Told { table, founded, term, .. } = *told;
+        match self.ask(0, Operation::Status) {
+            Outcome::Status(told) => {
+                let ClusterStatus { table, cluster_id: founded, term, .. } = *told;
                 Status { founded, term, table }
             }
             other => panic!("{other:?}"),
--- a/duties/tests/golden_bytes/messages.rs
+++ b/duties/tests/golden_bytes/messages.rs
@@ -1,8 +1,9 @@
 //! One of each message between voters, clients and the list broadcast, all fields set to fixed values.
 
 use duties::{
-    Answer, Ask, Change, Counts, End, Figures, Gossip, Held, Hello, Holder, Line, Progress, Reply, Seat,
-    Standing, Table, Told, What, Wish, Word, You,
+    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Entry, Handshake, Holder, LeaseChange,
+    LeaseRecord, LeaseTable, Message, Operation, Outcome, Request, Response, RestartOutcome, RestartProgress,
+    VoterMember, VoterMetrics, VoterState, VoterStatus,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -37,129 +38,147 @@
 }
 
 fn holder() -> Holder {
-    Holder { name: "node-1".into(), boot: 0x0102_0304_0506_0708 }
+    Holder { name: "node-1".into(), process_id: 0x0102_0304_0506_0708 }
 }
 
-fn table() -> Table {
-    let held =
-        |holder, token, left: &[u8]| Held { holder, token, since_ms: 1_700_000_000_123, left: left.to_vec() };
-    let change = |what, token| Change {
-        duty: "lists/z".into(),
-        what,
-        name: "node-1".into(),
+fn table() -> LeaseTable {
+    let held = |holder, token, left: &[u8]| LeaseRecord {
+        holder,
+        token,
+        granted_at_ms: 1_700_000_000_123,
+        state: left.to_vec(),
+    };
+    let change = |what, token| LeaseChange {
+        lease: "lists/z".into(),
+        kind: what,
+        holder: "node-1".into(),
         token,
         at_ms: 1_700_000_000_456,
     };
-    Table {
+    LeaseTable {
         last_token: 1_700_000_000_009,
-        held: BTreeMap::from([
+        leases: BTreeMap::from([
             ("errand/a".to_string(), held(Some(holder()), 1_700_000_000_009, &[1, 2, 255])),
             ("lists/z".to_string(), held(None, 300, &[])),
         ]),
-        seats: BTreeMap::from([
-            (17, Seat { name: "v0".into(), address: v4() }),
-            (u64::MAX, Seat { name: "v1".into(), address: v6() }),
+        voters: BTreeMap::from([
+            (17, VoterMember { name: "v0".into(), address: v4() }),
+            (u64::MAX, VoterMember { name: "v1".into(), address: v6() }),
         ]),
-        history: VecDeque::from([change(What::Granted, 300), change(What::Freed, 300)]),
+        history: VecDeque::from([change(ChangeKind::Granted, 300), change(ChangeKind::Released, 300)]),
     }
 }
 
-fn told() -> Told {
-    Told { table: table(), founded: 99, term: 12, left_ms: vec![("errand/a".into(), 8_500)] }
+fn told() -> ClusterStatus {
+    ClusterStatus { table: table(), cluster_id: 99, term: 12, remaining_ms: vec![("errand/a".into(), 8_500)] }
 }
 
-fn hello(you: Option<(u64, u64, You)>) -> Word {
-    Word::Hello(Hello {
+fn hello(you: Option<(u64, u64, VoterStatus)>) -> Message {
+    Message::Handshake(Handshake {
         name: "v0".into(),
-        disk: 17,
+        disk_id: 17,
         starts: 3,
-        boot: 0xffff_0000_1111_2222,
-        founded: you.map(|_| 99),
-        founders: 0x8000_0000_0000_0001,
-        you,
+        process_id: 0xffff_0000_1111_2222,
+        cluster_id: you.map(|_| 99),
+        founders_digest: 0x8000_0000_0000_0001,
+        answer: you,
     })
 }
 
-fn ask(wish: Wish) -> Word {
-    Word::Ask(Ask { number: 130, who: holder(), heard_ms: 1_500, wish })
+fn ask(wish: Operation) -> Message {
+    Message::Request(Request { id: 130, client: holder(), silence_ms: 1_500, operation: wish })
 }
 
-fn answer(reply: Reply) -> Word {
-    Word::Answer(Answer { number: 131, boot: 0x0102_0304_0506_0708, name: "v2".into(), reply })
+fn answer(reply: Outcome) -> Message {
+    Message::Response(Response {
+        request_id: 131,
+        process_id: 0x0102_0304_0506_0708,
+        voter: "v2".into(),
+        outcome: reply,
+    })
 }
 
 fn voter_messages() -> Vec<Sample> {
-    let raft = Word::Raft { founded: 99, from: 17, to: 23, bytes: vec![8, 1, 16, 200] };
+    let raft = Message::Raft { cluster_id: 99, from: 17, to: 23, bytes: vec![8, 1, 16, 200] };
     vec![
         sample("raft", raft),
         sample("hello/question", hello(None)),
-        sample("hello/fine", hello(Some((4, 5, You::Fine)))),
-        sample("hello/unseated", hello(Some((4, 5, You::Unseated)))),
-        sample("hello/older", hello(Some((u64::MAX, 5, You::Older)))),
+        sample("hello/fine", hello(Some((4, 5, VoterStatus::Current)))),
+        sample("hello/unseated", hello(Some((4, 5, VoterStatus::NotMember)))),
+        sample("hello/older", hello(Some((u64::MAX, 5, VoterStatus::StaleCopy)))),
     ]
 }
 
 fn client_messages() -> Vec<Sample> {
-    let duty = || "lists/z".to_string();
-    let seat = Seat { name: "v3".into(), address: v6() };
+    let lease = || "lists/z".to_string();
+    let seat = VoterMember { name: "v3".into(), address: v6() };
     vec![
-        sample("ask/have", ask(Wish::Have { duty: duty(), token: 300 })),
-        sample("ask/give", ask(Wish::Give { duty: duty(), token: 301 })),
-        sample("ask/leave", ask(Wish::Leave { duty: duty(), token: 302, left: vec![9, 0, 128] })),
-        sample("ask/show", ask(Wish::Show)),
-        sample("ask/add", ask(Wish::Add(seat))),
-        sample("ask/remove", ask(Wish::Remove("v3".into()))),
-        sample("answer/granted", answer(Reply::Granted { duty: duty(), token: 303, left: vec![5] })),
-        sample("answer/busy", answer(Reply::Busy { duty: duty(), holder: "node-2".into(), token: 304 })),
-        sample("answer/gone", answer(Reply::Gone { duty: duty(), token: 305 })),
-        sample("answer/done", answer(Reply::Done)),
-        sample("answer/listen", answer(Reply::Listen)),
-        sample("answer/elsewhere", answer(Reply::Elsewhere(Some(v4())))),
-        sample("answer/elsewhere/unknown", answer(Reply::Elsewhere(None))),
-        sample("answer/no", answer(Reply::No("it is the last voter".into()))),
-        sample("answer/shown", answer(Reply::Shown(Box::new(told())))),
+        sample("ask/have", ask(Operation::Acquire { lease: lease(), token: 300 })),
+        sample("ask/give", ask(Operation::Release { lease: lease(), token: 301 })),
+        sample("ask/leave", ask(Operation::SaveState { lease: lease(), token: 302, state: vec![9, 0, 128] })),
+        sample("ask/show", ask(Operation::Status)),
+        sample("ask/add", ask(Operation::AddVoter(seat))),
+        sample("ask/remove", ask(Operation::RemoveVoter("v3".into()))),
+        sample("answer/granted", answer(Outcome::Granted { lease: lease(), token: 303, state: vec![5] })),
+        sample(
+            "answer/busy",
+            answer(Outcome::HeldByOther { lease: lease(), holder: "node-2".into(), token: 304 }),
+        ),
+        sample("answer/gone", answer(Outcome::NotHolder { lease: lease(), token: 305 })),
+        sample("answer/done", answer(Outcome::Done)),
+        sample("answer/listen", answer(Outcome::ConfirmReceipt)),
+        sample("answer/elsewhere", answer(Outcome::NotLeader(Some(v4())))),
+        sample("answer/elsewhere/unknown", answer(Outcome::NotLeader(None))),
+        sample("answer/no", answer(Outcome::Rejected("it is the last voter".into()))),
+        sample("answer/shown", answer(Outcome::Status(Box::new(told())))),
     ]
 }
 
 fn list_messages() -> Vec<Sample> {
-    let line = |key: &str, gone| Line { key: key.into(), gone, bytes: b"{\"id\":1}".to_vec() };
-    let beat = Gossip::Beat { token: 300, holder: "node-1".into(), number: 4, source: 7, version: 1 << 40 };
-    let part = Gossip::Part {
+    let line = |key: &str, gone| Entry { key: key.into(), removed: gone, bytes: b"{\"id\":1}".to_vec() };
+    let beat = BroadcastMessage::Heartbeat {
+        token: 300,
+        holder: "node-1".into(),
+        sequence: 4,
+        source: 7,
+        version: 1 << 40,
+    };
+    let part = BroadcastMessage::Chunk {
         token: 300,
         source: 7,
-        since: 41,
+        base_version: 41,
         version: 42,
         index: 1,
-        of: 256,
-        lines: vec![line("w1", false), line("w2", true)],
+        count: 256,
+        entries: vec![line("w1", false), line("w2", true)],
     };
     vec![
         sample("lists/beat", beat),
-        sample("lists/want", Gossip::Want { source: 7, version: 41 }),
+        sample("lists/want", BroadcastMessage::Fetch { source: 7, version: 41 }),
         sample("lists/part", part),
     ]
 }
 
-fn roll_progress(end: Option<End>) -> Progress {
-    Progress {
+fn roll_progress(end: Option<RestartOutcome>) -> RestartProgress {
+    RestartProgress {
         id: 1_700_000_000_789,
-        away: 2,
+        max_unavailable: 2,
         cursor: "node-4".into(),
-        under_way: vec![("node-3".into(), 33), ("node-4".into(), u64::MAX)],
+        in_progress: vec![("node-3".into(), 33), ("node-4".into(), u64::MAX)],
         total: 60,
-        done: 2,
-        end,
+        completed: 2,
+        outcome: end,
     }
 }
 
 fn left_by_a_roll() -> Vec<Sample> {
     vec![
         sample("roll/progress", roll_progress(None)),
-        sample("roll/done", roll_progress(Some(End::Done))),
-        sample("roll/asked", roll_progress(Some(End::Asked))),
-        sample("roll/not back", roll_progress(Some(End::NotBack("node-3".into())))),
-        sample("roll/missing", roll_progress(Some(End::Missing(300)))),
-        sample("roll/jobs fail", roll_progress(Some(End::JobsFail(2, 30)))),
+        sample("roll/done", roll_progress(Some(RestartOutcome::Completed))),
+        sample("roll/asked", roll_progress(Some(RestartOutcome::Cancelled))),
+        sample("roll/not back", roll_progress(Some(RestartOutcome::NodeNotBack("node-3".into())))),
+        sample("roll/missing", roll_progress(Some(RestartOutcome::NodesMissing(300)))),
+        sample("roll/jobs fail", roll_progress(Some(RestartOutcome::JobsFailed(2, 30)))),
     ]
     .into_iter()
     .map(|s| Sample { name: s.name.replace(' ', "-"), ..s })
@@ -178,16 +197,17 @@
 
 /// What a node's status has of this crate's types, as JSON.
 pub fn status_json() -> Vec<(String, String)> {
-    let figures = Figures { sent: 1, writes: 2, grants: 3, renewals: 4, elections: 5, refused: 6 };
-    let counts = Counts { sent: 1, fed: 2, silences: 3, refused: 4 };
+    let figures =
+        VoterMetrics { messages_sent: 1, writes: 2, grants: 3, renewals: 4, elections: 5, rejected: 6 };
+    let counts = BroadcastMetrics { sent: 1, applied: 2, holder_timeouts: 3, stale_messages: 4 };
     let standings = vec![
-        Standing::Waiting,
-        Standing::Returning,
-        Standing::Voting,
-        Standing::Leading,
-        Standing::Unseated,
-        Standing::Older,
-        Standing::Broken("the disk refuses: full".into()),
+        VoterState::Waiting,
+        VoterState::Recovering,
+        VoterState::Follower,
+        VoterState::Leader,
+        VoterState::NotMember,
+        VoterState::StaleCopy,
+        VoterState::StorageFailed("the disk refuses: full".into()),
     ];
     fn json<T: Serialize + DeserializeOwned + PartialEq>(name: &str, value: &T) -> (String, String) {
         let text = serde_json::to_string(value).unwrap();
@@ -199,6 +219,6 @@
         json("figures", &figures),
         json("counts", &counts),
         json("standings", &standings),
-        json("progress", &roll_progress(Some(End::JobsFail(2, 30)))),
+        json("progress", &roll_progress(Some(RestartOutcome::JobsFailed(2, 30)))),
     ]
 }
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -90,16 +90,18 @@
     pub async fn run(self) -> Result<String, String> {
         match self {
             Fleet::Show { address, json } => fleet::show(address, json).await,
-            Fleet::Duties { address, json } => duties::show(address, json).await,
-            Fleet::Roll { address, stop: true, .. } => duties::post(address, "/fleet/roll/stop").await,
+            Fleet::Duties { address, json } => duties::print_status(address, json).await,
+            Fleet::Roll { address, stop: true, .. } => {
+                duties::send_command(address, "/fleet/roll/stop").await
+            }
             Fleet::Roll { address, away, .. } => {
-                duties::post(address, &format!("/fleet/roll?away={away}")).await
+                duties::send_command(address, &format!("/fleet/roll?away={away}")).await
             }
             Fleet::Voter(Voter::Add { address, name, at }) => {
-                duties::post(address, &format!("/fleet/voter/add?name={name}&at={at}")).await
+                duties::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}")).await
             }
             Fleet::Voter(Voter::Remove { address, name }) => {
-                duties::post(address, &format!("/fleet/voter/remove?name={name}")).await
+                duties::send_command(address, &format!("/fleet/voter/remove?name={name}")).await
             }
         }
     }
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -8,8 +8,8 @@
 mod show;
 
 pub use lists::Lists;
-pub use roll::{Wanted, Word as RollWord};
-pub use show::{post, show};
+pub use roll::{RestartMessage, RestartRequest};
+pub use show::{print_status, send_command};
 
 use crate::counters::Counters;
 use crate::fleet;
@@ -18,8 +18,9 @@
 use ::fleet::{hash, Peer};
 use disk::Why;
 use duties::{
-    Action, BadStore, Client, Counts, Disk, Errand, Figures, Gossip, Holder, Lost, Note, Reply, Seat, Setup,
-    Standing, Store, Timing, Told, Voter, Wish, Word,
+    BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
+    Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
+    VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
@@ -55,13 +56,13 @@
 
 /// What nodes tell each other beside their view.
 #[derive(Serialize, Deserialize)]
-pub enum Talk {
+pub enum NodeMessage {
     /// Between voters and clients.
-    Duties(Word),
+    Coordination(Message),
     /// Between nodes of a zone.
-    Lists(Gossip),
+    Lists(BroadcastMessage),
     /// Between the holder of the roll and the nodes.
-    Roll(roll::Word),
+    RollingRestart(roll::RestartMessage),
 }
 
 /// A clock that goes on while the machine sleeps.
@@ -72,92 +73,97 @@
 
 /// What a node tells of the duties.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct Status {
     /// The node.
     pub node: String,
     /// How its voter stands, where it has one.
-    pub voter: Option<Standing>,
+    pub voter: Option<VoterState>,
     /// Its voter's counters.
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub metrics: VoterMetrics,
     /// What it holds itself: duty, token, and for how many milliseconds it may yet act.
-    pub here: Vec<(String, u64, u64)>,
+    #[serde(rename = "here")]
+    pub held: Vec<(String, u64, u64)>,
     /// How it comes to its worker list, where one node follows discovery for its zone.
-    pub lists: Option<ListsShown>,
+    pub lists: Option<ListBroadcastStatus>,
     /// Acts that were refused because a later holder had been seen.
     pub refused: u64,
     /// What the voters tell; `None` where no leader answers.
-    pub told: Option<Told>,
+    #[serde(rename = "told")]
+    pub cluster: Option<ClusterStatus>,
 }
 
 /// How a node comes to its worker list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListsShown {
+pub struct ListBroadcastStatus {
     /// Whether it asks discovery itself.
-    pub asks: bool,
+    #[serde(rename = "asks")]
+    pub polls_discovery: bool,
     /// The version that it has.
     pub version: u64,
     /// Counters.
-    pub counts: Counts,
+    #[serde(rename = "counts")]
+    pub metrics: BroadcastMetrics,
 }
 
-enum Order {
-    Show(oneshot::Sender<Shown>),
-    Ask(Wish, oneshot::Sender<Reply>),
-    Roll(String, Wanted, oneshot::Sender<bool>),
-    Leave(oneshot::Sender<()>),
+enum Command {
+    Status(oneshot::Sender<Status>),
+    Request(Operation, oneshot::Sender<Outcome>),
+    RollingRestart(String, RestartRequest, oneshot::Sender<bool>),
+    Shutdown(oneshot::Sender<()>),
 }
 
 /// The way to the task.
 #[derive(Clone)]
-pub struct Handle(mpsc::Sender<Order>);
+pub struct Handle(mpsc::Sender<Command>);
 
 impl Handle {
     /// What this node and the voters tell; `None` where the task is gone.
-    pub async fn show(&self) -> Option<Shown> {
-        let told = match self.ask(Wish::Show).await {
-            Some(Reply::Shown(told)) => Some(*told),
+    pub async fn status(&self) -> Option<Status> {
+        let told = match self.request(Operation::Status).await {
+            Some(Outcome::Status(told)) => Some(*told),
             _ => None,
         };
         let (tell, shown) = oneshot::channel();
-        self.0.send(Order::Show(tell)).await.ok()?;
+        self.0.send(Command::Status(tell)).await.ok()?;
         let shown = shown.await.ok()?;
-        Some(Shown { told, ..shown })
+        Some(Status { cluster: told, ..shown })
     }
 
     /// An operator's wish; `None` where no leader answers.
-    pub async fn ask(&self, wish: Wish) -> Option<Reply> {
+    pub async fn request(&self, wish: Operation) -> Option<Outcome> {
         let (tell, told) = oneshot::channel();
-        self.0.send(Order::Ask(wish, tell)).await.ok()?;
+        self.0.send(Command::Request(wish, tell)).await.ok()?;
         timeout(ASK_WAIT, told).await.ok()?.ok()
     }
 
     /// An operator wants a roll to begin or to stop: whom that was told, or why not.
-    pub async fn roll(&self, wanted: Wanted) -> Result<String, String> {
-        let Some(Reply::Shown(told)) = self.ask(Wish::Show).await else {
+    pub async fn request_restart(&self, wanted: RestartRequest) -> Result<String, String> {
+        let Some(Outcome::Status(told)) = self.request(Operation::Status).await else {
             return Err("no voter that leads answers".to_string());
         };
         let held = |ms: &u64| *ms > 0;
-        let held = told.left_ms.iter().any(|(duty, ms)| duty == roll::DUTY && held(ms));
+        let held = told.remaining_ms.iter().any(|(duty, ms)| duty == roll::DUTY && held(ms));
         let Some(holder) = told.table.holder(roll::DUTY).filter(|_| held) else {
             return Err("nobody holds the duty 'roll': does the fleet's file say roll = true?".to_string());
         };
         let (tell, said) = oneshot::channel();
-        let order = Order::Roll(holder.name.clone(), wanted, tell);
+        let order = Command::RollingRestart(holder.name.clone(), wanted, tell);
         let sent = self.0.send(order).await.is_ok() && said.await.unwrap_or(false);
         sent.then(|| holder.name.clone()).ok_or(format!("{} holds it and is not in the view", holder.name))
     }
 
     /// The node ends: its duties are given back, and another voter leads.
-    pub async fn leave(&self) {
+    pub async fn shutdown(&self) {
         let (tell, told) = oneshot::channel();
-        if self.0.try_send(Order::Leave(tell)).is_ok() {
+        if self.0.try_send(Command::Shutdown(tell)).is_ok() {
             let _ = timeout(LEAVE_WAIT, told).await;
         }
     }
 }
 
 /// What the task goes by.
-pub struct Links {
+pub struct Dependencies {
     /// The node's name.
     pub name: String,
     /// The fleet's.
@@ -183,9 +189,9 @@
 }
 
 /// Starts the task.
-pub fn start(links: Links) -> Handle {
+pub fn start(links: Dependencies) -> Handle {
     let (orders, told) = mpsc::channel(QUEUE);
-    let who = Holder { name: links.name.clone(), boot: links.fleet.boot() };
+    let who = Holder { name: links.name.clone(), process_id: links.fleet.boot() };
     let timing = Timing { lease: links.file.lease, election: links.file.election };
     let voters = links.file.voters.iter().map(|(_, at)| *at).collect();
     let (wrote, written) = mpsc::channel(4);
@@ -214,14 +220,14 @@
 
 /// What comes back from the threads that wait for the disk, and from calls.
 enum Done {
-    Opened(Result<Box<(Store, Disk)>, Why>),
-    Written(u64, Result<(), BadStore>),
+    Opened(Result<Box<(Store, StoreContents)>, Why>),
+    Written(u64, Result<(), StoreError>),
     Called(String, u64, errand::Outcome),
 }
 
 struct Asked {
-    tell: oneshot::Sender<Reply>,
-    wish: Wish,
+    tell: oneshot::Sender<Outcome>,
+    wish: Operation,
     at: Duration,
     again: Duration,
 }
@@ -253,7 +259,7 @@
 }
 
 struct Task {
-    links: Links,
+    links: Dependencies,
     timing: Timing,
     client: Client,
     voter: Option<(Voter, Arc<Store>)>,
@@ -272,7 +278,7 @@
 }
 
 impl Task {
-    async fn run(mut self, mut orders: mpsc::Receiver<Order>, mut done: mpsc::Receiver<Done>) {
+    async fn run(mut self, mut orders: mpsc::Receiver<Command>, mut done: mpsc::Receiver<Done>) {
         let Some(mut heard) = self.links.fleet.messages() else { return };
         let mut told = self.links.lists.as_mut().and_then(|l| l.told.take());
         let mut peers = self.links.fleet.peers();
@@ -301,19 +307,19 @@
                     self.seek(&all);
                 }
                 Some(order) = orders.recv() => match order {
-                    Order::Show(tell) => drop(tell.send(self.shown())),
-                    Order::Ask(wish, tell) => self.ask(wish, tell),
-                    Order::Roll(holder, wanted, tell) => {
+                    Command::Status(tell) => drop(tell.send(self.shown())),
+                    Command::Request(wish, tell) => self.ask(wish, tell),
+                    Command::RollingRestart(holder, wanted, tell) => {
                         let to = peers.borrow().iter().find(|p| p.name == holder).map(|p| p.address);
                         if let Some(to) = to {
-                            self.say(to, &Talk::Roll(roll::Word::Wanted(wanted)));
+                            self.say(to, &NodeMessage::RollingRestart(roll::RestartMessage::Requested(wanted)));
                         }
                         let _ = tell.send(to.is_some()); // fails where nobody waits any more
                     }
-                    Order::Leave(tell) => {
+                    Command::Shutdown(tell) => {
                         self.seek(&[]);
                         if let Some((voter, _)) = &mut self.voter {
-                            voter.hand_on(boottime());
+                            voter.transfer_leadership(boottime());
                         }
                         self.act();
                         // The words are with the talk's task now, which sends them before its own last ones.
@@ -327,18 +333,25 @@
     }
 
     fn due(&self, now: Duration) -> Duration {
-        let voter = self.voter.as_ref().map_or(Duration::MAX, |(v, _)| v.due());
+        let voter = self.voter.as_ref().map_or(Duration::MAX, |(v, _)| v.next_tick());
         let asked = self.asked.values().map(|a| a.again).min().unwrap_or(Duration::MAX);
         let held = |name: &str| self.client.may_act(now, name).is_some();
         let calls = self.calls.iter().filter(|(name, c)| !c.out && held(name)).map(|(_, c)| c.next);
         let calls = calls.min().map_or(Duration::MAX, |at| at.max(now + LOOK));
         let lists = self.links.lists.as_ref().map_or(Duration::MAX, Lists::due);
-        self.client.due().min(voter).min(asked).min(calls).min(lists).min(self.roll.due()).min(self.reopen.at)
+        self.client
+            .next_tick()
+            .min(voter)
+            .min(asked)
+            .min(calls)
+            .min(lists)
+            .min(self.roll.due())
+            .min(self.reopen.at)
     }
 
     fn tick(&mut self) {
         let now = boottime();
-        if now >= self.client.due() {
+        if now >= self.client.next_tick() {
             self.client.tick(now);
         }
         if now >= self.reopen.at {
@@ -346,7 +359,7 @@
             self.open();
         }
         if let Some((voter, _)) = &mut self.voter {
-            if now >= voter.due() {
+            if now >= voter.next_tick() {
                 voter.tick(now);
             }
         }
@@ -354,7 +367,7 @@
         for number in late {
             // The one that was asked may be gone: the next one, with the time that is left.
             let Some(asked) = self.asked.remove(&number) else { continue };
-            self.client.next_voter();
+            self.client.try_next_voter();
             if now - asked.at < ASK_WAIT {
                 self.question(asked.wish, asked.tell, asked.at);
             }
@@ -383,12 +396,12 @@
         let Some(lists) = &mut self.links.lists else { return };
         what(lists);
         for (to, gossip) in lists.carry_out() {
-            self.say(to, &Talk::Lists(gossip));
+            self.say(to, &NodeMessage::Lists(gossip));
         }
         if self.links.lists.as_mut().is_some_and(|l| l.failing(boottime())) {
             // Discovery does not answer here, and may answer another.
             let duty = self.lists_duty();
-            self.client.give(boottime(), &duty);
+            self.client.release(boottime(), &duty);
         }
     }
 
@@ -417,9 +430,9 @@
             // Whoever holds it keeps it: a fleet that grows is no reason to hand it on.
             let keeps = self.client.may_act(now, &duty).is_some();
             if here && (before < CANDIDATES || keeps) {
-                self.client.want(now, &duty);
+                self.client.acquire(now, &duty);
             } else {
-                self.client.give(now, &duty);
+                self.client.release(now, &duty);
             }
         }
     }
@@ -431,7 +444,7 @@
             Phase::HandedOver => self.voter = None,
             Phase::Stopping | Phase::Closing => {
                 if let Some((voter, _)) = &mut self.voter {
-                    voter.hand_on(boottime());
+                    voter.transfer_leadership(boottime());
                 }
             }
             _ if before == Phase::HandedOver => self.open(),
@@ -461,16 +474,18 @@
             Done::Opened(Ok(opened)) => {
                 self.opening = false;
                 let (store, disk) = *opened;
-                log::info!(event = "duties_store", disk = disk.folder.disk, starts = disk.folder.starts;
-                    "duties: the voter's folder is open, start {}", disk.folder.starts);
+                log::info!(event = "duties_store", disk = disk.identity.disk_id, starts = disk.identity.starts;
+                    "duties: the voter's folder is open, start {}", disk.identity.starts);
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let seat =
-                    |(name, address): &(String, SocketAddr)| Seat { name: name.clone(), address: *address };
-                let setup = Setup {
-                    seat: Seat { name: self.links.name.clone(), address: self.links.own },
+                let seat = |(name, address): &(String, SocketAddr)| VoterMember {
+                    name: name.clone(),
+                    address: *address,
+                };
+                let setup = VoterConfig {
+                    member: VoterMember { name: self.links.name.clone(), address: self.links.own },
                     founders: self.links.file.voters.iter().map(seat).collect(),
                     timing: self.timing,
-                    boot: self.links.fleet.boot(),
+                    process_id: self.links.fleet.boot(),
                     seed: fastrand::u64(..),
                     unix_ms: unix.saturating_sub(now).as_millis() as u64,
                 };
@@ -493,7 +508,7 @@
             Done::Written(number, outcome) => {
                 let failed = outcome.is_err();
                 if let Some((voter, _)) = &mut self.voter {
-                    voter.written(now, number, outcome);
+                    voter.persisted(now, number, outcome);
                 }
                 if failed {
                     self.reopen_later(now);
@@ -515,18 +530,19 @@
 
     fn hear(&mut self, from: SocketAddr, bytes: &[u8]) {
         let now = boottime();
-        match postcard::from_bytes::<Talk>(bytes) {
-            Ok(Talk::Duties(Word::Answer(answer))) if answer.boot != self.links.fleet.boot() => {}
-            Ok(Talk::Duties(Word::Answer(answer))) => {
-                if let Reply::Shown(told) = &answer.reply {
-                    self.client.learn(told);
+        match postcard::from_bytes::<NodeMessage>(bytes) {
+            Ok(NodeMessage::Coordination(Message::Response(answer)))
+                if answer.process_id != self.links.fleet.boot() => {}
+            Ok(NodeMessage::Coordination(Message::Response(answer))) => {
+                if let Outcome::Status(told) = &answer.outcome {
+                    self.client.update_voters(told);
                 }
-                let elsewhere = matches!(answer.reply, Reply::Elsewhere(_) | Reply::Listen);
-                if let Some(asked) = self.asked.remove(&answer.number) {
+                let elsewhere = matches!(answer.outcome, Outcome::NotLeader(_) | Outcome::ConfirmReceipt);
+                if let Some(asked) = self.asked.remove(&answer.request_id) {
                     match elsewhere {
-                        false => drop(asked.tell.send(answer.reply.clone())),
+                        false => drop(asked.tell.send(answer.outcome.clone())),
                         true => {
-                            self.client.answer(now, from, answer);
+                            self.client.receive(now, from, answer);
                             // Not in a spin where none leads.
                             let later = now + ASK_EACH / 6;
                             self.asked.insert(
@@ -537,70 +553,72 @@
                         }
                     }
                 }
-                self.client.answer(now, from, answer);
+                self.client.receive(now, from, answer);
             }
-            Ok(Talk::Roll(word)) => self.roll_word(from, word),
-            Ok(Talk::Lists(gossip)) => self.lists(|l| l.hear(now, from, gossip)),
-            Ok(Talk::Duties(word)) => {
+            Ok(NodeMessage::RollingRestart(word)) => self.roll_word(from, word),
+            Ok(NodeMessage::Lists(gossip)) => self.lists(|l| l.hear(now, from, gossip)),
+            Ok(NodeMessage::Coordination(word)) => {
                 if let Some((voter, _)) = &mut self.voter {
-                    voter.word(now, from, word);
+                    voter.receive(now, from, word);
                 }
             }
             Err(_) => log::debug!("duties: a word from {from} can't be read"),
         }
     }
 
-    fn ask(&mut self, wish: Wish, tell: oneshot::Sender<Reply>) {
+    fn ask(&mut self, wish: Operation, tell: oneshot::Sender<Outcome>) {
         if self.asked.len() < QUEUE {
             self.question(wish, tell, boottime());
         }
     }
 
-    fn question(&mut self, wish: Wish, tell: oneshot::Sender<Reply>, at: Duration) {
+    fn question(&mut self, wish: Operation, tell: oneshot::Sender<Outcome>, at: Duration) {
         let now = boottime();
-        let Some(to) = self.client.voter() else { return };
-        let ask = self.client.question(now, to, wish.clone());
-        self.asked.insert(ask.number, Asked { tell, wish, at, again: now + ASK_EACH });
+        let Some(to) = self.client.target_voter() else { return };
+        let ask = self.client.request(now, to, wish.clone());
+        self.asked.insert(ask.id, Asked { tell, wish, at, again: now + ASK_EACH });
     }
 
-    fn shown(&self) -> Shown {
+    fn shown(&self) -> Status {
         let now = boottime();
-        let here =
-            self.client.held(now).map(|(d, token, left)| (d.to_string(), token, left.as_millis() as u64));
-        Shown {
+        let here = self
+            .client
+            .held_leases(now)
+            .map(|(d, token, left)| (d.to_string(), token, left.as_millis() as u64));
+        Status {
             node: self.links.name.clone(),
-            voter: self.voter.as_ref().map(|(v, _)| v.standing()),
-            figures: self.voter.as_ref().map(|(v, _)| v.figures()).unwrap_or_default(),
-            here: here.collect(),
+            voter: self.voter.as_ref().map(|(v, _)| v.state()),
+            metrics: self.voter.as_ref().map(|(v, _)| v.metrics()).unwrap_or_default(),
+            held: here.collect(),
             lists: self.links.lists.as_ref().map(Lists::shown),
             refused: self.refused,
-            told: None,
+            cluster: None,
         }
     }
 
     /// Carries out what client and voter want done.
     fn act(&mut self) {
-        while let Some(errand) = self.client.errand() {
+        while let Some(errand) = self.client.next_action() {
             match errand {
-                Errand::Send { to, ask } => self.bring(to, Word::Ask(ask)),
-                Errand::Taken { duty, token, left } => {
+                ClientAction::Send { to, request } => self.bring(to, Message::Request(request)),
+                ClientAction::Acquired { lease: duty, token, state } => {
                     log::info!(event = "duty_taken", duty = duty, token = token;
                         "duties: {duty} is this node's, under token {token}");
                     if duty == self.lists_duty() {
                         self.lists(|l| l.hold(boottime(), token));
                     }
                     if duty == roll::DUTY {
-                        self.roll.take(&self.links.name, &left);
+                        self.roll.take(&self.links.name, &state);
                     }
                     self.calls.insert(duty, Due { next: boottime(), out: false });
                 }
-                Errand::Lost { duty, token, why } => {
-                    let said = match why {
-                        Lost::Lapsed => "no voter confirmed it in time",
-                        Lost::Taken => "it is another's",
-                        Lost::Given => "it was given back",
+                ClientAction::Lost { lease: duty, token, reason } => {
+                    let said = match reason {
+                        LeaseLost::Expired => "no voter confirmed it in time",
+                        LeaseLost::TakenOver => "it is another's",
+                        LeaseLost::Released => "it was given back",
                     };
-                    log::info!(event = "duty_lost", duty = duty, token = token, why:? = why;
+                    log::info!(event = "duty_lost", duty = duty, token = token, why:? = reason;
                         "duties: {duty} is no more this node's: {said}");
                     if duty == self.lists_duty() {
                         self.lists(|l| l.release(boottime()));
@@ -613,10 +631,10 @@
             }
         }
         let Some((mut voter, store)) = self.voter.take() else { return };
-        while let Some(action) = voter.action() {
+        while let Some(action) = voter.next_action() {
             match action {
-                Action::Send { to, word } => self.bring(to, word),
-                Action::Write(batch) => {
+                VoterAction::Send { to, message } => self.bring(to, message),
+                VoterAction::Write(batch) => {
                     let (store, wrote) = (store.clone(), self.wrote.clone());
                     tokio::task::spawn_blocking(move || {
                         let outcome = store.write(&batch);
@@ -624,17 +642,17 @@
                         let _ = wrote.blocking_send(Done::Written(batch.number, outcome));
                     });
                 }
-                Action::Note(note) => say(&note),
+                VoterAction::Report(event) => say(&event),
             }
         }
         self.voter = Some((voter, store));
     }
 
-    fn bring(&self, to: SocketAddr, word: Word) {
-        self.say(to, &Talk::Duties(word));
+    fn bring(&self, to: SocketAddr, word: Message) {
+        self.say(to, &NodeMessage::Coordination(word));
     }
 
-    fn say(&self, to: SocketAddr, talk: &Talk) {
+    fn say(&self, to: SocketAddr, talk: &NodeMessage) {
         match postcard::to_stdvec(talk) {
             Ok(bytes) => self.links.fleet.send_message(to, bytes),
             Err(e) => log::error!("duties: a word can't be written: {e}"),
@@ -645,44 +663,55 @@
     fn roll_on(&mut self, now: Duration) {
         let peers = self.links.fleet.peers().borrow().clone();
         let held = self.client.may_act(now, roll::DUTY);
-        self.roll.look(now, &peers, held.is_some() && !self.client.leaving(roll::DUTY));
+        self.roll.look(now, &peers, held.is_some() && !self.client.is_saving_state(roll::DUTY));
         if let Some(left) = self.roll.left() {
-            self.client.leave(now, roll::DUTY, left);
+            self.client.save_state(now, roll::DUTY, left);
         }
         // What is left for the next holder is agreed on before anybody is told to go.
-        if self.client.leaving(roll::DUTY) {
+        if self.client.is_saving_state(roll::DUTY) {
             return;
         }
         while let Some((to, word)) = self.roll.word() {
             // Asked for anew before each act.
             let Some(token) = self.client.may_act(boottime(), roll::DUTY) else { break };
-            self.say(to, &Talk::Roll(word(token)));
+            self.say(to, &NodeMessage::RollingRestart(word(token)));
         }
     }
 
-    fn roll_word(&mut self, from: SocketAddr, word: roll::Word) {
+    fn roll_word(&mut self, from: SocketAddr, word: roll::RestartMessage) {
         let now = boottime();
         match word {
-            roll::Word::Wanted(wanted) if self.client.may_act(now, roll::DUTY).is_some() => {
+            roll::RestartMessage::Requested(wanted) if self.client.may_act(now, roll::DUTY).is_some() => {
                 let peers = self.links.fleet.peers().borrow().clone();
                 self.roll.wanted(&self.links.name, wanted, &peers);
             }
-            roll::Word::Wanted(_) => {}
-            roll::Word::Go { token, boot } => match self.roll.fence.pass(roll::DUTY, token) {
-                Ok(()) if boot == self.links.fleet.boot() => self.roll.go(&self.links.phases),
-                Ok(()) => {}
-                Err(e) => log::warn!(event = "act_refused", duty = roll::DUTY, token = token;
+            roll::RestartMessage::Requested(_) => {}
+            roll::RestartMessage::Restart { token, process_id: boot } => {
+                match self.roll.fence.check(roll::DUTY, token) {
+                    Ok(()) if boot == self.links.fleet.boot() => self.roll.go(&self.links.phases),
+                    Ok(()) => {}
+                    Err(e) => log::warn!(event = "act_refused", duty = roll::DUTY, token = token;
                     "duties: this node was told to go by a holder that is none any more: {e}"),
-            },
-            roll::Word::Look { token } => {
-                if self.roll.fence.pass(roll::DUTY, token).is_ok() {
+                }
+            }
+            roll::RestartMessage::HealthQuery { token } => {
+                if self.roll.fence.check(roll::DUTY, token).is_ok() {
                     let c = &self.links.counters;
                     let (failed, served, refused) = (c.failed.get(), c.served.get(), c.refused.get());
                     let (boot, ended) = (self.links.fleet.boot(), served + refused + failed);
-                    self.say(from, &Talk::Roll(roll::Word::Health { boot, failed, ended }));
+                    self.say(
+                        from,
+                        &NodeMessage::RollingRestart(roll::RestartMessage::HealthReport {
+                            process_id: boot,
+                            failed,
+                            ended,
+                        }),
+                    );
                 }
             }
-            roll::Word::Health { boot, failed, ended } => self.roll.health(boot, failed, ended),
+            roll::RestartMessage::HealthReport { process_id: boot, failed, ended } => {
+                self.roll.health(boot, failed, ended)
+            }
         }
     }
 
@@ -720,26 +749,28 @@
     }
 }
 
-fn say(note: &Note) {
-    match note {
-        Note::Founded(number) => {
+fn say(event: &VoterEvent) {
+    match event {
+        VoterEvent::ClusterFormed(number) => {
             log::info!(event = "voters_founded", founded = number; "duties: the voters are founded")
         }
-        Note::Voting => log::info!(event = "voting"; "duties: this voter votes"),
-        Note::Leads(term) => log::info!(event = "leads", term = term; "duties: this voter leads"),
-        Note::Led => log::info!(event = "leads_no_more"; "duties: this voter leads no more"),
-        Note::Older => log::error!(event = "folder_older";
+        VoterEvent::VotingEnabled => log::info!(event = "voting"; "duties: this voter votes"),
+        VoterEvent::BecameLeader(term) => {
+            log::info!(event = "leads", term = term; "duties: this voter leads")
+        }
+        VoterEvent::LeadershipLost => log::info!(event = "leads_no_more"; "duties: this voter leads no more"),
+        VoterEvent::StaleCopy => log::error!(event = "folder_older";
             "duties: this voter's folder is an older copy or a copied one: it does not vote; remove its seat, empty the \
              folder and add it again"),
-        Note::Unseated => log::warn!(event = "unseated";
+        VoterEvent::NotMember => log::warn!(event = "unseated";
             "duties: this voter's folder has no seat: it does not vote until it is added"),
-        Note::Broken(why) => log::error!(event = "store_broken", why = why;
+        VoterEvent::StorageFailed(why) => log::error!(event = "store_broken", why = why;
             "duties: this voter's folder fails, it grants nothing more: {why}"),
-        Note::Seats(names) => {
+        VoterEvent::VotersChanged(names) => {
             let names = names.join(", ");
             log::info!(event = "voters", names = names; "duties: the voters are {names}")
         }
-        Note::Granted(duty, holder, token) => {
+        VoterEvent::LeaseGranted(duty, holder, token) => {
             log::info!(event = "duty_granted", duty = duty, holder = holder.name,
             token = token; "duties: {duty} goes to {} under token {token}", holder.name)
         }
--- a/node/src/duties/disk.rs
+++ b/node/src/duties/disk.rs
@@ -1,7 +1,7 @@
 //! The voter's folder on a real disk. Opening and writing wait for the disk, so neither ever runs on the thread that serves
 //! jobs.
 
-use duties::{BadStore, Disk, Store};
+use duties::{Store, StoreContents, StoreError};
 use redb::backends::FileBackend;
 use std::fs::{create_dir_all, File, OpenOptions};
 use std::os::unix::fs::MetadataExt;
@@ -23,7 +23,7 @@
 }
 
 /// Opens the folder's store, or makes one. Waits for the disk.
-pub fn open(folder: &Path, fleet: &str, name: &str) -> Result<(Store, Disk), Why> {
+pub fn open(folder: &Path, fleet: &str, name: &str) -> Result<(Store, StoreContents), Why> {
     let bad = |what: &dyn std::fmt::Display| Why::Bad(format!("{}: {what}", folder.display()));
     let refused = |e: &std::io::Error| Why::Refused(format!("{}: {e}", folder.display()));
     create_dir_all(folder).map_err(|e| refused(&e))?;
@@ -46,8 +46,8 @@
     let place = meta.ino() ^ meta.dev().rotate_left(32) ^ (made.as_nanos() as u64).rotate_left(16);
     match Store::open(backend, fleet, name, fastrand::u64(1..), place) {
         Ok(opened) => Ok(opened),
-        Err(BadStore::Disk(e)) if e.contains("already open") => Err(Why::InUse),
-        Err(e @ BadStore::Disk(_)) => Err(Why::Refused(format!("{}: {e}", folder.display()))),
+        Err(StoreError::Io(e)) if e.contains("already open") => Err(Why::InUse),
+        Err(e @ StoreError::Io(_)) => Err(Why::Refused(format!("{}: {e}", folder.display()))),
         Err(e) => Err(bad(&e)),
     }
 }
--- a/node/src/duties/lists.rs
+++ b/node/src/duties/lists.rs
@@ -1,10 +1,10 @@
 //! Between the zone's list and who follows discovery here: lines of the list are brought in the form that discovery has.
 
-use super::ListsShown;
+use super::ListBroadcastStatus;
 use crate::list::{ListBody, Member};
 use crate::platform::Shared;
 use ::fleet::{hash, Peer};
-use duties::{Gossip, Line, ListChange, Spread, Step};
+use duties::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 /// The duties' side of a zone's list.
 pub struct Lists {
-    spread: Spread,
+    spread: ListBroadcast,
     asks: watch::Sender<bool>,
     feed: mpsc::Sender<ListBody>,
     /// What discovery tells; the task takes it.
@@ -53,7 +53,7 @@
         let ((feed, fed), (tell, told)) = (mpsc::channel(QUEUE), mpsc::channel(QUEUE));
         let down = Arc::new(AtomicBool::new(false));
         let lists = Lists {
-            spread: Spread::new("", source(&place)),
+            spread: ListBroadcast::new("", source(&place)),
             asks,
             feed,
             told: Some(told),
@@ -67,17 +67,17 @@
 
     /// The node's name, before anything else.
     pub fn named(&mut self, name: &str) {
-        self.spread = Spread::new(name, source(&self.place));
+        self.spread = ListBroadcast::new(name, source(&self.place));
     }
 
     /// The zone's nodes.
     pub fn peers(&mut self, peers: &[&Peer]) {
-        self.spread.peers(peers.iter().map(|p| (p.name.clone(), p.address)).collect());
+        self.spread.set_peers(peers.iter().map(|p| (p.name.clone(), p.address)).collect());
     }
 
     /// When [`Lists::tick`] is due.
     pub fn due(&self) -> Duration {
-        self.spread.due()
+        self.spread.next_tick()
     }
 
     /// See [`Spread::tick`].
@@ -87,18 +87,18 @@
 
     /// See [`Spread::hold`].
     pub fn hold(&mut self, now: Duration, token: u64) {
-        self.spread.hold(now, token);
+        self.spread.lease_acquired(now, token);
     }
 
     /// See [`Spread::release`].
     pub fn release(&mut self, now: Duration) {
-        self.spread.release(now);
+        self.spread.lease_lost(now);
     }
 
     /// See [`Spread::hear`].
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, gossip: Gossip) {
+    pub fn hear(&mut self, now: Duration, from: SocketAddr, message: BroadcastMessage) {
         self.moved();
-        self.spread.hear(now, from, gossip);
+        self.spread.receive(now, from, message);
     }
 
     /// Discovery told this node.
@@ -106,23 +106,23 @@
         self.moved();
         let line = |m: &Member| {
             let bytes = serde_json::to_vec(m).ok()?;
-            Some(Line { key: m.id().to_string(), gone: m.is_gone(), bytes })
+            Some(Entry { key: m.id().to_string(), removed: m.is_gone(), bytes })
         };
         let lines = list.members.iter().filter_map(line).collect();
-        let change = ListChange { version: list.revision, whole: list.complete, lines };
-        self.spread.told(now, &change, holds);
+        let change = ListDelta { version: list.revision, complete: list.complete, entries: lines };
+        self.spread.publish(now, &change, holds);
     }
 
     fn moved(&mut self) {
         if self.place.has_changed().unwrap_or(false) {
             self.place.mark_unchanged();
-            self.spread.moved(source(&self.place));
+            self.spread.set_source(source(&self.place));
         }
     }
 
     /// Whether the duty is to be given back, for discovery gives no answer here.
     pub fn failing(&mut self, now: Duration) -> bool {
-        if !self.down.load(Ordering::Relaxed) || !self.spread.asks() {
+        if !self.down.load(Ordering::Relaxed) || !self.spread.polls_discovery() {
             self.down_since = None;
             return false;
         }
@@ -140,30 +140,34 @@
     }
 
     /// What is to be seen of it.
-    pub fn shown(&self) -> ListsShown {
-        ListsShown { asks: self.spread.asks(), version: self.spread.version(), counts: self.spread.counts() }
+    pub fn shown(&self) -> ListBroadcastStatus {
+        ListBroadcastStatus {
+            polls_discovery: self.spread.polls_discovery(),
+            version: self.spread.version(),
+            metrics: self.spread.metrics(),
+        }
     }
 
     /// Carries out what is to be done here; the words to be brought to others.
-    pub fn carry_out(&mut self) -> Vec<(SocketAddr, Gossip)> {
+    pub fn carry_out(&mut self) -> Vec<(SocketAddr, BroadcastMessage)> {
         let mut words = Vec::new();
-        while let Some(step) = self.spread.step() {
+        while let Some(step) = self.spread.next_action() {
             match step {
-                Step::Send { to, gossip } => words.push((to, gossip)),
-                Step::Ask(asks) => {
+                BroadcastAction::Send { to, message } => words.push((to, message)),
+                BroadcastAction::PollDiscovery(asks) => {
                     log::debug!("duties: discovery is {}asked from here", if asks { "" } else { "not " });
                     self.asks.send_replace(asks);
                 }
-                Step::Feed(change) => {
+                BroadcastAction::Apply(change) => {
                     let members: Vec<Member> =
-                        change.lines.iter().filter_map(|l| serde_json::from_slice(&l.bytes).ok()).collect();
-                    if members.len() < change.lines.len() {
+                        change.entries.iter().filter_map(|l| serde_json::from_slice(&l.bytes).ok()).collect();
+                    if members.len() < change.entries.len() {
                         log::warn!(
                             "duties: {} lines of a list can't be read",
-                            change.lines.len() - members.len()
+                            change.entries.len() - members.len()
                         );
                     }
-                    let list = ListBody { revision: change.version, complete: change.whole, members };
+                    let list = ListBody { revision: change.version, complete: change.complete, members };
                     if self.feed.try_send(list).is_err() {
                         // Who feeds the core is behind: it has to hear all of it from discovery.
                         self.asks.send_replace(true);
--- a/node/src/duties/roll.rs
+++ b/node/src/duties/roll.rs
@@ -2,7 +2,7 @@
 
 use crate::phase::Phases;
 use ::fleet::Peer;
-use duties::{End, Fence, Member, Move, Progress, Roll};
+use duties::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Wanted {
+pub enum RestartRequest {
     /// A roll, with a number of its own; nodes of one zone that may be away at once.
     Begin {
         /// When it was asked for, in Unix time in milliseconds.
@@ -35,25 +35,25 @@
 
 /// What nodes tell each other of a roll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum RestartMessage {
     /// To the holder.
-    Wanted(Wanted),
+    Requested(RestartRequest),
     /// This process is to drain and end.
-    Go {
+    Restart {
         /// The holder's token.
         token: u64,
         /// The process.
-        boot: u64,
+        process_id: u64,
     },
     /// How do the jobs go?
-    Look {
+    HealthQuery {
         /// The holder's token.
         token: u64,
     },
     /// So.
-    Health {
+    HealthReport {
         /// The process.
-        boot: u64,
+        process_id: u64,
         /// Jobs that failed since its start.
         failed: u64,
         /// Jobs that ended since its start.
@@ -65,12 +65,12 @@
 #[derive(Default)]
 pub struct Hand {
     /// Guards this node against a holder that is none any more.
-    pub fence: Fence,
-    roll: Option<Roll>,
+    pub fence: FencingGuard,
+    roll: Option<RollingRestart>,
     next: Duration,
     ask_at: Duration,
     turn: usize,
-    save: Option<Progress>,
+    save: Option<RestartProgress>,
     words: VecDeque<(SocketAddr, Option<u64>)>,
     /// Of each process: failed and ended at the first word of it, and at the last.
     health: BTreeMap<u64, [(u64, u64); 2]>,
@@ -78,15 +78,20 @@
 }
 
 fn members(peers: &[Peer]) -> Vec<Member> {
-    let member =
-        |p: &Peer| Member { name: p.name.clone(), zone: p.zone.clone(), address: p.address, boot: p.boot };
+    let member = |p: &Peer| Member {
+        name: p.name.clone(),
+        zone: p.zone.clone(),
+        address: p.address,
+        process_id: p.boot,
+    };
     peers.iter().map(member).collect()
 }
 
 impl Hand {
     /// The duty is this node's: it goes on with what the last holder left.
     pub fn take(&mut self, own: &str, left: &[u8]) {
-        self.roll = postcard::from_bytes::<Progress>(left).ok().map(|p| Roll::go_on(own, p));
+        self.roll =
+            postcard::from_bytes::<RestartProgress>(left).ok().map(|p| RollingRestart::resume(own, p));
         self.health.clear();
         self.words.clear();
         self.next = Duration::ZERO;
@@ -99,18 +104,18 @@
     }
 
     /// An operator's word, to the holder.
-    pub fn wanted(&mut self, own: &str, wanted: Wanted, peers: &[Peer]) {
-        let running = self.roll.as_ref().is_some_and(|r| r.progress().end.is_none());
+    pub fn wanted(&mut self, own: &str, wanted: RestartRequest, peers: &[Peer]) {
+        let running = self.roll.as_ref().is_some_and(|r| r.progress().outcome.is_none());
         match wanted {
-            Wanted::Begin { id, away } if !running => {
+            RestartRequest::Begin { id, away } if !running => {
                 log::info!(event = "roll_begins", id = id, away = away; "duties: a roll begins, {} nodes", peers.len());
                 self.health.clear();
-                self.roll = Some(Roll::begin(own, id, away, &members(peers)));
+                self.roll = Some(RollingRestart::start(own, id, away, &members(peers)));
             }
-            Wanted::Begin { .. } => log::warn!("duties: a roll is under way; it goes on"),
-            Wanted::Stop => {
+            RestartRequest::Begin { .. } => log::warn!("duties: a roll is under way; it goes on"),
+            RestartRequest::Stop => {
                 if let Some(roll) = &mut self.roll {
-                    roll.stop(End::Asked);
+                    roll.stop(RestartOutcome::Cancelled);
                 }
             }
         }
@@ -120,7 +125,7 @@
     /// When there is something to do.
     pub fn due(&self) -> Duration {
         match &self.roll {
-            Some(roll) if roll.progress().end.is_none() || self.save.is_some() => self.next,
+            Some(roll) if roll.progress().outcome.is_none() || self.save.is_some() => self.next,
             _ => Duration::MAX,
         }
     }
@@ -129,21 +134,23 @@
     pub fn look(&mut self, now: Duration, peers: &[Peer], may: bool) {
         self.next = now + LOOK;
         let Some(roll) = self.roll.as_mut().filter(|_| may) else { return };
-        roll.look(now, &members(peers));
+        roll.advance(now, &members(peers));
         self.words.clear();
-        while let Some(next) = roll.step() {
+        while let Some(next) = roll.next_step() {
             match next {
-                Move::Save(progress) => {
-                    let (done, total) = (progress.done, progress.total);
-                    match &progress.end {
+                RestartStep::SaveProgress(progress) => {
+                    let (done, total) = (progress.completed, progress.total);
+                    match &progress.outcome {
                         Some(end) => log::info!(event = "roll_ended", end:? = end, done = done;
-                            "duties: the roll ended, {done} of {total}: {end:?}"),
+                            "duties: the roll ended, {done} of {total}: {end}"),
                         None => log::info!(event = "roll", done = done, total = total;
-                            "duties: the roll is at {done} of {total}, under way: {:?}", progress.under_way),
+                            "duties: the roll is at {done} of {total}, under way: {:?}", progress.in_progress),
                     }
                     self.save = Some(progress);
                 }
-                Move::Go { to, boot, .. } => self.words.push_back((to, Some(boot))),
+                RestartStep::Restart { address, process_id, .. } => {
+                    self.words.push_back((address, Some(process_id)))
+                }
             }
         }
         if now >= self.ask_at && !peers.is_empty() {
@@ -161,11 +168,11 @@
     }
 
     /// The next word to be brought, once its token is known.
-    pub fn word(&mut self) -> Option<(SocketAddr, impl FnOnce(u64) -> Word + use<>)> {
+    pub fn word(&mut self) -> Option<(SocketAddr, impl FnOnce(u64) -> RestartMessage + use<>)> {
         let (to, boot) = self.words.pop_front()?;
         Some((to, move |token| match boot {
-            Some(boot) => Word::Go { token, boot },
-            None => Word::Look { token },
+            Some(boot) => RestartMessage::Restart { token, process_id: boot },
+            None => RestartMessage::HealthQuery { token },
         }))
     }
 
@@ -179,7 +186,7 @@
         };
         let (failed, ended) = (sum(|h| h.0), sum(|h| h.1));
         if let Some(roll) = &mut self.roll {
-            roll.health(failed, ended);
+            roll.record_jobs(failed, ended);
         }
     }
 
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -115,7 +115,7 @@
                 let (lists, theirs) = duties::Lists::pair(file.lists, reload.discovery());
                 shared = theirs;
                 let (phases, counters) = (phases.clone(), counters[0].clone());
-                Some(duties::start(duties::Links {
+                Some(duties::start(duties::Dependencies {
                     name,
                     fleet_name,
                     zone,
@@ -202,7 +202,7 @@
         let served = tokio::try_join!(platform, faktory);
         say(&counters);
         if let Some(duties) = &duties {
-            duties.leave().await;
+            duties.shutdown().await;
         }
         if let Some(fleet) = &fleet {
             fleet.log_counters().await;
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -5,7 +5,7 @@
 use crate::phase::Phases;
 use crate::platform::socket::Socket;
 use crate::{duties, fleet};
-use ::duties::{Reply, Seat, Wish, NAME_MAX};
+use ::duties::{Operation, Outcome, VoterMember, NAME_MAX};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -125,7 +125,7 @@
 
     async fn duties(&self) -> Response<Full<Bytes>> {
         let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
-        match duties.show().await.map(|shown| serde_json::to_string(&shown)) {
+        match duties.status().await.map(|shown| serde_json::to_string(&shown)) {
             Some(Ok(text)) => json(&text),
             _ => say(StatusCode::SERVICE_UNAVAILABLE, "the duties have ended"),
         }
@@ -136,15 +136,15 @@
         let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
         let away = query.strip_prefix("away=").map_or(Ok(1), str::parse);
         let wanted = match (path, away) {
-            ("/fleet/roll/stop", _) => duties::Wanted::Stop,
+            ("/fleet/roll/stop", _) => duties::RestartRequest::Stop,
             (_, Ok(away @ 1..=4)) => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                duties::Wanted::Begin { id: unix.as_millis() as u64, away }
+                duties::RestartRequest::Begin { id: unix.as_millis() as u64, away }
             }
             _ => return say(StatusCode::BAD_REQUEST, "away is from 1 to 4"),
         };
         log::info!("management: {path}?{query}");
-        match duties.roll(wanted).await {
+        match duties.request_restart(wanted).await {
             Ok(holder) => {
                 say(StatusCode::OK, &format!("{holder} was told; 'fleet duties' shows how it goes"))
             }
@@ -158,14 +158,16 @@
         let value = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
         let name = value("name").filter(|n| !n.is_empty() && n.len() <= NAME_MAX).map(String::from);
         let wish = match (path, name, value("at").map(str::parse)) {
-            ("/fleet/voter/add", Some(name), Some(Ok(address))) => Wish::Add(Seat { name, address }),
-            ("/fleet/voter/remove", Some(name), None) => Wish::Remove(name),
+            ("/fleet/voter/add", Some(name), Some(Ok(address))) => {
+                Operation::AddVoter(VoterMember { name, address })
+            }
+            ("/fleet/voter/remove", Some(name), None) => Operation::RemoveVoter(name),
             _ => return say(StatusCode::BAD_REQUEST, "a name is wanted, and to add one an address"),
         };
         log::info!("management: {path}?{query}");
-        match duties.ask(wish).await {
-            Some(Reply::Done) => say(StatusCode::OK, "done"),
-            Some(Reply::No(why)) => say(StatusCode::CONFLICT, &why),
+        match duties.request(wish).await {
+            Some(Outcome::Done) => say(StatusCode::OK, "done"),
+            Some(Outcome::Rejected(why)) => say(StatusCode::CONFLICT, &why),
             _ => say(StatusCode::SERVICE_UNAVAILABLE, "no voter that leads answers"),
         }
     }
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -2,9 +2,12 @@
 //! 6e5c6e9. `GOLDEN_RECORD=1` writes the file anew and fails.
 
 use duties::{
-    Answer, Counts, Figures, Gossip, Held, Holder, Progress, Reply, Seat, Standing, Table, Told, What, Word,
+    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Holder, LeaseRecord, LeaseTable, Message,
+    Outcome, Response, RestartProgress, VoterMember, VoterMetrics, VoterState,
+};
+use molevale::duties::{
+    print_status, ListBroadcastStatus, NodeMessage, RestartMessage, RestartRequest, Status,
 };
-use molevale::duties::{show, ListsShown, RollWord, Shown, Talk, Wanted};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,83 +32,125 @@
 
 #[test]
 fn messages_between_nodes_encode_to_recorded_bytes_and_decode_to_the_same_kind() {
-    let answer = Answer { number: 7, boot: 300, name: "v0".into(), reply: Reply::Done };
+    let answer = Response { request_id: 7, process_id: 300, voter: "v0".into(), outcome: Outcome::Done };
     let messages = [
-        ("duties", Talk::Duties(Word::Answer(answer))),
-        ("lists", Talk::Lists(Gossip::Want { source: 300, version: 41 })),
-        ("roll/begin", Talk::Roll(RollWord::Wanted(Wanted::Begin { id: 1_700_000_000_789, away: 2 }))),
-        ("roll/stop", Talk::Roll(RollWord::Wanted(Wanted::Stop))),
-        ("roll/go", Talk::Roll(RollWord::Go { token: 300, boot: u64::MAX })),
-        ("roll/look", Talk::Roll(RollWord::Look { token: 301 })),
-        ("roll/health", Talk::Roll(RollWord::Health { boot: 302, failed: 3, ended: 400 })),
+        ("duties", NodeMessage::Coordination(Message::Response(answer))),
+        ("lists", NodeMessage::Lists(BroadcastMessage::Fetch { source: 300, version: 41 })),
+        (
+            "roll/begin",
+            NodeMessage::RollingRestart(RestartMessage::Requested(RestartRequest::Begin {
+                id: 1_700_000_000_789,
+                away: 2,
+            })),
+        ),
+        ("roll/stop", NodeMessage::RollingRestart(RestartMessage::Requested(RestartRequest::Stop))),
+        (
+            "roll/go",
+            NodeMessage::RollingRestart(RestartMessage::Restart { token: 300, process_id: u64::MAX }),
+        ),
+        ("roll/look", NodeMessage::RollingRestart(RestartMessage::HealthQuery { token: 301 })),
+        (
+            "roll/health",
+            NodeMessage::RollingRestart(RestartMessage::HealthReport {
+                process_id: 302,
+                failed: 3,
+                ended: 400,
+            }),
+        ),
     ];
     let mut text = String::new();
     for (name, message) in messages {
         let bytes = postcard::to_stdvec(&message).unwrap();
-        let again: Talk = postcard::from_bytes(&bytes).unwrap();
+        let again: NodeMessage = postcard::from_bytes(&bytes).unwrap();
         assert_eq!(postcard::to_stdvec(&again).unwrap(), bytes, "{name}");
         text += &format!("{name} {}\n", hex(&bytes));
     }
     compare("coordination-messages.txt", &text);
 }
 
-fn told(roll: Option<Progress>) -> Told {
-    let holder = |name: &str| Some(Holder { name: name.into(), boot: 9 });
-    let held = |holder, token, left| Held { holder, token, since_ms: NEVER_MS, left };
+fn told(roll: Option<RestartProgress>) -> ClusterStatus {
+    let holder = |name: &str| Some(Holder { name: name.into(), process_id: 9 });
+    let held = |holder, token, left| LeaseRecord { holder, token, granted_at_ms: NEVER_MS, state: left };
     let left = roll.map(|progress| postcard::to_stdvec(&progress).unwrap()).unwrap_or_default();
-    let change = |what, token| duties::Change {
-        duty: "lists/z".into(),
-        what,
-        name: "node-1".into(),
+    let change = |what, token| duties::LeaseChange {
+        lease: "lists/z".into(),
+        kind: what,
+        holder: "node-1".into(),
         token,
         at_ms: NEVER_MS,
     };
-    let table = Table {
+    let table = LeaseTable {
         last_token: 302,
-        held: BTreeMap::from([
+        leases: BTreeMap::from([
             ("errand/a".to_string(), held(holder("node-1"), 300, vec![1])),
             ("lists/z".to_string(), held(None, 301, vec![])),
             ("roll".to_string(), held(holder("node-2"), 302, left)),
         ]),
-        seats: BTreeMap::from([
-            (1, Seat { name: "v0".into(), address: SocketAddr::from(([127, 0, 0, 1], 7000)) }),
-            (2, Seat { name: "v1".into(), address: SocketAddr::from(([127, 0, 0, 1], 7001)) }),
+        voters: BTreeMap::from([
+            (1, VoterMember { name: "v0".into(), address: SocketAddr::from(([127, 0, 0, 1], 7000)) }),
+            (2, VoterMember { name: "v1".into(), address: SocketAddr::from(([127, 0, 0, 1], 7001)) }),
         ]),
-        history: VecDeque::from([change(What::Granted, 301), change(What::Freed, 301)]),
+        history: VecDeque::from([change(ChangeKind::Granted, 301), change(ChangeKind::Released, 301)]),
     };
-    Told { table, founded: 99, term: 12, left_ms: vec![("errand/a".into(), 8_540), ("roll".into(), 0)] }
+    ClusterStatus {
+        table,
+        cluster_id: 99,
+        term: 12,
+        remaining_ms: vec![("errand/a".into(), 8_540), ("roll".into(), 0)],
+    }
 }
 
-fn progress(end: Option<duties::End>) -> Progress {
+fn progress(end: Option<duties::RestartOutcome>) -> RestartProgress {
     let under_way = vec![("node-3".into(), 33), ("node-4".into(), 44)];
-    Progress { id: 5, away: 2, cursor: "node-4".into(), under_way, total: 60, done: 2, end }
+    RestartProgress {
+        id: 5,
+        max_unavailable: 2,
+        cursor: "node-4".into(),
+        in_progress: under_way,
+        total: 60,
+        completed: 2,
+        outcome: end,
+    }
 }
 
-fn statuses() -> Vec<Shown> {
-    let status = |voter, here, lists, told| Shown {
+fn statuses() -> Vec<Status> {
+    let status = |voter, here, lists, told| Status {
         node: "node-1".into(),
         voter,
-        figures: Figures { sent: 1, writes: 2, grants: 3, renewals: 4, elections: 5, refused: 6 },
-        here,
+        metrics: VoterMetrics {
+            messages_sent: 1,
+            writes: 2,
+            grants: 3,
+            renewals: 4,
+            elections: 5,
+            rejected: 6,
+        },
+        held: here,
         lists,
         refused: 7,
-        told,
+        cluster: told,
     };
-    let counts = Counts { sent: 1, fed: 2, silences: 3, refused: 4 };
-    let lists = Some(ListsShown { asks: true, version: 41, counts });
+    let counts = BroadcastMetrics { sent: 1, applied: 2, holder_timeouts: 3, stale_messages: 4 };
+    let lists = Some(ListBroadcastStatus { polls_discovery: true, version: 41, metrics: counts });
     let here = vec![("errand/a".to_string(), 300, 8_000), ("roll".to_string(), 302, 1)];
-    let broken = Standing::Broken("the disk refuses: full".into());
-    let other_standings = [Standing::Waiting, Standing::Voting, Standing::Unseated, Standing::Older];
+    let broken = VoterState::StorageFailed("the disk refuses: full".into());
+    let other_standings =
+        [VoterState::Waiting, VoterState::Follower, VoterState::NotMember, VoterState::StaleCopy];
     let ends = [
-        duties::End::Done,
-        duties::End::Asked,
-        duties::End::NotBack("node-3".into()),
-        duties::End::JobsFail(2, 30),
+        duties::RestartOutcome::Completed,
+        duties::RestartOutcome::Cancelled,
+        duties::RestartOutcome::NodeNotBack("node-3".into()),
+        duties::RestartOutcome::JobsFailed(2, 30),
     ];
     let mut all = vec![
-        status(Some(Standing::Leading), here.clone(), lists, Some(told(Some(progress(None))))),
-        status(Some(broken), here, None, Some(told(Some(progress(Some(duties::End::Missing(3))))))),
-        status(Some(Standing::Returning), Vec::new(), None, Some(told(None))),
+        status(Some(VoterState::Leader), here.clone(), lists, Some(told(Some(progress(None))))),
+        status(
+            Some(broken),
+            here,
+            None,
+            Some(told(Some(progress(Some(duties::RestartOutcome::NodesMissing(3)))))),
+        ),
+        status(Some(VoterState::Recovering), Vec::new(), None, Some(told(None))),
         status(None, Vec::new(), None, None),
     ];
     all.extend(other_standings.into_iter().map(|standing| status(Some(standing), Vec::new(), None, None)));
@@ -127,7 +172,7 @@
         socket.write_all(answer.as_bytes()).await.unwrap();
         String::from_utf8_lossy(&head[..length]).lines().next().unwrap_or_default().to_string()
     };
-    let (asked, printed) = tokio::join!(serve, show(address, json));
+    let (asked, printed) = tokio::join!(serve, print_status(address, json));
     assert_eq!(asked, "GET /fleet/duties HTTP/1.1");
     printed.unwrap()
 }
@@ -137,7 +182,7 @@
     let mut text = String::new();
     for status in statuses() {
         let json = serde_json::to_string(&status).unwrap();
-        let again: Shown = serde_json::from_str(&json).unwrap();
+        let again: Status = serde_json::from_str(&json).unwrap();
         assert_eq!(serde_json::to_string(&again).unwrap(), json);
         assert_eq!(printed(&json, true).await, json);
         text += &format!("{json}\n{}\n", printed(&json, false).await);
--- a/rig/src/duties.rs
+++ b/rig/src/duties.rs
@@ -6,8 +6,8 @@
 use crate::history_check::Act;
 use crate::relay::Rules;
 use duties::{
-    Action, Client, Errand, Fence, Figures, Holder, Lost, Note, Seat, Setup, Standing, Store, Timing, Voter,
-    Wish, Word,
+    Client, ClientAction, FencingGuard, Holder, LeaseLost, Message, Operation, Store, Timing, Voter,
+    VoterAction, VoterConfig, VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -57,20 +57,20 @@
 }
 
 enum Event {
-    Word { from: usize, boot: u64, to: usize, word: Word },
-    Written { i: usize, boot: u64, number: u64, outcome: bool },
-    Act { i: usize, boot: u64 },
+    Message { from: usize, process_id: u64, to: usize, message: Message },
+    Written { i: usize, process_id: u64, number: u64, outcome: bool },
+    Act { i: usize, process_id: u64 },
     Came { act: Act },
     Wake(usize),
 }
 
 struct Process {
-    boot: u64,
+    process_id: u64,
     client: Client,
     voter: Option<(Voter, Store)>,
     stopped: bool,
     /// What came while it was stopped.
-    inbox: Vec<(usize, Word)>,
+    inbox: Vec<(usize, Message)>,
     /// An act whose right it was sure of, and that had not left when it was stopped.
     begun: Option<Act>,
     wake: Option<Duration>,
@@ -94,13 +94,13 @@
     /// What passes between them.
     pub rules: Rules,
     rng: SmallRng,
-    fence: Fence,
+    fence: FencingGuard,
     /// All acts, in the order in which they came.
     pub acts: Vec<Act>,
     /// What voters noted.
-    pub notes: Vec<(Duration, usize, Note)>,
+    pub notes: Vec<(Duration, usize, VoterEvent)>,
     /// Who took the duty, and who lost it, when and why.
-    pub holds: Vec<(Duration, usize, u64, Option<Lost>)>,
+    pub holds: Vec<(Duration, usize, u64, Option<LeaseLost>)>,
     /// Acts that a node was refused, as it would say itself.
     pub refused: u64,
     /// Words on their way so far.
@@ -135,7 +135,7 @@
             order: 0,
             rules: Rules::default(),
             rng,
-            fence: Fence::default(),
+            fence: FencingGuard::default(),
             acts: Vec::new(),
             notes: Vec::new(),
             holds: Vec::new(),
@@ -168,25 +168,25 @@
     pub fn start(&mut self, i: usize) {
         // Its store writes when it goes: that must be over before another opens the disk.
         self.nodes[i].process = None;
-        let (boot, seed, now) = (self.rng.random(), self.rng.random(), self.local(i));
-        let seats: Vec<Seat> =
-            (0..self.spec.voters).map(|v| Seat { name: name(v), address: address(v) }).collect();
-        let who = Holder { name: name(i), boot };
+        let (process_id, seed, now) = (self.rng.random(), self.rng.random(), self.local(i));
+        let seats: Vec<VoterMember> =
+            (0..self.spec.voters).map(|v| VoterMember { name: name(v), address: address(v) }).collect();
+        let who = Holder { name: name(i), process_id };
         let mut client = Client::new(who, self.spec.timing, seats.iter().map(|s| s.address).collect());
         if self.spec.seekers.contains(&i) {
-            client.want(now, DUTY);
+            client.acquire(now, DUTY);
         }
         let node = &self.nodes[i];
         let mut voter = None;
         if i < self.spec.voters || !node.disk.bytes().is_empty() {
             let store = Store::open(node.disk.clone(), "emulated", &name(i), self.rng.random(), node.place);
             voter = store.ok().map(|(store, disk)| {
-                let seat = Seat { name: name(i), address: address(i) };
-                let setup = Setup {
-                    seat,
+                let seat = VoterMember { name: name(i), address: address(i) };
+                let setup = VoterConfig {
+                    member: seat,
                     founders: seats,
                     timing: self.spec.timing,
-                    boot,
+                    process_id,
                     seed,
                     unix_ms: 1_700_000_000_000,
                 };
@@ -194,9 +194,9 @@
             });
         }
         let process =
-            Process { boot, client, voter, stopped: false, inbox: Vec::new(), begun: None, wake: None };
+            Process { process_id, client, voter, stopped: false, inbox: Vec::new(), begun: None, wake: None };
         self.nodes[i].process = Some(process);
-        self.put(ACT, Event::Act { i, boot });
+        self.put(ACT, Event::Act { i, process_id });
         self.after(i);
     }
 
@@ -218,7 +218,7 @@
     pub fn end(&mut self, i: usize) {
         let now = self.local(i);
         if let Some(p) = &mut self.nodes[i].process {
-            p.client.give(now, DUTY);
+            p.client.release(now, DUTY);
         }
         self.after(i);
         self.run(Duration::from_secs(1));
@@ -238,12 +238,12 @@
     pub fn go_on(&mut self, i: usize) {
         let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.stopped) else { return };
         (p.stopped, p.wake) = (false, None);
-        let (begun, inbox, boot) = (p.begun.take(), std::mem::take(&mut p.inbox), p.boot);
+        let (begun, inbox, process_id) = (p.begun.take(), std::mem::take(&mut p.inbox), p.process_id);
         if let Some(act) = begun {
             self.put(WIRE, Event::Came { act });
         }
-        inbox.into_iter().for_each(|(from, word)| self.deliver(from, i, word));
-        self.put(ACT, Event::Act { i, boot });
+        inbox.into_iter().for_each(|(from, message)| self.deliver(from, i, message));
+        self.put(ACT, Event::Act { i, process_id });
         self.wake(i);
     }
 
@@ -273,22 +273,26 @@
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
-                Event::Word { from, boot, to, word } => {
-                    if self.nodes[to].process.as_ref().is_some_and(|p| boot == 0 || p.boot == boot) {
-                        self.deliver(from, to, word);
+                Event::Message { from, process_id, to, message } => {
+                    if self.nodes[to]
+                        .process
+                        .as_ref()
+                        .is_some_and(|p| process_id == 0 || p.process_id == process_id)
+                    {
+                        self.deliver(from, to, message);
                     }
                 }
-                Event::Written { i, boot, number, outcome } => {
+                Event::Written { i, process_id, number, outcome } => {
                     let now = self.local(i);
-                    if let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.boot == boot) {
+                    if let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.process_id == process_id) {
                         if let Some((voter, _)) = &mut p.voter {
-                            let bad = duties::BadStore::Disk("no space left on the disk".into());
-                            voter.written(now, number, if outcome { Ok(()) } else { Err(bad) });
+                            let bad = duties::StoreError::Io("no space left on the disk".into());
+                            voter.persisted(now, number, if outcome { Ok(()) } else { Err(bad) });
                         }
                         self.after(i);
                     }
                 }
-                Event::Act { i, boot } => self.act(i, boot),
+                Event::Act { i, process_id } => self.act(i, process_id),
                 Event::Came { act } => self.came(act),
                 Event::Wake(i) => {
                     if self.nodes[i].process.as_ref().is_some_and(|p| !p.stopped && p.wake == Some(self.now))
@@ -324,31 +328,31 @@
 
     /// The voter that leads, if one does.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|i| self.runs(*i) && self.standing(*i) == Some(Standing::Leading))
+        (0..self.nodes.len()).find(|i| self.runs(*i) && self.standing(*i) == Some(VoterState::Leader))
     }
 
     /// How a voter stands.
-    pub fn standing(&self, i: usize) -> Option<Standing> {
-        Some(self.nodes[i].process.as_ref()?.voter.as_ref()?.0.standing())
+    pub fn standing(&self, i: usize) -> Option<VoterState> {
+        Some(self.nodes[i].process.as_ref()?.voter.as_ref()?.0.state())
     }
 
     /// A voter's counters.
-    pub fn figures(&self, i: usize) -> Figures {
+    pub fn figures(&self, i: usize) -> VoterMetrics {
         let voter = self.nodes[i].process.as_ref().and_then(|p| p.voter.as_ref());
-        voter.map(|(v, _)| v.figures()).unwrap_or_default()
+        voter.map(|(v, _)| v.metrics()).unwrap_or_default()
     }
 
     /// The names of the voters, as one of them knows them.
     pub fn seats(&self, i: usize) -> Vec<String> {
         let voter = self.nodes[i].process.as_ref().and_then(|p| p.voter.as_ref());
-        voter.map(|(v, _)| v.table().seats.values().map(|s| s.name.clone()).collect()).unwrap_or_default()
+        voter.map(|(v, _)| v.table().voters.values().map(|s| s.name.clone()).collect()).unwrap_or_default()
     }
 
     /// An operator's wish, through a node; it may have to be said again.
-    pub fn wish(&mut self, through: usize, wish: Wish) {
+    pub fn wish(&mut self, through: usize, wish: Operation) {
         let (to, now) = (self.leader().map(address), self.local(through));
         if let (Some(to), Some(p)) = (to, &mut self.nodes[through].process) {
-            p.client.question(now, to, wish);
+            p.client.request(now, to, wish);
         }
         self.after(through);
     }
@@ -358,8 +362,8 @@
         let now = self.local(i);
         if let Some(p) = &mut self.nodes[i].process {
             match wanted {
-                true => p.client.want(now, DUTY),
-                false => p.client.give(now, DUTY),
+                true => p.client.acquire(now, DUTY),
+                false => p.client.release(now, DUTY),
             }
         }
         self.after(i);
@@ -370,36 +374,39 @@
         self.queue.insert((self.now + after, self.order), event);
     }
 
-    fn act(&mut self, i: usize, boot: u64) {
+    fn act(&mut self, i: usize, process_id: u64) {
         let (now, local) = (self.now, self.local(i));
-        let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.boot == boot && !p.stopped) else { return };
+        let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.process_id == process_id && !p.stopped)
+        else {
+            return;
+        };
         if let Some(act) = act(p, i, now, local) {
             // Some are long on their way.
             let slow = self.rng.random_bool(0.05);
             let after = Duration::from_millis(if slow { self.rng.random_range(0..3000) } else { 1 });
             self.put(after, Event::Came { act });
         }
-        self.put(ACT, Event::Act { i, boot });
+        self.put(ACT, Event::Act { i, process_id });
     }
 
     fn came(&mut self, act: Act) {
-        let taken = self.fence.pass(DUTY, act.token).is_ok();
+        let taken = self.fence.check(DUTY, act.token).is_ok();
         self.refused += u64::from(!taken);
         self.acts.push(Act { came: self.now, taken, ..act });
     }
 
-    fn deliver(&mut self, from: usize, to: usize, word: Word) {
+    fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let now = self.local(to);
         let Some(p) = &mut self.nodes[to].process else { return };
         if p.stopped {
-            p.inbox.push((from, word));
+            p.inbox.push((from, message));
             return;
         }
-        match word {
-            Word::Answer(answer) => p.client.answer(now, address(from), answer),
-            word => {
+        match message {
+            Message::Response(answer) => p.client.receive(now, address(from), answer),
+            message => {
                 if let Some((voter, _)) = &mut p.voter {
-                    voter.word(now, address(from), word);
+                    voter.receive(now, address(from), message);
                 }
             }
         }
@@ -420,31 +427,33 @@
 
     fn after(&mut self, i: usize) {
         let Some(mut p) = self.nodes[i].process.take() else { return };
-        while let Some(errand) = p.client.errand() {
+        while let Some(errand) = p.client.next_action() {
             match errand {
-                Errand::Send { to, ask } => self.send(i, to, Word::Ask(ask)),
-                Errand::Taken { token, .. } => self.holds.push((self.now, i, token, None)),
-                Errand::Lost { token, why, .. } => self.holds.push((self.now, i, token, Some(why))),
+                ClientAction::Send { to, request } => self.send(i, to, Message::Request(request)),
+                ClientAction::Acquired { token, .. } => self.holds.push((self.now, i, token, None)),
+                ClientAction::Lost { token, reason, .. } => {
+                    self.holds.push((self.now, i, token, Some(reason)))
+                }
             }
         }
         if let Some((voter, store)) = &mut p.voter {
-            while let Some(action) = voter.action() {
+            while let Some(action) = voter.next_action() {
                 match action {
-                    Action::Send { to, word } => self.send(i, to, word),
-                    Action::Write(batch) => {
+                    VoterAction::Send { to, message } => self.send(i, to, message),
+                    VoterAction::Write(batch) => {
                         let outcome = store.write(&batch).is_ok();
                         let spread = 0.5 + self.rng.random::<f64>();
-                        let (number, boot) = (batch.number, p.boot);
+                        let (number, process_id) = (batch.number, p.process_id);
                         self.put(
                             self.spec.write.mul_f64(spread),
-                            Event::Written { i, boot, number, outcome },
+                            Event::Written { i, process_id, number, outcome },
                         );
                     }
-                    Action::Note(note) => self.notes.push((self.now, i, note)),
+                    VoterAction::Report(event) => self.notes.push((self.now, i, event)),
                 }
             }
         }
-        let due = p.client.due().min(p.voter.as_ref().map_or(Duration::MAX, |(v, _)| v.due()));
+        let due = p.client.next_tick().min(p.voter.as_ref().map_or(Duration::MAX, |(v, _)| v.next_tick()));
         let due = self.truly(i, due).max(self.now);
         let wake = p.wake;
         let sooner = due != Duration::MAX && wake.is_none_or(|at| due < at || at < self.now);
@@ -458,7 +467,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, word: Word) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let Some(to) = (0..self.nodes.len()).find(|i| address(*i) == to) else { return };
         self.words += 1;
         let rule = self.rules.between(from, to);
@@ -468,8 +477,8 @@
         for _ in 0..1 + usize::from(self.rng.random_bool(rule.twice)) {
             let ms = rule.delay_ms + self.rng.random_range(0..=rule.jitter_ms);
             let after = WIRE + Duration::from_millis(ms);
-            let boot = self.nodes[to].process.as_ref().map_or(0, |p| p.boot);
-            self.put(after, Event::Word { from, boot, to, word: word.clone() });
+            let process_id = self.nodes[to].process.as_ref().map_or(0, |p| p.process_id);
+            self.put(after, Event::Message { from, process_id, to, message: message.clone() });
         }
     }
 }
@@ -477,5 +486,5 @@
 /// An act that this process is sure of its right to, right now.
 fn act(p: &Process, i: usize, now: Duration, local: Duration) -> Option<Act> {
     let token = p.client.may_act(local, DUTY)?;
-    Some(Act { begun: now, came: now, who: format!("{} {}", name(i), p.boot), token, taken: false })
+    Some(Act { begun: now, came: now, who: format!("{} {}", name(i), p.process_id), token, taken: false })
 }
--- a/rig/src/lists.rs
+++ b/rig/src/lists.rs
@@ -1,7 +1,7 @@
 //! The lists of one zone in emulated time: how many calls discovery gets, and how long a change takes to the last node, with
 //! one node that follows it for all and without.
 
-use duties::{Gossip, Line, ListChange, Spread, Step};
+use duties::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -30,10 +30,10 @@
 }
 
 enum Event {
-    Gossip {
+    Message {
         from: usize,
         to: usize,
-        gossip: Gossip,
+        message: BroadcastMessage,
     },
     /// Discovery answers a call that was made under this number.
     Answer {
@@ -48,7 +48,7 @@
 }
 
 struct Node {
-    spread: Spread,
+    spread: ListBroadcast,
     runs: bool,
     holds: bool,
     call: u64,
@@ -80,8 +80,8 @@
 pub fn play(nodes: usize, shared: bool, killed: bool, loss: f64, seed: u64) -> Outcome {
     let peers: Vec<(String, SocketAddr)> = (0..nodes).map(|i| (format!("n{i:04}"), address(i))).collect();
     let node = |i: usize| {
-        let mut spread = Spread::new(&peers[i].0, 1);
-        spread.peers(peers.clone());
+        let mut spread = ListBroadcast::new(&peers[i].0, 1);
+        spread.set_peers(peers.clone());
         Node { spread, runs: true, holds: false, call: 0, had: 0, wake: None }
     };
     let wait =
@@ -113,7 +113,7 @@
     let mut before = (0, Vec::new());
     while let Some(entry) = world.queue.first_entry().filter(|e| e.key().0 <= LENGTH) {
         if before.1.is_empty() && entry.key().0 >= from {
-            before = (world.outcome.calls, world.nodes.iter().map(|n| n.spread.counts().sent).collect());
+            before = (world.outcome.calls, world.nodes.iter().map(|n| n.spread.metrics().sent).collect());
         }
         world.now = entry.key().0;
         let event = entry.remove();
@@ -122,7 +122,7 @@
     let mut outcome = world.outcome.clone();
     // The start, when all ask, is the same either way.
     outcome.calls -= before.0;
-    let sent = world.nodes.iter().map(|n| n.spread.counts().sent).zip(&before.1).map(|(a, b)| a - b);
+    let sent = world.nodes.iter().map(|n| n.spread.metrics().sent).zip(&before.1).map(|(a, b)| a - b);
     outcome.words = sent.clone().sum();
     outcome.most = sent.max().unwrap_or(0) as f64 / (LENGTH - from).as_secs_f64();
     let all = world.nodes.iter().filter(|n| n.runs).all(|n| n.had + 1 >= world.version);
@@ -158,11 +158,11 @@
         }
     }
 
-    fn lines(&self, version: u64) -> ListChange {
-        let line = |i: usize| Line { key: format!("w{i:03}"), gone: false, bytes: vec![0; 180] };
+    fn lines(&self, version: u64) -> ListDelta {
+        let line = |i: usize| Entry { key: format!("w{i:03}"), removed: false, bytes: vec![0; 180] };
         match version {
-            1 => ListChange { version, whole: true, lines: (0..WORKERS).map(line).collect() },
-            _ => ListChange { version, whole: false, lines: vec![line(version as usize % WORKERS)] },
+            1 => ListDelta { version, complete: true, entries: (0..WORKERS).map(line).collect() },
+            _ => ListDelta { version, complete: false, entries: vec![line(version as usize % WORKERS)] },
         }
     }
 
@@ -177,22 +177,22 @@
     fn event(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Gossip { from, to, gossip } => {
+            Event::Message { from, to, message } => {
                 if self.nodes[to].runs {
-                    self.nodes[to].spread.hear(now, address(from), gossip);
+                    self.nodes[to].spread.receive(now, address(from), message);
                     self.after(to);
                 }
             }
             Event::Answer { i, call, version } => {
                 let node = &self.nodes[i];
-                if !node.runs || node.call != call || !node.spread.asks() {
+                if !node.runs || node.call != call || !node.spread.polls_discovery() {
                     return;
                 }
                 let holds = node.holds;
                 if version > 0 {
                     for v in node.had + 1..=version {
                         let change = self.lines(v);
-                        self.nodes[i].spread.told(now, &change, holds);
+                        self.nodes[i].spread.publish(now, &change, holds);
                     }
                     self.has(i, version);
                 }
@@ -227,28 +227,28 @@
             Event::Hold(i) => {
                 let token = 10 + self.order;
                 self.nodes[i].holds = true;
-                self.nodes[i].spread.hold(now, token);
+                self.nodes[i].spread.lease_acquired(now, token);
                 self.after(i);
             }
         }
     }
 
     fn after(&mut self, i: usize) {
-        while let Some(step) = self.nodes[i].spread.step() {
+        while let Some(step) = self.nodes[i].spread.next_action() {
             match step {
-                Step::Send { to, gossip } => {
+                BroadcastAction::Send { to, message } => {
                     let to = (0..self.nodes.len()).find(|n| address(*n) == to);
                     let after = self.wire();
                     if let Some(to) = to.filter(|_| !self.rng.random_bool(self.loss)) {
-                        self.put(after, Event::Gossip { from: i, to, gossip });
+                        self.put(after, Event::Message { from: i, to, message });
                     }
                 }
-                Step::Feed(change) => self.has(i, change.version),
-                Step::Ask(true) => self.call(i),
-                Step::Ask(false) => self.waiting.retain(|(n, _)| *n != i),
+                BroadcastAction::Apply(change) => self.has(i, change.version),
+                BroadcastAction::PollDiscovery(true) => self.call(i),
+                BroadcastAction::PollDiscovery(false) => self.waiting.retain(|(n, _)| *n != i),
             }
         }
-        let due = self.nodes[i].spread.due();
+        let due = self.nodes[i].spread.next_tick();
         if due < Duration::MAX {
             let at = due.max(self.now);
             if self.nodes[i].wake != Some(at) {
--- a/rig/src/scale/broadcast.rs
+++ b/rig/src/scale/broadcast.rs
@@ -5,7 +5,7 @@
 use super::processor::Stopwatch;
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::sealer::Sealer;
-use duties::{Gossip, ListChange, Spread, Step};
+use duties::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -58,7 +58,7 @@
 }
 
 enum Event {
-    Gossip { from: usize, to: usize, gossip: Gossip },
+    Message { from: usize, to: usize, message: BroadcastMessage },
     Version,
     Wake(usize),
 }
@@ -72,7 +72,7 @@
 }
 
 struct Node {
-    spread: Spread,
+    spread: ListBroadcast,
     wake: Option<Duration>,
     version: u64,
     count: Count,
@@ -102,8 +102,8 @@
         let peers: Vec<(String, SocketAddr)> =
             (0..spec.nodes).map(|i| (format!("n{i:04}"), address(i))).collect();
         let node = |i: usize| {
-            let mut spread = Spread::new(&peers[i].0, SOURCE);
-            spread.peers(peers.clone());
+            let mut spread = ListBroadcast::new(&peers[i].0, SOURCE);
+            spread.set_peers(peers.clone());
             Node { spread, wake: None, version: 0, count: Count::default() }
         };
         let mut zone = Zone {
@@ -119,7 +119,7 @@
             delays: Vec::new(),
         };
         let holder = zone.holder();
-        zone.nodes[holder].spread.hold(Duration::ZERO, TOKEN);
+        zone.nodes[holder].spread.lease_acquired(Duration::ZERO, TOKEN);
         zone.after(holder);
         zone.put(PERIOD, Event::Version);
         zone
@@ -166,7 +166,7 @@
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
-                Event::Gossip { from, to, gossip } => self.hear(from, to, gossip),
+                Event::Message { from, to, message } => self.hear(from, to, message),
                 Event::Version => self.renew(),
                 Event::Wake(node) => self.wake(node),
             }
@@ -186,15 +186,15 @@
         self.told_at.push(self.now);
         let version = self.told_at.len() as u64;
         let lines = ListBody::drawn(version, self.spec.workers, self.spec.zones, &mut self.rng).lines();
-        let change = ListChange { version, whole: version == 1, lines };
+        let change = ListDelta { version, complete: version == 1, entries: lines };
         let holder = self.holder();
-        self.nodes[holder].spread.told(self.now, &change, true);
+        self.nodes[holder].spread.publish(self.now, &change, true);
         self.nodes[holder].version = version;
         self.after(holder);
     }
 
-    fn hear(&mut self, from: usize, to: usize, gossip: Gossip) {
-        self.nodes[to].spread.hear(self.now, address(from), gossip);
+    fn hear(&mut self, from: usize, to: usize, message: BroadcastMessage) {
+        self.nodes[to].spread.receive(self.now, address(from), message);
         self.after(to);
     }
 
@@ -209,14 +209,14 @@
 
     /// Carries out what a node wants done, and notes when it is due next.
     fn after(&mut self, node: usize) {
-        while let Some(step) = self.nodes[node].spread.step() {
+        while let Some(step) = self.nodes[node].spread.next_action() {
             match step {
-                Step::Send { to, gossip } => self.send(node, to, gossip),
-                Step::Feed(change) => self.fed(node, change.version),
-                Step::Ask(_) => {}
+                BroadcastAction::Send { to, message } => self.send(node, to, message),
+                BroadcastAction::Apply(change) => self.fed(node, change.version),
+                BroadcastAction::PollDiscovery(_) => {}
             }
         }
-        let due = self.nodes[node].spread.due();
+        let due = self.nodes[node].spread.next_tick();
         let at = due.max(self.now);
         if due < Duration::MAX && self.nodes[node].wake != Some(at) {
             self.nodes[node].wake = Some(at);
@@ -225,9 +225,9 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, gossip: Gossip) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: BroadcastMessage) {
         let Some(to) = self.by_address.get(&to).copied() else { return };
-        let length = postcard::to_stdvec(&gossip).map_or(0, |bytes| bytes.len()) + TAG;
+        let length = postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len()) + TAG;
         let sealed = self.sealer.word(length);
         let sender = &mut self.nodes[from].count;
         sender.messages_out += sealed.datagrams;
@@ -236,7 +236,7 @@
         receiver.messages_in += sealed.datagrams;
         receiver.bytes_in += sealed.bytes;
         let wire = Duration::from_micros(self.rng.random_range(WIRE_US));
-        self.put(wire, Event::Gossip { from, to, gossip });
+        self.put(wire, Event::Message { from, to, message });
     }
 
     fn fed(&mut self, node: usize, version: u64) {
--- a/rig/src/scale/list.rs
+++ b/rig/src/scale/list.rs
@@ -1,7 +1,7 @@
 //! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
 
 use dewlever::api::{Availability, WorkerEntry, WorkerId};
-use duties::Line;
+use duties::Entry;
 use rand::rngs::SmallRng;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -56,7 +56,7 @@
     }
 
     /// The lines as the nodes of a zone pass them on to each other.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<Entry> {
         self.members.iter().map(Member::line).collect()
     }
 
@@ -82,9 +82,9 @@
         }
     }
 
-    fn line(&self) -> Line {
+    fn line(&self) -> Entry {
         let bytes = serde_json::to_vec(self).unwrap_or_default();
-        Line { key: self.id.clone(), gone: false, bytes }
+        Entry { key: self.id.clone(), removed: false, bytes }
     }
 
     fn entry(&self) -> WorkerEntry {
--- a/rig/src/scale/voting.rs
+++ b/rig/src/scale/voting.rs
@@ -6,7 +6,10 @@
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::sealer::Sealer;
 use crate::disk::MemDisk;
-use duties::{Action, Client, Errand, Holder, Seat, Setup, Standing, Store, Timing, Voter, Word};
+use duties::{
+    Client, ClientAction, Holder, Message, Store, Timing, Voter, VoterAction, VoterConfig, VoterMember,
+    VoterState,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -68,7 +71,7 @@
 }
 
 enum Event {
-    Word { from: usize, to: usize, word: Word },
+    Message { from: usize, to: usize, message: Message },
     Written { voter: usize, number: u64 },
     Wake(usize),
 }
@@ -119,24 +122,31 @@
     format!("lists/zone-{zone:02}")
 }
 
-fn seats() -> Vec<Seat> {
-    (0..VOTERS).map(|i| Seat { name: name(i), address: address(i) }).collect()
+fn seats() -> Vec<VoterMember> {
+    (0..VOTERS).map(|i| VoterMember { name: name(i), address: address(i) }).collect()
 }
 
 fn voter(i: usize, rng: &mut SmallRng) -> Part {
     let opened = Store::open(MemDisk::new(), "emulated", &name(i), rng.random(), rng.random());
     let (store, disk) = opened.expect("an empty disk in memory can be opened");
-    let seat = Seat { name: name(i), address: address(i) };
-    let (boot, seed) = (rng.random(), rng.random());
-    let setup = Setup { seat, founders: seats(), timing: Timing::default(), boot, seed, unix_ms: UNIX_MS };
+    let seat = VoterMember { name: name(i), address: address(i) };
+    let (process_id, seed) = (rng.random(), rng.random());
+    let setup = VoterConfig {
+        member: seat,
+        founders: seats(),
+        timing: Timing::default(),
+        process_id,
+        seed,
+        unix_ms: UNIX_MS,
+    };
     Part::Voter(Box::new(Voter::new(setup, disk, Duration::ZERO)), store)
 }
 
 fn seeker(i: usize, rng: &mut SmallRng) -> Part {
-    let holder = Holder { name: name(i), boot: rng.random() };
+    let holder = Holder { name: name(i), process_id: rng.random() };
     let voters = seats().iter().map(|seat| seat.address).collect();
     let mut client = Client::new(holder, Timing::default(), voters);
-    client.want(Duration::ZERO, &duty((i - VOTERS) / SEEKERS));
+    client.acquire(Duration::ZERO, &duty((i - VOTERS) / SEEKERS));
     Part::Seeker(client)
 }
 
@@ -166,7 +176,7 @@
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
-                Event::Word { from, to, word } => self.deliver(from, to, word),
+                Event::Message { from, to, message } => self.deliver(from, to, message),
                 Event::Written { voter, number } => self.written(voter, number),
                 Event::Wake(i) => self.wake(i),
             }
@@ -191,10 +201,10 @@
         self.after(i);
     }
 
-    fn deliver(&mut self, from: usize, to: usize, word: Word) {
-        self.with(to, |part, now| match (part, word) {
-            (Part::Seeker(client), Word::Answer(answer)) => client.answer(now, address(from), answer),
-            (Part::Voter(voter, _), word) => voter.word(now, address(from), word),
+    fn deliver(&mut self, from: usize, to: usize, message: Message) {
+        self.with(to, |part, now| match (part, message) {
+            (Part::Seeker(client), Message::Response(answer)) => client.receive(now, address(from), answer),
+            (Part::Voter(voter, _), message) => voter.receive(now, address(from), message),
             _ => {}
         });
     }
@@ -202,7 +212,7 @@
     fn written(&mut self, voter: usize, number: u64) {
         self.with(voter, |part, now| {
             if let Part::Voter(voter, _) = part {
-                voter.written(now, number, Ok(()));
+                voter.persisted(now, number, Ok(()));
             }
         });
     }
@@ -223,15 +233,15 @@
         let due = match &mut part {
             Part::Voter(voter, store) => {
                 self.carry_out(i, voter, store);
-                voter.due()
+                voter.next_tick()
             }
             Part::Seeker(client) => {
-                while let Some(errand) = client.errand() {
-                    if let Errand::Send { to, ask } = errand {
-                        self.send(i, to, Word::Ask(ask));
+                while let Some(errand) = client.next_action() {
+                    if let ClientAction::Send { to, request } = errand {
+                        self.send(i, to, Message::Request(request));
                     }
                 }
-                client.due()
+                client.next_tick()
             }
         };
         self.processes[i].part = Some(part);
@@ -239,14 +249,14 @@
     }
 
     fn carry_out(&mut self, i: usize, voter: &mut Voter, store: &Store) {
-        while let Some(action) = voter.action() {
+        while let Some(action) = voter.next_action() {
             match action {
-                Action::Send { to, word } => self.send(i, to, word),
-                Action::Write(batch) => {
+                VoterAction::Send { to, message } => self.send(i, to, message),
+                VoterAction::Write(batch) => {
                     store.write(&batch).expect("a disk in memory takes every write");
                     self.put(WRITE, Event::Written { voter: i, number: batch.number });
                 }
-                Action::Note(_) => {}
+                VoterAction::Report(_) => {}
             }
         }
     }
@@ -260,9 +270,9 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, word: Word) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let Some(to) = self.by_address.get(&to).copied() else { return };
-        let length = postcard::to_stdvec(&word).map_or(0, |bytes| bytes.len()) + TAG;
+        let length = postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len()) + TAG;
         let sealed = self.sealer.word(length);
         let sender = &mut self.processes[from].count;
         sender.messages_out += sealed.datagrams;
@@ -271,7 +281,7 @@
         receiver.messages_in += sealed.datagrams;
         receiver.bytes_in += sealed.bytes;
         let wire = Duration::from_micros(self.rng.random_range(WIRE_US));
-        self.put(wire, Event::Word { from, to, word });
+        self.put(wire, Event::Message { from, to, message });
     }
 
     /// Which process may act on a zone's duty now.
@@ -286,7 +296,7 @@
 
     fn leader(&self) -> Option<usize> {
         let leads = |i: &usize| match &self.processes[*i].part {
-            Some(Part::Voter(voter, _)) => voter.standing() == Standing::Leading,
+            Some(Part::Voter(voter, _)) => voter.state() == VoterState::Leader,
             _ => false,
         };
         (0..VOTERS).find(leads)
--- a/rig/tests/duties.rs
+++ b/rig/tests/duties.rs
@@ -1,6 +1,6 @@
 //! Duties in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
 
-use duties::{Lost, Note, Seat, Standing, Store, Wish};
+use duties::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rig::disk::MemDisk;
@@ -130,7 +130,7 @@
     assert_eq!(world.refused, refused + 1);
     let lost =
         world.holds.iter().find(|(_, i, t, why)| (*i, *t) == (holder, token) && why.is_some()).unwrap();
-    assert!(matches!(lost.3, Some(Lost::Lapsed | Lost::Taken)));
+    assert!(matches!(lost.3, Some(LeaseLost::Expired | LeaseLost::TakenOver)));
     right(&world);
 }
 
@@ -198,35 +198,35 @@
     world.kill(2);
     world.start(2);
     world.run(3 * S);
-    assert!(matches!(world.standing(2), Some(Standing::Voting | Standing::Leading)));
+    assert!(matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader)));
     world.kill(2);
     world.set_disk(2, old);
     world.start(2);
     world.run(3 * S);
-    assert_eq!(world.standing(2), Some(Standing::Older));
-    assert!(world.notes.iter().any(|(_, i, n)| *i == 2 && *n == Note::Older));
+    assert_eq!(world.standing(2), Some(VoterState::StaleCopy));
+    assert!(world.notes.iter().any(|(_, i, n)| *i == 2 && *n == VoterEvent::StaleCopy));
     // Nor after more starts, when its count is no longer behind.
     for _ in 0..4 {
         world.kill(2);
         world.start(2);
         world.run(2 * S);
     }
-    assert_eq!(world.standing(2), Some(Standing::Older));
+    assert_eq!(world.standing(2), Some(VoterState::StaleCopy));
     // An empty one is another voter, and has no seat.
     world.kill(2);
     world.set_disk(2, MemDisk::new());
     world.start(2);
     world.run(3 * S);
-    assert_eq!(world.standing(2), Some(Standing::Unseated));
+    assert_eq!(world.standing(2), Some(VoterState::NotMember));
     // Without it a majority needs both others, and has them.
     held(&mut world);
     // Its place is given up, and it gets it anew.
-    let voted = |world: &World| matches!(world.standing(2), Some(Standing::Voting | Standing::Leading));
-    let seat = Seat { name: name(2), address: address(2) };
+    let voted = |world: &World| matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader));
+    let seat = VoterMember { name: name(2), address: address(2) };
     for _ in 0..20 {
-        world.wish(4, Wish::Remove(name(2)));
+        world.wish(4, Operation::RemoveVoter(name(2)));
         world.run(S / 2);
-        world.wish(4, Wish::Add(seat.clone()));
+        world.wish(4, Operation::AddVoter(seat.clone()));
         world.run(S / 2);
     }
     assert!(voted(&world), "{:?}", world.standing(2));
@@ -252,7 +252,10 @@
         world.rules.heal();
         world.start(2);
         world.run(3 * S);
-        assert!(matches!(world.standing(2), Some(Standing::Voting | Standing::Leading)), "round {round}");
+        assert!(
+            matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader)),
+            "round {round}"
+        );
     }
 }
 
@@ -277,7 +280,7 @@
     let (holder, _) = world.holder().unwrap();
     world.seek(holder, false);
     held(&mut world);
-    assert!(matches!(world.standing(leader), Some(Standing::Broken(_))));
+    assert!(matches!(world.standing(leader), Some(VoterState::StorageFailed(_))));
     assert!(world.leader().is_some_and(|l| l != leader));
     right(&world);
 }
@@ -292,16 +295,16 @@
     world.rules.part(&parts);
     world.run(2 * S);
     for _ in 0..20 {
-        world.wish(3, Wish::Add(Seat { name: name(4), address: address(4) }));
+        world.wish(3, Operation::AddVoter(VoterMember { name: name(4), address: address(4) }));
         world.run(S / 2);
-        world.wish(3, Wish::Remove(name(cut)));
+        world.wish(3, Operation::RemoveVoter(name(cut)));
         world.run(S / 2);
     }
     let seats = world.seats(world.leader().unwrap());
     assert!(seats.len() == 3 && !seats.contains(&name(cut)) && seats.contains(&name(4)), "{seats:?}");
     world.rules.heal();
     world.run(5 * S);
-    assert_eq!(world.standing(cut), Some(Standing::Unseated), "it hears that it has no seat");
+    assert_eq!(world.standing(cut), Some(VoterState::NotMember), "it hears that it has no seat");
     held(&mut world);
     right(&world);
 }
@@ -390,7 +393,7 @@
             let after = disk.crashed(&mut rng);
             let back = Store::open(after, "f", "v", 9, 1);
             match (back, acknowledged) {
-                (Ok((_, back)), at_least) => assert!(back.folder.starts > at_least, "step {step}"),
+                (Ok((_, back)), at_least) => assert!(back.identity.starts > at_least, "step {step}"),
                 // Nothing was acknowledged yet: the folder was never whole.
                 (Err(_), 0) => {}
                 (Err(e), n) => panic!("step {step}: {e}, after {n} that were acknowledged"),
@@ -408,7 +411,7 @@
     let mut acknowledged = 0;
     for _ in 0..4 {
         match Store::open(disk.clone(), "f", "v", 9, 1) {
-            Ok((_, back)) => acknowledged = back.folder.starts,
+            Ok((_, back)) => acknowledged = back.identity.starts,
             Err(_) => break,
         }
     }
@@ -441,7 +444,7 @@
             }
             // It hit what nobody reads, or what was mended from its copy: all that was written is there.
             Ok((_, back)) => {
-                assert_eq!((back.folder.disk, back.folder.starts), (9, 2));
+                assert_eq!((back.identity.disk_id, back.identity.starts), (9, 2));
                 same += 1;
             }
         }
