--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start and when it is to read that again: environment, JSON configuration and an
 //! operator's file.
 
-use crate::faktory::Operator;
+use crate::faktory::FaktoryConfig;
 use crate::list::ListBody;
 use crate::names::read_settings;
 use crate::retune::Tuning;
@@ -99,7 +99,7 @@
     /// The platform's front.
     pub config: Option<Config>,
     /// The Faktory front.
-    pub operator: Option<Operator>,
+    pub operator: Option<FaktoryConfig>,
     /// The talk between nodes.
     pub fleet: Option<Talk>,
 }
@@ -183,7 +183,7 @@
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))
         };
         let operator = match &self.operator {
-            Some(path) => Some(Operator::parse(&text(path)?)?),
+            Some(path) => Some(FaktoryConfig::parse(&text(path)?).map_err(|error| error.to_string())?),
             None => None,
         };
         let mut config = match &self.config {
--- /dev/null
+++ b/node/src/faktory/leases/assignment.rs
@@ -0,0 +1,151 @@
+//! Assignment of jobs to workers: offers, leases, and their ends.
+
+use super::job::{Attempt, Job, JobNumber};
+use super::LeaseTable;
+use crate::dispatcher::Tag;
+use bytes::Bytes;
+use dewlever::api::{Outcome, WorkerId};
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// Time for which an attempt waits for a `FETCH` of its worker before it ends as 'full'.
+pub const OFFER_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// A job on its way to the session that fetched it.
+#[derive(Debug)]
+pub struct Delivery {
+    /// Bytes of the job, as pushed.
+    pub payload: Bytes,
+    /// Attempt that it is sent in.
+    pub attempt: Tag,
+    job: JobNumber,
+}
+
+/// Reason for which a worker's report on a job is rejected.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LeaseError {
+    /// No job has this id.
+    #[error("this job is unknown")]
+    UnknownJob,
+    /// The worker does not hold the lease of the job.
+    #[error("this job is not reserved by this worker")]
+    NotHeld,
+}
+
+impl LeaseTable {
+    /// Offers a job to a worker, which gets it with a `FETCH` that waits or that comes within [`OFFER_TIMEOUT`]. Returns
+    /// whether the offer waits.
+    pub fn offer(&mut self, attempt: Tag, number: JobNumber, worker: WorkerId) -> bool {
+        let worker_id = self.worker_names.get(&worker).cloned().unwrap_or_default();
+        let job = self.jobs.get_mut(&number).filter(|job| !job.lost_by.contains(&worker_id));
+        let worker = self.workers.get_mut(&worker_id).filter(|worker| !worker.draining);
+        let (Some(job), Some(worker)) = (job, worker) else {
+            // Guards against jobs for a worker that drains or has gone, and for one that lost the lease of this very job:
+            // its late ACK could not be told from that of the new attempt.
+            self.dispatcher.ended(attempt, Outcome::Full, None, Bytes::new());
+            return false;
+        };
+        job.attempt = Attempt::Offered(worker_id.clone(), attempt);
+        worker.offers.push_back(number);
+        self.assign_offers(&worker_id);
+        self.jobs.get(&number).is_some_and(|job| matches!(job.attempt, Attempt::Offered(..)))
+    }
+
+    /// Assigns the offers of a worker to its waiting `FETCH`es of their class, the oldest of both first.
+    pub(super) fn assign_offers(&mut self, worker_id: &str) {
+        let Some(worker) = self.workers.get_mut(worker_id) else { return };
+        let mut unassigned = VecDeque::new();
+        while let Some(number) = worker.offers.pop_front() {
+            let Some(job) = self.jobs.get_mut(&number) else { continue };
+            let Attempt::Offered(_, attempt) = job.attempt else { continue };
+            let Some(fetch) = worker.take_fetch(job.key.class) else {
+                unassigned.push_back(number);
+                continue;
+            };
+            let delivery = Delivery { payload: job.payload.clone(), attempt, job: number };
+            if fetch.deliver.send(delivery).is_err() {
+                worker.offers.push_front(number);
+                continue;
+            }
+            job.attempt = Attempt::Leased(worker_id.to_string(), attempt);
+            job.may_have_run = true;
+            self.dispatcher.started(attempt);
+        }
+        worker.offers = unassigned;
+    }
+
+    /// Ends an attempt before its worker does: an offer as never run, a lease with `outcome`. The worker's report comes
+    /// too late then.
+    pub fn cancel(&mut self, number: JobNumber, attempt: Tag, outcome: Outcome) {
+        let Some(job) = self.jobs.get(&number) else { return };
+        if job.is_offered(attempt) {
+            self.end_attempt(number, Outcome::Full);
+        } else if job.is_leased(attempt) {
+            self.end_attempt(number, outcome);
+        }
+    }
+
+    /// Ends an offer that no `FETCH` has met in time.
+    pub fn expire_offer(&mut self, number: JobNumber, attempt: Tag) {
+        if self.jobs.get(&number).is_some_and(|job| job.is_offered(attempt)) {
+            self.end_attempt(number, Outcome::Full);
+        }
+    }
+
+    /// Ends a lease whose job could not be delivered: `unsent` if no byte of it went out, otherwise the worker may run it.
+    pub fn undelivered(&mut self, delivery: &Delivery, unsent: bool) {
+        let Some(job) = self.jobs.get_mut(&delivery.job) else { return };
+        if job.is_leased(delivery.attempt) {
+            job.may_have_run &= !unsent || delivery.attempt.attempt > 0;
+            self.end_attempt(delivery.job, if unsent { Outcome::Full } else { Outcome::Reset });
+        }
+    }
+
+    /// Ends the lease of a job that its worker has done or failed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such job, or the worker does not hold its lease.
+    pub fn finish(&mut self, worker_id: &str, jid: &str, outcome: Outcome) -> Result<(), LeaseError> {
+        self.note_activity(worker_id);
+        let number = self.by_jid.get(jid).copied().ok_or(LeaseError::UnknownJob)?;
+        let job = &self.jobs[&number];
+        if !job.is_leased_to(worker_id) || job.jids[0] != jid {
+            return Err(LeaseError::NotHeld);
+        }
+        self.end_attempt(number, outcome);
+        Ok(())
+    }
+
+    /// Ends the offers to a worker and, if it has gone, its leases.
+    pub(super) fn release(&mut self, worker_id: &str, gone: bool) {
+        let outcome = |job: &Job| match &job.attempt {
+            Attempt::Offered(worker, _) if worker == worker_id => Some(Outcome::Full),
+            Attempt::Leased(worker, _) if worker == worker_id && gone => Some(Outcome::Reset),
+            _ => None,
+        };
+        let ends = self.jobs.iter().filter_map(|(number, job)| Some((*number, outcome(job)?)));
+        let mut ends: Vec<(JobNumber, Outcome)> = ends.collect();
+        // The dispatcher's decisions must not depend on the order of a hash table.
+        ends.sort_by_key(|(number, _)| *number);
+        ends.into_iter().for_each(|(number, outcome)| self.end_attempt(number, outcome));
+    }
+
+    /// Ends the attempt that is out, if any, and reports its outcome to the dispatcher.
+    fn end_attempt(&mut self, number: JobNumber, outcome: Outcome) {
+        let Some(job) = self.jobs.get_mut(&number) else { return };
+        let (worker_id, attempt) = match std::mem::replace(&mut job.attempt, Attempt::None) {
+            Attempt::None => return,
+            Attempt::Offered(worker_id, attempt) | Attempt::Leased(worker_id, attempt) => {
+                (worker_id, attempt)
+            }
+        };
+        if outcome == Outcome::Reset {
+            job.lost_by.insert(worker_id.clone());
+        }
+        if let Some(worker) = self.workers.get_mut(&worker_id) {
+            worker.offers.retain(|other| *other != number);
+        }
+        self.dispatcher.ended(attempt, outcome, None, Bytes::new());
+    }
+}
--- /dev/null
+++ b/node/src/faktory/server.rs
@@ -0,0 +1,248 @@
+//! Server of the Faktory front: start, connections, and the end once every accepted job has its answer.
+
+use super::authentication::Challenge;
+use super::config::FaktoryConfig;
+use super::leases::{ClassLimits, LeaseTable, OFFER_TIMEOUT};
+use super::session;
+use super::transport::FaktoryTransport;
+use crate::acceptor::Acceptor;
+use crate::counters::Counters;
+use crate::dispatcher::{queue, Dispatcher};
+use crate::names::read_settings;
+use crate::phase::Phase;
+use crate::platform::socket::Socket;
+use crate::transient::outlast;
+use crate::START_WAIT;
+use dewlever::api::{Settings, SettingsError};
+use serde_json::json;
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::net::TcpListener;
+use tokio::sync::{watch, Semaphore};
+use tokio::task::AbortHandle;
+use tokio::time::{interval, Instant};
+
+/// Interval between checks of whether all jobs have ended, once the process ends.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks of whether the dispatcher still runs.
+const DISPATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Error that ends the front, or prevents its start.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The address can't be bound.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// Address in the operator's file.
+        address: SocketAddr,
+        /// Error of the system call.
+        source: io::Error,
+    },
+    /// The environment variable that is to hold the password is not set.
+    #[error("operator's file: {0} is not set")]
+    PasswordNotSet(String),
+    /// The settings can't be read.
+    #[error("{0}")]
+    Settings(String),
+    /// The dispatcher rejects the settings.
+    #[error("settings: {0}")]
+    InvalidSettings(#[source] SettingsError),
+    /// The dispatcher has ended, so that no job can be decided on.
+    #[error("the core has ended")]
+    DispatcherEnded,
+}
+
+/// State that the sessions and the dispatcher's transport share.
+pub(super) struct Shared {
+    leases: Mutex<LeaseTable>,
+    password: Option<String>,
+    counters: Arc<Counters>,
+    phase: watch::Receiver<Phase>,
+}
+
+impl Shared {
+    /// The lease table. The lock is never held across an `await`.
+    pub fn leases(&self) -> MutexGuard<'_, LeaseTable> {
+        self.leases.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Password, if there is one.
+    pub fn password(&self) -> Option<&str> {
+        self.password.as_deref()
+    }
+
+    /// Counters of this front.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    /// Whether the phase of the process is one in which new jobs are rejected.
+    pub fn rejects_new_jobs(&self) -> bool {
+        self.phase.borrow().sends_away()
+    }
+
+    /// Draws the challenge of one session, if there is a password.
+    pub fn challenge(&self) -> Option<Challenge> {
+        self.password.as_ref().map(|_| Challenge::draw())
+    }
+
+    /// JSON text of the server's information.
+    pub fn info(&self) -> String {
+        let (workers, jobs) = {
+            let leases = self.leases();
+            (leases.workers(), leases.jobs())
+        };
+        let counters = &self.counters;
+        json!({
+            "faktory": {
+                "total_enqueued": counters.taken.get(),
+                "total_processed": counters.served.get(),
+                "total_failures": counters.failed.get() + counters.refused.get(),
+                "jobs": jobs,
+                "workers": workers,
+            },
+            "server": {
+                "description": "molevale",
+                "faktory_version": env!("CARGO_PKG_VERSION"),
+                "command_count": counters.sent.get(),
+            },
+            "counters": counters.to_string(),
+        })
+        .to_string()
+    }
+}
+
+/// A dispatcher with its Faktory transport, and no listener yet.
+#[derive(Clone)]
+pub struct Server {
+    shared: Arc<Shared>,
+    dispatcher: Arc<AbortHandle>,
+    longest_deadline: Duration,
+}
+
+impl Server {
+    /// Starts the dispatcher as a task of its own; `seed` is that of its random choices.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings are invalid.
+    pub fn start(
+        config: &FaktoryConfig,
+        seed: u64,
+        password: Option<String>,
+        counters: Arc<Counters>,
+        phase: watch::Receiver<Phase>,
+    ) -> Result<Server, Error> {
+        let (settings, names) = read_settings(&config.settings).map_err(Error::Settings)?;
+        // A job may wait so long for a FETCH of the worker that it was assigned to.
+        let settings = Settings { lag_us: OFFER_TIMEOUT.as_micros() as u64, ..settings };
+        let limits = class_limits(&settings);
+        let longest_deadline = limits.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let (handle, inbox) = queue();
+        let leases = Mutex::new(LeaseTable::new(handle.clone(), names, limits));
+        let shared = Arc::new(Shared { leases, password, counters: counters.clone(), phase });
+        let transport = FaktoryTransport { shared: shared.clone() };
+        let dispatcher =
+            Dispatcher::new(settings, seed, transport, counters).map_err(Error::InvalidSettings)?;
+        let dispatcher = tokio::spawn(dispatcher.run(inbox)).abort_handle();
+        handle.list(Vec::new(), true);
+        Ok(Server { shared, dispatcher: Arc::new(dispatcher), longest_deadline })
+    }
+
+    /// Serves one connection to its end.
+    pub async fn session<S: AsyncRead + AsyncWrite + Unpin>(&self, socket: S) {
+        session::serve(self.shared.clone(), socket).await;
+    }
+
+    /// Serves at most `connections` at a time, until the process ends and every accepted job has its answer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the dispatcher ends.
+    pub async fn serve(&self, listener: TcpListener, connections: usize) -> Result<(), Error> {
+        let mut phase = self.shared.phase.clone();
+        tokio::select! {
+            () = self.accept(listener, Arc::new(Semaphore::new(connections))) => {}
+            // Guards against a front that stays up and can decide nothing.
+            () = self.dispatcher_ended() => return Err(Error::DispatcherEnded),
+            _ = phase.wait_for(|phase| *phase == Phase::Closing) => {}
+        }
+        self.drain().await;
+        Ok(())
+    }
+
+    async fn accept(&self, listener: TcpListener, slots: Arc<Semaphore>) {
+        let mut acceptor = Acceptor::default();
+        // A slot is acquired before a connection is taken out of the backlog.
+        while let Ok(slot) = slots.clone().acquire_owned().await {
+            let socket = acceptor.next(&listener).await.socket;
+            let server = self.clone();
+            tokio::spawn(async move {
+                if socket.set_nodelay(true).is_ok() {
+                    server.session(Socket::new(socket)).await;
+                }
+                drop(slot);
+            });
+        }
+    }
+
+    /// Waits until all jobs have ended: workers finish what they hold, and deadlines end the rest.
+    async fn drain(&self) {
+        let end = Instant::now() + self.longest_deadline;
+        let mut check = interval(DRAIN_CHECK_INTERVAL);
+        while self.shared.leases().open_jobs() > 0 && Instant::now() < end {
+            check.tick().await;
+        }
+    }
+
+    /// Returns once the dispatcher has ended, which it does not in normal operation.
+    async fn dispatcher_ended(&self) {
+        let mut check = interval(DISPATCHER_CHECK_INTERVAL);
+        while !self.dispatcher.is_finished() {
+            check.tick().await;
+        }
+    }
+}
+
+/// Time limits of each class, by its number.
+fn class_limits(settings: &Settings) -> Vec<ClassLimits> {
+    let limits = settings.classes.iter().map(|class| ClassLimits {
+        deadline: Duration::from_micros(class.deadline_us),
+        duplicate_window: Duration::from_micros(class.repeat_window_us),
+    });
+    limits.collect()
+}
+
+/// Binds the address in the operator's file.
+///
+/// # Errors
+///
+/// Fails if it can't be bound.
+pub async fn listen(config: &FaktoryConfig) -> Result<TcpListener, Error> {
+    let listener = outlast(START_WAIT, || TcpListener::bind(config.listen)).await;
+    listener.map_err(|source| Error::Listen { address: config.listen, source })
+}
+
+/// Serves as the operator's file says, until the process ends.
+///
+/// # Errors
+///
+/// Fails if the password is not set, the settings are invalid, or the dispatcher ends.
+pub async fn serve(
+    config: FaktoryConfig,
+    listener: TcpListener,
+    counters: Arc<Counters>,
+    phase: watch::Receiver<Phase>,
+) -> Result<(), Error> {
+    let password = match &config.password_variable {
+        Some(name) => Some(std::env::var(name).map_err(|_| Error::PasswordNotSet(name.clone()))?),
+        None => None,
+    };
+    let seed = RandomState::new().build_hasher().finish();
+    Server::start(&config, seed, password, counters, phase)?.serve(listener, config.connections).await
+}
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -1,10 +1,13 @@
-//! One Faktory session: greeting, then commands in order, each with its reply.
+//! Session of one connection: the greeting, then commands in order, each with its reply.
 
-use super::codec::{hi, password_hash, Command, Fault, Hello, Reply, LINE_MAX};
-use super::leases::{Delivery, Pushed, State, SILENCE};
-use super::Shared;
+use super::authentication::{check_handshake, greeting, Challenge, HandshakeError};
+use super::command::{Beat, Command, Hello, Push, WorkerCommand};
+use super::leases::{Delivery, JobState, PushOutcome, HEARTBEAT_TIMEOUT};
+use super::reply::Reply;
+use super::server::Shared;
+use super::wire::{Line, SessionCodec};
 use crate::dispatcher::Answer;
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use dewlever::api::Outcome;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::json;
@@ -14,287 +17,256 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
-use tokio_util::codec::{Decoder, Encoder, Framed, LinesCodec, LinesCodecError};
+use tokio_util::codec::Framed;
 
-/// For which a client may take to say HELLO.
-const HELLO_WAIT: Duration = Duration::from_secs(5);
-/// For which a FETCH waits for a job, as Faktory does.
-pub const FETCH_WAIT: Duration = Duration::from_secs(2);
-/// Between looks at whether a worker has gone silent.
-const LOOK: Duration = Duration::from_secs(5);
-/// For which a reply may take to be written: a peer that reads nothing holds its session no longer.
-const WRITE_WAIT: Duration = Duration::from_secs(10);
+/// Time limit for the peer's `HELLO`.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for which a `FETCH` waits for a job, as in Faktory.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between checks of whether a worker has gone silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Time limit for writing a reply. Guards against peers that read nothing and so hold their sessions.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Lines in, replies out.
-struct Wire(LinesCodec);
+/// Marker: the session has ended.
+struct SessionEnded;
 
-type Line = Result<String, Fault>;
-
-impl Decoder for Wire {
-    type Item = Line;
-    type Error = io::Error;
-
-    /// A line that is no line is an item, not the stream's end: the session answers it and goes on.
-    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Line>> {
-        match self.0.decode(src) {
-            Ok(line) => Ok(line.map(Ok)),
-            Err(LinesCodecError::MaxLineLengthExceeded) => {
-                Ok(Some(Err(Fault::Malformed("a line is too long".to_string()))))
-            }
-            Err(LinesCodecError::Io(e)) if e.kind() == io::ErrorKind::InvalidData => {
-                Ok(Some(Err(Fault::Malformed("a line is not UTF-8".to_string()))))
-            }
-            Err(LinesCodecError::Io(e)) => Err(e),
-        }
-    }
-}
-
-impl Encoder<Reply> for Wire {
-    type Error = io::Error;
-
-    fn encode(&mut self, reply: Reply, dst: &mut BytesMut) -> io::Result<()> {
-        dst.extend_from_slice(&reply.encode());
-        Ok(())
-    }
-}
-
-/// Why a session is over.
-struct Over;
+type Result<T> = std::result::Result<T, SessionEnded>;
 
 struct Session<S> {
     shared: Arc<Shared>,
-    wire: Framed<S, Wire>,
-    wid: Option<String>,
-    ahead: Option<io::Result<Line>>, // a line read while a FETCH waited
+    wire: Framed<S, SessionCodec>,
+    /// Id of the worker; `None` for a client.
+    worker_id: Option<String>,
+    /// A line that was received while a `FETCH` waited.
+    read_ahead: Option<io::Result<Line>>,
 }
 
-/// Serves one connection to its end. Whatever its worker had is given back then.
-pub async fn serve<S: AsyncRead + AsyncWrite + Unpin>(shared: Arc<Shared>, socket: S) {
-    let wire = Framed::new(socket, Wire(LinesCodec::new_with_max_length(LINE_MAX)));
-    let mut session = Session { shared: shared.clone(), wire, wid: None, ahead: None };
-    let Over = session.run().await;
-    if let Some(wid) = session.wid {
-        shared.leases().leave(&wid);
+/// Serves one connection to its end. The leases of a worker are lost with its last session.
+pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(shared: Arc<Shared>, socket: S) {
+    let wire = Framed::new(socket, SessionCodec::default());
+    let mut session = Session { shared: shared.clone(), wire, worker_id: None, read_ahead: None };
+    let SessionEnded = session.run().await;
+    if let Some(worker_id) = session.worker_id {
+        shared.leases().session_closed(&worker_id);
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Session<S> {
-    async fn run(&mut self) -> Over {
-        if let Err(over) = self.greet().await {
-            return over;
+    async fn run(&mut self) -> SessionEnded {
+        if let Err(ended) = self.greet().await {
+            return ended;
         }
         loop {
-            let line = match self.line().await {
-                Ok(line) => line,
-                Err(over) => return over,
-            };
-            let reply = match line.and_then(|line| Command::parse(&line)) {
-                Ok(Command::End) => return Over,
-                Ok(command) => self.command(command).await,
-                Err(fault) => Ok(Some(fault.into())),
-            };
-            match reply {
-                Ok(Some(reply)) => {
-                    if self.say(reply).await.is_err() {
-                        return Over;
-                    }
-                }
-                Ok(None) => {}
-                Err(over) => return over,
+            if let Err(ended) = self.serve_command().await {
+                return ended;
             }
         }
     }
 
-    /// The next line, or what is wrong with it. Ends with the connection, or where a worker is silent.
-    async fn line(&mut self) -> Result<Line, Over> {
-        let next = match self.ahead.take() {
+    /// Reads one command, carries it out and sends its reply.
+    async fn serve_command(&mut self) -> Result<()> {
+        let command = match self.read_line().await?.and_then(|line| Command::parse(&line)) {
+            Ok(command) => command,
+            Err(error) => return self.send(error.into()).await,
+        };
+        let reply = match command {
+            Command::End => return Err(SessionEnded),
+            Command::Worker(WorkerCommand::Fetch(queues)) if self.worker_id.is_some() => {
+                return self.fetch(&queues).await;
+            }
+            Command::Worker(command) => self.run_worker_command(command),
+            Command::Push(job, payload) => self.push(job, payload).await?,
+            Command::TrackGet(jid) => match self.shared.leases().state(&jid) {
+                Some(state) => Reply::Bulk(Bytes::from(encode_state(&jid, &state))),
+                None => Reply::error("this job is unknown"),
+            },
+            Command::Info => Reply::Bulk(Bytes::from(self.shared.info())),
+            Command::Hello(_) => Reply::error("HELLO comes once"),
+        };
+        self.send(reply).await
+    }
+
+    /// Reads the next line. The session ends with the connection, or if a worker has gone silent.
+    async fn read_line(&mut self) -> Result<Line> {
+        let next = match self.read_ahead.take() {
             Some(line) => Some(line),
             None => loop {
                 tokio::select! {
                     biased;
                     line = self.wire.next() => break line,
-                    () = sleep(LOOK) => {
-                        let silent = |wid: &String| self.shared.leases().is_silent(wid);
-                        if self.wid.as_ref().is_some_and(silent) {
-                            log::warn!("a worker has said nothing for {} s", SILENCE.as_secs());
-                            return Err(Over);
-                        }
-                    }
+                    () = sleep(SILENCE_CHECK_INTERVAL) => self.check_silence()?,
                 }
             },
         };
         match next {
             Some(Ok(line)) => Ok(line),
-            Some(Err(_)) | None => Err(Over),
+            Some(Err(_)) | None => Err(SessionEnded),
+        }
+    }
+
+    fn check_silence(&self) -> Result<()> {
+        let Some(worker_id) = &self.worker_id else { return Ok(()) };
+        if !self.shared.leases().is_silent(worker_id) {
+            return Ok(());
         }
+        log::warn!(event = "faktory_worker_silent", worker = worker_id, timeout_s = HEARTBEAT_TIMEOUT.as_secs();
+            "Faktory worker sent no command within the heartbeat timeout: its session is closed");
+        Err(SessionEnded)
     }
 
-    async fn say(&mut self, reply: Reply) -> Result<(), Over> {
-        match timeout(WRITE_WAIT, self.wire.send(reply)).await {
+    async fn send(&mut self, reply: Reply) -> Result<()> {
+        match timeout(WRITE_TIMEOUT, self.wire.send(reply)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(Over),
+            Ok(Err(_)) | Err(_) => Err(SessionEnded),
         }
     }
 
-    async fn greet(&mut self) -> Result<(), Over> {
-        let shared = self.shared.clone();
-        let challenge = shared.challenge();
-        self.say(hi(challenge.as_ref().map(|(salt, rounds)| (salt.as_str(), *rounds)))).await?;
-        let line = timeout(HELLO_WAIT, self.line()).await.unwrap_or(Err(Over))?;
-        let refused = match line.and_then(|line| Command::parse(&line)) {
-            Ok(Command::Hello(hello)) => match self.admit(hello, challenge) {
-                Ok(()) => return self.say(Reply::Ok).await,
-                Err(why) => Reply::Error("ERR", why),
+    /// Exchanges greeting and handshake.
+    async fn greet(&mut self) -> Result<()> {
+        let challenge = self.shared.challenge();
+        self.send(greeting(challenge.as_ref())).await?;
+        let line = timeout(HELLO_TIMEOUT, self.read_line()).await.unwrap_or(Err(SessionEnded))?;
+        let rejection = match line.and_then(|line| Command::parse(&line)) {
+            Ok(Command::Hello(hello)) => match self.open(hello, challenge.as_ref()) {
+                Ok(()) => return self.send(Reply::Ok).await,
+                Err(error) => Reply::error(error),
             },
-            Ok(_) => Reply::Error("ERR", "HELLO comes first".to_string()),
-            Err(fault) => fault.into(),
+            Ok(_) => Reply::error("HELLO comes first"),
+            Err(error) => error.into(),
         };
-        self.say(refused).await?;
-        Err(Over)
+        self.send(rejection).await?;
+        Err(SessionEnded)
     }
 
-    fn admit(&mut self, hello: Hello, challenge: Option<(String, u32)>) -> Result<(), String> {
-        if hello.v != 2 {
-            return Err("this server speaks version 2".to_string());
-        }
-        if let (Some((salt, rounds)), Some(password)) = (challenge, &self.shared.password) {
-            let right = password_hash(password, &salt, rounds);
-            let given = hello.pwdhash.unwrap_or_default();
-            // Compared to the end, so that the time tells nothing.
-            let differ = right.bytes().zip(given.bytes()).fold(0, |d, (a, b)| d | (a ^ b));
-            if differ != 0 || right.len() != given.len() {
-                return Err("invalid password".to_string());
-            }
-        }
-        if let Some(wid) = hello.wid {
-            if !(1..=256).contains(&wid.len()) {
-                return Err("a wid has 1 to 256 characters".to_string());
-            }
-            self.shared.leases().enter(&wid);
-            self.wid = Some(wid);
+    /// Checks the handshake, and registers the session of a worker.
+    fn open(
+        &mut self,
+        hello: Hello,
+        challenge: Option<&Challenge>,
+    ) -> std::result::Result<(), HandshakeError> {
+        check_handshake(&hello, challenge, self.shared.password())?;
+        if let Some(worker_id) = hello.worker_id {
+            self.shared.leases().session_opened(&worker_id);
+            self.worker_id = Some(worker_id);
         }
         Ok(())
     }
 
-    /// Carries one command out; a FETCH has said its reply itself.
-    async fn command(&mut self, command: Command) -> Result<Option<Reply>, Over> {
-        let error = |why: String| Reply::Error("ERR", why);
-        let done = |r: Result<(), String>| r.map_or_else(error, |()| Reply::Ok);
-        let shared = self.shared.clone();
-        Ok(Some(match command {
-            Command::Push(..) if shared.phase.borrow().sends_away() => {
-                Reply::Error("SHUTDOWN", "the server takes no new jobs".to_string())
-            }
-            Command::Push(push, payload) => {
-                let pushed = shared.leases().push(push, payload);
-                match pushed {
-                    Err(why) => {
-                        shared.counters.turned_away.add();
-                        error(why)
-                    }
-                    Ok(pushed) => match pushed.await {
-                        Ok(Pushed::Taken) => Reply::Ok,
-                        Ok(Pushed::Refused(wait)) => {
-                            error(format!("refused: try again in {:.3} s", wait.as_secs_f64()))
-                        }
-                        // A core that has ended answers nothing more.
-                        Err(_) => return Err(Over),
-                    },
-                }
-            }
-            Command::TrackGet(jid) => match shared.leases().state(&jid) {
-                Some(state) => Reply::Bulk(Bytes::from(told(&jid, &state))),
-                None => error("this job is unknown".to_string()),
-            },
-            Command::Info => Reply::Bulk(Bytes::from(shared.info())),
-            Command::Hello(_) => error("HELLO comes once".to_string()),
-            Command::End => return Err(Over),
-            Command::Fetch(_) | Command::Ack(_) | Command::Fail(_) | Command::Beat(_)
-                if self.wid.is_none() =>
-            {
-                error("only a worker, whose HELLO names its wid, may say this".to_string())
-            }
-            Command::Fetch(queues) => return self.fetch(&queues).await.map(|()| None),
-            Command::Ack(jid) => done(shared.leases().finish(self.worker(), &jid, Outcome::Ok)),
-            Command::Fail(jid) => done(shared.leases().finish(self.worker(), &jid, Outcome::Error)),
-            Command::Beat(beat) if beat.wid != self.worker() => {
-                error("this is another worker's wid".to_string())
+    /// Submits a job, and waits until it is accepted or rejected.
+    async fn push(&self, job: Push, payload: Bytes) -> Result<Reply> {
+        if self.shared.rejects_new_jobs() {
+            return Ok(Reply::Error("SHUTDOWN", "the server takes no new jobs".to_string()));
+        }
+        let pushed = self.shared.leases().push(job, payload);
+        let outcome = match pushed {
+            Ok(outcome) => outcome,
+            Err(error) => {
+                self.shared.counters().turned_away.add();
+                return Ok(Reply::error(error));
             }
-            Command::Beat(beat) => {
-                let stopping = matches!(beat.current_state.as_deref(), Some("quiet" | "terminate"));
-                match shared.leases().beat(&beat.wid, stopping) {
-                    Ok(true) => Reply::Bulk(Bytes::from_static(b"{\"state\":\"quiet\"}")),
-                    Ok(false) => Reply::Ok,
-                    Err(why) => error(why),
-                }
+        };
+        match outcome.await {
+            Ok(PushOutcome::Accepted) => Ok(Reply::Ok),
+            Ok(PushOutcome::Rejected(retry_after)) => {
+                Ok(Reply::error(format!("refused: try again in {:.3} s", retry_after.as_secs_f64())))
             }
-        }))
+            // A dispatcher that has ended answers nothing more.
+            Err(_) => Err(SessionEnded),
+        }
     }
 
-    fn worker(&self) -> &str {
-        self.wid.as_deref().unwrap_or_default()
+    /// Carries out a worker's command other than `FETCH`.
+    fn run_worker_command(&self, command: WorkerCommand) -> Reply {
+        let Some(worker_id) = &self.worker_id else {
+            return Reply::error("only a worker, whose HELLO names its wid, may say this");
+        };
+        match command {
+            WorkerCommand::Fetch(_) => Reply::Nil, // it waits in `fetch`
+            WorkerCommand::Ack(jid) => self.finish(worker_id, &jid, Outcome::Ok),
+            WorkerCommand::Fail(jid) => self.finish(worker_id, &jid, Outcome::Error),
+            WorkerCommand::Beat(beat) => self.record_heartbeat(worker_id, &beat),
+        }
+    }
+
+    fn finish(&self, worker_id: &str, jid: &str, outcome: Outcome) -> Reply {
+        match self.shared.leases().finish(worker_id, jid, outcome) {
+            Ok(()) => Reply::Ok,
+            Err(error) => Reply::error(error),
+        }
+    }
+
+    fn record_heartbeat(&self, worker_id: &str, beat: &Beat) -> Reply {
+        if beat.worker_id != worker_id {
+            return Reply::error("this is another worker's wid");
+        }
+        match self.shared.leases().heartbeat(worker_id, beat.is_stopping()) {
+            Ok(true) => Reply::Bulk(Bytes::from_static(b"{\"state\":\"quiet\"}")),
+            Ok(false) => Reply::Ok,
+            Err(error) => Reply::error(error),
+        }
     }
 
-    /// Waits for a job. A connection that ends meanwhile takes no job with it.
-    async fn fetch(&mut self, queues: &[String]) -> Result<(), Over> {
-        let wid = self.worker().to_string();
-        let (fetch, mut receiver) = self.shared.leases().fetch(&wid, queues);
+    /// Waits for a job and sends it. A connection that ends meanwhile takes no job with it.
+    async fn fetch(&mut self, queues: &[String]) -> Result<()> {
+        let worker_id = self.worker_id.clone().unwrap_or_default();
+        let (number, mut receiver) = self.shared.leases().fetch(&worker_id, queues);
         let delivery = tokio::select! {
             biased;
             delivery = &mut receiver => delivery.ok(),
-            () = sleep(FETCH_WAIT) => None,
-            line = self.wire.next(), if self.ahead.is_none() => {
-                match line {
-                    // A command that came early waits for its turn; a reply to this FETCH comes first.
-                    Some(line) => {
-                        self.ahead = Some(line);
-                        timeout(FETCH_WAIT, &mut receiver).await.ok().and_then(Result::ok)
-                    }
-                    None => {
-                        self.settle(&wid, fetch, &mut receiver, true);
-                        return Err(Over);
-                    }
-                }
+            () = sleep(FETCH_TIMEOUT) => None,
+            line = self.wire.next(), if self.read_ahead.is_none() => {
+                let Some(line) = line else {
+                    self.abandon_fetch(&worker_id, number, &mut receiver);
+                    return Err(SessionEnded);
+                };
+                // A command that came early waits for its turn: the reply to this FETCH comes first.
+                self.read_ahead = Some(line);
+                timeout(FETCH_TIMEOUT, &mut receiver).await.ok().and_then(|delivery| delivery.ok())
             }
         };
-        let delivery = delivery.or_else(|| self.settle(&wid, fetch, &mut receiver, false));
-        let Some(delivery) = delivery else { return self.say(Reply::Nil).await };
-        let said = self.say(Reply::Bulk(delivery.payload.clone())).await;
-        if said.is_err() {
-            // Some of it may have gone out: the worker may run it.
+        let delivery = delivery.or_else(|| self.end_fetch(&worker_id, number, &mut receiver));
+        let Some(delivery) = delivery else { return self.send(Reply::Nil).await };
+        let sent = self.send(Reply::Bulk(delivery.payload.clone())).await;
+        if sent.is_err() {
+            // Part of it may have gone out: the worker may run it.
             self.shared.leases().undelivered(&delivery, false);
         }
-        said
+        sent
     }
 
-    /// Takes a FETCH back; a job that was handed over in this moment is returned, or given back unsent.
-    fn settle(
+    /// Ends a `FETCH` that has waited long enough, and returns the job that it was given in this moment, if any.
+    fn end_fetch(
         &self,
-        wid: &str,
-        fetch: u64,
+        worker_id: &str,
+        number: u64,
         receiver: &mut oneshot::Receiver<Delivery>,
-        gone: bool,
     ) -> Option<Delivery> {
+        self.shared.leases().cancel_fetch(worker_id, number);
+        receiver.try_recv().ok()
+    }
+
+    /// Ends the `FETCH` of a connection that has gone. A job that it was given in this moment goes back unsent.
+    fn abandon_fetch(&self, worker_id: &str, number: u64, receiver: &mut oneshot::Receiver<Delivery>) {
         let mut leases = self.shared.leases();
-        leases.unfetch(wid, fetch);
-        let delivery = receiver.try_recv().ok()?;
-        if gone {
+        leases.cancel_fetch(worker_id, number);
+        if let Ok(delivery) = receiver.try_recv() {
             leases.undelivered(&delivery, true);
-            return None;
         }
-        Some(delivery)
     }
 }
 
-fn told(jid: &str, state: &State) -> String {
-    let body = match state {
-        State::Enqueued => json!({"jid": jid, "state": "enqueued"}),
-        State::Working => json!({"jid": jid, "state": "working"}),
-        State::Ended(Answer::Served(_)) => json!({"jid": jid, "state": "success", "answer": "served"}),
-        State::Ended(Answer::Failed) => json!({"jid": jid, "state": "failed", "answer": "failed"}),
-        State::Ended(Answer::Refused(wait)) => {
-            json!({"jid": jid, "state": "failed", "answer": "refused", "retry_after": wait.as_secs_f64()})
+/// JSON text of a job's state.
+fn encode_state(jid: &str, state: &JobState) -> String {
+    let fields = match state {
+        JobState::Enqueued => json!({"jid": jid, "state": "enqueued"}),
+        JobState::Working => json!({"jid": jid, "state": "working"}),
+        JobState::Ended(Answer::Served(_)) => json!({"jid": jid, "state": "success", "answer": "served"}),
+        JobState::Ended(Answer::Failed) => json!({"jid": jid, "state": "failed", "answer": "failed"}),
+        JobState::Ended(Answer::Refused(retry_after)) => {
+            let retry_after = retry_after.as_secs_f64();
+            json!({"jid": jid, "state": "failed", "answer": "refused", "retry_after": retry_after})
         }
     };
-    body.to_string()
+    fields.to_string()
 }
--- /dev/null
+++ b/node/src/faktory/transport.rs
@@ -0,0 +1,42 @@
+//! Transport of the dispatcher's decisions to Faktory workers, by way of the lease table.
+
+use super::leases::{JobNumber, OFFER_TIMEOUT};
+use super::server::Shared;
+use crate::dispatcher::{Answer, Front, Tag};
+use dewlever::api::{Outcome, WorkerId};
+use std::sync::Arc;
+use tokio::time::{sleep, Instant};
+
+/// Transport that the dispatcher drives.
+pub(super) struct FaktoryTransport {
+    pub shared: Arc<Shared>,
+}
+
+impl Front for FaktoryTransport {
+    type Job = JobNumber;
+    type Attempt = (JobNumber, Tag);
+
+    fn send(&mut self, attempt: Tag, job: &JobNumber, worker: WorkerId, _until: Instant) -> Self::Attempt {
+        let job = *job;
+        if self.shared.leases().offer(attempt, job, worker) {
+            let shared = self.shared.clone();
+            tokio::spawn(async move {
+                sleep(OFFER_TIMEOUT).await;
+                shared.leases().expire_offer(job, attempt);
+            });
+        }
+        (job, attempt)
+    }
+
+    fn stop(&mut self, (job, attempt): Self::Attempt, outcome: Outcome) {
+        self.shared.leases().cancel(job, attempt, outcome);
+    }
+
+    fn answer(&mut self, job: JobNumber, answer: Answer) {
+        self.shared.leases().answered(job, answer);
+    }
+
+    fn taken(&mut self, job: &JobNumber) {
+        self.shared.leases().admitted(*job);
+    }
+}
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -159,7 +159,9 @@
         });
         // Before another process is asked for its place: a start that fails must leave that one serving.
         let operator = match operator {
-            Some(operator) => Some((faktory::listen(&operator).await?, operator)),
+            Some(operator) => {
+                Some((faktory::listen(&operator).await.map_err(|error| error.to_string())?, operator))
+            }
             None => None,
         };
         log::info!("serving");
@@ -194,7 +196,8 @@
         let faktory = async {
             match operator {
                 Some((listener, operator)) => {
-                    faktory::serve(operator, listener, counters[1].clone(), phases.follow()).await
+                    let served = faktory::serve(operator, listener, counters[1].clone(), phases.follow());
+                    served.await.map_err(|error| error.to_string())
                 }
                 None => Ok(()),
             }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use molevale::counters::Counters;
-use molevale::faktory::{Node, Operator};
+use molevale::faktory::{FaktoryConfig, Server};
 use molevale::phase::{Phase, Phases};
 use molevale::retune::Tuning;
 use molevale::upgrade::Before;
@@ -92,22 +92,22 @@
     phase.wait_for(|p| *p == Phase::Stopping || *p == Phase::Closing).await.unwrap();
 }
 
-pub fn operator(aim_us: u64) -> Operator {
+pub fn operator(aim_us: u64) -> FaktoryConfig {
     operator_of(settings(false, aim_us))
 }
 
 /// With these settings.
-pub fn operator_of(settings: Value) -> Operator {
+pub fn operator_of(settings: Value) -> FaktoryConfig {
     let text = toml::to_string(&json!({"listen": "127.0.0.1:0", "settings": settings})).unwrap();
-    Operator::parse(&text).unwrap()
+    FaktoryConfig::parse(&text).unwrap()
 }
 
 /// A Faktory front without a listener, its counters and the phase it goes by.
-pub fn faktory(password: Option<&str>) -> (Node, Arc<Counters>, Phases) {
+pub fn faktory(password: Option<&str>) -> (Server, Arc<Counters>, Phases) {
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
     let node =
-        Node::start(&operator(1_000_000), 7, password.map(String::from), counters.clone(), phases.follow());
+        Server::start(&operator(1_000_000), 7, password.map(String::from), counters.clone(), phases.follow());
     (node.unwrap(), counters, phases)
 }
 
@@ -119,7 +119,7 @@
 
 impl Peer {
     /// Connects within the process: with paused time, nothing here depends on the machine's pace.
-    pub async fn connect(node: &Node, hello: &str) -> Peer {
+    pub async fn connect(node: &Server, hello: &str) -> Peer {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.session(far).await });
@@ -129,11 +129,11 @@
         peer
     }
 
-    pub async fn client(node: &Node) -> Peer {
+    pub async fn client(node: &Server) -> Peer {
         Peer::connect(node, "{\"v\":2}").await
     }
 
-    pub async fn worker(node: &Node, wid: &str) -> Peer {
+    pub async fn worker(node: &Server, wid: &str) -> Peer {
         Peer::connect(node, &format!("{{\"v\":2,\"wid\":\"{wid}\"}}")).await
     }
 
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -4,7 +4,7 @@
 
 use common::{checker, faktory, holds, job, operator, still, stop, Peer};
 use molevale::counters::Counters;
-use molevale::faktory::Node;
+use molevale::faktory::Server;
 use molevale::phase::Phases;
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet};
@@ -181,8 +181,8 @@
         let mut settings = common::settings(false, 6_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 2_000_000.into();
         let (counters, phases) = (Arc::new(Counters::default()), Phases::default());
-        let node =
-            Node::start(&common::operator_of(settings), 7, None, counters.clone(), phases.follow()).unwrap();
+        let node = Server::start(&common::operator_of(settings), 7, None, counters.clone(), phases.follow())
+            .unwrap();
         let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
         one.tell("FETCH lodge").await;
         client.push("lodge", "job-00001", "a").await;
@@ -291,7 +291,7 @@
     let _time = still();
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
-    let node = Node::start(&operator(60_000_000), 7, None, counters, phases.follow()).unwrap();
+    let node = Server::start(&operator(60_000_000), 7, None, counters, phases.follow()).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn({
@@ -339,7 +339,7 @@
         served += usize::from(end == "served");
     }
     stop(&phases).await;
-    assert_eq!(server.await.unwrap(), Ok(()));
+    server.await.unwrap().unwrap();
     works.iter().for_each(|w| w.abort());
     let mut seen = BTreeSet::new();
     while let Some(jid) = log.recv().await {
--- /dev/null
+++ b/node/tests/faktory_leases.rs
@@ -0,0 +1,38 @@
+//! Lease table of the Faktory front, driven as the dispatcher and the sessions drive it.
+
+use bytes::Bytes;
+use dewlever::api::{Outcome, WorkerId};
+use molevale::dispatcher::{number_of, queue, Tag};
+use molevale::faktory::leases::{ClassLimits, LeaseTable};
+use molevale::names::Names;
+use std::time::Duration;
+
+/// An ACK names only a jid: if the job were leased to this worker again, the late ACK of the attempt that it lost would
+/// end the new one.
+#[tokio::test]
+async fn worker_that_lost_a_lease_is_not_offered_the_job_again() {
+    let (dispatcher, _inbox) = queue();
+    let names = Names { classes: vec!["lodge".into()], keyed: vec![true], ..Names::default() };
+    let limits = ClassLimits { deadline: Duration::from_secs(25), duplicate_window: Duration::from_secs(40) };
+    let mut leases = LeaseTable::new(dispatcher, names, vec![limits]);
+    let text = r#"{"jid":"job-00001","jobtype":"declare","args":[],"queue":"lodge"}"#;
+    let job = serde_json::from_str(text).unwrap();
+    let _outcome = leases.push(job, Bytes::from_static(text.as_bytes())).unwrap();
+    let (number, queues) = (1, ["lodge".to_string()]);
+    let attempt = |attempt| Tag { id: 9, attempt };
+    let worker = |name| WorkerId(number_of(name));
+    leases.session_opened("one");
+    let (_, mut first) = leases.fetch("one", &queues);
+    assert!(!leases.offer(attempt(0), number, worker("one")), "a FETCH was waiting");
+    assert_eq!(first.try_recv().unwrap().attempt, attempt(0));
+    leases.session_closed("one");
+    leases.session_opened("one");
+    let (_, mut again) = leases.fetch("one", &queues);
+    leases.offer(attempt(1), number, worker("one"));
+    assert!(again.try_recv().is_err(), "the same worker");
+    assert!(leases.finish("one", "job-00001", Outcome::Ok).is_err(), "its late ACK");
+    leases.session_opened("two");
+    let (_, mut other) = leases.fetch("two", &queues);
+    leases.offer(attempt(2), number, worker("two"));
+    assert_eq!(other.try_recv().unwrap().attempt, attempt(2));
+}
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{faktory, job, Peer};
-use molevale::faktory::Node;
+use molevale::faktory::Server;
 use molevale::phase::Phases;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     }
 
     /// Opens a connection and reads the greeting.
-    async fn open(&mut self, node: &Node, name: &str) -> Peer {
+    async fn open(&mut self, node: &Server, name: &str) -> Peer {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.session(far).await });
@@ -81,7 +81,7 @@
         peer
     }
 
-    async fn hello(&mut self, node: &Node, name: &str, hello: &str) -> Peer {
+    async fn hello(&mut self, node: &Server, name: &str, hello: &str) -> Peer {
         let mut peer = self.open(node, name).await;
         self.ask((name, &mut peer), format!("HELLO {hello}")).await;
         peer
@@ -167,7 +167,7 @@
     t.ask(("client", &mut *client), b"PUSH \xff\xfe").await;
 }
 
-async fn life_of_jobs(t: &mut Transcript, node: &Node, client: &mut Peer) {
+async fn life_of_jobs(t: &mut Transcript, node: &Server, client: &mut Peer) {
     let mut w1 = t.hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
     t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
@@ -267,7 +267,7 @@
         with_settings(&format!("{good}connections = 0\n"), false),
         with_settings(&format!("{good}connections = -1\n"), false),
     ] {
-        let Err(error) = molevale::faktory::Operator::parse(&file) else { panic!("{file}") };
+        let Err(error) = molevale::faktory::FaktoryConfig::parse(&file) else { panic!("{file}") };
         text += &format!("{error}\n");
     }
     assert_golden("operator_file_errors.txt", &text);
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use molevale::config;
-use molevale::faktory::Operator;
+use molevale::faktory::FaktoryConfig;
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
 use std::process::{Child, Command, Stdio};
@@ -109,7 +109,7 @@
 #[test]
 fn the_operators_file_that_comes_along_is_read_and_a_changed_one_is_checked() {
     let text = include_str!("../../deploy/faktory.toml");
-    let operator = Operator::parse(text).unwrap();
+    let operator = FaktoryConfig::parse(text).unwrap();
     assert_eq!((operator.listen.port(), operator.connections), (7419, 256));
     for (from, to) in [
         ("Cancelling = false", "Cancelling = true"),
@@ -119,7 +119,7 @@
         ("127.0.0.1:7419", "everywhere"),
     ] {
         assert!(text.contains(from));
-        assert!(Operator::parse(&text.replace(from, to)).is_err(), "{to}");
+        assert!(FaktoryConfig::parse(&text.replace(from, to)).is_err(), "{to}");
     }
 }
 
