--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -1,169 +1,137 @@
-//! Counters of what is taken in, sent and answered; printed on SIGUSR1 and at exit.
+//! Counters of one front and its dispatcher, logged on SIGUSR1 and at the end of the process.
 
 use crate::invariants::Violations;
+use crate::metrics::{Counter, Gauge};
 use dewlever::api::Outcome;
 use std::fmt;
-use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-/// A number that only grows.
-#[derive(Default)]
-pub struct Count(AtomicU64);
-
-impl Count {
-    /// One more.
-    pub fn add(&self) {
-        self.0.fetch_add(1, Ordering::Relaxed);
-    }
-
-    /// The number so far.
-    pub fn get(&self) -> u64 {
-        self.0.load(Ordering::Relaxed)
-    }
-}
-
-/// How many there are now; its one owner sets it.
-#[derive(Default)]
-pub struct Gauge(AtomicUsize);
-
-impl Gauge {
-    /// So many.
-    pub fn set(&self, n: usize) {
-        self.0.store(n, Ordering::Relaxed);
-    }
-
-    /// How many.
-    pub fn get(&self) -> usize {
-        self.0.load(Ordering::Relaxed)
-    }
-}
-
-/// What a front holds now: all of it is given back when nothing is at work.
+/// Resources that a front holds now. All of them are released when nothing is in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Holdings {
-    /// Clients' connections.
+pub struct ResourceUsage {
+    /// Client connections.
     pub clients: usize,
-    /// Of these, with a request at work.
+    /// Client connections with a request in flight.
     pub at_work: usize,
-    /// Connections to workers that an attempt has.
+    /// Worker connections that an attempt holds.
     pub attempts: usize,
-    /// Idle connections to workers.
+    /// Idle worker connections.
     pub idle: usize,
-    /// Wire ids that are open.
+    /// Wire ids in flight.
     pub ids: usize,
     /// Memory for bodies, in KiB.
     pub bodies_kib: usize,
 }
 
-type Look = Box<dyn Fn() -> Holdings + Send + Sync>;
+impl fmt::Display for ResourceUsage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ResourceUsage { clients, at_work, attempts, idle, ids, bodies_kib } = self;
+        write!(
+            f,
+            "clients={clients} at_work={at_work} attempts={attempts} idle={idle} ids={ids} bodies_kib={bodies_kib}"
+        )
+    }
+}
+
+type UsageSource = Box<dyn Fn() -> ResourceUsage + Send + Sync>;
 
+/// Defines [`Counters`] from the names of the fields and the labels under which operators read them.
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// The counters of one front and its core.
+    ($($(#[$doc:meta])* $field:ident $label:literal,)*) => {
+        /// Counters of one front and its dispatcher.
         #[derive(Default)]
         pub struct Counters {
-            $($(#[$doc])* pub $name: Count,)*
-            /// Broken invariants.
+            $($(#[$doc])* pub $field: Counter,)*
+            /// Violations of invariants.
             pub violations: Violations,
-            /// Requests in the core's table.
+            /// Requests in the dispatcher's table.
             pub open: Gauge,
-            /// Attempts that are out.
-            pub out: Gauge,
-            /// Timers of the core.
+            /// Attempts in flight.
+            pub in_flight: Gauge,
+            /// Timers of the dispatcher.
             pub timers: Gauge,
-            look: OnceLock<Look>,
+            usage: OnceLock<UsageSource>,
         }
 
-        impl fmt::Display for Counters {
-            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let all = [$((stringify!($name), self.$name.get()),)*];
-                for (i, (name, count)) in all.iter().enumerate() {
-                    write!(f, "{}{name}={count}", if i > 0 { " " } else { "" })?;
-                }
-                write!(f, "; violations {}", self.violations)?;
-                write!(f, "; now open={} out={} timers={}", self.open.get(), self.out.get(), self.timers.get())?;
-                let Some(Holdings { clients, at_work, attempts, idle, ids, bodies_kib }) = self.holdings() else {
-                    return Ok(());
-                };
-                write!(f, " clients={clients} at_work={at_work} attempts={attempts} idle={idle} ids={ids} \
-                    bodies_kib={bodies_kib}")
+        impl Counters {
+            /// Labels and values, in the order in which they are logged.
+            fn labelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+                [$(($label, self.$field.get()),)*].into_iter()
             }
         }
     };
 }
 
-impl Counters {
-    /// Where the front looks what it holds; the first one counts.
-    pub fn look(&self, look: impl Fn() -> Holdings + Send + Sync + 'static) {
-        let _ = self.look.set(Box::new(look));
-    }
-
-    /// What the front holds now, where it says so.
-    pub fn holdings(&self) -> Option<Holdings> {
-        self.look.get().map(|look| look())
-    }
-}
-
 counters! {
-    /// Connections of clients that were given a place.
-    accepted,
-    /// Requests handed to the module.
-    taken,
-    /// Requests that went to the next process while they ran.
-    moved,
-    /// Requests that came from the process before while they ran.
-    adopted,
-    /// Requests answered without it: malformed, not found, too large, over the descriptor budget.
-    turned_away,
+    /// Client connections that got a slot.
+    accepted "accepted",
+    /// Requests passed to the decision module.
+    taken "taken",
+    /// Running requests transferred to the next process.
+    transferred_out "moved",
+    /// Running requests transferred from the previous process.
+    transferred_in "adopted",
+    /// Requests answered without the decision module: malformed, not found, too large, or over the descriptor budget.
+    rejected_early "turned_away",
     /// Final answers: served.
-    served,
+    served "served",
     /// Final answers: refused.
-    refused,
+    refused "refused",
     /// Final answers: failed.
-    failed,
-    /// Clients gone before their answer.
-    left,
-    /// Attempts sent.
-    sent,
-    /// Attempts whose worker said that it took the job.
-    word,
-    /// Sends that could not go out.
-    moot,
-    /// Attempts that were held back right before their first byte.
-    held_back,
+    failed "failed",
+    /// Clients that left before their answer.
+    client_left "left",
+    /// Attempts started.
+    sent "sent",
+    /// Attempts that their worker acknowledged.
+    acknowledged "word",
+    /// Attempts that could not be sent.
+    not_sent "moot",
+    /// Attempts that the send guard held back right before their first byte.
+    held_back "held_back",
     /// Attempts that ended as served.
-    ok,
-    /// Attempts that ended as an error.
-    error,
-    /// Attempts turned away unstarted.
-    full,
+    ok "ok",
+    /// Attempts that ended with an error.
+    error "error",
+    /// Attempts that the worker rejected before it started.
+    full "full",
     /// Attempts that timed out.
-    timeout,
-    /// Attempts that never got a connection.
-    connect_failed,
+    timeout "timeout",
+    /// Attempts that got no connection.
+    connect_failed "connect_failed",
     /// Attempts whose connection broke.
-    reset,
-    /// Attempts called off.
-    cancelled,
-    /// Workers asked for their load.
-    probes,
-    /// Those that answered in time.
-    probed,
-    /// Datagrams sent to other nodes.
-    told,
-    /// Datagrams of theirs that counted.
-    heard,
-    /// Connections opened to workers.
-    opened,
-    /// Connections to workers kept after an answer that ended cleanly.
-    kept,
-    /// Answers of discovery taken.
-    lists,
+    reset "reset",
+    /// Attempts that were cancelled.
+    cancelled "cancelled",
+    /// Health checks sent to workers.
+    probes "probes",
+    /// Health checks answered in time.
+    probes_answered "probed",
+    /// Gossip datagrams sent to other nodes.
+    gossip_sent "told",
+    /// Gossip datagrams of other nodes that were accepted.
+    gossip_received "heard",
+    /// Worker connections opened.
+    opened "opened",
+    /// Worker connections that were kept after an answer, for reuse.
+    kept_alive "kept",
+    /// Answers of discovery that were applied.
+    lists "lists",
 }
 
 impl Counters {
-    /// Counts how an attempt ended.
-    pub fn ended(&self, outcome: Outcome) {
+    /// Sets the source of [`Counters::usage`]. Only the first call has an effect.
+    pub fn set_usage_source(&self, source: impl Fn() -> ResourceUsage + Send + Sync + 'static) {
+        let _ = self.usage.set(Box::new(source)); // fails if there is a source already
+    }
+
+    /// Resources that the front holds now; `None` if it has no source for that.
+    pub fn usage(&self) -> Option<ResourceUsage> {
+        self.usage.get().map(|source| source())
+    }
+
+    /// Counts the end of an attempt, by its outcome.
+    pub fn count_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => &self.ok,
             Outcome::Error => &self.error,
@@ -172,8 +140,24 @@
             Outcome::ConnectFailed => &self.connect_failed,
             Outcome::Reset => &self.reset,
             Outcome::Cancelled => &self.cancelled,
-            Outcome::Moot => &self.moot,
+            Outcome::Moot => &self.not_sent,
         }
         .add();
     }
 }
+
+impl fmt::Display for Counters {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (i, (label, value)) in self.labelled().enumerate() {
+            let separator = if i > 0 { " " } else { "" };
+            write!(f, "{separator}{label}={value}")?;
+        }
+        write!(f, "; violations {}", self.violations)?;
+        let (open, in_flight, timers) = (self.open.get(), self.in_flight.get(), self.timers.get());
+        write!(f, "; now open={open} out={in_flight} timers={timers}")?;
+        match self.usage() {
+            Some(usage) => write!(f, " {usage}"),
+            None => Ok(()),
+        }
+    }
+}
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -374,7 +374,7 @@
                 let left = self.table.get_mut(&id).filter(|e| e.job.is_some());
                 if let Some(entry) = left {
                     entry.job = None;
-                    self.counters.left.add();
+                    self.counters.client_left.add();
                     log::debug!(request = id; "its client has left");
                     // Whether the module may call the attempt off or not.
                     if let Some(Some(attempt)) = &entry.out {
@@ -385,7 +385,7 @@
                 }
             }
             Input::Taken(tag) if self.is_out(tag) => {
-                self.counters.word.add();
+                self.counters.acknowledged.add();
                 self.tell(Event::Taken { id: tag.id, attempt: tag.attempt })
             }
             Input::Started(tag) if self.is_out(tag) => {
@@ -420,8 +420,8 @@
     }
 
     fn adopt(&mut self, request: Request, job: F::Job, sent: Sent) {
-        self.counters.adopted.add();
-        self.counters.out.set(self.counters.out.get() + 1);
+        self.counters.transferred_in.add();
+        self.counters.in_flight.set(self.counters.in_flight.get() + 1);
         let (id, started) = (request.id, sent.started);
         let ago = |at: Instant| at.elapsed().as_micros() as Time;
         let tag = Tag { id, attempt: 0 };
@@ -450,7 +450,7 @@
 
     fn moved(&mut self, tag: Tag) {
         let Some(entry) = self.forget(tag.id) else { return };
-        self.counters.moved.add();
+        self.counters.transferred_out.add();
         if let Some(Some(hold)) = entry.out {
             self.front.stop(hold, Outcome::Cancelled);
         }
@@ -476,14 +476,14 @@
         if !self.is_out(tag) {
             return log::warn!("attempt {} of request {} ended twice", tag.attempt, tag.id);
         }
-        self.counters.ended(outcome);
+        self.counters.count_outcome(outcome);
         log::debug!(request = tag.id, attempt = tag.attempt, outcome:?, blameless; "an attempt has ended");
         let Some(entry) = self.table.get_mut(&tag.id) else { return };
         entry.out = None;
         if !outcome.proves_unrun() {
             entry.may_have_run = entry.may_have_run.or(entry.last.map(|sent| sent.at));
         }
-        self.counters.out.set(self.counters.out.get() - 1);
+        self.counters.in_flight.set(self.counters.in_flight.get() - 1);
         if outcome == Outcome::Ok {
             if let Some(job) = entry.job.take() {
                 self.counters.served.add();
@@ -528,7 +528,7 @@
     fn forget(&mut self, id: RequestId) -> Option<Entry<F>> {
         let entry = self.table.remove(&id)?;
         self.due.remove(&(entry.until, Due::Deadline(id)));
-        self.counters.out.set(self.counters.out.get() - usize::from(entry.out.is_some()));
+        self.counters.in_flight.set(self.counters.in_flight.get() - usize::from(entry.out.is_some()));
         Some(entry)
     }
 
@@ -624,14 +624,14 @@
         entry.last = Some(Sent { worker, at: Instant::now(), started: None, until: entry.until });
         entry.out = Some(Some(self.front.send(tag, job, worker, entry.until)));
         self.counters.sent.add();
-        self.counters.out.set(self.counters.out.get() + 1);
+        self.counters.in_flight.set(self.counters.in_flight.get() + 1);
     }
 
     /// The client of a request that was to be sent has gone: the module hears that first, then that nothing was sent.
     fn gone(&mut self, id: RequestId) {
         if let Some(entry) = self.table.get_mut(&id) {
             entry.job = None;
-            self.counters.left.add();
+            self.counters.client_left.add();
             self.events.push_back(Event::ClientLeft { id });
             self.moot(id);
             self.tidy(id);
@@ -640,7 +640,7 @@
 
     /// Guards the wire against a send that may not go out; the module hears that it never did.
     fn moot(&mut self, id: RequestId) {
-        self.counters.moot.add();
+        self.counters.not_sent.add();
         let Some(entry) = self.table.get_mut(&id).filter(|e| e.out.is_none()) else { return };
         let (attempt, last) = (entry.sent, entry.job.is_none());
         entry.sent += 1;
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -162,7 +162,7 @@
         let outcome = match pushed {
             Ok(outcome) => outcome,
             Err(error) => {
-                self.shared.counters().turned_away.add();
+                self.shared.counters().rejected_early.add();
                 return Ok(Reply::error(error));
             }
         };
--- a/node/src/invariants.rs
+++ b/node/src/invariants.rs
@@ -1,21 +1,23 @@
-//! Rules of the protocol that the node checks on itself while it runs. Each has one guard, through which every path
-//! goes; the guard holds back what would break the rule, or counts what has broken it. All counts stay zero in a node
-//! that is well: any other is a fault of the node, said in the log with the request.
+//! Invariants that the node checks on itself while it runs.
+//!
+//! Each has one guard, through which every path goes. The guard prevents a violation, or counts one that has happened. In
+//! a node without faults all counts are zero; any other is logged as an error, with the request.
 
-use crate::counters::Count;
+use crate::metrics::Counter;
 use std::fmt;
 
+/// Defines [`Invariant`] from the names of the variants and their labels in counters and logs.
 macro_rules! invariants {
     ($($(#[$doc:meta])* $name:ident $label:literal,)*) => {
-        /// A rule.
+        /// Invariant of the protocol.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Invariant { $($(#[$doc])* $name,)* }
 
         impl Invariant {
-            /// All rules.
+            /// All invariants.
             pub const ALL: &'static [Invariant] = &[$(Invariant::$name,)*];
 
-            /// Its name in counters and logs.
+            /// Label in counters and logs.
             pub fn label(self) -> &'static str {
                 match self { $(Invariant::$name => $label,)* }
             }
@@ -24,30 +26,31 @@
 }
 
 invariants! {
-    /// At most one attempt of a request is out. Guard: `Dispatcher::send`.
+    /// At most one attempt of a request is in flight. Guard: `Dispatcher::send`.
     OneAttempt "one_attempt",
-    /// A request is sent as often as its settings allow at most. Guard: `Dispatcher::send`.
+    /// A request has at most as many attempts as its settings allow. Guard: `Dispatcher::send`.
     AttemptsLeft "attempts_left",
-    /// What may have run is repeated only as its class allows. Guard: `Dispatcher::send`.
+    /// A request that may have run is retried only as its class allows. Guard: `Dispatcher::send`.
     Repeatable "repeatable",
-    /// A cold worker gets no more than this node's part of its budget. Guard: `Policy::send`.
+    /// A worker that is warming up gets at most this node's part of its budget. Guard: `Policy::send`.
     ColdBudget "cold_budget",
-    /// A request that was read has its answer before its connection is closed. Guard: the drop of what waits for it.
+    /// A request that was read is answered before its connection is closed. Guard: the drop of what waits for the answer.
     Answered "answered",
 }
 
-/// How often each rule was broken or would have been.
+/// Number of violations of each invariant, prevented ones included.
 #[derive(Default)]
-pub struct Violations([Count; Invariant::ALL.len()]);
+pub struct Violations([Counter; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts one, and says so.
+    /// Counts and logs a violation by a request.
     pub fn add(&self, invariant: Invariant, request: impl fmt::Display) {
         self.0[invariant as usize].add();
-        log::error!(invariant = invariant.label(), request:%; "an invariant was broken");
+        log::error!(event = "invariant_violated", invariant = invariant.label(), request:%;
+            "invariant violated: this is a fault of the node");
     }
 
-    /// How often this one was.
+    /// Number of violations of one invariant.
     pub fn get(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize].get()
     }
@@ -56,7 +59,8 @@
 impl fmt::Display for Violations {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, invariant) in Invariant::ALL.iter().enumerate() {
-            write!(f, "{}{}={}", if i > 0 { " " } else { "" }, invariant.label(), self.get(*invariant))?;
+            let separator = if i > 0 { " " } else { "" };
+            write!(f, "{separator}{}={}", invariant.label(), self.get(*invariant))?;
         }
         Ok(())
     }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod list;
 pub mod logger;
 pub mod management;
+pub mod metrics;
 pub mod names;
 pub mod phase;
 pub mod platform;
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -21,7 +21,7 @@
 pub use server::listen;
 
 use crate::config::Config;
-use crate::counters::{Counters, Holdings};
+use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::{number_of, queue, Answer, Dispatcher, Front, Handle, Sent, Tag};
 use crate::fleet;
 use crate::names::Names;
@@ -229,9 +229,9 @@
     }
     let (siblings, asked) = (settings.siblings, settings.list_asked);
     let stock = Arc::new(Stock::new(handle.clone(), limits, other, &first, counters.clone()));
-    counters.look({
+    counters.set_usage_source({
         let stock = Arc::downgrade(&stock);
-        move || stock.upgrade().map_or(Holdings::default(), |stock| stock.holdings())
+        move || stock.upgrade().map_or(ResourceUsage::default(), |stock| stock.holdings())
     });
     let pool = stock.pool.clone();
     let carrier = Arc::new(Carrier {
--- a/node/src/platform/peers.rs
+++ b/node/src/platform/peers.rs
@@ -90,7 +90,7 @@
         let datagram = datagram(tenants(&self.names.borrow()), at_ms, told);
         let (Some(datagram), Some(to)) = (datagram, self.peers.get(to as usize)) else { return };
         match self.socket.try_send_to(&datagram, *to) {
-            Ok(_) => self.counters.told.add(),
+            Ok(_) => self.counters.gossip_sent.add(),
             Err(e) => log::debug!("to {to}: {e}"),
         }
     }
@@ -120,7 +120,7 @@
             let Some((at, told)) = read(tenants(&self.names.borrow()), &buffer[..n]) else { continue };
             if last[from].is_none_or(|last| last.yields_to(at)) {
                 last[from] = Some(Last { at_ms: at, heard: Instant::now() });
-                self.counters.heard.add();
+                self.counters.gossip_received.add();
                 handle.peer(from as u32, told.to_vec());
             }
         }
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -303,7 +303,7 @@
             if line.listed && line.address == connection.address && !connection.sender.is_closed() {
                 (connection.idle_since, connection.kept) = (Instant::now(), true);
                 line.idle.push(connection);
-                self.counters.kept.add();
+                self.counters.kept_alive.add();
             }
         }
     }
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -20,7 +20,7 @@
     let limit = 2 * carrier.names.borrow().connect_timeout;
     let said = timeout(limit, ask(&carrier, worker)).await.ok().flatten();
     if said.is_some() {
-        carrier.counters.probed.add();
+        carrier.counters.probes_answered.add();
     }
     carrier.handle.probed(worker, said.is_some(), said.flatten());
 }
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -6,7 +6,7 @@
 use super::pool::Pool;
 use super::Job;
 use crate::config::Limits;
-use crate::counters::{Counters, Holdings};
+use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::Handle;
 use crate::list::ListBody;
 use crate::names::Names;
@@ -95,10 +95,10 @@
     }
 
     /// What is held now.
-    pub fn holdings(&self) -> Holdings {
+    pub fn holdings(&self) -> ResourceUsage {
         let given = self.given.lock().unwrap_or_else(PoisonError::into_inner).bodies_kib;
         let idle = self.pool.idle();
-        Holdings {
+        ResourceUsage {
             clients: self.room.taken(),
             at_work: self.room.at_work(),
             attempts: self.pool.taken().saturating_sub(idle),
--- a/node/src/platform/server.rs
+++ b/node/src/platform/server.rs
@@ -143,7 +143,7 @@
             });
         } else {
             // Guards the descriptors: not even the word that there is no room has room now.
-            self.counters.turned_away.add();
+            self.counters.rejected_early.add();
         }
     }
 
@@ -239,7 +239,7 @@
 
     /// Refuses a request that goes no further.
     fn refuse(&self, reason: &str) -> Reply {
-        self.counters.turned_away.add();
+        self.counters.rejected_early.add();
         log::debug!("refused: {reason}");
         refusal(SOON)
     }
@@ -267,7 +267,7 @@
         let (mut reply, bad) = match reply {
             Ok(reply) => (reply, false),
             Err((status, why)) => {
-                self.counters.turned_away.add();
+                self.counters.rejected_early.add();
                 log::debug!(status = status.as_u16(); "turned away: {why}");
                 let mut reply = plain(status, why);
                 if status == StatusCode::METHOD_NOT_ALLOWED {
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -468,8 +468,8 @@
     pub async fn owes_only_ids(&self, ids: usize) {
         let c = &self.counters;
         let held = || {
-            let h = c.holdings().unwrap();
-            (c.open.get(), c.out.get(), h.at_work, h.attempts, h.ids, h.bodies_kib)
+            let h = c.usage().unwrap();
+            (c.open.get(), c.in_flight.get(), h.at_work, h.attempts, h.ids, h.bodies_kib)
         };
         for _ in 0..2000 {
             if held() == (0, 0, 0, 0, ids, 0) {
@@ -479,11 +479,18 @@
             std::thread::sleep(Duration::from_micros(200)); // the kernel's part, not the node's
         }
         assert_eq!(held(), (0, 0, 0, 0, ids, 0), "open, out, at work, attempts, ids, bodies: {c}");
-        let ends = [&c.served, &c.refused, &c.failed, &c.left, &c.moved].map(|n| n.get()).iter().sum::<u64>();
-        assert_eq!(c.taken.get() + c.adopted.get(), ends, "one end for each request: {c}");
+        let ends = [&c.served, &c.refused, &c.failed, &c.client_left, &c.transferred_out]
+            .map(|n| n.get())
+            .iter()
+            .sum::<u64>();
+        assert_eq!(c.taken.get() + c.transferred_in.get(), ends, "one end for each request: {c}");
         let outcomes = [&c.ok, &c.error, &c.full, &c.timeout, &c.connect_failed, &c.reset, &c.cancelled];
         let outcomes = outcomes.map(|n| n.get()).iter().sum::<u64>();
-        assert_eq!(c.sent.get() + c.adopted.get(), outcomes + c.moved.get(), "one outcome each: {c}");
+        assert_eq!(
+            c.sent.get() + c.transferred_in.get(),
+            outcomes + c.transferred_out.get(),
+            "one outcome each: {c}"
+        );
         assert!(c.timers.get() <= 16, "timers are left over: {c}");
     }
 
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -169,9 +169,9 @@
     let c = &counters;
     assert_eq!(
         c.taken.get(),
-        c.served.get() + c.refused.get() + c.failed.get() + c.left.get() + c.moved.get()
+        c.served.get() + c.refused.get() + c.failed.get() + c.client_left.get() + c.transferred_out.get()
     );
-    assert_eq!(c.left.get(), left);
+    assert_eq!(c.client_left.get(), left);
     assert!(!task.is_finished(), "the core has ended");
 }
 
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -25,7 +25,7 @@
     let mut seen = worker.take().await;
     seen.done("first").await;
     assert_eq!(client.answer().await.unwrap().body, "first");
-    while node.counters.kept.get() < 1 {
+    while node.counters.kept_alive.get() < 1 {
         yield_now().await;
     }
     (worker, node, client, seen)
@@ -71,7 +71,7 @@
         client.tell(&request("lodge", ID, 60.0, "x")).await;
         let mut seen = worker.take().await;
         seen.begin().await;
-        while node.counters.word.get() < 1 {
+        while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         if drains {
@@ -167,7 +167,7 @@
         // and nobody looks at sockets in between.
         let counters = node.counters.clone();
         let kept = tokio::spawn(async move {
-            while counters.holdings().unwrap().at_work < 1 {
+            while counters.usage().unwrap().at_work < 1 {
                 common::turn().await;
             }
             assert_eq!(counters.sent.get(), 1, "not sent yet");
@@ -350,7 +350,7 @@
         advance(Duration::from_millis(10)).await;
     }
     node.owes_nothing().await;
-    assert_eq!(node.counters.holdings().unwrap().clients, 0);
+    assert_eq!(node.counters.usage().unwrap().clients, 0);
     assert_eq!(node.counters.sent.get(), 0);
     assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
 }
@@ -373,7 +373,7 @@
         } else {
             let mut out = first.take().await;
             out.begin().await;
-            while node.counters.word.get() < 1 {
+            while node.counters.acknowledged.get() < 1 {
                 yield_now().await;
             }
             if case == "again" {
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -4,7 +4,7 @@
 //! `GOLDEN_RECORD=1` writes the files anew.
 
 use fleet::Status;
-use molevale::counters::{Counters, Holdings};
+use molevale::counters::{Counters, ResourceUsage};
 use rig::cluster::{Cluster, Spec};
 use rig::process::call;
 use serde_json::Value;
@@ -124,8 +124,15 @@
     (0..2).for_each(|_| counters.served.add());
     (0..3).for_each(|_| counters.lists.add());
     counters.open.set(4);
-    counters.out.set(5);
+    counters.in_flight.set(5);
     counters.timers.set(6);
-    counters.look(|| Holdings { clients: 7, at_work: 8, attempts: 9, idle: 10, ids: 11, bodies_kib: 12 });
+    counters.set_usage_source(|| ResourceUsage {
+        clients: 7,
+        at_work: 8,
+        attempts: 9,
+        idle: 10,
+        ids: 11,
+        bodies_kib: 12,
+    });
     assert_golden("counters.txt", &format!("{before}\n{counters}\n"));
 }
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -93,7 +93,7 @@
             seen = workers[1].take() => seen,
         };
         seen.begin().await;
-        while old.counters.word.get() < 1 {
+        while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         Moving { place, old, client, seen, workers }
@@ -142,10 +142,10 @@
         settle().await;
         advance(2 * LEFT).await;
         settle().await;
-        assert_eq!(old.counters.left.get(), 0, "{way:?}: frozen");
+        assert_eq!(old.counters.client_left.get(), 0, "{way:?}: frozen");
         decide.send(()).unwrap();
         common::until("it is seen that the client has left", Duration::from_millis(10), || {
-            old.counters.left.get() == 1
+            old.counters.client_left.get() == 1
         })
         .await;
         old.owes_nothing().await;
@@ -175,7 +175,7 @@
             settle().await;
             advance(LEFT).await;
             common::until("it is seen that the client has left", Duration::from_millis(10), || {
-                old.counters.left.get() + new.counters.left.get() == 1
+                old.counters.client_left.get() + new.counters.client_left.get() == 1
             })
             .await;
             let sent = old.counters.sent.get() + new.counters.sent.get();
@@ -204,11 +204,11 @@
             if !due_at_once {
                 advance(LEFT - Duration::from_millis(1)).await;
                 settle().await;
-                assert_eq!(old.counters.left.get(), 1, "{way:?}: not seen after {LEFT:?}");
+                assert_eq!(old.counters.client_left.get(), 1, "{way:?}: not seen after {LEFT:?}");
             }
             seen.now(&handed_back());
             settle().await;
-            assert_eq!(old.counters.left.get(), 1, "{way:?}: not seen when a further attempt was due");
+            assert_eq!(old.counters.client_left.get(), 1, "{way:?}: not seen when a further attempt was due");
             old.owes_nothing().await;
             assert_eq!((old.counters.sent.get(), old.counters.taken.get()), (1, 1), "{way:?}");
             drop(workers);
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -74,7 +74,7 @@
         advance(Duration::from_millis(10)).await;
     }
     for _ in 0..200 {
-        if node.counters.left.get() == left {
+        if node.counters.client_left.get() == left {
             return true;
         }
         yield_now().await;
@@ -127,7 +127,7 @@
         client.tell(&request("check", GONE, 60.0, "x")).await;
         let mut seen = worker.take().await;
         seen.begin().await;
-        while node.counters.word.get() < 1 {
+        while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         let _kept = leave(client, way).await;
@@ -178,7 +178,7 @@
         let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
         client.tell(&request("check", GONE, 60.0, "x")).await;
-        while node.counters.out.get() < 1 {
+        while node.counters.in_flight.get() < 1 {
             yield_now().await;
         }
         drop(client);
@@ -217,7 +217,7 @@
     runs.tell(&request("lodge", GONE, 60.0, "")).await;
     let mut seen = worker.take().await;
     seen.begin().await;
-    while old.counters.word.get() < 1 {
+    while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
     old.list(2, vec![worker.line("s-1", "terminating")]).await;
@@ -226,7 +226,7 @@
     taken(&old, 2).await;
     let Found::Process(listener, before) = Before::find(&place).await else { panic!("nobody") };
     let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some((listener, before))).await;
-    while new.counters.adopted.get() < 1 {
+    while new.counters.transferred_in.get() < 1 {
         yield_now().await;
     }
     drop((runs, leave(held, Way::Part).await));
@@ -261,7 +261,7 @@
         client.tell(&request("lodge", GONE, 60.0, "")).await;
         let mut seen = worker.take().await;
         seen.begin().await;
-        while old.counters.word.get() < 1 {
+        while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         let Found::Process(_listener, before) = Before::find(&place).await else { panic!("nobody") };
@@ -275,7 +275,7 @@
                 Way::Reset => client.reset(),
                 _ => drop(client),
             }
-            assert_eq!(counters.left.get(), 0);
+            assert_eq!(counters.client_left.get(), 0);
             offer.send(()).unwrap();
             false
         };
@@ -299,7 +299,7 @@
         client.tell(&request("check", &format!("9b1f03aa5c7e2e{n:02}"), 86_400.0, "x")).await;
         taken(&node, n + 1).await;
         drop(client);
-        while node.counters.left.get() < n + 1 {
+        while node.counters.client_left.get() < n + 1 {
             yield_now().await;
         }
     }
@@ -319,7 +319,7 @@
         let mut seen = worker.take().await;
         seen.done("r").await;
         assert_eq!(first.answer().await.unwrap().status, 200);
-        while node.counters.kept.get() < 1 {
+        while node.counters.kept_alive.get() < 1 {
             yield_now().await;
         }
         advance(Duration::from_millis(100)).await;
@@ -328,7 +328,7 @@
         let _kept = go(client, way).await;
         off(&node, 1).await;
         assert_eq!(
-            node.counters.left.get(),
+            node.counters.client_left.get(),
             node.counters.taken.get() - 1,
             "{way:?}: gone, where it was taken"
         );
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -26,7 +26,7 @@
         let node = Platform::under(settings, vec![slow.line("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
         client.tell(&request("lodge", ID, 60.0, "x")).await;
-        while node.counters.out.get() < 1 {
+        while node.counters.in_flight.get() < 1 {
             yield_now().await;
         }
         node.list(2, vec![slow.line("s-1", "terminating"), other.line("s-2", "in_service")]).await;
--- a/node/tests/peers.rs
+++ b/node/tests/peers.rs
@@ -58,14 +58,14 @@
 async fn nodes_tell_each_other_and_only_what_a_known_one_says_anew_counts() {
     let (node, own, other, worker) = first_of_two(true).await;
     let told = first_told(&other).await;
-    assert!(told.len() <= 256 && node.counters.told.get() >= 1);
+    assert!(told.len() <= 256 && node.counters.gossip_sent.get() >= 1);
     // The form: its version, who the tenants are, when it was sent, two bytes for each tenant.
     assert_eq!((told[0], told.len()), (1, 9 + 2));
     let sent_at = |ms: u32| [&told[..5], &ms.to_be_bytes(), &told[9..]].concat();
     let own = own.local_addr().unwrap();
     let say = |from: &UdpSocket, bytes: &[u8]| assert_eq!(from.send_to(bytes, own).unwrap(), bytes.len());
     say(&other, &sent_at(100));
-    until("it counts", STEP, || node.counters.heard.get() == 1).await;
+    until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
     let other_version = [&[2], &sent_at(103)[1..]].concat();
     let mut other_tenants = sent_at(104);
     other_tenants[1] ^= 1;
@@ -79,14 +79,14 @@
     say(&other, &[&sent_at(105)[..], &[0; 246]].concat()); // 257 bytes
     say(&other, &[0xff; 2000]);
     say(&other, &sent_at(106));
-    until("the last one counts", STEP, || node.counters.heard.get() == 2).await;
+    until("the last one counts", STEP, || node.counters.gossip_received.get() == 2).await;
     // And all the while it serves.
     let mut client = Client::connect(&node).await;
     client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
     worker.take().await.done("r").await;
     assert_eq!(client.answer().await.unwrap().body, "r");
     node.owes_nothing().await;
-    assert_eq!(node.counters.heard.get(), 2);
+    assert_eq!(node.counters.gossip_received.get(), 2);
 }
 
 /// A node whose clock was set back, and which has started anew, is heard again after a while: its times are all older.
@@ -97,17 +97,17 @@
     let sent_at = |ms: u32| [&told[..5], &ms.to_be_bytes(), &told[9..]].concat();
     let own = own.local_addr().unwrap();
     other.send_to(&sent_at(5_000_000), own).unwrap();
-    until("it counts", STEP, || node.counters.heard.get() == 1).await;
+    until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
     other.send_to(&sent_at(1_400_000), own).unwrap();
     for _ in 0..250 {
         advance(STEP).await;
         yield_now().await;
     }
-    assert_eq!(node.counters.heard.get(), 1, "at once, it is one that came late");
+    assert_eq!(node.counters.gossip_received.get(), 1, "at once, it is one that came late");
     other.send_to(&sent_at(1_405_000), own).unwrap();
-    until("it counts", STEP, || node.counters.heard.get() == 2).await;
+    until("it counts", STEP, || node.counters.gossip_received.get() == 2).await;
     other.send_to(&sent_at(1_406_000), own).unwrap();
-    until("and so does what follows", STEP, || node.counters.heard.get() == 3).await;
+    until("and so does what follows", STEP, || node.counters.gossip_received.get() == 3).await;
 }
 
 /// Nobody there, or more than is read in a second: jobs go on.
@@ -123,8 +123,8 @@
     client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
     worker.take().await.done("r").await;
     assert_eq!(client.answer().await.unwrap().body, "r");
-    until("it goes on telling", STEP, || node.counters.told.get() >= 3).await;
-    assert_eq!(node.counters.heard.get(), 0);
+    until("it goes on telling", STEP, || node.counters.gossip_sent.get() >= 3).await;
+    assert_eq!(node.counters.gossip_received.get(), 0);
     node.owes_nothing().await;
 }
 
@@ -136,7 +136,7 @@
         advance(Duration::from_millis(20)).await;
         yield_now().await;
     }
-    assert_eq!((take(&other), node.counters.told.get()), (None, 0));
+    assert_eq!((take(&other), node.counters.gossip_sent.get()), (None, 0));
     other.send_to(b"to whoever is there", own.local_addr().unwrap()).unwrap();
     assert_eq!(take(&own).unwrap(), b"to whoever is there", "the node has no socket there");
 }
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -74,7 +74,7 @@
     }
     assert_eq!(client.ask(UP).await.status, 200);
     let c = &node.counters;
-    assert_eq!((c.turned_away.get(), c.taken.get(), c.sent.get()), (cases.len() as u64, 0, 0));
+    assert_eq!((c.rejected_early.get(), c.taken.get(), c.sent.get()), (cases.len() as u64, 0, 0));
 }
 
 /// Plays what a worker does with a request and returns how the attempt was counted.
@@ -174,7 +174,7 @@
         seen.done("r").await;
     }
     assert_eq!((client.answer().await.unwrap().status, other.answer().await.unwrap().status), (200, 200));
-    while node.counters.kept.get() < 2 {
+    while node.counters.kept_alive.get() < 2 {
         tokio::task::yield_now().await;
     }
     // It breaks on both in a row. A worker in doubt would get a trial after 1.2 s only: too late for this one.
@@ -199,7 +199,7 @@
     other.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "x")).await;
     let mut taken = worker.take().await;
     taken.begin().await;
-    while node.counters.word.get() < 1 {
+    while node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(250)).await;
@@ -221,7 +221,7 @@
     let seen = worker.take().await;
     drop(client);
     assert!(seen.next().await.is_none(), "the worker sees the connection end");
-    assert_eq!((node.counters.left.get(), node.counters.taken.get()), (1, 1));
+    assert_eq!((node.counters.client_left.get(), node.counters.taken.get()), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -336,7 +336,7 @@
     late.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
     let mut after = worker.take().await;
     after.begin().await;
-    while node.counters.word.get() < 2 {
+    while node.counters.acknowledged.get() < 2 {
         tokio::task::yield_now().await; // a job without word is called off in the time that passes now
     }
     advance(Duration::from_millis(720)).await;
@@ -365,7 +365,7 @@
     let mut seen = worker.take().await;
     assert!(seen.field("x-deadline").parse::<f64>().unwrap() < 1.6);
     seen.begin().await;
-    while node.counters.word.get() < 1 {
+    while node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(1560)).await;
@@ -389,7 +389,7 @@
     client.tell(&request("check", "9b1f03aa5c7e2d41", 0.8, "")).await;
     let mut seen = worker.take().await;
     seen.begin().await;
-    while node.counters.word.get() < 1 {
+    while node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(30)).await;
@@ -543,10 +543,10 @@
     assert_eq!(got.status, 503);
     assert!(got.head.to_lowercase().contains("retry-after"));
     assert!(beyond.answer().await.is_none(), "and closed");
-    assert_eq!((node.counters.turned_away.get(), node.counters.taken.get()), (1, 4));
+    assert_eq!((node.counters.rejected_early.get(), node.counters.taken.get()), (1, 4));
     // Room that is given up serves again.
     clients.clear();
-    while node.counters.left.get() < 4 {
+    while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
     }
     assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
@@ -578,7 +578,7 @@
     }
     // Room that is given up serves again.
     large.clear();
-    while node.counters.left.get() < 4 {
+    while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut again = Client::connect(&node).await;
@@ -605,7 +605,7 @@
         served.push(client);
     }
     let mut silent = Client::connect(&node).await;
-    while node.counters.accepted.get() < 4 || node.counters.word.get() < 1 {
+    while node.counters.accepted.get() < 4 || node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(300)).await;
@@ -656,7 +656,7 @@
     assert_eq!(client.answer().await.unwrap().status, 200);
     assert_eq!(client.answer().await.unwrap().status, 400);
     assert!(client.answer().await.is_none(), "closed");
-    assert_eq!((node.counters.taken.get(), node.counters.turned_away.get()), (0, 1));
+    assert_eq!((node.counters.taken.get(), node.counters.rejected_early.get()), (0, 1));
     let mut client = Client::connect(&node).await;
     let chunks = good.replace("Content-Length: 0", "Transfer-Encoding: chunked");
     client.tell(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n{both}0\r\n\r\n")).await;
--- a/node/tests/probes.rs
+++ b/node/tests/probes.rs
@@ -47,7 +47,7 @@
         assert_eq!(seen.field("x-request-id"), ID);
         seen.done("r").await;
         assert_eq!(client.answer().await.unwrap().body, "r", "{body}");
-        assert_eq!((node.counters.probes.get(), node.counters.probed.get()), (asked, asked));
+        assert_eq!((node.counters.probes.get(), node.counters.probes_answered.get()), (asked, asked));
         node.owes_nothing().await;
     }
 }
@@ -84,8 +84,8 @@
             }
             held = Some(probe).filter(|_| case != "breaks");
         }
-        until("the probe has its outcome", STEP, || node.counters.holdings().unwrap().attempts == 0).await;
-        assert_eq!(node.counters.probed.get(), 0, "{case}");
+        until("the probe has its outcome", STEP, || node.counters.usage().unwrap().attempts == 0).await;
+        assert_eq!(node.counters.probes_answered.get(), 0, "{case}");
         let line = |worker: &Worker, id| worker.line(id, "in_service");
         let listed = bad.iter().map(|b| line(b, "s-1")).chain([line(&good, "s-2")]).collect();
         node.list(2, listed).await;
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -50,7 +50,7 @@
     let mut before = worker.take().await;
     before.begin().await;
     before.say(json!({"state": "started"})).await;
-    while old.counters.word.get() < 1 {
+    while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
     before.write("38\r\n{\"id\":\"9b1f03aa").await; // a line that is cut, here and there
@@ -72,7 +72,7 @@
         assert_eq!(client.answer().await.unwrap().body, result);
     }
     assert_eq!(
-        (old.counters.moved.get(), new.counters.adopted.get()),
+        (old.counters.transferred_out.get(), new.counters.transferred_in.get()),
         (1, 1),
         "it ran on in the new process"
     );
@@ -116,7 +116,7 @@
     client.tell(&request("lodge", "9b1f03aa5c7e2d41", 60.0, "")).await;
     let mut seen = worker.take().await;
     seen.begin().await;
-    while old.counters.word.get() < 1 {
+    while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
     let (_listener, before) = find(&place).await.unwrap();
@@ -130,7 +130,7 @@
     assert!(offered.recv().await.unwrap().contains("9b1f03aa5c7e2d41"));
     seen.say(json!({"state": "done", "result": "r"})).await;
     let got = client.answer().await.unwrap();
-    assert_eq!((got.status, got.body.as_str(), old.counters.moved.get()), (200, "r", 0));
+    assert_eq!((got.status, got.body.as_str(), old.counters.transferred_out.get()), (200, "r", 0));
     follow.abort();
     std::fs::remove_file(place).unwrap();
 }
@@ -216,7 +216,7 @@
         clients.push(client);
         seen.push(came);
     }
-    while old.counters.word.get() < 2 {
+    while old.counters.acknowledged.get() < 2 {
         yield_now().await;
     }
     let mut link = Link(tokio::net::UnixStream::connect(&place).await.unwrap());
