--- a/node/src/duties/lists.rs
+++ b/node/src/duties/lists.rs
@@ -2,7 +2,7 @@
 
 use super::ListsShown;
 use crate::list::{ListBody, Member};
-use crate::platform::Shared;
+use crate::platform::ListSharing;
 use ::fleet::{hash, Peer};
 use duties::{Gossip, Line, ListChange, Spread, Step};
 use std::net::SocketAddr;
@@ -45,7 +45,10 @@
 
 impl Lists {
     /// Both sides, where lists are shared.
-    pub fn pair(on: bool, place: watch::Receiver<Option<SocketAddr>>) -> (Option<Lists>, Option<Shared>) {
+    pub fn pair(
+        on: bool,
+        place: watch::Receiver<Option<SocketAddr>>,
+    ) -> (Option<Lists>, Option<ListSharing>) {
         if !on {
             return (None, None);
         }
@@ -62,7 +65,10 @@
             failed_at: None,
             place,
         };
-        (Some(lists), Some(Shared { asks: follow_asks, fed, told: tell, down }))
+        (
+            Some(lists),
+            Some(ListSharing { watches: follow_asks, received: fed, publish: tell, unreachable: down }),
+        )
     }
 
     /// The node's name, before anything else.
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -30,7 +30,7 @@
 use counters::Counters;
 use management::Management;
 use phase::Phases;
-use platform::Links;
+use platform::Dependencies;
 use reload::Reload;
 use signals::{Command, Signals};
 use std::path::PathBuf;
@@ -184,9 +184,18 @@
                     };
                     let counters = counters[0].clone();
                     let (phases, fleet) = (phases.clone(), fleet.clone());
-                    let links =
-                        Links { counters, phases, discovery, tuning, ready, before, place, fleet, shared };
-                    platform::serve(config, listener, links).await
+                    let dependencies = Dependencies {
+                        counters,
+                        phases,
+                        discovery,
+                        tuning,
+                        ready,
+                        predecessor: before,
+                        handover_path: place,
+                        fleet,
+                        list_sharing: shared,
+                    };
+                    platform::serve(config, listener, dependencies).await
                 }
                 None => Ok(()),
             }
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -1,11 +1,11 @@
 //! One attempt at a worker, from its connection to its one outcome.
 
 use super::fields::{self, News};
-use super::in_flight_ids::Id;
+use super::in_flight_ids::InFlightId;
 use super::job_handover::{Adopted, Line};
-use super::pool::{Connection, NoConnection, Pool};
-use super::send_guard::Barred;
-use super::socket::Observer;
+use super::pool::{ConnectError, Connection, Pool};
+use super::send_guard::SendBlocked;
+use super::socket::PeerObserver;
 use super::Job;
 use crate::counters::Counters;
 use crate::dispatcher::{Handle, Tag};
@@ -35,20 +35,20 @@
 
 /// What goes on unchanged.
 pub struct Parcel {
-    pub id: Arc<Id>,
+    pub id: Arc<InFlightId>,
     pub key: Option<HeaderValue>,
     pub target: PathAndQuery,
     pub body: Bytes,
     /// Where its connection can be found.
     pub line: Arc<Line>,
     /// Its client's connection.
-    pub client: Option<Observer>,
+    pub client: Option<PeerObserver>,
     /// An attempt that another process made, to go on with.
     pub adopted: Option<Adopted>,
 }
 
 /// What attempts share.
-pub struct Carrier {
+pub struct AttemptRunner {
     pub handle: Handle<Job>,
     pub pool: Arc<Pool>,
     pub names: watch::Receiver<Arc<Names>>,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Carrier {
+impl AttemptRunner {
     /// Carries one attempt through and reports its one outcome.
     pub async fn carry(
         self: Arc<Self>,
@@ -126,7 +126,7 @@
                 self.pool.adopt(adopted, parcel.body.len()).await.ok_or(End::plain(Outcome::Reset))
             }
             None => self.pool.connect(worker).await.map_err(|why| End {
-                blameless: why == NoConnection::Here,
+                blameless: why == ConnectError::Here,
                 ..End::plain(Outcome::ConnectFailed)
             }),
         };
@@ -150,17 +150,18 @@
             Ok(response) => self.read(tag, parcel, response).await,
             Err(e) => {
                 log::debug!("attempt {tag:?}: {e}");
-                if let Some(barred) = connection.guard.barred() {
+                if let Some(barred) = connection.guard.blocked_by() {
                     self.counters.held_back.add();
                     log::debug!(request = tag.id, attempt = tag.attempt, reason:? = barred; "held back");
                     return match barred {
-                        Barred::ClientLeft => End::plain(Outcome::Cancelled),
-                        Barred::Overdue | Barred::Withdrawn => {
+                        SendBlocked::ClientLeft => End::plain(Outcome::Cancelled),
+                        SendBlocked::Overdue | SendBlocked::Withdrawn => {
                             End { blameless: true, ..End::plain(Outcome::ConnectFailed) }
                         }
                     };
                 }
-                let whole = again || connection.meter.lock().map_or(true, |w| w.whole(parcel.body.len()));
+                let whole =
+                    again || connection.meter.lock().map_or(true, |w| w.is_complete(parcel.body.len()));
                 // Unless some of the request surely is still here, it may have run.
                 let outcome = if whole { Outcome::Reset } else { Outcome::ConnectFailed };
                 // One that breaks on a kept connection with no word on this job: idle connections break unseen.
@@ -175,14 +176,14 @@
         connection.guard.arm(move || {
             // Whether or not an attempt may be called off: of one that has not begun, nothing need go out.
             let unwanted = line.unwanted.load(Ordering::Relaxed);
-            if unwanted || client.is_some_and(|client| client.has_ended()) {
-                return Err(Barred::ClientLeft);
+            if unwanted || client.is_some_and(|client| client.is_peer_closed()) {
+                return Err(SendBlocked::ClientLeft);
             }
             if Instant::now() >= until {
-                return Err(Barred::Overdue);
+                return Err(SendBlocked::Overdue);
             }
             if !pool.may_begin(worker) {
-                return Err(Barred::Withdrawn);
+                return Err(SendBlocked::Withdrawn);
             }
             Ok(())
         });
--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -1,6 +1,6 @@
 //! The descriptors for clients: who has one, and who gives one up where there is none left.
 
-use super::framing::{Quiet, Watcher};
+use super::framing::{IdleState, MessageMonitor};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,7 +17,7 @@
 
 /// Who goes first. Those that asked for nothing; then those between two requests, for closing these harms nobody;
 /// then those that write, the one that paused for longest; last those that have only just come.
-fn turn(quiet: &Quiet, now: Instant) -> (u8, Instant) {
+fn turn(quiet: &IdleState, now: Instant) -> (u8, Instant) {
     let rank = match (quiet.begun, quiet.answered) {
         (true, _) => 2,
         (false, true) => 1,
@@ -30,11 +30,11 @@
 #[derive(Default)]
 struct Seats {
     next: u64,
-    quiet: BTreeMap<u64, (Watcher, Arc<Notify>)>,
+    quiet: BTreeMap<u64, (MessageMonitor, Arc<Notify>)>,
 }
 
-/// Room for so many connections.
-pub struct Room {
+/// ConnectionSlots for so many connections.
+pub struct ConnectionSlots {
     taken: AtomicUsize,
     freed: Notify,
     owed: AtomicUsize, // places taken ahead of their being there
@@ -42,11 +42,11 @@
     seats: Mutex<Seats>,
 }
 
-impl Room {
+impl ConnectionSlots {
     /// With this many places.
-    pub fn new(size: usize) -> Arc<Room> {
+    pub fn new(size: usize) -> Arc<ConnectionSlots> {
         let permits = Arc::new(Semaphore::new(size));
-        Arc::new(Room {
+        Arc::new(ConnectionSlots {
             taken: AtomicUsize::new(0),
             freed: Notify::new(),
             owed: AtomicUsize::new(0),
@@ -61,7 +61,7 @@
 
     /// A place for a new connection. Where there is none, the quiet one whose turn it is makes way; `None`
     /// where all are at work.
-    pub async fn seat(self: &Arc<Room>, watcher: &Watcher) -> Option<Seat> {
+    pub async fn acquire(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor) -> Option<Slot> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
@@ -72,7 +72,7 @@
         Some(self.place(watcher, permit))
     }
 
-    fn place(self: &Arc<Room>, watcher: &Watcher, permit: OwnedSemaphorePermit) -> Seat {
+    fn place(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor, permit: OwnedSemaphorePermit) -> Slot {
         let number = {
             let mut seats = self.seats();
             seats.next += 1;
@@ -80,7 +80,7 @@
         };
         let (asked, watcher) = (Arc::default(), watcher.clone());
         self.taken.fetch_add(1, Ordering::Relaxed);
-        let seat = Seat { room: self.clone(), number, watcher, asked, _permit: permit };
+        let seat = Slot { room: self.clone(), number, watcher, asked, _permit: permit };
         seat.rest();
         seat
     }
@@ -88,13 +88,14 @@
     /// Takes out who is to make way.
     fn first(&self) -> Option<Arc<Notify>> {
         let (mut seats, now) = (self.seats(), Instant::now());
-        let turns = seats.quiet.iter().map(|(number, (watcher, _))| (turn(&watcher.quiet(), now), *number));
+        let turns =
+            seats.quiet.iter().map(|(number, (watcher, _))| (turn(&watcher.idle_state(), now), *number));
         let (_, number) = turns.min()?;
         seats.quiet.remove(&number).map(|(_, asked)| asked)
     }
 
     /// A place for a connection that another process gives up, whether there is one or not.
-    pub fn moved(self: &Arc<Room>, watcher: &Watcher) -> Option<Seat> {
+    pub fn acquire_transferred(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor) -> Option<Slot> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|_| {
             self.grow(1);
             self.owed.fetch_add(1, Ordering::Relaxed);
@@ -136,27 +137,27 @@
 }
 
 #[cfg(test)]
-impl Room {
+impl ConnectionSlots {
     /// So many places at once, with a request at work at each.
-    pub fn at_work_now(self: &Arc<Room>, n: usize) -> Vec<Seat> {
-        let watcher = super::framing::Gate::new(()).watcher();
+    pub fn at_work_now(self: &Arc<ConnectionSlots>, n: usize) -> Vec<Slot> {
+        let watcher = super::framing::MonitoredStream::new(()).monitor();
         let seat = |_| self.place(&watcher, self.permits.clone().try_acquire_owned().unwrap());
-        let seats: Vec<Seat> = (0..n).map(seat).collect();
-        seats.iter().for_each(Seat::work);
+        let seats: Vec<Slot> = (0..n).map(seat).collect();
+        seats.iter().for_each(Slot::work);
         seats
     }
 }
 
 /// A connection's place.
-pub struct Seat {
-    room: Arc<Room>,
+pub struct Slot {
+    room: Arc<ConnectionSlots>,
     number: u64,
-    watcher: Watcher,
+    watcher: MessageMonitor,
     asked: Arc<Notify>,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Seat {
+impl Slot {
     /// The connection has nothing at work.
     pub fn rest(&self) {
         self.room.seats().quiet.insert(self.number, (self.watcher.clone(), self.asked.clone()));
@@ -177,11 +178,11 @@
     /// Returns once the connection is to make way, and says whether it had an answer.
     pub async fn make_way(&self) -> bool {
         self.asked.notified().await;
-        self.watcher.quiet().answered
+        self.watcher.idle_state().answered
     }
 }
 
-impl Drop for Seat {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.work();
         self.room.taken.fetch_sub(1, Ordering::Relaxed);
@@ -199,7 +200,7 @@
     async fn those_that_ask_for_nothing_make_way_before_those_that_write() {
         let now = Instant::now() + Duration::from_secs(9);
         let ago = |ms| now - Duration::from_millis(ms);
-        let quiet = |begun, answered, ms| Quiet { begun, answered, since: ago(ms) };
+        let quiet = |begun, answered, ms| IdleState { begun, answered, since: ago(ms) };
         let order = [
             quiet(false, false, 2000),
             quiet(false, false, 300),
--- a/node/src/platform/counted_writes.rs
+++ b/node/src/platform/counted_writes.rs
@@ -14,13 +14,13 @@
 
 /// How much of the current request the socket has taken, and what has come back since.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Written {
+pub struct RequestProgress {
     said: Vec<u8>,
     matched: usize, // bytes of the head's end seen in a row
     body: usize,    // bytes after it
 }
 
-impl Written {
+impl RequestProgress {
     /// Takes note of bytes that the socket took.
     pub fn note(&mut self, mut bytes: &[u8]) {
         while self.matched < HEAD_END.len() {
@@ -36,7 +36,7 @@
     }
 
     /// What has come back since the request was begun; `None` where it is too much to keep.
-    pub fn said(&self) -> Option<Bytes> {
+    pub fn response_so_far(&self) -> Option<Bytes> {
         (self.said.len() <= SAID_MAX).then(|| Bytes::copy_from_slice(&self.said))
     }
 
@@ -46,20 +46,20 @@
     }
 
     /// Whether a request with a body of this length is written to its last byte.
-    pub fn whole(&self, body: usize) -> bool {
+    pub fn is_complete(&self, body: usize) -> bool {
         self.matched == HEAD_END.len() && self.body >= body
     }
 }
 
 /// The count that a connection shares with who uses it.
-pub type Meter = Arc<Mutex<Written>>;
+pub type SharedProgress = Arc<Mutex<RequestProgress>>;
 
 /// A connection's socket that counts what it takes.
-pub struct Metered<S> {
+pub struct CountingStream<S> {
     /// The socket.
     pub socket: S,
     /// The count.
-    pub meter: Meter,
+    pub meter: SharedProgress,
     /// Asked before a request's first byte.
     pub guard: SendGuard,
     /// A request with a body of this length that another process has written already: it is counted and goes no
@@ -69,14 +69,14 @@
     pub reader: Option<Waker>,
 }
 
-impl<S> Metered<S> {
+impl<S> CountingStream<S> {
     /// A socket of this process.
-    pub fn new(socket: S, meter: Meter) -> Metered<S> {
-        Metered { socket, meter, guard: SendGuard::default(), written: None, reader: None }
+    pub fn new(socket: S, meter: SharedProgress) -> CountingStream<S> {
+        CountingStream { socket, meter, guard: SendGuard::default(), written: None, reader: None }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Metered<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         if self.written.is_some() {
             self.reader = Some(cx.waker().clone());
@@ -91,19 +91,19 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Metered<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let taken = match self.written {
             Some(_) => bytes.len(),
             None => {
-                self.guard.ask()?;
+                self.guard.check()?;
                 std::task::ready!(Pin::new(&mut self.socket).poll_write(cx, bytes))?
             }
         };
         let mut whole = false;
         if let Ok(mut written) = self.meter.lock() {
             written.note(&bytes[..taken]);
-            whole = self.written.is_some_and(|body| written.whole(body));
+            whole = self.written.is_some_and(|body| written.is_complete(body));
         }
         if whole {
             self.written = None;
@@ -133,12 +133,12 @@
             let head = head.replace('\n', "\r"); // a head's end only at its end
             let mut bytes = format!("{head}\r\n\r\n").into_bytes();
             bytes.extend_from_slice(&body);
-            let (mut written, mut at) = (Written::default(), 0);
+            let (mut written, mut at) = (RequestProgress::default(), 0);
             for cut in cuts.iter().map(|c| usize::from(*c)).chain([bytes.len()]) {
                 let to = (at + cut).min(bytes.len());
                 written.note(&bytes[at..to]);
                 at = to;
-                if written.whole(body.len()) != (at == bytes.len()) {
+                if written.is_complete(body.len()) != (at == bytes.len()) {
                     return false;
                 }
             }
@@ -153,8 +153,8 @@
     #[tokio::test]
     async fn a_request_that_another_process_wrote_is_not_written_again() {
         let (socket, mut peer) = duplex(64);
-        let meter = Meter::default();
-        let mut metered = Metered { written: Some(4), ..Metered::new(socket, meter.clone()) };
+        let meter = SharedProgress::default();
+        let mut metered = CountingStream { written: Some(4), ..CountingStream::new(socket, meter.clone()) };
         peer.write_all(b"said").await.unwrap();
         metered.write_all(b"POST / HTTP/1.1\r\n\r\nbo").await.unwrap();
         let mut four = [0; 4];
@@ -162,11 +162,14 @@
         assert!(early.is_err(), "no answer before the request");
         metered.write_all(b"dy").await.unwrap();
         metered.read_exact(&mut four).await.unwrap();
-        assert_eq!((&four, meter.lock().unwrap().said().as_deref()), (b"said", Some(&b"said"[..])));
+        assert_eq!(
+            (&four, meter.lock().unwrap().response_so_far().as_deref()),
+            (b"said", Some(&b"said"[..]))
+        );
         metered.write_all(b"next").await.unwrap();
         peer.read_exact(&mut four).await.unwrap();
         assert_eq!(&four, b"next");
         meter.lock().unwrap().heard(&[0; SAID_MAX]);
-        assert_eq!(meter.lock().unwrap().said(), None, "too much to keep");
+        assert_eq!(meter.lock().unwrap().response_so_far(), None, "too much to keep");
     }
 }
--- a/node/src/platform/follow.rs
+++ b/node/src/platform/endpoint_watch.rs
@@ -48,7 +48,7 @@
 const PAUSE_PUSHED_MAX: Duration = Duration::from_millis(200);
 
 /// Brings the worker list to the pool and the core.
-pub struct Lists {
+pub struct EndpointWatch {
     pub handle: Handle<Job>,
     pub pool: Arc<Pool>,
     pub names: watch::Receiver<Arc<Names>>,
@@ -60,21 +60,21 @@
     /// For random numbers.
     pub seed: u64,
     /// All workers, as told last.
-    pub latest: Arc<Mutex<ListBody>>,
+    pub latest_list: Arc<Mutex<ListBody>>,
     /// Where one node follows discovery for others: the way there and back.
-    pub shared: Option<Shared>,
+    pub shared: Option<ListSharing>,
 }
 
 /// How the nodes of a zone share their calls for lists.
-pub struct Shared {
+pub struct ListSharing {
     /// Whether discovery is asked from here.
-    pub asks: watch::Receiver<bool>,
-    /// Lists of the node that asks for all.
-    pub fed: mpsc::Receiver<ListBody>,
+    pub watches: watch::Receiver<bool>,
+    /// EndpointWatch of the node that asks for all.
+    pub received: mpsc::Receiver<ListBody>,
     /// What discovery told here.
-    pub told: mpsc::Sender<ListBody>,
+    pub publish: mpsc::Sender<ListBody>,
     /// Whether discovery gives no answer here.
-    pub down: Arc<AtomicBool>,
+    pub unreachable: Arc<AtomicBool>,
 }
 
 /// A word of those who share.
@@ -83,13 +83,13 @@
     Fed(ListBody),
 }
 
-impl Shared {
+impl ListSharing {
     /// The next word; none comes where nothing is shared, or no more.
-    async fn next(shared: &mut Option<Shared>) -> Word {
-        if let Some(Shared { asks, fed, .. }) = shared {
+    async fn next(shared: &mut Option<ListSharing>) -> Word {
+        if let Some(ListSharing { watches, received, .. }) = shared {
             tokio::select! {
-                Ok(()) = asks.changed() => return Word::Ask(*asks.borrow_and_update()),
-                Some(list) = fed.recv() => return Word::Fed(list),
+                Ok(()) = watches.changed() => return Word::Ask(*watches.borrow_and_update()),
+                Some(list) = received.recv() => return Word::Fed(list),
                 else => {}
             }
         }
@@ -100,11 +100,11 @@
 type Sender = SendRequest<Empty<Bytes>>;
 type Place = watch::Receiver<Option<SocketAddr>>;
 
-impl Lists {
+impl EndpointWatch {
     /// Feeds the list that was known, then all that discovery tells, wherever it is at each moment.
     pub async fn follow(mut self, mut place: Place, known: Option<ListBody>) {
         let mut shared = self.shared.take();
-        let down = shared.as_ref().map_or_else(Arc::default, |s| s.down.clone());
+        let down = shared.as_ref().map_or_else(Arc::default, |s| s.unreachable.clone());
         // The list that was known is a version of discovery's own: it tells what has changed since.
         let mut version = known.as_ref().map(|known| known.revision);
         if let Some(known) = known {
@@ -124,7 +124,7 @@
                     let at = *place.borrow_and_update();
                     next = start(at, None, &place);
                 }
-                word = Shared::next(&mut shared) => match word {
+                word = ListSharing::next(&mut shared) => match word {
                     Word::Ask(true) => source = start(*place.borrow(), version, &place),
                     Word::Ask(false) => source = None,
                     Word::Fed(list) => {
@@ -146,11 +146,11 @@
         }
     }
 
-    fn told(&self, shared: &Option<Shared>, list: ListBody) {
+    fn told(&self, shared: &Option<ListSharing>, list: ListBody) {
         self.take(&list);
         if let Some(shared) = shared {
             // One that finds no room is made up for by the whole list of later.
-            let _ = shared.told.try_send(list);
+            let _ = shared.publish.try_send(list);
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     fn feed(&self, list: &ListBody) {
-        self.latest.lock().unwrap_or_else(PoisonError::into_inner).merge(list);
+        self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).merge(list);
         self.pool.listed(&list.members, list.complete);
         // One without changes too: who begins to stand in the next one has started since.
         let names = self.names.borrow().clone();
--- a/node/src/platform/framing.rs
+++ b/node/src/platform/framing.rs
@@ -134,7 +134,7 @@
 
 /// How a connection is quiet that has no request at work.
 #[derive(Clone, Copy, Debug)]
-pub struct Quiet {
+pub struct IdleState {
     /// Part of a message has come.
     pub begun: bool,
     /// An earlier one had its answer.
@@ -145,9 +145,9 @@
 
 /// What a connection's service shares with its socket.
 #[derive(Clone)]
-pub struct Watcher(Arc<Mutex<State>>);
+pub struct MessageMonitor(Arc<Mutex<State>>);
 
-impl Watcher {
+impl MessageMonitor {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -158,30 +158,30 @@
     }
 
     /// By when the message that is coming in has to be whole.
-    pub fn until(&self) -> Instant {
+    pub fn message_deadline(&self) -> Instant {
         self.state().until.unwrap_or_else(|| Instant::now() + MESSAGE_WAIT)
     }
 
     /// Whether nothing follows on the message that is at work.
-    pub fn settled(&self) -> bool {
+    pub fn is_between_messages(&self) -> bool {
         self.state().messages.between()
     }
 
     /// How the connection is quiet.
-    pub fn quiet(&self) -> Quiet {
+    pub fn idle_state(&self) -> IdleState {
         let state = self.state();
         let begun = !state.messages.between();
-        Quiet { begun, answered: state.answered, since: state.heard }
+        IdleState { begun, answered: state.answered, since: state.heard }
     }
 
     /// The message is whole; its answer may take its time.
-    pub fn whole(&self) {
+    pub fn request_complete(&self) {
         let mut state = self.state();
         (state.until, state.serving) = (None, true);
     }
 
     /// It has its answer. The next one's time runs from its own first byte, which may have come by now.
-    pub fn answered(&self) {
+    pub fn response_sent(&self) {
         let mut state = self.state();
         let begun = !state.messages.between();
         (state.answered, state.heard) = (true, Instant::now());
@@ -190,15 +190,15 @@
 }
 
 /// A client's socket.
-pub struct Gate<S> {
+pub struct MonitoredStream<S> {
     socket: S,
-    watcher: Watcher,
+    watcher: MessageMonitor,
     timer: Pin<Box<Sleep>>,
 }
 
-impl<S> Gate<S> {
+impl<S> MonitoredStream<S> {
     /// Starts with the time of the first message, which runs from now.
-    pub fn new(socket: S) -> Gate<S> {
+    pub fn new(socket: S) -> MonitoredStream<S> {
         let until = Instant::now() + MESSAGE_WAIT;
         let state = State {
             messages: Messages::default(),
@@ -207,7 +207,11 @@
             until: Some(until),
             serving: false,
         };
-        Gate { socket, watcher: Watcher(Arc::new(Mutex::new(state))), timer: Box::pin(sleep_until(until)) }
+        MonitoredStream {
+            socket,
+            watcher: MessageMonitor(Arc::new(Mutex::new(state))),
+            timer: Box::pin(sleep_until(until)),
+        }
     }
 
     /// What it reads from.
@@ -216,12 +220,12 @@
     }
 
     /// For the connection's service.
-    pub fn watcher(&self) -> Watcher {
+    pub fn monitor(&self) -> MessageMonitor {
         self.watcher.clone()
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Gate<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MonitoredStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let ready = Pin::new(&mut self.socket).poll_read(cx, buf)?.is_ready();
@@ -249,7 +253,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Gate<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.socket).poll_write(cx, bytes)
     }
@@ -275,17 +279,17 @@
     async fn a_head_is_bounded_in_time_and_an_idle_connection_is_not() {
         let hour = Duration::from_secs(3600);
         let (mut client, node) = duplex(1024);
-        let mut gate = Gate::new(node);
-        let watcher = gate.watcher();
+        let mut gate = MonitoredStream::new(node);
+        let watcher = gate.monitor();
         let start = Instant::now();
         let mut buffer = [0; 1024];
         client.write_all(b"GET /up HT").await.unwrap();
         assert!(gate.read(&mut buffer).await.is_ok());
         client.write_all(b"TP/1.1\r\n\r\n").await.unwrap();
         assert!(gate.read(&mut buffer).await.is_ok());
-        watcher.whole();
+        watcher.request_complete();
         assert!(timeout(hour, gate.read(&mut buffer)).await.is_err(), "an answer may take its time");
-        watcher.answered();
+        watcher.response_sent();
         assert!(timeout(hour, gate.read(&mut buffer)).await.is_err(), "idle between requests");
         client.write_all(b"G").await.unwrap();
         assert!(gate.read(&mut buffer).await.is_ok());
@@ -293,7 +297,8 @@
         assert_eq!(gate.read(&mut buffer).await.unwrap_err().kind(), io::ErrorKind::TimedOut);
         assert_eq!(begun.elapsed().as_millis(), MESSAGE_WAIT.as_millis());
         let (_client, node) = duplex(1024);
-        let (silent, at) = (Gate::new(node).read(&mut buffer).await, start + 2 * hour + 2 * MESSAGE_WAIT);
+        let (silent, at) =
+            (MonitoredStream::new(node).read(&mut buffer).await, start + 2 * hour + 2 * MESSAGE_WAIT);
         assert!(silent.is_err() && (Instant::now() - at).as_millis() <= 10, "a timer may be some ms late");
     }
 
--- a/node/src/platform/in_flight_ids.rs
+++ b/node/src/platform/in_flight_ids.rs
@@ -6,17 +6,17 @@
 
 /// The ids that are open.
 #[derive(Clone, Default)]
-pub struct Ids(Arc<Mutex<HashSet<HeaderValue>>>);
+pub struct InFlightIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
-impl Ids {
+impl InFlightIds {
     /// Opens an id; `None` where it is open already.
-    pub fn open(&self, value: HeaderValue) -> Option<Arc<Id>> {
+    pub fn open(&self, value: HeaderValue) -> Option<Arc<InFlightId>> {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.insert(value.clone()).then(|| Arc::new(Id { value, all: self.clone() }))
+        all.insert(value.clone()).then(|| Arc::new(InFlightId { value, all: self.clone() }))
     }
 }
 
-impl Ids {
+impl InFlightIds {
     /// How many are open.
     pub fn len(&self) -> usize {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).len()
@@ -30,13 +30,13 @@
 }
 
 /// An open id. It closes once the request is answered and no attempt is out: when the last hold on it goes.
-pub struct Id {
+pub struct InFlightId {
     /// As it came.
     pub value: HeaderValue,
-    all: Ids,
+    all: InFlightIds,
 }
 
-impl Drop for Id {
+impl Drop for InFlightId {
     fn drop(&mut self) {
         self.all.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.value);
     }
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -1,8 +1,8 @@
 //! Jobs that run while another process takes the node's place go on there: their client's and their worker's socket
 //! with what either has said so far, which the new process plays back into connections of its own.
 
-use super::counted_writes::Meter;
-use super::framing::Watcher;
+use super::counted_writes::SharedProgress;
+use super::framing::MessageMonitor;
 use super::socket::SocketHandle;
 use super::Job;
 use crate::dispatcher::{Handle, Sent};
@@ -26,7 +26,7 @@
     /// Its socket.
     pub socket_handle: SocketHandle,
     /// Where its messages end.
-    pub watcher: Watcher,
+    pub watcher: MessageMonitor,
     /// Told once nothing more is to be done with it here: it has moved, or its client has left.
     pub over: Arc<Notify>,
     /// It is another process's.
@@ -45,7 +45,7 @@
 #[derive(Default)]
 pub struct Line {
     /// The socket, what has passed over it, and where it leads.
-    pub link: Mutex<Option<(SocketHandle, Meter, SocketAddr)>>,
+    pub link: Mutex<Option<(SocketHandle, SharedProgress, SocketAddr)>>,
     /// It is another process's: its end is not this one's to report.
     pub moved: AtomicBool,
     /// Its client has left: what is not on its way need not go.
@@ -96,8 +96,12 @@
         let client = job.client.as_ref()?;
         let link = hold.line.link.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let (socket_handle, meter, address) = link?;
-        let said = meter.lock().ok().filter(|m| m.whole(job.body.len())).and_then(|m| m.said())?;
-        if !client.watcher.settled() || !client.socket_handle.is_played() || !socket_handle.is_played() {
+        let said =
+            meter.lock().ok().filter(|m| m.is_complete(job.body.len())).and_then(|m| m.response_so_far())?;
+        if !client.watcher.is_between_messages()
+            || !client.socket_handle.is_replay_done()
+            || !socket_handle.is_replay_done()
+        {
             return None;
         }
         let text = |value: &hyper::header::HeaderValue| value.to_str().ok().map(String::from);
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -4,8 +4,8 @@
 mod attempt;
 mod connection_slots;
 mod counted_writes;
+mod endpoint_watch;
 pub mod fields;
-mod follow;
 mod framing;
 mod in_flight_ids;
 mod job_handover;
@@ -17,7 +17,7 @@
 mod server;
 pub mod socket;
 
-pub use follow::Shared;
+pub use endpoint_watch::ListSharing;
 pub use server::listen;
 
 use crate::config::Config;
@@ -29,14 +29,14 @@
 use crate::retune::Tuning;
 use crate::upgrade::{self, Before, Held, Lifted};
 use ::fleet::{FleetSize, RATES_MAX};
-use attempt::Carrier;
+use attempt::AttemptRunner;
 use bytes::Bytes;
 use dewlever::api::{Outcome, Request, Settings, WorkerId};
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
 use job_handover::{Adopted, Hold, Line, Moving};
-use peers::Datagrams;
-use resource_budget::Stock;
+use peers::PeerSocket;
+use resource_budget::ResourceBudget;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
 
 /// A request as it goes on to workers, and the way back to its client.
 pub struct Job {
-    id: Arc<in_flight_ids::Id>,
+    id: Arc<in_flight_ids::InFlightId>,
     key: Option<HeaderValue>,
     target: PathAndQuery,
     body: Bytes,
@@ -63,7 +63,7 @@
 
 /// The platform's front.
 struct Platform {
-    carrier: Arc<Carrier>,
+    runner: Arc<AttemptRunner>,
     lifted: Arc<Mutex<Vec<Lifted>>>,
     peers: Option<Way>,
 }
@@ -84,12 +84,12 @@
             client: job.client.as_ref().map(|client| client.socket_handle.observer()),
             adopted: job.adopted.lock().unwrap_or_else(PoisonError::into_inner).take(),
         };
-        tokio::spawn(self.carrier.clone().carry(tag, parcel, worker, until, stopped));
+        tokio::spawn(self.runner.clone().carry(tag, parcel, worker, until, stopped));
         Hold { stop, line }
     }
 
     fn is_awaited(&self, job: &Job) -> bool {
-        job.client.as_ref().is_none_or(|client| !client.socket_handle.has_ended())
+        job.client.as_ref().is_none_or(|client| !client.socket_handle.is_peer_closed())
     }
 
     fn stop(&mut self, attempt: Self::Attempt, why: Outcome) {
@@ -102,9 +102,9 @@
     }
 
     fn lift(&mut self, tag: Tag, sent: &Sent, job: &Job, hold: &Hold) {
-        let moving = Moving::lift(sent, job, hold, &self.carrier.names.borrow());
+        let moving = Moving::lift(sent, job, hold, &self.runner.names.borrow());
         let lifted =
-            moving.and_then(|moving| job_handover::lifted(&self.carrier.handle, tag, job, hold, moving));
+            moving.and_then(|moving| job_handover::lifted(&self.runner.handle, tag, job, hold, moving));
         self.lifted.lock().unwrap_or_else(PoisonError::into_inner).extend(lifted);
     }
 
@@ -114,25 +114,25 @@
     }
 
     fn release(&mut self, worker: WorkerId) {
-        self.carrier.pool.release(worker);
+        self.runner.pool.release(worker);
     }
 
     fn probe(&mut self, worker: WorkerId) -> bool {
-        tokio::spawn(probe::carry(self.carrier.clone(), worker));
+        tokio::spawn(probe::carry(self.runner.clone(), worker));
         true
     }
 
     fn tell(&mut self, to: u32, rates: &[u8]) {
         match &self.peers {
             Some(Way::Fleet(peers)) => peers.tell(to, rates),
-            Some(Way::Datagrams(peers)) => peers.tell(to, rates),
+            Some(Way::PeerSocket(peers)) => peers.tell(to, rates),
             None => {}
         }
     }
 }
 
 /// What ties the front to its process.
-pub struct Links {
+pub struct Dependencies {
     /// What it counts.
     pub counters: Arc<Counters>,
     /// Where the process is between its start and its end.
@@ -144,13 +144,13 @@
     /// Set once it can serve.
     pub ready: watch::Sender<bool>,
     /// The process that this one takes over from, less its listener.
-    pub before: Option<Before>,
+    pub predecessor: Option<Before>,
     /// Where the next one asks.
-    pub place: Option<PathBuf>,
+    pub handover_path: Option<PathBuf>,
     /// The talk between nodes, where it is on.
     pub fleet: Option<fleet::Handle>,
     /// How calls for lists are shared, where they are.
-    pub shared: Option<Shared>,
+    pub list_sharing: Option<ListSharing>,
 }
 
 /// The settings with what this wire adds: a worker answers 200 once it has taken a job, and its connection may take as long
@@ -175,7 +175,7 @@
     /// By the fleet's sealed messages, where an operator's file switches them on.
     Fleet(Peers),
     /// By the platform's own datagrams, where its settings allow them.
-    Datagrams(Arc<Datagrams>),
+    PeerSocket(Arc<PeerSocket>),
 }
 
 /// What other nodes are told, and tell: by name on the wire, by number in the module.
@@ -214,27 +214,37 @@
 
 /// Serves the platform, with discovery where `discovery` says at each moment, until the node is told to stop, or
 /// another process has taken its place, and all that was taken is answered.
-pub async fn serve(config: Config, listener: TcpListener, links: Links) -> Result<(), String> {
-    let Links { counters, phases, discovery, mut tuning, ready, before, place, fleet, shared } = links;
+pub async fn serve(config: Config, listener: TcpListener, dependencies: Dependencies) -> Result<(), String> {
+    let Dependencies {
+        counters,
+        phases,
+        discovery,
+        mut tuning,
+        ready,
+        predecessor,
+        handover_path,
+        fleet,
+        list_sharing,
+    } = dependencies;
     let Config { seed, limits, .. } = config;
     let Tuning { settings, names: first } = tuning.borrow_and_update().clone();
     let (tell_names, names) = watch::channel(Arc::new(first.clone()));
     let (handle, inbox): (Handle<Job>, _) = queue();
     let (mut known, mut other, mut ids, mut remains) = (config.known, Held::default(), Vec::new(), None);
-    if let Some(before) = before {
+    if let Some(before) = predecessor {
         ids = before.state.ids.clone();
         known = Some(before.state.known.clone());
         let (held, link) = before.replace().await;
         (other, remains) = (held, Some(link));
     }
     let (siblings, asked) = (settings.siblings, settings.list_asked);
-    let stock = Arc::new(Stock::new(handle.clone(), limits, other, &first, counters.clone()));
+    let budget = Arc::new(ResourceBudget::new(handle.clone(), limits, other, &first, counters.clone()));
     counters.look({
-        let stock = Arc::downgrade(&stock);
-        move || stock.upgrade().map_or(Holdings::default(), |stock| stock.holdings())
+        let budget = Arc::downgrade(&budget);
+        move || budget.upgrade().map_or(Holdings::default(), |budget| budget.holdings())
     });
-    let pool = stock.pool.clone();
-    let carrier = Arc::new(Carrier {
+    let pool = budget.pool.clone();
+    let runner = Arc::new(AttemptRunner {
         handle: handle.clone(),
         pool: pool.clone(),
         names: names.clone(),
@@ -250,20 +260,20 @@
     let way = match (peers(), config.peer_listen.filter(|_| settings.peers)) {
         (Some(peers), _) => Some(Way::Fleet(peers)),
         (None, Some(at)) => {
-            let bound = Datagrams::bind(at, config.peers, names.clone(), counters.clone());
+            let bound = PeerSocket::bind(at, config.peers, names.clone(), counters.clone());
             let peers = Arc::new(bound.map_err(|e| format!("cannot listen on {at} (peers): {e}"))?);
             let (hears, handle) = (peers.clone(), handle.clone());
             tokio::spawn(async move { hears.follow(handle).await });
-            Some(Way::Datagrams(peers))
+            Some(Way::PeerSocket(peers))
         }
         (None, None) => None,
     };
-    let front = Platform { carrier, lifted: stock.lifted.clone(), peers: way };
+    let front = Platform { runner, lifted: budget.lifted.clone(), peers: way };
     let core = Dispatcher::new(platform(settings, &first, None), seed, front, counters.clone());
     let core = core.map_err(|e| format!("settings: {e}"))?;
     let core = tokio::spawn(core.run(inbox));
     tokio::spawn(pool.clone().sweep());
-    let lists = follow::Lists {
+    let lists = endpoint_watch::EndpointWatch {
         handle: handle.clone(),
         pool,
         names: names.clone(),
@@ -271,12 +281,12 @@
         siblings,
         asked,
         seed,
-        latest: stock.latest.clone(),
-        shared,
+        latest_list: budget.latest_list.clone(),
+        shared: list_sharing,
     };
     tokio::spawn(lists.follow(discovery, known));
     tokio::spawn({
-        let (handle, pool) = (handle.clone(), stock.pool.clone());
+        let (handle, pool) = (handle.clone(), budget.pool.clone());
         let mut fleet_size = fleet.as_ref().map(|f| f.fleet_size());
         async move {
             loop {
@@ -304,24 +314,24 @@
         }
     });
     let listener = Arc::new(listener);
-    if let Some(place) = place {
-        let (listener, phases, stock) = (Arc::downgrade(&listener), phases.clone(), stock.clone());
+    if let Some(place) = handover_path {
+        let (listener, phases, budget) = (Arc::downgrade(&listener), phases.clone(), budget.clone());
         let fleet = fleet.clone();
         let displaced = move || fleet.iter().for_each(fleet::Handle::suspend);
-        tokio::spawn(async move { upgrade::offer(&place, listener, &phases, &*stock, displaced).await });
+        tokio::spawn(async move { upgrade::offer(&place, listener, &phases, &*budget, displaced).await });
     }
-    let server = Arc::new(server::Server { handle, names, counters, stock, phase: phases.follow(), phases });
+    let server = Arc::new(server::Server { handle, names, counters, budget, phase: phases.follow(), phases });
     if let Some(remains) = remains {
         // The other process's open ids stay closed here until their jobs come over, or it ends.
         let ids = ids.into_iter().filter_map(|id| {
-            let open = server.stock.ids.open(HeaderValue::from_str(&id).ok()?)?;
+            let open = server.budget.in_flight_ids.open(HeaderValue::from_str(&id).ok()?)?;
             Some((id, open))
         });
         let (mut ids, server): (HashMap<_, _>, _) = (ids.collect(), server.clone());
         tokio::spawn(async move {
             remains
                 .follow(
-                    |held| server.stock.share(held),
+                    |held| server.budget.update_peer_usage(held),
                     |text, sockets| server.adopt(text, sockets, &mut ids),
                 )
                 .await;
--- a/node/src/platform/peers.rs
+++ b/node/src/platform/peers.rs
@@ -22,7 +22,7 @@
 const HEAD: usize = 9;
 /// After which a node that said nothing may have started anew: all tell oftener by far.
 const SILENCE: Duration = Duration::from_secs(5);
-/// Datagrams read in a second for each peer, whoever sent them: all tell seldomer by far.
+/// PeerSocket read in a second for each peer, whoever sent them: all tell seldomer by far.
 const READ: usize = 50;
 
 /// A datagram with what the module tells; `None` for what does not fit.
@@ -49,7 +49,7 @@
 }
 
 /// The socket, and who the others are.
-pub struct Datagrams {
+pub struct PeerSocket {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
     names: watch::Receiver<Arc<Names>>,
@@ -73,15 +73,15 @@
     }
 }
 
-impl Datagrams {
+impl PeerSocket {
     /// Binds. Beside a process of this node that serves on, the newer one's socket is the one that hears.
     pub fn bind(
         at: SocketAddr,
         peers: Vec<SocketAddr>,
         names: watch::Receiver<Arc<Names>>,
         counters: Arc<Counters>,
-    ) -> io::Result<Datagrams> {
-        Ok(Datagrams { socket: datagrams(at)?, peers, names, counters, clock: Clock::start() })
+    ) -> io::Result<PeerSocket> {
+        Ok(PeerSocket { socket: datagrams(at)?, peers, names, counters, clock: Clock::start() })
     }
 
     /// Tells another node, by its number. One that can't go out now is lost, as on its way.
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to workers: one request at a time on each, idle ones kept for a while.
 
-use super::counted_writes::{Meter, Metered, Written};
+use super::counted_writes::{CountingStream, RequestProgress, SharedProgress};
 use super::job_handover::Adopted;
 use super::send_guard::SendGuard;
 use super::socket::{Socket, SocketHandle};
@@ -33,7 +33,7 @@
 
 /// Why there is no connection to a worker. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// The worker, or the way there, did not take it.
     NotTaken,
     /// This node has no descriptor left, or none of its own errors passed in time: that tells nothing of the worker.
@@ -45,7 +45,7 @@
     /// Takes the next request.
     pub sender: SendRequest<Full<Bytes>>,
     /// What the socket has taken of the current one.
-    pub meter: Meter,
+    pub meter: SharedProgress,
     /// Asked before its first byte.
     pub guard: SendGuard,
     /// The other end.
@@ -136,7 +136,7 @@
         *self.times.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Room for so many connections more, less what was taken ahead of that.
+    /// ConnectionSlots for so many connections more, less what was taken ahead of that.
     pub fn share(&self, connections: usize) {
         let owed = self.owed.load(Ordering::Relaxed).min(connections);
         self.owed.fetch_sub(owed, Ordering::Relaxed);
@@ -159,7 +159,7 @@
     }
 
     /// Closes all idle connections.
-    pub fn let_go(&self) {
+    pub fn close_idle(&self) {
         self.lines().values_mut().for_each(|l| l.idle.clear());
     }
 
@@ -198,18 +198,18 @@
     ///
     /// # Errors
     /// Why there is none within the settings' time.
-    pub async fn connect(&self, worker: WorkerId) -> Result<Connection, NoConnection> {
+    pub async fn connect(&self, worker: WorkerId) -> Result<Connection, ConnectError> {
         let times = self.current();
         let address = {
             let mut lines = self.lines();
-            let line = lines.get_mut(&worker).ok_or(NoConnection::NotTaken)?;
+            let line = lines.get_mut(&worker).ok_or(ConnectError::NotTaken)?;
             while let Some(connection) = line.idle.pop() {
                 let young = connection.idle_since.elapsed() < times.keep;
                 // Guards the next request against what its worker has just said or done here and nobody has read: a second
                 // answer would be taken for this one's, and a close for a break under it.
-                if young && connection.sender.is_ready() && connection.socket_handle.is_quiet() {
+                if young && connection.sender.is_ready() && connection.socket_handle.has_nothing_unread() {
                     if let Ok(mut written) = connection.meter.lock() {
-                        *written = Written::default();
+                        *written = RequestProgress::default();
                     }
                     return Ok(connection);
                 }
@@ -227,28 +227,28 @@
         leaves.is_none_or(|at| at.elapsed() < grace)
     }
 
-    async fn open(&self, address: SocketAddr, limit: Duration) -> Result<Connection, NoConnection> {
+    async fn open(&self, address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
         // Guards the descriptor limit: at it, idle connections elsewhere make way, else there is none.
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                self.let_go();
+                self.close_idle();
                 tokio::task::yield_now().await; // lets the drivers of those let go
-                self.permits.clone().try_acquire_owned().map_err(|_| NoConnection::Here)?
+                self.permits.clone().try_acquire_owned().map_err(|_| ConnectError::Here)?
             }
         };
         // Guards workers against this machine's own errors: a moment later there may be a socket.
         let connect = transient::outlast(limit, || TcpStream::connect(address));
         let socket = match timeout(limit, connect).await {
             Ok(Ok(socket)) => socket,
-            Ok(Err(e)) if transient::is_local(&e) => return Err(NoConnection::Here),
-            Ok(Err(_)) | Err(_) => return Err(NoConnection::NotTaken),
+            Ok(Err(e)) if transient::is_local(&e) => return Err(ConnectError::Here),
+            Ok(Err(_)) | Err(_) => return Err(ConnectError::NotTaken),
         };
-        socket.set_nodelay(true).map_err(|_| NoConnection::NotTaken)?;
-        let socket = Metered::new(Socket::new(socket), Meter::default());
+        socket.set_nodelay(true).map_err(|_| ConnectError::NotTaken)?;
+        let socket = CountingStream::new(Socket::new(socket), SharedProgress::default());
         let connection = self.start(socket, address, permit).await;
         self.counters.opened.add();
-        connection.ok_or(NoConnection::NotTaken)
+        connection.ok_or(ConnectError::NotTaken)
     }
 
     /// A connection that another process has written a request to, with a body of this length; what its worker
@@ -262,13 +262,14 @@
             self.permits.clone().try_acquire_owned()
         });
         let socket = Socket::received(adopted.socket, adopted.said.to_vec()).ok()?;
-        let socket = Metered { written: Some(body), ..Metered::new(socket, Meter::default()) };
+        let socket =
+            CountingStream { written: Some(body), ..CountingStream::new(socket, SharedProgress::default()) };
         self.start(socket, adopted.address, permit.ok()?).await
     }
 
     async fn start(
         &self,
-        socket: Metered<Socket>,
+        socket: CountingStream<Socket>,
         address: SocketAddr,
         permit: OwnedSemaphorePermit,
     ) -> Option<Connection> {
--- a/node/src/platform/send_guard.rs
+++ b/node/src/platform/send_guard.rs
@@ -6,7 +6,7 @@
 
 /// Why a request must not be written. Nothing of it has gone out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Barred {
+pub enum SendBlocked {
     /// Its client has left.
     ClientLeft,
     /// Its client stops waiting now.
@@ -15,12 +15,12 @@
     Withdrawn,
 }
 
-type Check = Box<dyn FnOnce() -> Result<(), Barred> + Send>;
+type Check = Box<dyn FnOnce() -> Result<(), SendBlocked> + Send>;
 
 #[derive(Default)]
 struct State {
     check: Option<Check>,
-    barred: Option<Barred>,
+    barred: Option<SendBlocked>,
 }
 
 /// What a connection's user and its socket share.
@@ -29,12 +29,12 @@
 
 impl SendGuard {
     /// Has this asked before the next byte goes out.
-    pub fn arm(&self, check: impl FnOnce() -> Result<(), Barred> + Send + 'static) {
+    pub fn arm(&self, check: impl FnOnce() -> Result<(), SendBlocked> + Send + 'static) {
         *self.state() = State { check: Some(Box::new(check)), barred: None };
     }
 
     /// Why the request was held back, if it was.
-    pub fn barred(&self) -> Option<Barred> {
+    pub fn blocked_by(&self) -> Option<SendBlocked> {
         self.state().barred
     }
 
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// Where the request must not be written; its connection ends with that.
-    pub fn ask(&self) -> io::Result<()> {
+    pub fn check(&self) -> io::Result<()> {
         // Taken out first: the check may take its time, and locks of its own.
         let Some(check) = self.state().check.take() else { return Ok(()) };
         let Err(barred) = check() else { return Ok(()) };
--- a/node/src/platform/server.rs
+++ b/node/src/platform/server.rs
@@ -1,10 +1,10 @@
 //! The clients' side: connections, requests in, one final answer out for each.
 
-use super::connection_slots::Seat;
-use super::framing::{Framing, Gate, Watcher};
-use super::in_flight_ids::Id;
+use super::connection_slots::Slot;
+use super::framing::{Framing, MessageMonitor, MonitoredStream};
+use super::in_flight_ids::InFlightId;
 use super::job_handover::{Adopted, Moving};
-use super::resource_budget::Stock;
+use super::resource_budget::ResourceBudget;
 use super::socket::Socket;
 use super::{fields, job_handover, Job};
 use crate::acceptor::{Accepted, Acceptor};
@@ -75,7 +75,7 @@
     pub handle: Handle<Job>,
     pub names: watch::Receiver<Arc<Names>>,
     pub counters: Arc<Counters>,
-    pub stock: Arc<Stock>,
+    pub budget: Arc<ResourceBudget>,
     pub phases: Phases,
     pub phase: watch::Receiver<Phase>,
 }
@@ -108,7 +108,7 @@
             } else {
                 // Handed over: the listener is another process's, and this one's again should that one end soon.
                 ours = false;
-                let left = async { tokio::join!(sleep(LINGER), server.stock.no_client()) };
+                let left = async { tokio::join!(sleep(LINGER), server.budget.clients_closed()) };
                 tokio::select! {
                     _ = phase.changed() => {}
                     _ = left => return,
@@ -119,7 +119,7 @@
         // By then all deadlines have passed and their answers had time to go out. Guards a request that came just
         // before the close: one process may end before SIGKILL only with nothing taken.
         let longest = server.names.borrow().longest;
-        if timeout(longest + LAST_WAIT, server.stock.no_client()).await.is_err() {
+        if timeout(longest + LAST_WAIT, server.budget.clients_closed()).await.is_err() {
             log::warn!("some connections stayed open to the end");
         }
     }
@@ -130,12 +130,12 @@
         if let Err(e) = socket.set_nodelay(true) {
             log::debug!("client: {e}");
         }
-        let gate = Gate::new(Socket::new(socket));
-        if let Some(seat) = self.stock.room.seat(&gate.watcher()).await {
+        let gate = MonitoredStream::new(Socket::new(socket));
+        if let Some(seat) = self.budget.client_slots.acquire(&gate.monitor()).await {
             self.counters.accepted.add();
             let waited = waited + arrived.elapsed();
             tokio::spawn(async move { server.serve(gate, seat, None, waited).await });
-        } else if let Ok(permit) = self.stock.beyond.clone().try_acquire_owned() {
+        } else if let Ok(permit) = self.budget.rejection_slots.clone().try_acquire_owned() {
             tokio::spawn(async move {
                 // Past the wait the client has had its time to send and read.
                 let _ = timeout(TURN_AWAY_WAIT, server.turn_away(gate)).await;
@@ -152,7 +152,7 @@
         self: &Arc<Self>,
         text: &str,
         [client, worker]: [OwnedFd; 2],
-        ids: &mut HashMap<String, Arc<Id>>,
+        ids: &mut HashMap<String, Arc<InFlightId>>,
     ) -> bool {
         let names = self.names.borrow().clone();
         let Ok(moving) = serde_json::from_str::<Moving>(text) else { return false };
@@ -163,8 +163,8 @@
             return false;
         }
         let Ok(socket) = Socket::received(client, moving.request()) else { return false };
-        let gate = Gate::new(socket);
-        let Some(seat) = self.stock.room.moved(&gate.watcher()) else { return false };
+        let gate = MonitoredStream::new(socket);
+        let Some(seat) = self.budget.client_slots.acquire_transferred(&gate.monitor()) else { return false };
         ids.remove(moving.id());
         let (server, adopted) = (self.clone(), moving.adopted(worker));
         tokio::spawn(async move { server.serve(gate, seat, Some(adopted), Duration::ZERO).await });
@@ -172,9 +172,15 @@
     }
 
     /// Serves a connection to its end. Its first request may be as old as the time that it `waited` to be accepted.
-    async fn serve(&self, gate: Gate<Socket>, seat: Seat, adopted: Option<Adopted>, waited: Duration) {
+    async fn serve(
+        &self,
+        gate: MonitoredStream<Socket>,
+        seat: Slot,
+        adopted: Option<Adopted>,
+        waited: Duration,
+    ) {
         let (socket_handle, watcher, over) =
-            (gate.socket().socket_handle(), gate.watcher(), Arc::new(Notify::new()));
+            (gate.socket().socket_handle(), gate.monitor(), Arc::new(Notify::new()));
         let moved = Arc::default();
         let client =
             job_handover::Client { socket_handle, watcher: watcher.clone(), over: over.clone(), moved };
@@ -244,7 +250,7 @@
         refusal(SOON)
     }
 
-    async fn turn_away(&self, socket: Gate<Socket>) {
+    async fn turn_away(&self, socket: MonitoredStream<Socket>) {
         let service = service_fn(|request| async move { Ok::<_, Infallible>(self.no_room(request).await) });
         log_end(builder().keep_alive(false).serve_connection(TokioIo::new(socket), service).await);
     }
@@ -281,7 +287,7 @@
         if bad || framing != Framing::Length || self.phase.borrow().sends_away() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        visit.watcher.answered();
+        visit.watcher.response_sent();
         visit.seat.rest();
         reply
     }
@@ -318,14 +324,16 @@
         // Guards memory against many bodies at once: the room for one is taken before it is read.
         let most = body.size_hint().upper().unwrap_or(BODY_MAX as u64).min(BODY_MAX as u64);
         let adopted = visit.adopted.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let room = self.stock.bodies.try_acquire_many(most.div_ceil(1024) as u32);
+        let room = self.budget.body_memory_kib.try_acquire_many(most.div_ceil(1024) as u32);
         // A job that runs is never refused for want of room: the process before gives its own up for it.
         if room.is_err() && adopted.is_none() {
             return Ok(self.refuse("no memory for its body"));
         }
         let mut fields = fields::request(&head.headers, path, head.uri.query().unwrap_or(""), &names)
             .map_err(|why| (StatusCode::BAD_REQUEST, why))?;
-        let body = match timeout_at(visit.watcher.until(), Limited::new(body, BODY_MAX).collect()).await {
+        let body = match timeout_at(visit.watcher.message_deadline(), Limited::new(body, BODY_MAX).collect())
+            .await
+        {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
                 return Err((StatusCode::PAYLOAD_TOO_LARGE, "a body holds at most 64 KiB"))
@@ -333,7 +341,7 @@
             Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body is malformed")),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come")),
         };
-        visit.watcher.whole();
+        visit.watcher.request_complete();
         visit.seat.work();
         let target = head.uri.into_parts().path_and_query;
         let target = target.ok_or((StatusCode::NOT_FOUND, "there is no such path"))?;
@@ -341,8 +349,8 @@
         let id = id.ok_or((StatusCode::BAD_REQUEST, "X-Request-Id is missing"))?.clone();
         // Guards the first of two: workers would take the second one for it, or for its copy.
         let id = self
-            .stock
-            .ids
+            .budget
+            .in_flight_ids
             .open(id)
             .ok_or((StatusCode::CONFLICT, "a request with this X-Request-Id is open"))?;
         if adopted.is_none() {
@@ -377,7 +385,7 @@
             answer = answer => answer,
             // Guards workers against jobs that nobody waits for. The HTTP library sees a client's leaving only where
             // nothing lies unread behind the request.
-            () = visit.client.socket_handle.ended() => {
+            () = visit.client.socket_handle.peer_closed() => {
                 visit.client.over.notify_one();
                 return std::future::pending().await; // dropped with the connection, which tells the core
             }
@@ -394,8 +402,8 @@
 
 /// What one connection's requests share.
 struct Visit {
-    watcher: Watcher,
-    seat: Seat,
+    watcher: MessageMonitor,
+    seat: Slot,
     requests: AtomicU64,
     client: job_handover::Client,
     /// An attempt of another process, for the first request.
@@ -431,7 +439,7 @@
         if !self.waits {
             return;
         }
-        let is_over = self.socket.moved.load(Ordering::Relaxed) || self.socket.socket_handle.has_ended();
+        let is_over = self.socket.moved.load(Ordering::Relaxed) || self.socket.socket_handle.is_peer_closed();
         if !is_over {
             self.counters.violations.add(Invariant::Answered, self.id);
         }
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -90,12 +90,12 @@
 
 /// Sees whether a socket's other end is there, and does not keep the socket open.
 #[derive(Clone)]
-pub struct Observer(Weak<Inner>);
+pub struct PeerObserver(Weak<Inner>);
 
-impl Observer {
+impl PeerObserver {
     /// Whether the other end has closed, half-closed or reset it by now, or this process has.
-    pub fn has_ended(&self) -> bool {
-        self.0.upgrade().is_none_or(|socket| SocketHandle(socket).has_ended())
+    pub fn is_peer_closed(&self) -> bool {
+        self.0.upgrade().is_none_or(|socket| SocketHandle(socket).is_peer_closed())
     }
 }
 
@@ -139,7 +139,7 @@
     }
 
     /// Whether nothing is left that an earlier process had read.
-    pub fn is_played(&self) -> bool {
+    pub fn is_replay_done(&self) -> bool {
         self.0.state().replay.is_empty()
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Whether nothing has come that nobody has read, not even an end.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_nothing_unread(&self) -> bool {
         self.ahead() == Ahead::Nothing
     }
 
     /// Whether the other end has closed, half-closed or reset it by now, as far as the kernel has told.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_peer_closed(&self) -> bool {
         let ready = self.0.stream.ready(Interest::READABLE).now_or_never();
         let told = matches!(ready, Some(Ok(ready)) if ready.is_read_closed());
         told || self.ahead() == Ahead::End
@@ -179,7 +179,7 @@
 
     /// Returns once the other end has closed, half-closed or reset it, also behind bytes that nobody has read. While it
     /// is frozen that is for the process that gets it to see.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         loop {
             let ready = self.0.stream.ready(Interest::READABLE).await;
             let over = match ready {
@@ -203,8 +203,8 @@
     }
 
     /// For who only looks.
-    pub fn observer(&self) -> Observer {
-        Observer(Arc::downgrade(&self.0))
+    pub fn observer(&self) -> PeerObserver {
+        PeerObserver(Arc::downgrade(&self.0))
     }
 
     /// The socket, for another process.
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -441,18 +441,18 @@
         let (discovery, followed) = watch::channel(Some(config.discovery));
         let (tuning, follow_tuning) = watch::channel(config.tuning.clone());
         let (ready, mut is_ready) = watch::channel(false);
-        let links = platform::Links {
+        let dependencies = platform::Dependencies {
             counters: counters.clone(),
             phases: phases.clone(),
             discovery: followed,
             tuning: follow_tuning,
             ready,
-            before,
-            place,
+            predecessor: before,
+            handover_path: place,
             fleet: None,
-            shared: None,
+            list_sharing: None,
         };
-        let served = tokio::spawn(platform::serve(config, listener, links));
+        let served = tokio::spawn(platform::serve(config, listener, dependencies));
         is_ready.wait_for(|ready| *ready).await.unwrap();
         Platform { address, counters, phases, tuning, served, discovery, calls, agent, old: None, _time }
     }
