--- a/src/lib.rs
+++ b/src/lib.rs
@@ -50,7 +50,6 @@
 #![warn(missing_docs)]
 
 pub mod api;
-#[rustfmt::skip] // short guards stay on one line: the module has a line limit
 pub mod policy;
 pub mod regulator;
 pub mod settings;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -63,17 +63,34 @@
 const MUTE: Time = 10 * SECOND; // for which a class stays away from a worker that left it unanswered
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum Stage { #[default] Queued, Waiting, Out, Done }
+enum Stage {
+    #[default]
+    Queued,
+    Waiting,
+    Out,
+    Done,
+}
 
 #[derive(Clone, Copy, Default)]
 struct Job {
-    class: usize, tenant: usize, stage: Stage, key: u64,
-    work: f64, need: f64,                      // us; slots, or memory in its units if that is more
-    admitted: Time, deadline: Time, due: Time, // due: the last moment to send it and be in time
-    ahead: Time,                               // its class's head start while it waits
-    late: bool, in_share: bool, streaming: bool, counted: bool, // counted: it has entered w
-    sent: u32, most: u32, attempt: Attempt,    // attempts so far, at most, and the last one
-    may_run: Option<(usize, Time)>,            // who may have run it first; the window's end
+    class: usize,
+    tenant: usize,
+    stage: Stage,
+    key: u64,
+    work: f64,
+    need: f64, // us; slots, or memory in its units if that is more
+    admitted: Time,
+    deadline: Time,
+    due: Time,   // due: the last moment to send it and be in time
+    ahead: Time, // its class's head start while it waits
+    late: bool,
+    in_share: bool,
+    streaming: bool,
+    counted: bool, // counted: it has entered w
+    sent: u32,
+    most: u32,
+    attempt: Attempt,               // attempts so far, at most, and the last one
+    may_run: Option<(usize, Time)>, // who may have run it first; the window's end
 }
 
 impl Job {
@@ -85,7 +102,11 @@
 
 #[derive(Clone, Copy, Default)]
 struct Attempt {
-    worker: usize, sent: Time, started: Time, progressed: Time, cancelled: bool,
+    worker: usize,
+    sent: Time,
+    started: Time,
+    progressed: Time,
+    cancelled: bool,
     taken: bool,   // its worker gave word of it
     lost: bool,    // it is given up: it holds no place any more
     overdue: bool, // it has not started in time: it waits there
@@ -93,16 +114,33 @@
 
 #[derive(Default)]
 struct Worker {
-    id: WorkerId, kind: u8, zone: u8, cell: u32, scale: f64, ready: bool, listed: bool,
-    told_since: Time, since: Time, // its start as told, and by our own clock
-    held: f64, overdue: u32, cap: f64, there: f64,    // our jobs there, waiting, at most; those of all
-    slow: f64, crowd: f64,                            // run times over the usual; had no room
-    free: f64, free_at: Time,                         // free slots as reported, less what we sent since
-    told: LoadReport, told_held: f64,                 // the last report, and what we held then
-    cold_sends: Used,                                 // while it is cold: our jobs in the newest slot
-    used_at: Time, life: Time, broke_at: Time,        // our last use, its last sign of life and break
-    silent: bool, doubt: u32,                         // what we hold against it
-    trial_at: Time, pause_until: Time,               // when a doubted one gets a trial; pauses after 'full'
+    id: WorkerId,
+    kind: u8,
+    zone: u8,
+    cell: u32,
+    scale: f64,
+    ready: bool,
+    listed: bool,
+    told_since: Time,
+    since: Time, // its start as told, and by our own clock
+    held: f64,
+    overdue: u32,
+    cap: f64,
+    there: f64, // our jobs there, waiting, at most; those of all
+    slow: f64,
+    crowd: f64, // run times over the usual; had no room
+    free: f64,
+    free_at: Time, // free slots as reported, less what we sent since
+    told: LoadReport,
+    told_held: f64,   // the last report, and what we held then
+    cold_sends: Used, // while it is cold: our jobs in the newest slot
+    used_at: Time,
+    life: Time,
+    broke_at: Time, // our last use, its last sign of life and break
+    silent: bool,
+    doubt: u32, // what we hold against it
+    trial_at: Time,
+    pause_until: Time, // when a doubted one gets a trial; pauses after 'full'
 }
 
 impl Worker {
@@ -111,58 +149,115 @@
     fn unlist(&mut self, soft: bool, now: Time) {
         self.listed = false;
         self.ready &= soft;
-        if self.ready && now > self.life + 2 * SECOND { self.doubt = self.doubt.max(1); }
+        if self.ready && now > self.life + 2 * SECOND {
+            self.doubt = self.doubt.max(1);
+        }
     }
 
-    fn trial(&self) -> Time { if self.listed { TRIAL << self.doubt.min(DOUBT_MAX) } else { MUTE } }
+    fn trial(&self) -> Time {
+        if self.listed {
+            TRIAL << self.doubt.min(DOUBT_MAX)
+        } else {
+            MUTE
+        }
+    }
 }
 
 /// What is held against requests that share a key, a class or a tenant.
 #[derive(Default)]
 struct Suspect {
-    fails: u32, place: usize, places: u32, failed_at: Time, // failures in a row, the last worker, of how many
-    served_at: Time, trial_at: Time, wait: Time,            // the next trial, and the wait after it
+    fails: u32,
+    place: usize,
+    places: u32,
+    failed_at: Time, // failures in a row, the last worker, of how many
+    served_at: Time,
+    trial_at: Time,
+    wait: Time, // the next trial, and the wait after it
 }
 
 #[derive(Default)]
 struct Tenant {
-    queue: VecDeque<RequestId>, repeats: VecDeque<RequestId>,
-    tokens: f64, allotment: f64, rate: f64, recent: f64,
+    queue: VecDeque<RequestId>,
+    repeats: VecDeque<RequestId>,
+    tokens: f64,
+    allotment: f64,
+    rate: f64,
+    recent: f64,
 }
 
 #[derive(Default)]
 struct Class {
-    usual: f64, long: f64, samples: f64, longest: Time, // run times, the median first; clients wait so long
-    kept: f64, regulator: Regulator, u: f64, w_sum: f64, w_count: u32, pooled: u32,
+    usual: f64,
+    long: f64,
+    samples: f64,
+    longest: Time, // run times, the median first; clients wait so long
+    kept: f64,
+    regulator: Regulator,
+    u: f64,
+    w_sum: f64,
+    w_count: u32,
+    pooled: u32,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due { Step, Poll, Watch, Job { id: RequestId }, Check { id: RequestId, attempt: u32 } }
+enum Due {
+    Step,
+    Poll,
+    Watch,
+    Job { id: RequestId },
+    Check { id: RequestId, attempt: u32 },
+}
 
 type Rank = (u8, Time, RequestId); // band and lateness, time, id
 
 /// The decisions of one dispatcher.
 #[derive(Default)]
 pub struct Policy {
-    set: Settings, rng: Rng, now: Time, started_at: Time, born: Time, started: bool, traced_at: Time,
+    set: Settings,
+    rng: Rng,
+    now: Time,
+    started_at: Time,
+    born: Time,
+    started: bool,
+    traced_at: Time,
     jobs: BTreeMap<RequestId, Job>,
     waiting: BTreeSet<Rank>, // admitted and not sent
-    tenants: Vec<Tenant>, classes: Vec<Class>, turn: usize,
-    workers: Vec<Worker>, index: BTreeMap<WorkerId, usize>, lists: ListHistory,
-    near: Vec<usize>, far: Vec<usize>, scale: f64, most_scale: f64, // those ready; their sizes' sum; its peak
-    open: Vec<usize>,                              // those with room now, where keys count
+    tenants: Vec<Tenant>,
+    classes: Vec<Class>,
+    turn: usize,
+    workers: Vec<Worker>,
+    index: BTreeMap<WorkerId, usize>,
+    lists: ListHistory,
+    near: Vec<usize>,
+    far: Vec<usize>,
+    scale: f64,
+    most_scale: f64,                        // those ready; their sizes' sum; its peak
+    open: Vec<usize>,                       // those with room now, where keys count
     suspects: BTreeMap<(u8, u64), Suspect>, // by key, class, tenant
     judged: BTreeMap<(usize, (u8, u64)), (Time, f64)>, // worker and mark: kept away until; had no room
-    lately: Vec<usize>,                            // those we hear from, or have a connection to
-    agenda: Agenda<Due>, poll_set: bool,
-    u: f64, u_max: f64, tokens: f64, filled_at: Time, // the throttle, jobs a second
-    offered: f64, recent: f64, served: f64, served_now: f64, pressure: f64,
+    lately: Vec<usize>,                     // those we hear from, or have a connection to
+    agenda: Agenda<Due>,
+    poll_set: bool,
+    u: f64,
+    u_max: f64,
+    tokens: f64,
+    filled_at: Time, // the throttle, jobs a second
+    offered: f64,
+    recent: f64,
+    served: f64,
+    served_now: f64,
+    pressure: f64,
     kinds: Vec<(f64, f64, f64)>, // run times of a kind over the usual, of how many jobs; part with room
-    weights: Weights, work: f64, // what live weights tell of kinds; s at speed 1 that a job takes
-    mean_cap: f64, window: Window, // slots for our jobs at a worker, over all; our jobs at all of them
-    stale: f64, // the part of reports that repeat the one just before though our jobs there changed
-    taken: Recent, further: Recent, // requests and further attempts, while they count
-    probes: f64, probing: u32, peers: BTreeMap<u32, (Time, Vec<f64>)>,
+    weights: Weights,
+    work: f64, // what live weights tell of kinds; s at speed 1 that a job takes
+    mean_cap: f64,
+    window: Window, // slots for our jobs at a worker, over all; our jobs at all of them
+    stale: f64,     // the part of reports that repeat the one just before though our jobs there changed
+    taken: Recent,
+    further: Recent, // requests and further attempts, while they count
+    probes: f64,
+    probing: u32,
+    peers: BTreeMap<u32, (Time, Vec<f64>)>,
     overdrafts: u64, // jobs to cold workers beyond this dispatcher's part of their budget: a fault
 }
 
@@ -171,8 +266,16 @@
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Policy, SettingsError> {
         settings.validate()?;
         let mut policy = Policy {
-            rng: Rng(seed), now, u: f64::INFINITY, tokens: 1.0,
-            mean_cap: CAP_START, work: 1.0, filled_at: now, started_at: now, born: now, ..Policy::default()
+            rng: Rng(seed),
+            now,
+            u: f64::INFINITY,
+            tokens: 1.0,
+            mean_cap: CAP_START,
+            work: 1.0,
+            filled_at: now,
+            started_at: now,
+            born: now,
+            ..Policy::default()
         };
         policy.configure(settings, &[]);
         let phase = policy.rng.below(SECOND);
@@ -183,7 +286,9 @@
     /// What was learned stays, under the same numbers; guards that by passing over settings that lack some.
     fn configure(&mut self, settings: Settings, continues: &[Option<usize>]) {
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
-        if classes < self.classes.len() || tenants < self.set.tenants.len() { return; }
+        if classes < self.classes.len() || tenants < self.set.tenants.len() {
+            return;
+        }
         for (i, c) in settings.classes.iter().enumerate().skip(self.classes.len()) {
             let like = continues.get(i).copied().flatten().and_then(|j| self.classes.get(j));
             let first = c.aim_us.max(10_000) as f64;
@@ -191,7 +296,9 @@
             self.classes.push(Class { usual, long, u: 1.0, kept: 1.0, ..Class::default() });
         }
         self.tenants.resize_with(tenants.max(1), || Tenant { tokens: 1.0, ..Tenant::default() });
-        if settings.order != self.set.order { self.peers.clear(); } // their numbers mean other nodes now
+        if settings.order != self.set.order {
+            self.peers.clear();
+        } // their numbers mean other nodes now
         self.set = settings;
         self.set_allotments();
     }
@@ -202,16 +309,21 @@
     }
 
     /// Jobs sent to cold workers beyond this dispatcher's part of their budget: none, where all is well.
-    pub fn overdrafts(&self) -> u64 { self.overdrafts }
+    pub fn overdrafts(&self) -> u64 {
+        self.overdrafts
+    }
 
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Time, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.started, true) && self.set.list_asked { out.push(Action::Watch); }
+        if !std::mem::replace(&mut self.started, true) && self.set.list_asked {
+            out.push(Action::Watch);
+        }
         match event {
             Event::Accept(request) => self.accept(request, out),
-            Event::Adopted { request, worker, sent_us, started_us } =>
-                self.adopt(request, *worker, *sent_us, *started_us, out),
+            Event::Adopted { request, worker, sent_us, started_us } => {
+                self.adopt(request, *worker, *sent_us, *started_us, out)
+            }
             Event::StreamStarted { id, attempt: a } => self.live(*id, *a).map_or((), |j| j.streaming = true),
             Event::Taken { id, attempt } => self.taken_there(*id, *attempt, out),
             Event::Started { id, attempt } => self.news(*id, *attempt, true, out),
@@ -232,7 +344,9 @@
             self.admit();
             self.bind(out);
         }
-        if let Some(after_us) = self.agenda.timer(self.now) { out.push(Action::Timer { after_us }); }
+        if let Some(after_us) = self.agenda.timer(self.now) {
+            out.push(Action::Timer { after_us });
+        }
     }
 
     fn accept(&mut self, r: &Request, out: &mut Vec<Action>) {
@@ -258,19 +372,34 @@
         let need = f64::min(r.slots.max(r.memory).max(1.0), CAP_MAX); // 1 for what is no number
         self.taken.add(self.now);
         let job = Job {
-            class, tenant, key: r.key, work, need, admitted: self.now, deadline, due: due.min(deadline), late,
-            ahead: self.ahead(class), most: self.set.max_attempts,
+            class,
+            tenant,
+            key: r.key,
+            work,
+            need,
+            admitted: self.now,
+            deadline,
+            due: due.min(deadline),
+            late,
+            ahead: self.ahead(class),
+            most: self.set.max_attempts,
             ..Job::default()
         };
         self.jobs.insert(r.id, job);
-        if self.barred(&job) { return self.give_up(r.id, Reason::Barred, out); }
+        if self.barred(&job) {
+            return self.give_up(r.id, Reason::Barred, out);
+        }
         self.agenda.add(job.due, Due::Job { id: r.id });
         let t = &mut self.tenants[tenant];
-        if worthless || again { return t.repeats.push_back(r.id); }
+        if worthless || again {
+            return t.repeats.push_back(r.id);
+        }
         self.probes = (self.probes + PROBES_A_JOB).min(10.0 * PROBES_A_JOB);
         t.queue.push_back(r.id);
         t.recent += 1.0;
-        if self.offered + self.recent == 0.0 { self.born = self.now; }
+        if self.offered + self.recent == 0.0 {
+            self.born = self.now;
+        }
         self.recent += 1.0;
     }
 
@@ -280,7 +409,9 @@
         let (now, new) = (self.now, self.workers.len());
         let w = *self.index.entry(id).or_insert(new);
         // One that no list names any more: it gets nothing.
-        if w == new { self.workers.push(Worker { id, slow: 1.0, scale: 1.0, ..Worker::default() }); }
+        if w == new {
+            self.workers.push(Worker { id, slow: 1.0, scale: 1.0, ..Worker::default() });
+        }
         self.kinds.resize(self.kinds.len().max(1), (1.0, 0.0, 1.0));
         let Some(job) = self.jobs.get_mut(&r.id) else { return };
         let ago = |span| now.saturating_sub(span);
@@ -351,7 +482,9 @@
         let (mut after, mut misses, keyed) = ((0, 0, 0), 0, self.set.origin_price > 0.0);
         let from = |key: Rank| (Bound::Excluded(key), Bound::Unbounded);
         let roomy = |&i: &usize| self.load(&self.workers[i], &Job::default()).is_some();
-        if keyed { self.open = (0..self.workers.len()).filter(roomy).collect(); }
+        if keyed {
+            self.open = (0..self.workers.len()).filter(roomy).collect();
+        }
         let most = if keyed { 16 } else { 4 };
         while let Some(&key) = self.waiting.range(from(after)).next().filter(|_| misses < most) {
             after = key;
@@ -361,25 +494,37 @@
             }
             match self.pick(self.jobs[&key.2]).filter(|&w| self.known(w)) {
                 Some(w) => self.send(key, w, out),
-                None => { self.ask(key.2, out); misses += 1; }
+                None => {
+                    self.ask(key.2, out);
+                    misses += 1;
+                }
             }
         }
         let held = !self.waiting.is_empty() || self.tenants.iter().any(|t| !t.queue.is_empty());
-        if held && !self.poll_set { self.poll_set = true; self.plan(POLL, Due::Poll); }
+        if held && !self.poll_set {
+            self.poll_set = true;
+            self.plan(POLL, Due::Poll);
+        }
     }
 
     fn pick(&mut self, job: Job) -> Option<usize> {
-        if self.set.tells_start && !self.set.live_weights && !self.window.has_room(job.need) { return None; }
+        if self.set.tells_start && !self.set.live_weights && !self.window.has_room(job.need) {
+            return None;
+        }
         let scored = self.candidates(&job).into_iter().filter_map(|i| self.score(&job, i).map(|s| (s, i)));
         scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
     }
 
     /// Who is looked at for a job: all of a small fleet; of a large one a seeded sample, and those heard of.
     fn candidates(&mut self, job: &Job) -> Vec<usize> {
-        if self.set.origin_price > 0.0 { return self.open.clone(); }
+        if self.set.origin_price > 0.0 {
+            return self.open.clone();
+        }
         let bound = self.set.classes[job.class].semantics == Semantics::Keyed(Group::Cell);
         let mates = bound && job.may_run.is_some(); // few: a sample would miss them
-        if self.workers.len() <= ALL || mates || self.shared() { return (0..self.workers.len()).collect(); }
+        if self.workers.len() <= ALL || mates || self.shared() {
+            return (0..self.workers.len()).collect();
+        }
         let (now, workers) = (self.now, &self.workers);
         let keep = if self.set.handshake_price > 0.0 { self.set.conn_idle_us } else { 0 };
         self.lately.retain(|&i| now < workers[i].used_at + keep || now < workers[i].free_at + FRESH);
@@ -398,13 +543,17 @@
     /// How little a worker suits a job; none where it may not or can't take it.
     fn score(&self, job: &Job, i: usize) -> Option<f64> {
         let (c, w) = (&self.set.classes[job.class], &self.workers[i]);
-        if !w.ready || c.kind.is_some_and(|k| k != w.kind) || !self.may_repeat_on(job, i) { return None; }
+        if !w.ready || c.kind.is_some_and(|k| k != w.kind) || !self.may_repeat_on(job, i) {
+            return None;
+        }
         let zone = if w.zone == self.set.zone { 0.0 } else { self.set.cross_zone_price * PRICE_LOAD };
         let open = w.used_at > 0 && self.now < w.used_at + self.set.conn_idle_us; // costs nothing
         let link = if open { 0.0 } else { self.set.handshake_price * PRICE_LOAD };
         let chance = unit(self.rng.0 ^ w.id.0) * 0.02;
         let kept_away = |mark| self.judged.get(&(i, mark)).is_some_and(|p| self.now < p.0);
-        if marks(job).any(kept_away) { return None; }
+        if marks(job).any(kept_away) {
+            return None;
+        }
         if self.shared() {
             // By lot, for all see the same weights: the best of them would be flooded.
             let lot = -unit(self.rng.0 ^ w.id.0 ^ self.now).ln() * (LOT_PRICE * (zone + link)).exp();
@@ -417,17 +566,27 @@
     /// What a fetch costs, if the worker may lack what the job needs. All dispatchers rank workers alike by
     /// key (rendezvous hashing); a key goes down its ranks as far as room asks, so that a hot one has more.
     fn fetch(&self, job: &Job, w: &Worker) -> Option<f64> {
-        if job.key == 0 || self.set.origin_price <= 0.0 { return Some(0.0); }
+        if job.key == 0 || self.set.origin_price <= 0.0 {
+            return Some(0.0);
+        }
         let part = (unit(job.key ^ mix(w.id.0)) * KEY_SPREAD).min(1.0);
         let waits = part > KEY_WAIT * job.waited(self.now) + KEY_SURE; // for one that surely holds it
-        if waits { None } else { Some(part * self.set.origin_price * PRICE_LOAD) }
+        if waits {
+            None
+        } else {
+            Some(part * self.set.origin_price * PRICE_LOAD)
+        }
     }
 
     /// A worker's run times over the usual, and how often it has room; in a large fleet its kind stands in.
     fn usually(&self, w: &Worker) -> (f64, f64) {
         let kind = &self.kinds[w.kind as usize];
         let many = self.workers.len() > ALL && self.set.reports_free && !self.set.tells_start;
-        if many { (kind.0, kind.2.max(0.1)) } else { (w.slow, 1.0) }
+        if many {
+            (kind.0, kind.2.max(0.1))
+        } else {
+            (w.slow, 1.0)
+        }
     }
 
     /// Where workers report free slots, may be probed and don't tell starts, a job asks before it is sent.
@@ -435,11 +594,15 @@
         self.set.probes && self.set.reports_free && !self.set.tells_start && self.stale < STALE
     }
 
-    fn known(&self, w: usize) -> bool { !self.asks() || self.now < self.workers[w].free_at + FRESH }
+    fn known(&self, w: usize) -> bool {
+        !self.asks() || self.now < self.workers[w].free_at + FRESH
+    }
 
     /// Probes the workers that suit a job best and were not heard of lately.
     fn ask(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if !self.asks() || self.probing > 0 { return; } // those asked may yet show room
+        if !self.asks() || self.probing > 0 {
+            return;
+        } // those asked may yet show room
         let job = self.jobs[&id];
         let stale = self.candidates(&job).into_iter().filter(|&i| !self.known(i));
         let mut best: Vec<(f64, usize)> = stale.filter_map(|i| self.score(&job, i).map(|s| (s, i))).collect();
@@ -468,7 +631,9 @@
         let waits = w.overdue > 0 && !w.silent && self.set.tells_start;
         let warmth = self.warmth(w);
         let cold = warmth < 1.0 && !self.may_start_on(w, job);
-        if waits || self.now < w.pause_until || cold { return None; }
+        if waits || self.now < w.pause_until || cold {
+            return None;
+        }
         if w.silent || w.doubt > 0 {
             // Recovery by a trickle: one job at a time, and one that may be repeated if it is lost.
             let none_safe = self.offered().all(|i| self.set.classes[i].semantics != Semantics::Safe);
@@ -491,7 +656,9 @@
             return Some((1.0 + w.there / cores) / size).filter(|_| !yields || w.there + 0.5 <= cores);
         }
         let load = then / w.cap.max(CAP_MIN);
-        if !self.estimates() { return Some(load).filter(|&load| load <= 1.0 || w.held < 0.5); }
+        if !self.estimates() {
+            return Some(load).filter(|&load| load <= 1.0 || w.held < 0.5);
+        }
         // A job takes less sure a room the longer it has waited: reports are late, and others fill it too.
         // The older the report, the more like the fleet's mean the room is taken to be.
         let age = self.now.saturating_sub(w.free_at) as f64 / SECOND as f64;
@@ -500,7 +667,9 @@
     }
 
     /// Many dispatchers: what one sees of a worker tells little of it, the list's live weights tell more.
-    fn shared(&self) -> bool { self.set.live_weights && self.set.senders() > ALL as u32 }
+    fn shared(&self) -> bool {
+        self.set.live_weights && self.set.senders() > ALL as u32
+    }
 
     /// Whether the list tells that siblings' jobs fill a worker: then a job waits there for a reason.
     fn busy(&self, i: usize) -> bool {
@@ -508,11 +677,17 @@
     }
 
     /// How much seldomer each tries a doubted worker, for all siblings do.
-    fn seldom(&self) -> Time { (Time::from(self.set.senders()) / ALL as Time).max(1) }
+    fn seldom(&self) -> Time {
+        (Time::from(self.set.senders()) / ALL as Time).max(1)
+    }
 
-    fn estimates(&self) -> bool { self.set.reports_free && !self.set.tells_start && !self.asks() }
+    fn estimates(&self) -> bool {
+        self.set.reports_free && !self.set.tells_start && !self.asks()
+    }
 
-    fn warmth(&self, w: &Worker) -> f64 { slow_start::warmth(&self.set.rules, w.since, self.now) }
+    fn warmth(&self, w: &Worker) -> f64 {
+        slow_start::warmth(&self.set.rules, w.since, self.now)
+    }
 
     fn start(&self, w: &Worker) -> Start {
         let fleet = Fleet { served: self.served, work: self.work, size: self.most_scale };
@@ -543,22 +718,30 @@
             let latest = c.aim_us + ((c.stretch - 1.0 / speed.max(0.1)).max(0.0) * job.work) as Time;
             job.due = (job.admitted + latest).min(job.deadline);
         }
-        if doubts { worker.trial_at = now + (worker.trial() * seldom).min(MUTE); }
-        if job.sent > 0 { self.further.add(now); }
+        if doubts {
+            worker.trial_at = now + (worker.trial() * seldom).min(MUTE);
+        }
+        if job.sent > 0 {
+            self.further.add(now);
+        }
         job.stage = Stage::Out;
         job.attempt = Attempt { worker: w, sent: now, progressed: now, ..Attempt::default() };
         job.sent += 1;
         let attempt = job.sent - 1;
         out.push(Action::Send { id: key.2, worker: worker.id });
         self.rng.below(1);
-        if self.set.handshake_price > 0.0 && !self.lately.contains(&w) { self.lately.push(w); }
+        if self.set.handshake_price > 0.0 && !self.lately.contains(&w) {
+            self.lately.push(w);
+        }
         self.plan(self.patience(key.2), Due::Check { id: key.2, attempt });
     }
 
     /// How long a worker may show nothing of this job before it counts as silent.
     fn patience(&self, id: RequestId) -> Time {
         let job = &self.jobs[&id];
-        if self.wordless(&job.attempt) { return WORD; }
+        if self.wordless(&job.attempt) {
+            return WORD;
+        }
         if self.set.tells_start && job.attempt.started == 0 {
             // First it counts as waiting there, then, after a usual job's time or once it is late, as lost.
             // Where that is too late all the same, haste helps nobody: after a long job's time.
@@ -574,36 +757,50 @@
         }
     }
 
-    fn wordless(&self, a: &Attempt) -> bool { self.set.tells_taken && !a.taken && a.started == 0 }
+    fn wordless(&self, a: &Attempt) -> bool {
+        self.set.tells_taken && !a.taken && a.started == 0
+    }
 
     /// Guards against hung and frozen workers: no start, no progress, no outcome, and no other life either.
     fn check(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let over = job.stage != Stage::Out || job.sent != attempt + 1;
-        if over || job.streaming || job.attempt.cancelled { return; }
+        if over || job.streaming || job.attempt.cancelled {
+            return;
+        }
         let (a, class, job_admitted) = (job.attempt, job.class, job.admitted);
         let (seen, patience) = (a.sent.max(a.progressed), self.patience(id));
-        if seen + patience > self.now { return self.agenda.add(seen + patience, Due::Check { id, attempt }); }
+        if seen + patience > self.now {
+            return self.agenda.add(seen + patience, Due::Check { id, attempt });
+        }
         // Guards against connections that fell silent: that says nothing of the worker's queue or classes.
         let wordless = self.wordless(&a);
         if !wordless && self.set.tells_start && a.started == 0 && !a.overdue {
             // Guards against queues that siblings fill: nothing more goes there until this one starts.
             self.workers[a.worker].overdue += 1;
             self.learn_room(a.worker, false);
-            if let Some(job) = self.jobs.get_mut(&id) { job.attempt.overdue = true; }
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.attempt.overdue = true;
+            }
             let wait = self.patience(id);
             return self.agenda.add(seen + wait, Due::Check { id, attempt });
         }
         let alone = self.workers[a.worker].life > seen;
         let waits = self.busy(a.worker) && a.started == 0 && !wordless; // siblings' jobs are before it
         let over = self.set.tells_start && !waits && (!alone || seen + 2 * patience <= self.now);
-        if wordless { self.lose(id); } else if over { self.mute(id, alone); }
+        if wordless {
+            self.lose(id);
+        } else if over {
+            self.mute(id, alone);
+        }
         if !alone && !waits && !self.workers[a.worker].silent {
             let w = &mut self.workers[a.worker];
             (w.silent, w.trial_at) = (true, self.now + TRIAL);
             self.trace(Trace::Silent(self.workers[a.worker].id), out);
         }
-        if (self.now - job_admitted) as f64 > LATE_W * self.aim(class) { self.count(id, LATE_W); }
+        if (self.now - job_admitted) as f64 > LATE_W * self.aim(class) {
+            self.count(id, LATE_W);
+        }
         // A job that may be repeated is called off and sent elsewhere while that still helps.
         let job = self.jobs[&id];
         let lost = self.workers[a.worker].silent || job.attempt.lost || waits || self.estimates();
@@ -612,7 +809,9 @@
         let until = a.sent + self.set.classes[class].repeat_window_us;
         let there = Job { may_run: job.may_run.or(Some((a.worker, until))), ..job };
         if again && (wordless || waits || self.pick(there).is_some()) {
-            if let Some(job) = self.jobs.get_mut(&id) { job.attempt.cancelled = true; }
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.attempt.cancelled = true;
+            }
             return out.push(Action::Cancel { id, attempt });
         }
         self.plan(patience, Due::Check { id, attempt });
@@ -622,7 +821,9 @@
     fn mute(&mut self, id: RequestId, alone: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         self.judged.insert((job.attempt.worker, (1, job.class as u64)), (self.now + MUTE, 0.0));
-        if alone { self.lose(id); }
+        if alone {
+            self.lose(id);
+        }
     }
 
     fn lose(&mut self, id: RequestId) {
@@ -659,15 +860,21 @@
             self.workers[a.worker].overdue -= u32::from(a.overdue);
         }
         self.alive(a.worker, false, out);
-        if start && a.started == 0 && !a.overdue { self.learn_room(a.worker, true); }
+        if start && a.started == 0 && !a.overdue {
+            self.learn_room(a.worker, true);
+        }
     }
 
     fn alive(&mut self, w: usize, served: bool, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
         let held_against = std::mem::take(&mut worker.silent) || worker.doubt > 0;
         worker.life = self.now;
-        if served && worker.doubt > 0 { (worker.doubt, worker.trial_at) = (worker.doubt - 1, self.now); }
-        if held_against && worker.doubt == 0 { self.trace(Trace::Trusted(self.workers[w].id), out); }
+        if served && worker.doubt > 0 {
+            (worker.doubt, worker.trial_at) = (worker.doubt - 1, self.now);
+        }
+        if held_against && worker.doubt == 0 {
+            self.trace(Trace::Trusted(self.workers[w].id), out);
+        }
     }
 
     /// The cap: up on proof of room at the cap, down on proof of none.
@@ -699,10 +906,14 @@
         for mark in marks(job).filter(|m| m.0 > 0) {
             let pair = self.judged.entry((w, mark)).or_default();
             pair.1 += CROWD_GAIN * (1.0 - pair.1);
-            if pair.1 < self.workers[w].crowd + APART { continue; }
+            if pair.1 < self.workers[w].crowd + APART {
+                continue;
+            }
             (theirs, pair.0) = (true, pause(pair.1));
         }
-        if theirs { return; }
+        if theirs {
+            return;
+        }
         self.learn_room(w, false);
         let worker = &mut self.workers[w];
         (worker.pause_until, worker.free) = (pause(worker.crowd), worker.free.min(0.0));
@@ -725,7 +936,9 @@
                 0 => s.places > 1 || crash && (s.served_at == 0 || now > s.served_at + MUTE),
                 _ => s.fails >= MIN_JOBS && s.places > 2 && others,
             };
-            if !guilty { continue; }
+            if !guilty {
+                continue;
+            }
             theirs = true;
             let (first, last) = if crash { (MUTE / 2, MUTE) } else { (TRIAL, TRIAL << DOUBT_MAX) };
             s.wait = (s.wait * 2).clamp(first, last);
@@ -742,14 +955,20 @@
             let held_for = |s: &&mut Suspect| s.wait > 0 && (job.sent == 0 || s.places > 1);
             let Some(s) = self.suspects.get_mut(&mark).filter(held_for) else { continue };
             held |= now < s.trial_at;
-            if !held { s.trial_at = now + s.wait; }
+            if !held {
+                s.trial_at = now + s.wait;
+            }
         }
         held
     }
 
     fn suspect(&mut self, mark: (u8, u64)) -> Option<&mut Suspect> {
         let full = self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&mark);
-        if full { None } else { Some(self.suspects.entry(mark).or_default()) }
+        if full {
+            None
+        } else {
+            Some(self.suspects.entry(mark).or_default())
+        }
     }
 
     /// Guards against workers that fail quickly, whatever the cause: more jobs come as trials only.
@@ -764,14 +983,18 @@
     /// last sign of life makes a pause. May hurt: one that went down gets a job more, which fails quickly.
     fn broke(&mut self, w: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[w];
-        if std::mem::replace(&mut worker.broke_at, self.now) > worker.life { return self.doubt(w, out); }
+        if std::mem::replace(&mut worker.broke_at, self.now) > worker.life {
+            return self.doubt(w, out);
+        }
         worker.pause_until = worker.pause_until.max(self.now + TRIAL / 3);
     }
 
     fn probed(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
         let Some(&w) = self.index.get(&worker) else { return };
         self.probing = self.probing.saturating_sub(1);
-        if !ok { self.workers[w].pause_until = self.now + FRESH; }
+        if !ok {
+            self.workers[w].pause_until = self.now + FRESH;
+        }
         self.reported(w, report);
     }
 
@@ -785,7 +1008,9 @@
             self.stale += CROWD_GAIN / 2.0 * (f64::from(u8::from(last.told == told)) - self.stale);
         }
         self.crowding(w, if told.queue.is_some() { queue < 0.5 } else { free >= 0.5 });
-        if !self.lately.contains(&w) { self.lately.push(w); }
+        if !self.lately.contains(&w) {
+            self.lately.push(w);
+        }
         let room = if free - queue >= 0.9 { 1.0 } else { 0.0 };
         let kind = &mut self.kinds[self.workers[w].kind as usize];
         kind.2 += CROWD_GAIN * (room - kind.2);
@@ -808,7 +1033,9 @@
         self.window.freed(freed);
         // Guards against tables filled by many dispatchers' idle connections, where new ones cost nothing.
         let many = self.set.handshake_price <= 0.0 && self.set.senders() > ALL as u32;
-        if last.held < 0.5 && many { out.push(Action::Release { worker: last.id }); }
+        if last.held < 0.5 && many {
+            out.push(Action::Release { worker: last.id });
+        }
         let failed = matches!(outcome, Outcome::Error | Outcome::Reset) && !e.kept;
         let guilty = failed && self.blame(&job, outcome == Outcome::Reset);
         match outcome {
@@ -822,14 +1049,19 @@
             Outcome::Error | Outcome::ConnectFailed => self.doubt(w, out),
             Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
         }
-        if job.stage == Stage::Done { self.jobs.remove(&id); return; }
+        if job.stage == Stage::Done {
+            self.jobs.remove(&id);
+            return;
+        }
         if e.last || outcome == Outcome::Ok {
             let w = (self.now - self.jobs[&id].admitted) as f64 / self.aim(class);
             self.count(id, w.min(LATE_W));
             self.jobs.remove(&id);
             return;
         }
-        if !outcome.proves_unrun() { self.count(id, LATE_W); }
+        if !outcome.proves_unrun() {
+            self.count(id, LATE_W);
+        }
         self.again(id, outcome, out);
     }
 
@@ -837,7 +1069,9 @@
         let (w, a, class) = (job.attempt.worker, job.attempt, job.class);
         self.alive(w, true, out);
         for mark in marks(job) {
-            if let Some(pair) = self.judged.get_mut(&(w, mark)) { *pair = (0, pair.1 * (1.0 - CROWD_GAIN)); }
+            if let Some(pair) = self.judged.get_mut(&(w, mark)) {
+                *pair = (0, pair.1 * (1.0 - CROWD_GAIN));
+            }
             let Some(s) = self.suspect(mark).filter(|s| s.failed_at <= a.sent) else { continue };
             *s = Suspect { served_at: a.sent, ..Suspect::default() };
         }
@@ -855,9 +1089,15 @@
         let kind = &mut self.kinds[worker.kind as usize];
         kind.1 += 1.0; // the first guess counts for a job
         kind.0 += (1.0 / (kind.1 + 1.0)).max(0.03) * (ratio - kind.0);
-        if self.set.tells_start { return; }
+        if self.set.tells_start {
+            return;
+        }
         let told = report.is_some_and(|r| r.free_slots.is_some());
-        if told { self.reported(w, report); } else { self.learn_room(w, run < 2.0 * usual); }
+        if told {
+            self.reported(w, report);
+        } else {
+            self.learn_room(w, run < 2.0 * usual);
+        }
     }
 
     /// What becomes of a request whose attempt failed.
@@ -885,7 +1125,9 @@
         } else {
             None
         };
-        if let Some(reason) = reason { return self.give_up(id, reason, out); }
+        if let Some(reason) = reason {
+            return self.give_up(id, reason, out);
+        }
         self.agenda.add(job.due, Due::Job { id });
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.stage = Stage::Waiting;
@@ -903,7 +1145,9 @@
     /// A held job can't be in time any more: it waits on behind those that can, or is refused.
     fn due(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let held = |j: &Job| matches!(j.stage, Stage::Queued | Stage::Waiting) && self.now >= j.due;
-        if !self.jobs.get(&id).is_some_and(held) || self.may_be_late(id) { return; }
+        if !self.jobs.get(&id).is_some_and(held) || self.may_be_late(id) {
+            return;
+        }
         self.give_up(id, Reason::TooLate, out);
     }
 
@@ -911,16 +1155,22 @@
         let runs = if self.estimates() { 2 } else { 1 };
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let last = job.deadline.saturating_sub(runs * self.classes[job.class].usual as Time);
-        if job.late || self.set.classes[job.class].late_worth <= 0.0 || self.now >= last { return false; }
+        if job.late || self.set.classes[job.class].late_worth <= 0.0 || self.now >= last {
+            return false;
+        }
         let waits = self.waiting.remove(&rank(job, id));
         (job.late, job.due) = (true, last);
-        if waits { self.waiting.insert(rank(job, id)); }
+        if waits {
+            self.waiting.insert(rank(job, id));
+        }
         self.agenda.add(last, Due::Job { id });
         true
     }
 
     fn give_up(&mut self, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
-        if self.jobs.get(&id).is_some_and(|j| j.stage != Stage::Queued) { self.count(id, LATE_W); }
+        if self.jobs.get(&id).is_some_and(|j| j.stage != Stage::Queued) {
+            self.count(id, LATE_W);
+        }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.waiting.remove(&rank(&job, id));
         out.push(Action::Trace(Trace::GaveUp(id, reason)));
@@ -933,26 +1183,34 @@
         out.push(if any || job.may_run.is_none() { refuse } else { Action::Fail { id } });
     }
 
-
     fn client_left(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.waiting.remove(&rank(job, id));
-        if job.stage != Stage::Out { self.jobs.remove(&id); return; }
+        if job.stage != Stage::Out {
+            self.jobs.remove(&id);
+            return;
+        }
         job.stage = Stage::Done;
         let off = self.set.cancelling && !job.attempt.cancelled && !job.streaming;
-        if off { out.push(Action::Cancel { id, attempt: job.sent - 1 }); }
+        if off {
+            out.push(Action::Cancel { id, attempt: job.sent - 1 });
+        }
     }
 
     fn list(&mut self, entries: &[WorkerEntry], full: bool) {
         let (soft, now, shared) = (self.set.rules.soft_removal, self.now, self.shared());
         let earliest = self.lists.earliest_start();
         self.lists.record(now);
-        if full { self.workers.iter_mut().for_each(|w| w.unlist(soft, now)); }
+        if full {
+            self.workers.iter_mut().for_each(|w| w.unlist(soft, now));
+        }
         for e in entries {
             self.kinds.resize(self.kinds.len().max(e.kind as usize + 1), (1.0, 0.0, 1.0));
             let i = *self.index.entry(e.worker).or_insert(self.workers.len());
             let fresh = i == self.workers.len();
-            if fresh { self.workers.push(Worker::default()); }
+            if fresh {
+                self.workers.push(Worker::default());
+            }
             let w = &mut self.workers[i];
             if e.since > w.told_since || fresh {
                 // A restart knows nothing of what we learned.
@@ -968,11 +1226,17 @@
             }
             w.scale = if e.scale.is_finite() && e.scale > 0.0 { e.scale } else { 1.0 };
             let seen = self.set.live_weights.then(|| self.weights.learn(e.kind as usize, w.scale));
-            if let Some((all, size)) = seen { (w.scale, w.there) = (size, if shared { all } else { 0.0 }); }
+            if let Some((all, size)) = seen {
+                (w.scale, w.there) = (size, if shared { all } else { 0.0 });
+            }
         }
         (self.near, self.far, self.scale) = Default::default();
         for (i, w) in self.workers.iter().enumerate().filter(|(_, w)| w.ready) {
-            if w.zone == self.set.zone { self.near.push(i); } else { self.far.push(i); }
+            if w.zone == self.set.zone {
+                self.near.push(i);
+            } else {
+                self.far.push(i);
+            }
             self.scale += w.scale;
         }
         self.most_scale = self.most_scale.max(self.scale);
@@ -991,11 +1255,15 @@
         self.plan(SECOND, Due::Step);
         // Guards who comes first to a node that has just started: what half a second showed is no rate yet.
         let early = self.recent == 0.0 || self.now < self.born + SECOND / 2;
-        if early && self.offered == 0.0 { return self.tell(out); }
+        if early && self.offered == 0.0 {
+            return self.tell(out);
+        }
         let gain = (1.0 / ((self.now - self.born) / SECOND).max(1) as f64).max(0.1);
         self.offered += gain * (self.recent - self.offered);
         self.u_max = U_HEADROOM * self.offered.max(std::mem::take(&mut self.recent)) + 2.0;
-        for t in &mut self.tenants { t.rate += gain * (std::mem::take(&mut t.recent) - t.rate); }
+        for t in &mut self.tenants {
+            t.rate += gain * (std::mem::take(&mut t.recent) - t.rate);
+        }
         self.served += gain * (self.served_now - self.served);
         let floor = U_FLOOR * self.served.max(std::mem::take(&mut self.served_now)) + 1.0;
         self.tell(out);
@@ -1017,13 +1285,18 @@
             u = u.min(c.u);
         }
         self.u = (u * self.u_max).max(floor);
-        if self.u < 0.7 * self.offered { self.trace(Trace::Throttled(self.u, self.offered), out); }
+        if self.u < 0.7 * self.offered {
+            self.trace(Trace::Throttled(self.u, self.offered), out);
+        }
     }
 
     /// Quotas are for all dispatchers. Ours is the part of the tenant's traffic that comes here, as peers
     /// tell; without their word the middle tenant's part: one far beyond its share doesn't move it.
     fn set_allotments(&mut self) {
-        if self.set.tenants.is_empty() { self.tenants[0].allotment = 1e9; return; }
+        if self.set.tenants.is_empty() {
+            self.tenants[0].allotment = 1e9;
+            return;
+        }
         let with_quota = self.set.tenants.iter().zip(&self.tenants).filter(|(s, _)| s.quota_per_s > 0.0);
         let mut parts: Vec<f64> = with_quota.map(|(s, t)| t.rate / s.quota_per_s).collect();
         parts.sort_by(f64::total_cmp);
@@ -1043,7 +1316,9 @@
     /// many, so that the sample is fair.
     fn tell(&mut self, out: &mut Vec<Action>) {
         let (n, bytes) = (self.set.siblings, pack(self.tenants.iter().map(|t| t.rate)));
-        if !self.set.peers || n < 2 || self.set.tenants.is_empty() { return; }
+        if !self.set.peers || n < 2 || self.set.tenants.is_empty() {
+            return;
+        }
         let mean = self.set.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(n);
         let price = self.set.peer_price * bytes.len() as f64 / 256.0;
         let few = ((TELL_PRICE * mean / price.max(1e-9)) as u32).clamp(1, TELL_MAX);
@@ -1055,7 +1330,9 @@
     }
 
     fn peer(&mut self, from: u32, bytes: &[u8]) {
-        if from >= self.set.siblings || bytes.len() != 2 * self.tenants.len().min(128) { return; }
+        if from >= self.set.siblings || bytes.len() != 2 * self.tenants.len().min(128) {
+            return;
+        }
         self.peers.insert(from, (self.now, unpack(bytes)));
     }
 
@@ -1082,10 +1359,14 @@
         }
     }
 
-    fn plan(&mut self, after: Time, due: Due) { self.agenda.add(self.now + after, due); }
+    fn plan(&mut self, after: Time, due: Due) {
+        self.agenda.add(self.now + after, due);
+    }
 
     fn trace(&mut self, trace: Trace, out: &mut Vec<Action>) {
-        if self.now < self.traced_at + SECOND && self.traced_at > 0 { return; }
+        if self.now < self.traced_at + SECOND && self.traced_at > 0 {
+            return;
+        }
         self.traced_at = self.now;
         out.push(Action::Trace(trace));
     }
