--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -136,7 +136,7 @@
     client.tell(&request("check", ID, 0.2, "")).await;
     let mut job = worker.take().await;
     job.begin().await;
-    until("it runs", Duration::ZERO, || node.counters.word.get() == 1).await;
+    until("it runs", Duration::ZERO, || node.counters.acknowledged.get() == 1).await;
     advance(Duration::from_millis(200)).await;
     seen.add_answer("its deadline has passed while it ran", &mut client).await;
 
