--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::invariants::Violations;
 use crate::metrics::{Counter, Gauge};
-use dewlever::api::Outcome;
+use dispatch_policy::api::Outcome;
 use std::fmt;
 use std::sync::OnceLock;
 
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -4,11 +4,11 @@
 use crate::counters::Counters;
 use crate::invariants::Invariant;
 use bytes::Bytes;
-use dewlever::api::{
+use dispatch_policy::api::{
     Action, Ending, Event, LoadReport, Outcome, Request, RequestId, Semantics, Settings, SettingsError, Time,
     Trace, WorkerEntry, WorkerId,
 };
-use dewlever::Policy;
+use dispatch_policy::Policy;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/node/src/faktory/leases/assignment.rs
+++ b/node/src/faktory/leases/assignment.rs
@@ -4,7 +4,7 @@
 use super::LeaseTable;
 use crate::dispatcher::Tag;
 use bytes::Bytes;
-use dewlever::api::{Outcome, WorkerId};
+use dispatch_policy::api::{Outcome, WorkerId};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/node/src/faktory/leases/mod.rs
+++ b/node/src/faktory/leases/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::dispatcher::Handle;
 use crate::names::Names;
-use dewlever::api::WorkerId;
+use dispatch_policy::api::WorkerId;
 use job::{IdempotencyKey, Job};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -6,7 +6,7 @@
 use crate::faktory::command::Push;
 use crate::names::Names;
 use bytes::Bytes;
-use dewlever::api::Request;
+use dispatch_policy::api::Request;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/node/src/faktory/leases/workers.rs
+++ b/node/src/faktory/leases/workers.rs
@@ -4,7 +4,7 @@
 use super::job::JobNumber;
 use super::LeaseTable;
 use crate::dispatcher::number_of;
-use dewlever::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -13,7 +13,7 @@
 use crate::platform::socket::Socket;
 use crate::transient::outlast;
 use crate::START_WAIT;
-use dewlever::api::{Settings, SettingsError};
+use dispatch_policy::api::{Settings, SettingsError};
 use serde_json::json;
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -8,7 +8,7 @@
 use super::wire::{Line, SessionCodec};
 use crate::dispatcher::Answer;
 use bytes::Bytes;
-use dewlever::api::Outcome;
+use dispatch_policy::api::Outcome;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::json;
 use std::io;
--- a/node/src/faktory/transport.rs
+++ b/node/src/faktory/transport.rs
@@ -3,7 +3,7 @@
 use super::leases::{JobNumber, OFFER_TIMEOUT};
 use super::server::Shared;
 use crate::dispatcher::{Answer, Front, Tag};
-use dewlever::api::{Outcome, WorkerId};
+use dispatch_policy::api::{Outcome, WorkerId};
 use std::sync::Arc;
 use tokio::time::{sleep, Instant};
 
--- a/node/src/list.rs
+++ b/node/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::number_of;
 use crate::names::Names;
-use dewlever::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -1,7 +1,7 @@
 //! The settings as the module takes them, and the names and figures that the wires need beside them.
 
-use dewlever::api::Settings;
-use dewlever::settings::{self, Field, Pairs};
+use dispatch_policy::api::Settings;
+use dispatch_policy::settings::{self, Field, Pairs};
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
@@ -63,7 +63,9 @@
             |i: usize| value.get(at).and_then(|items| items.get(i)?.get("Name")).map_or("".into(), name);
         (0..n).map(name).collect()
     };
-    let keyed = |c: &dewlever::api::ClassSettings| matches!(c.semantics, dewlever::api::Semantics::Keyed(_));
+    let keyed = |c: &dispatch_policy::api::ClassSettings| {
+        matches!(c.semantics, dispatch_policy::api::Semantics::Keyed(_))
+    };
     let report = value.get("Stats").and_then(|stats| stats.get("Fields")).and_then(Value::as_array);
     let report = report.into_iter().flatten().map(name);
     let classes: Vec<String> = named("Profiles", settings.classes.len());
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -11,7 +11,7 @@
 use crate::dispatcher::{Handle, Tag};
 use crate::names::Names;
 use bytes::{Bytes, BytesMut};
-use dewlever::api::{LoadReport, Outcome, WorkerId};
+use dispatch_policy::api::{LoadReport, Outcome, WorkerId};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -3,7 +3,7 @@
 use crate::dispatcher::number_of;
 use crate::names::Names;
 use bytes::Bytes;
-use dewlever::api::{LoadReport, Request};
+use dispatch_policy::api::{LoadReport, Request};
 use hyper::header::HeaderMap;
 use percent_encoding::percent_decode_str;
 use serde::Deserialize;
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -9,7 +9,7 @@
 use crate::names::Names;
 use crate::upgrade::Lifted;
 use bytes::Bytes;
-use dewlever::api::{Outcome, Request, WorkerId};
+use dispatch_policy::api::{Outcome, Request, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -31,7 +31,7 @@
 use ::fleet::{FleetSize, RATES_MAX};
 use attempt::AttemptRunner;
 use bytes::Bytes;
-use dewlever::api::{Outcome, Request, Settings, WorkerId};
+use dispatch_policy::api::{Outcome, Request, Settings, WorkerId};
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
 use job_handover::{Adopted, Hold, Line, Moving};
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -9,7 +9,7 @@
 use crate::names::Names;
 use crate::transient;
 use bytes::Bytes;
-use dewlever::api::WorkerId;
+use dispatch_policy::api::WorkerId;
 use http_body_util::Full;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -4,7 +4,7 @@
 use super::fields;
 use super::pool::Connection;
 use bytes::Bytes;
-use dewlever::api::{LoadReport, WorkerId};
+use dispatch_policy::api::{LoadReport, WorkerId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
--- a/node/src/platform/server.rs
+++ b/node/src/platform/server.rs
@@ -14,7 +14,7 @@
 use crate::names::Names;
 use crate::phase::{Phase, Phases};
 use bytes::Bytes;
-use dewlever::api::RequestId;
+use dispatch_policy::api::RequestId;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, RETRY_AFTER};
--- a/node/src/retune.rs
+++ b/node/src/retune.rs
@@ -2,7 +2,7 @@
 //! rules, and what the module learned under a number stays true.
 
 use crate::names::Names;
-use dewlever::api::{ClassSettings, Settings, TenantSettings};
+use dispatch_policy::api::{ClassSettings, Settings, TenantSettings};
 use serde_json::Value;
 
 /// The settings and the names that belong to them.
@@ -110,7 +110,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use dewlever::api::{Group, Semantics};
+    use dispatch_policy::api::{Group, Semantics};
     use quickcheck::{Gen, QuickCheck};
     use serde_json::json;
     use std::collections::BTreeMap;
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::{checker, holds, settings};
-use dewlever::api::{Availability, Outcome, Request, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, Outcome, Request, WorkerEntry, WorkerId};
 use molevale::counters::Counters;
 use molevale::dispatcher::{queue, Answer, Dispatcher, Front, Handle, Tag};
 use molevale::names::read_settings;
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -1,7 +1,7 @@
 //! Lease table of the Faktory front, driven as the dispatcher and the sessions drive it.
 
 use bytes::Bytes;
-use dewlever::api::{Outcome, WorkerId};
+use dispatch_policy::api::{Outcome, WorkerId};
 use molevale::dispatcher::{number_of, queue, Tag};
 use molevale::faktory::leases::{ClassLimits, LeaseTable};
 use molevale::names::Names;
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{checker, holds, one, request, stop, stopping, Client, Platform, Seen, Worker};
-use dewlever::api::Outcome;
+use dispatch_policy::api::Outcome;
 use molevale::names::read_settings;
 use molevale::phase::Phase;
 use molevale::retune::Tuning;
--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -7,11 +7,11 @@
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::sealer::Sealer;
 use crate::allocation::Memory;
-use dewlever::api::{
+use dispatch_policy::api::{
     Action, ClassSettings, Ending, Event, Outcome, Request, RequestId, Rules, Semantics, Settings,
     TenantSettings, Time,
 };
-use dewlever::Policy;
+use dispatch_policy::Policy;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
--- a/rig/src/scale/list.rs
+++ b/rig/src/scale/list.rs
@@ -1,6 +1,6 @@
 //! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
 
-use dewlever::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
 use duties::Entry;
 use rand::rngs::SmallRng;
 use rand::RngExt;
--- a/rig/src/scale/requirement.rs
+++ b/rig/src/scale/requirement.rs
@@ -63,7 +63,7 @@
 
 const VIEW: &str = "membership, `fleet::Machine`";
 const LIST: &str = "each node reads each line, `platform::follow`";
-const DECISION: &str = "decision module, `dewlever::Policy`";
+const DECISION: &str = "decision module, `dispatch_policy::Policy`";
 const RATES: &str = "rates of 90 tenants at most to 16 siblings a second, `Machine::tell`";
 const VOTES: &str = "5 voters for all regions, `duties::Voter`";
 const TREE: &str = "tree of a zone's nodes, `duties::Spread`";
--- a/src/bin/dewlever-drill/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -3,11 +3,11 @@
 mod codec;
 
 use codec::{Batch, Record, Reply, HEADER};
-use dewlever::api::{
+use dispatch_policy::api::{
     Action, Availability, Ending, Event, LoadReport, Outcome, Request, Trace, WorkerEntry, WorkerId,
 };
-use dewlever::settings::{self, Field};
-use dewlever::Policy;
+use dispatch_policy::settings::{self, Field};
+use dispatch_policy::Policy;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
@@ -26,7 +26,7 @@
 
 fn main() {
     if let Err(message) = run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
-        eprintln!("dewlever-drill: {message}");
+        eprintln!("simulator-adapter: {message}");
         std::process::exit(2);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //! and carries out the actions it answers with:
 //!
 //! ```
-//! use dewlever::api::*;
-//! use dewlever::Policy;
+//! use dispatch_policy::api::*;
+//! use dispatch_policy::Policy;
 //!
 //! let class = ClassSettings {
 //!     aim_us: 250_000,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,8 +5,8 @@
 pub mod recording;
 pub mod world;
 
-use dewlever::api::*;
-use dewlever::Policy;
+use dispatch_policy::api::*;
+use dispatch_policy::Policy;
 use recording::Recording;
 
 pub const MS: Time = 1_000;
--- a/tests/common/recording.rs
+++ b/tests/common/recording.rs
@@ -1,6 +1,6 @@
 //! Actions as bytes that depend on no name, and digests of them.
 
-use dewlever::api::*;
+use dispatch_policy::api::*;
 
 /// Events whose actions have one digest.
 pub const BLOCK: usize = 100;
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,8 +1,8 @@
 //! Random but legal event orders, with the rules checked on every action.
 
 use super::*;
-use dewlever::api::*;
-use dewlever::Policy;
+use dispatch_policy::api::*;
+use dispatch_policy::Policy;
 use std::collections::BTreeMap;
 
 /// A seeded sequence of numbers.
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -10,8 +10,8 @@
 use common::recording::{Recording, BLOCK};
 use common::world::{widely, Rng, World};
 use common::*;
-use dewlever::api::*;
-use dewlever::settings;
+use dispatch_policy::api::*;
+use dispatch_policy::settings;
 use std::fmt::Write;
 use std::path::PathBuf;
 
--- a/tests/regulator.rs
+++ b/tests/regulator.rs
@@ -1,6 +1,6 @@
 //! The regulator against known plants.
 
-use dewlever::regulator::Regulator;
+use dispatch_policy::regulator::Regulator;
 
 #[test]
 fn it_brings_a_first_order_plant_to_the_reference() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use dewlever::api::*;
+use dispatch_policy::api::*;
 
 fn two() -> Vec<WorkerEntry> {
     vec![worker(1, 0, 0), worker(2, 0, 0)]
@@ -92,7 +92,7 @@
 #[test]
 fn a_pulled_list_is_watched_from_the_start_and_again_after_a_failure() {
     let asked = Settings { list_asked: true, ..settings(vec![class(Semantics::Safe)]) };
-    let mut policy = dewlever::Policy::new(asked, 1, 0).unwrap();
+    let mut policy = dispatch_policy::Policy::new(asked, 1, 0).unwrap();
     let mut out = Vec::new();
     policy.handle(0, &Event::FullList(two()), &mut out);
     assert!(out.contains(&Action::Watch));
@@ -248,7 +248,7 @@
     let bad = |f: fn(&mut Settings)| {
         let mut s = ok.clone();
         f(&mut s);
-        dewlever::Policy::new(s, 1, 0).err()
+        dispatch_policy::Policy::new(s, 1, 0).err()
     };
     assert!(bad(|_| ()).is_none());
     assert!(bad(|s| s.classes.clear()).is_some());
@@ -698,7 +698,7 @@
 fn dispatchers_send_a_key_to_the_same_worker_where_a_fetch_is_charged_for() {
     let set = Settings { origin_price: 0.15, ..settings(vec![class(Semantics::Safe)]) };
     let first = |seed, key| {
-        let mut policy = dewlever::Policy::new(set.clone(), seed, S).unwrap();
+        let mut policy = dispatch_policy::Policy::new(set.clone(), seed, S).unwrap();
         let mut out = Vec::new();
         policy.handle(S, &Event::FullList(many(20, |_| 0)), &mut out);
         policy.handle(S, &Event::Accept(ask(1, key)), &mut out);
@@ -936,7 +936,7 @@
         for ordinal in 0..100 {
             let settings = Settings { ordinal, ..settings.clone() };
             let mut d = Desk::new(settings.clone(), vec![]);
-            d.policy = dewlever::Policy::new(settings, u64::from(ordinal), S).unwrap();
+            d.policy = dispatch_policy::Policy::new(settings, u64::from(ordinal), S).unwrap();
             list.iter_mut().for_each(|e| e.since = S);
             d.tell(Event::FullList(list.clone()));
             // Jobs of 1 s come so often that no credit stays unused; the first may start after some seconds.
@@ -973,7 +973,7 @@
         let (settings, list) = vast(vec![class(Semantics::Safe)]);
         let settings = Settings { siblings, ..settings };
         let mut d = Desk::new(settings.clone(), vec![]);
-        d.policy = dewlever::Policy::new(settings, seed, S).unwrap();
+        d.policy = dispatch_policy::Policy::new(settings, seed, S).unwrap();
         d.tell(Event::FullList(list));
         let (mut id, mut count) = (0, 0);
         while d.now < 200 * S {
@@ -1011,7 +1011,7 @@
     for node in 0..1000 {
         let settings = Settings { ordinal: node % 100, ..settings.clone() };
         let mut d = Desk::new(settings.clone(), vec![]);
-        d.policy = dewlever::Policy::new(settings, u64::from(node), S).unwrap();
+        d.policy = dispatch_policy::Policy::new(settings, u64::from(node), S).unwrap();
         d.tell(Event::FullList(vec![WorkerEntry { scale: 5.0, since: 0, ..list[0].clone() }]));
         d.tell(Event::FullList(list.clone()));
         d.now = 4 * S + Time::from(node / 100) * S;
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in emulated time.
 
-use dewlever::api::{Rules, Settings, TenantSettings, Time, WorkerId};
-use dewlever::slow_start::{may_send, warmth, Fleet, Sender, Start, Used};
+use dispatch_policy::api::{Rules, Settings, TenantSettings, Time, WorkerId};
+use dispatch_policy::slow_start::{may_send, warmth, Fleet, Sender, Start, Used};
 use rand_free::Sequence;
 
 const MS: Time = 1_000;
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, settings, worker, Desk, MS, S};
-use dewlever::api::*;
+use dispatch_policy::api::*;
 
 const HOUR: Time = 3_600 * S;
 /// The time now, as the machines that tell of starts have it.
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use dewlever::api::*;
-use dewlever::window::Window;
+use dispatch_policy::api::*;
+use dispatch_policy::window::Window;
 
 /// A window for 60 workers and as many dispatchers.
 fn window() -> Window {
