--- a/Makefile
+++ b/Makefile
@@ -19,10 +19,10 @@
 
 # Five real processes with workers and load, one killed, one cut off: what each sees. Under a minute.
 fleet: build
-	target/release/rig demo --node target/release/molevale
+	target/release/testbed demo --node target/release/molevale
 
 # Overlapping faults against real processes, judged by the protocol's rules. A seed takes half a minute.
 soak: build
-	target/release/rig soak --node target/release/molevale --times 5
+	target/release/testbed soak --node target/release/molevale --times 5
 
 .PHONY: build test lint run fleet soak
--- a/duties/tests/model.rs
+++ b/duties/tests/model.rs
@@ -1,7 +1,7 @@
 //! A model of lease, token and hand-over, checked over all reachable states: leaders that are deposed without knowing it, two
 //! nodes that ask, hold, give back, stand still and are started again, words that come late, twice or never, clocks that run
 //! apart within the bound. With each guard taken out the checker has to find how it breaks; docs/DUTIES-DESIGN.md has the
-//! shortest ways. The whole of it is `RIG_LONG=1 cargo test --release -p duties --test model`.
+//! shortest ways. The whole of it is `TESTBED_LONG=1 cargo test --release -p duties --test model`.
 //!
 //! What is left out: the log itself, which is a library's (a command is agreed on by a majority of the term's voters, or
 //! never), and words between voters.
@@ -381,7 +381,7 @@
 }
 
 fn long() -> bool {
-    std::env::var_os("RIG_LONG").is_some()
+    std::env::var_os("TESTBED_LONG").is_some()
 }
 
 fn check(without: Option<Guard>, beside: [Beside; 2]) -> (usize, Option<Vec<Act>>) {
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -8,15 +8,15 @@
 use molevale::upgrade::Before;
 use molevale::{config, platform};
 use quickcheck::{Gen, QuickCheck};
-#[allow(unused_imports)] // each test file uses some of them
-pub use rig::wire::{self, request, settings};
-use rig::wire::{field, head, length};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::mpsc::RecvTimeoutError;
 use std::sync::Arc;
 use std::time::Duration;
+#[allow(unused_imports)] // each test file uses some of them
+pub use testbed::wire::{self, request, settings};
+use testbed::wire::{field, head, length};
 use tokio::io::{duplex, AsyncBufReadExt, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch, Notify};
--- a/node/tests/duties.rs
+++ b/node/tests/duties.rs
@@ -3,17 +3,17 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rig::cluster::{Cluster, Duties, Spec, TENANTS};
-use rig::history_check::violations;
-use rig::load::{play, Load};
-use rig::process::call;
-use rig::relay::Rule;
-use rig::resource::Resource;
-use rig::soak::shim::Fault;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::process::Command;
 use std::time::Duration;
+use testbed::cluster::{Cluster, Duties, Spec, TENANTS};
+use testbed::history_check::violations;
+use testbed::load::{play, Load};
+use testbed::process::call;
+use testbed::relay::Rule;
+use testbed::resource::Resource;
+use testbed::soak::shim::Fault;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{sleep, Instant};
 
@@ -474,7 +474,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drawn_faults_never_let_two_act_and_end_with_a_holder() {
     let _place = place().await;
-    let (seeds, steps) = if std::env::var_os("RIG_LONG").is_some() { (1..13, 30) } else { (1..2, 12) };
+    let (seeds, steps) = if std::env::var_os("TESTBED_LONG").is_some() { (1..13, 30) } else { (1..2, 12) };
     for seed in seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut stage = stage(7, 3).await;
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -2,15 +2,15 @@
 //! stays so. Steps wait for what is seen, with generous limits; the views' own pace is set fast.
 
 use fleet::{MemberStatus, Status};
-use rig::check::Truth;
-use rig::cluster::{Cluster, Spec, TENANTS};
-use rig::load::{play, Load};
-use rig::process::call;
-use rig::relay::Rule;
 use rustix::process::Signal;
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
+use testbed::check::Truth;
+use testbed::cluster::{Cluster, Spec, TENANTS};
+use testbed::load::{play, Load};
+use testbed::process::call;
+use testbed::relay::Rule;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout, Instant};
 
@@ -150,7 +150,7 @@
     let cluster = started(spec(8)).await;
     let bad = Rule { loss: 0.2, twice: 0.1, mutated: 0.02, jitter_ms: 30, ..Rule::default() };
     cluster.relays.everywhere(8, bad);
-    let length = std::env::var("RIG_LONG").map_or(10 * S, |_| 60 * S);
+    let length = std::env::var("TESTBED_LONG").map_or(10 * S, |_| 60 * S);
     sleep(length).await;
     cluster.relays.heal();
     settled(&cluster, 0..8).await;
@@ -368,8 +368,8 @@
     // Keys change under SIGHUP, one step after the other, with all in one fleet at each.
     let new = "5a".repeat(32);
     let steps = [
-        format!("{}previous {new}\n", rig::cluster::KEY),
-        format!("current {new}\n{}", rig::cluster::KEY.replace("current", "previous")),
+        format!("{}previous {new}\n", testbed::cluster::KEY),
+        format!("current {new}\n{}", testbed::cluster::KEY.replace("current", "previous")),
         format!("current {new}\n"),
     ];
     for keys in steps {
@@ -400,7 +400,7 @@
     };
     let (code, out, _) = show(&["fleet", "show", &at]);
     assert_eq!(code, Some(0));
-    assert!(out.starts_with("fleet rig, as n01 sees it: 4 take jobs, 4 may be sending\n"), "{out}");
+    assert!(out.starts_with("fleet testbed, as n01 sees it: 4 take jobs, 4 may be sending\n"), "{out}");
     assert!((0..4).all(|i| out.contains(&Cluster::name(i))) && out.matches(" alive ").count() == 4, "{out}");
     let (_, json, _) = show(&["fleet", "show", &at, "--json"]);
     let shown: fleet::Status = serde_json::from_str(&json).unwrap();
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -5,14 +5,14 @@
 
 use fleet::Status;
 use molevale::counters::{Counters, ResourceUsage};
-use rig::cluster::{Cluster, Spec};
-use rig::process::call;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
+use testbed::cluster::{Cluster, Spec};
+use testbed::process::call;
 
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/membership").join(name)
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -1,13 +1,13 @@
 //! The program, started on settings made like each of the deployments in `deploy/sites`: every class of every tenant is
 //! served, over real sockets.
 
-use rig::discovery::Discovery;
-use rig::process::{call, Process};
-use rig::wire;
-use rig::worker::{Kind, Worker};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use testbed::discovery::Discovery;
+use testbed::process::{call, Process};
+use testbed::wire;
+use testbed::worker::{Kind, Worker};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,7 +1,7 @@
-//! A short soak: real processes, overlapping troubles, every rule judged. `rig soak` runs longer ones with more seeds.
+//! A short soak: real processes, overlapping troubles, every rule judged. `testbed soak` runs longer ones with more seeds.
 
-use rig::soak::{run, Options};
 use std::time::Duration;
+use testbed::soak::{run, Options};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overlapping_troubles_break_no_rule() {
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -1,14 +1,6 @@
 //! System calls of a real process fail in the ways that Linux documents, by a preloaded library: every rule holds all
 //! the same. Each test checks that the fault was met, for without that it shows nothing.
 
-use rig::cluster::free_block;
-use rig::process::{call, Process};
-use rig::soak::discovery::{Agent, List};
-use rig::soak::history::{History, Recorder};
-use rig::soak::settings::{settings, CLASSES};
-use rig::soak::shim::{build, Control, Fault};
-use rig::soak::worker::{SoakWorker, WorkerMode};
-use rig::wire;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -16,6 +8,14 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::cluster::free_block;
+use testbed::process::{call, Process};
+use testbed::soak::discovery::{Agent, List};
+use testbed::soak::history::{History, Recorder};
+use testbed::soak::settings::{settings, CLASSES};
+use testbed::soak::shim::{build, Control, Fault};
+use testbed::soak::worker::{SoakWorker, WorkerMode};
+use testbed::wire;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -5,8 +5,6 @@
 
 use common::{request, Client, Peer, Seen, Worker};
 use fleet::keys::Keys;
-use rig::discovery::Discovery;
-use rig::process::{call, Process};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,6 +12,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::discovery::Discovery;
+use testbed::process::{call, Process};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -291,7 +291,7 @@
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let mut stream = BufReader::new(socket);
-                while rig::wire::head(&mut stream).await.is_some() {
+                while testbed::wire::head(&mut stream).await.is_some() {
                     if let Useless::Overbooked = how {
                         let busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                         let _ = stream.write_all(busy).await; // the node may have gone
--- a/node/tests/told.rs
+++ b/node/tests/told.rs
@@ -223,7 +223,7 @@
     async fn serve(self, socket: TcpStream) -> Option<()> {
         let mut stream = BufReader::new(socket);
         loop {
-            rig::wire::head(&mut stream).await?;
+            testbed::wire::head(&mut stream).await?;
             if self.up.available_permits() == 0 {
                 self.lost.fetch_add(1, Ordering::Relaxed);
                 std::future::pending::<()>().await;
--- a/rig/shim/faults.c
+++ b/testbed/shim/faults.c
@@ -4,7 +4,7 @@
  *
  * The file named by SOAK_CONTROL is mapped and shared with the test driver. It holds three arrays of 64-bit numbers:
  * the rate of each fault in parts per million (written by the driver), how often each fault was injected (written
- * here), and parameters (see enum parameter). The numbering is repeated in rig/src/soak/shim.rs.
+ * here), and parameters (see enum parameter). The numbering is repeated in testbed/src/soak/shim.rs.
  *
  * Only sockets are touched by the socket faults, and only regular files by the disk faults.
  */
--- a/rig/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -139,7 +139,7 @@
         (1..=NODES_MAX).contains(&spec.nodes).then_some(()).ok_or_else(too_many)?;
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let (block, _lock) = block(std::process::id().wrapping_mul(97).wrapping_add(number * 7919))?;
-        let folder = std::env::temp_dir().join(format!("rig-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("fleet.key"), KEY)?;
         let at = |host: usize, port| address(block, host, port);
@@ -283,7 +283,7 @@
             }
         }
         format!(
-            "fleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"z{}\"\nkey_file = \"../fleet.key\"\n\
+            "fleet = \"testbed\"\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"z{}\"\nkey_file = \"../fleet.key\"\n\
              seeds = [{}]\n[timing]\nprobe_ms = {p}\nanswer_ms = {}\nsuspicion_ms = {}\ncontact_ms = {p}\n{duties}",
             self.talk(i),
             self.advertise(i),
--- a/rig/src/load.rs
+++ b/testbed/src/load.rs
@@ -308,6 +308,6 @@
 
 async fn is_up(node: SocketAddr) -> Option<bool> {
     let mut stream = BufReader::new(TcpStream::connect(node).await.ok()?);
-    stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n").await.ok()?;
+    stream.write_all(b"GET /up HTTP/1.1\r\nHost: testbed\r\nConnection: close\r\n\r\n").await.ok()?;
     Some(status(&head(&mut stream).await?)? == 200)
 }
--- a/rig/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,11 +1,11 @@
-//! `rig`: plays fault plans against real processes of the program, and measures the fleet in emulated time.
+//! `testbed`: plays fault plans against real processes of the program, and measures the fleet in emulated time.
 
 use clap::{Parser, Subcommand};
-use rig::allocation::{counting, CountingAllocator};
-use rig::plan::{carry_out, Outcome, Plan};
-use rig::{demo, measure, scale, soak};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use testbed::allocation::{counting, CountingAllocator};
+use testbed::plan::{carry_out, Outcome, Plan};
+use testbed::{demo, measure, scale, soak};
 
 /// Counts what is allocated, for the measurements of state in bytes.
 #[global_allocator]
@@ -154,7 +154,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("rig: {}", message.replace('\n', " "));
+            eprintln!("testbed: {}", message.replace('\n', " "));
             ExitCode::from(2)
         }
     }
--- a/rig/src/process.rs
+++ b/testbed/src/process.rs
@@ -144,7 +144,7 @@
     let exchange = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
         let text = format!(
-            "{method} {path} HTTP/1.1\r\nHost: rig\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+            "{method} {path} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         );
         stream.write_all(text.as_bytes()).await.ok()?;
         let mut answer = Vec::new();
--- a/rig/src/scale/arguments.rs
+++ b/testbed/src/scale/arguments.rs
@@ -1,13 +1,13 @@
-//! The command line of `rig scale`.
+//! The command line of `testbed scale`.
 
 use super::result::Axis;
 use std::path::PathBuf;
 
-/// Arguments of `rig scale`.
+/// Arguments of `testbed scale`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Arguments {
     /// The plan: sizes, seed and limits.
-    #[arg(default_value = "rig/plans/scale.toml")]
+    #[arg(default_value = "testbed/plans/scale.toml")]
     pub plan: PathBuf,
     /// Only these axes; all of the plan's where none is named.
     #[arg(long, value_enum)]
--- a/rig/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Scale tests: the state machines of many hollow processes at growing sizes, in emulated time, and the capacity page that
 //! is worked out from what they showed.
 //!
-//! `rig scale` measures by a plan and keeps each axis' results as JSON; `--page` writes the generated part of the page,
+//! `testbed scale` measures by a plan and keeps each axis' results as JSON; `--page` writes the generated part of the page,
 //! and `--check` fails where page and results differ.
 
 mod arguments;
--- a/rig/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -16,7 +16,7 @@
 /// The chart's file in the folder of results.
 const CHART: &str = "scale.svg";
 
-/// Why `rig scale` failed.
+/// Why `testbed scale` failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// The plan can't be read.
@@ -191,7 +191,7 @@
     let axis_name = format!("{axis:?}").to_lowercase();
     Run {
         format: FORMAT,
-        command: format!("rig scale {} --axis {axis_name}", path.display()),
+        command: format!("testbed scale {} --axis {axis_name}", path.display()),
         seed: plan.seed,
         date: humantime::format_rfc3339_seconds(SystemTime::now()).to_string(),
         commit: String::new(),
--- a/rig/src/soak/shim.rs
+++ b/testbed/src/soak/shim.rs
@@ -1,6 +1,6 @@
 //! The system-call shim of a process under test: what it is to inject, and how often it has.
 //!
-//! The library itself is `rig/shim/faults.c`; it shares a file with this module. A run that injected none of a fault
+//! The library itself is `testbed/shim/faults.c`; it shares a file with this module. A run that injected none of a fault
 //! which it was to inject shows nothing about it, so the counts are part of each report.
 
 use std::fs::File;
--- a/rig/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -1,8 +1,8 @@
 //! Faults planted in views, and whether the checker reports each.
 
 use fleet::{MemberInfo, MemberStatus, View};
-use rig::check::{faults, Fault, Truth};
 use std::collections::BTreeMap;
+use testbed::check::{faults, Fault, Truth};
 
 fn view(node: &str, members: &[(&str, MemberStatus, u64)]) -> View {
     let line = |(name, status, incarnation): &(&str, MemberStatus, u64)| MemberInfo {
--- a/rig/tests/duties.rs
+++ b/testbed/tests/duties.rs
@@ -3,11 +3,11 @@
 use duties::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rig::disk::MemDisk;
-use rig::duties::{address, name, Spec, World};
-use rig::history_check::violations;
-use rig::relay::Rule;
 use std::time::Duration;
+use testbed::disk::MemDisk;
+use testbed::duties::{address, name, Spec, World};
+use testbed::history_check::violations;
+use testbed::relay::Rule;
 
 const S: Duration = Duration::from_secs(1);
 /// After the last fault: a lease, elections, and what clients wait between two asks.
@@ -375,7 +375,7 @@
 #[test]
 fn drawn_faults_never_let_two_act_and_end_with_a_holder() {
     (0..40).for_each(walk);
-    if std::env::var_os("RIG_LONG").is_some() {
+    if std::env::var_os("TESTBED_LONG").is_some() {
         (40..20_000).for_each(walk);
     }
 }
--- a/rig/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -3,10 +3,10 @@
 use fleet::{MemberStatus, MembershipEvent, Timing};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rig::check::Truth;
-use rig::emulated::{address, key, name, Spec, World};
-use rig::relay::Rule;
 use std::time::Duration;
+use testbed::check::Truth;
+use testbed::emulated::{address, key, name, Spec, World};
+use testbed::relay::Rule;
 
 const S: Duration = Duration::from_secs(1);
 
@@ -412,7 +412,7 @@
     (0..60).for_each(|seed| walk(seed, 12));
     (1000..1004).for_each(|seed| walk(seed, 60));
     // The long set.
-    if std::env::var_os("RIG_LONG").is_some() {
+    if std::env::var_os("TESTBED_LONG").is_some() {
         (60..1000).for_each(|seed| walk(seed, 12));
         (1004..1040).for_each(|seed| walk(seed, 60));
         (2000..2004).for_each(|seed| walk(seed, 150));
--- a/rig/tests/history_check.rs
+++ b/testbed/tests/history_check.rs
@@ -1,7 +1,7 @@
 //! Violations planted in histories, and whether the checker reports each.
 
-use rig::history_check::{violations, Act, Violation};
 use std::time::Duration;
+use testbed::history_check::{violations, Act, Violation};
 
 fn act(begun: u64, came: u64, who: &str, token: u64, taken: bool) -> Act {
     let ms = Duration::from_millis;
--- a/rig/tests/plan.rs
+++ b/testbed/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Errors in fault plans.
 
-use rig::plan::Plan;
+use testbed::plan::Plan;
 
 const GOOD: &str = "seed = 1\nnodes = 3\nworkers = 2\nrate = 5.0\nquota = 5.0\nlength_s = 3\n";
 
--- a/rig/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,17 +1,17 @@
 //! Scale runs: the plan's checks, the fit, the page against its results, and a small fixed run whose counts stay within
 //! bounds. Times are not judged.
 
-use rig::allocation::{counting, CountingAllocator, Memory};
-use rig::scale::fit::{Fit, Law, Point};
-use rig::scale::limits::Limits;
-use rig::scale::membership;
-use rig::scale::page::{self, PageError, BEGIN, END};
-use rig::scale::plan::Plan;
-use rig::scale::result::{
-    Axis, Condition, Figures, Measurement, Outcome, Quantity, Recorder, Role, Run, Value, FORMAT,
-};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use testbed::allocation::{counting, CountingAllocator, Memory};
+use testbed::scale::fit::{Fit, Law, Point};
+use testbed::scale::limits::Limits;
+use testbed::scale::membership;
+use testbed::scale::page::{self, PageError, BEGIN, END};
+use testbed::scale::plan::Plan;
+use testbed::scale::result::{
+    Axis, Condition, Figures, Measurement, Outcome, Quantity, Recorder, Role, Run, Value, FORMAT,
+};
 
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = counting();
@@ -34,7 +34,7 @@
 }
 
 fn measured_by(plan: &Plan, axis: Axis) -> Vec<Measurement> {
-    let measure = |size: &u64| rig::scale::measure(plan, axis, *size, Memory::new(&ALLOCATOR));
+    let measure = |size: &u64| testbed::scale::measure(plan, axis, *size, Memory::new(&ALLOCATOR));
     plan.sizes(axis).iter().flat_map(measure).collect()
 }
 
@@ -237,7 +237,7 @@
     };
     let run = Run {
         format: FORMAT,
-        command: "rig scale".to_string(),
+        command: "testbed scale".to_string(),
         seed: 1,
         date: "2026-12-02T00:00:00Z".to_string(),
         commit: "unknown".to_string(),
@@ -276,7 +276,7 @@
 #[test]
 fn the_capacity_page_agrees_with_the_kept_results() {
     let docs = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
-    let runs = rig::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
+    let runs = testbed::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
     page::check(&docs.join("CAPACITY.md"), &runs)
-        .expect("`rig scale --page docs/CAPACITY.md` writes it anew");
+        .expect("`testbed scale --page docs/CAPACITY.md` writes it anew");
 }
--- a/rig/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -1,11 +1,11 @@
 //! The soak's oracle finds each kind of broken rule, and excuses what the protocol excuses.
 
-use rig::soak::history::{
+use std::time::Duration;
+use testbed::soak::history::{
     AttemptEnd, AttemptRecord, Effect, History, Life, RequestEnd, RequestRecord, Withdrawal,
 };
-use rig::soak::oracle::{judge, Limits};
-use rig::soak::schedule::{draw, Shape, Trouble};
-use std::time::Duration;
+use testbed::soak::oracle::{judge, Limits};
+use testbed::soak::schedule::{draw, Shape, Trouble};
 
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
