--- a/duties/tests/golden_bytes/cluster.rs
+++ b/coordination/tests/golden_bytes/cluster.rs
@@ -3,7 +3,7 @@
 #[path = "image.rs"]
 pub mod image;
 
-use duties::{
+use coordination::{
     ClusterStatus, Holder, LeaseTable, Message, Operation, Outcome, Request, Response, Store, Timing, Voter,
     VoterAction, VoterConfig, VoterMember, VoterState,
 };
--- a/duties/tests/golden_bytes/messages.rs
+++ b/coordination/tests/golden_bytes/messages.rs
@@ -1,6 +1,6 @@
 //! One of each message between voters, clients and the list broadcast, all fields set to fixed values.
 
-use duties::{
+use coordination::{
     BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Entry, Handshake, Holder, LeaseChange,
     LeaseRecord, LeaseTable, Message, Operation, Outcome, Request, Response, RestartOutcome, RestartProgress,
     VoterMember, VoterMetrics, VoterState, VoterStatus,
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -16,12 +16,12 @@
 use crate::phase::{Phase, Phases};
 use ::fleet::file::{Duties as File, ScheduledCall};
 use ::fleet::{hash, Peer};
-use disk::Why;
-use duties::{
+use coordination::{
     BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
     Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
     VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
+use disk::Why;
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/node/src/duties/lists.rs
+++ b/node/src/duties/lists.rs
@@ -4,7 +4,7 @@
 use crate::list::{ListBody, Member};
 use crate::platform::ListSharing;
 use ::fleet::{hash, Peer};
-use duties::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/node/src/duties/roll.rs
+++ b/node/src/duties/roll.rs
@@ -2,7 +2,7 @@
 
 use crate::phase::Phases;
 use ::fleet::Peer;
-use duties::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+use coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/node/src/duties/show.rs
+++ b/node/src/duties/show.rs
@@ -4,7 +4,7 @@
 use crate::ask::ask;
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use duties::{ChangeKind, ClusterStatus, RestartProgress, VoterState};
+use coordination::{ChangeKind, ClusterStatus, RestartProgress, VoterState};
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -5,7 +5,7 @@
 use crate::phase::Phases;
 use crate::platform::socket::Socket;
 use crate::{duties, fleet};
-use ::duties::{Operation, Outcome, VoterMember, NAME_MAX};
+use coordination::{Operation, Outcome, VoterMember, NAME_MAX};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
--- a/node/tests/duties.rs
+++ b/node/tests/duties.rs
@@ -437,7 +437,7 @@
         let holder =
             held["holder"]["name"].as_str().and_then(|n| n.trim_start_matches('n').parse::<usize>().ok());
         let left: Vec<u8> = serde_json::from_value(held["left"].clone()).unwrap_or_default();
-        let progress: Option<duties::RestartProgress> = postcard::from_bytes(&left).ok();
+        let progress: Option<coordination::RestartProgress> = postcard::from_bytes(&left).ok();
         if let Some(end) = progress.as_ref().and_then(|p| p.outcome.clone()) {
             break end;
         }
@@ -455,7 +455,7 @@
         assert!(start.elapsed() < 3 * BOUND, "{progress:?}, {restarted:?}");
         sleep(S / 20).await;
     };
-    assert_eq!(ended, duties::RestartOutcome::Completed, "{restarted:?}, killed {killed:?}");
+    assert_eq!(ended, coordination::RestartOutcome::Completed, "{restarted:?}, killed {killed:?}");
     let mut once = restarted.clone();
     once.sort_unstable();
     once.dedup();
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -1,7 +1,7 @@
 //! Bytes between nodes about coordination, and the status that operators see, compared with those recorded from version
 //! 6e5c6e9. `GOLDEN_RECORD=1` writes the file anew and fails.
 
-use duties::{
+use coordination::{
     BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Holder, LeaseRecord, LeaseTable, Message,
     Outcome, Response, RestartProgress, VoterMember, VoterMetrics, VoterState,
 };
@@ -72,7 +72,7 @@
     let holder = |name: &str| Some(Holder { name: name.into(), process_id: 9 });
     let held = |holder, token, left| LeaseRecord { holder, token, granted_at_ms: NEVER_MS, state: left };
     let left = roll.map(|progress| postcard::to_stdvec(&progress).unwrap()).unwrap_or_default();
-    let change = |what, token| duties::LeaseChange {
+    let change = |what, token| coordination::LeaseChange {
         lease: "lists/z".into(),
         kind: what,
         holder: "node-1".into(),
@@ -100,7 +100,7 @@
     }
 }
 
-fn progress(end: Option<duties::RestartOutcome>) -> RestartProgress {
+fn progress(end: Option<coordination::RestartOutcome>) -> RestartProgress {
     let under_way = vec![("node-3".into(), 33), ("node-4".into(), 44)];
     RestartProgress {
         id: 5,
@@ -137,10 +137,10 @@
     let other_standings =
         [VoterState::Waiting, VoterState::Follower, VoterState::NotMember, VoterState::StaleCopy];
     let ends = [
-        duties::RestartOutcome::Completed,
-        duties::RestartOutcome::Cancelled,
-        duties::RestartOutcome::NodeNotBack("node-3".into()),
-        duties::RestartOutcome::JobsFailed(2, 30),
+        coordination::RestartOutcome::Completed,
+        coordination::RestartOutcome::Cancelled,
+        coordination::RestartOutcome::NodeNotBack("node-3".into()),
+        coordination::RestartOutcome::JobsFailed(2, 30),
     ];
     let mut all = vec![
         status(Some(VoterState::Leader), here.clone(), lists, Some(told(Some(progress(None))))),
@@ -148,7 +148,7 @@
             Some(broken),
             here,
             None,
-            Some(told(Some(progress(Some(duties::RestartOutcome::NodesMissing(3)))))),
+            Some(told(Some(progress(Some(coordination::RestartOutcome::NodesMissing(3)))))),
         ),
         status(Some(VoterState::Recovering), Vec::new(), None, Some(told(None))),
         status(None, Vec::new(), None, None),
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -165,7 +165,7 @@
     for way in ["handed on", "killed", "cut off", "killed with the leader"] {
         let mut spans = Histogram::<u64>::new(3).expect("three digits are allowed");
         for seed in 0..plays {
-            let spec = duties::Spec { timing: ::duties::Timing::default(), ..duties::Spec::new(seed) };
+            let spec = duties::Spec { timing: coordination::Timing::default(), ..duties::Spec::new(seed) };
             let mut world = duties::World::started(spec);
             world.until_held(Duration::from_secs(60)).expect("somebody holds it");
             world.run(Duration::from_millis(10_000 + seed * 317 % 5000));
@@ -196,7 +196,7 @@
             span(spans.max())
         ));
     }
-    let spec = duties::Spec { timing: ::duties::Timing::default(), ..duties::Spec::new(1) };
+    let spec = duties::Spec { timing: coordination::Timing::default(), ..duties::Spec::new(1) };
     let mut world = duties::World::started(spec);
     world.run(Duration::from_secs(30));
     let writes = |w: &duties::World| (0..3).map(|i| w.figures(i).writes).sum::<u64>();
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -65,8 +65,8 @@
 const LIST: &str = "each node reads each line, `platform::follow`";
 const DECISION: &str = "decision module, `dispatch_policy::Policy`";
 const RATES: &str = "rates of 90 tenants at most to 16 siblings a second, `Machine::tell`";
-const VOTES: &str = "5 voters for all regions, `duties::Voter`";
-const TREE: &str = "tree of a zone's nodes, `duties::Spread`";
+const VOTES: &str = "5 voters for all regions, `coordination::Voter`";
+const TREE: &str = "tree of a zone's nodes, `coordination::Spread`";
 const SHARED: &str = "a watch of one node of each zone, `lists = true`";
 const WATCHES: &str = "a watch of each node, without `lists`";
 
--- a/testbed/tests/duties.rs
+++ b/testbed/tests/duties.rs
@@ -1,6 +1,6 @@
 //! Duties in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
 
-use duties::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
+use coordination::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
