--- a/fleet/tests/file.rs
+++ b/membership/tests/file.rs
@@ -1,6 +1,6 @@
 //! Errors in the configuration file.
 
-use fleet::file::File;
+use membership::file::File;
 
 const GOOD: &str = "fleet = \"scp\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"fleet.key\"\n";
 
--- a/fleet/tests/fleet_size.rs
+++ b/membership/tests/fleet_size.rs
@@ -1,6 +1,6 @@
 //! Fleet size derived from a view.
 
-use fleet::{FleetSize, MemberInfo, MemberStatus, OtherMembers};
+use membership::{FleetSize, MemberInfo, MemberStatus, OtherMembers};
 
 fn member(name: &str, status: MemberStatus, for_ms: u64) -> MemberInfo {
     let address = "127.0.0.1:1".parse().unwrap();
--- a/fleet/tests/fragments.rs
+++ b/membership/tests/fragments.rs
@@ -1,7 +1,7 @@
 //! Fragmentation and reassembly of messages.
 
-use fleet::fragments::{split, Fragment, Reassembler, FRAGMENT_MAX, INCOMPLETE_MAX};
-use fleet::MESSAGE_MAX;
+use membership::fragments::{split, Fragment, Reassembler, FRAGMENT_MAX, INCOMPLETE_MAX};
+use membership::MESSAGE_MAX;
 use std::time::Duration;
 
 fn fragment(index: u16, count: u16, bytes: Vec<u8>) -> Fragment {
--- a/fleet/tests/golden_bytes.rs
+++ b/membership/tests/golden_bytes.rs
@@ -4,15 +4,15 @@
 //!
 //! `GOLDEN_RECORD=1` writes the files anew.
 
-use fleet::file::File;
-use fleet::fragments::Fragment;
-use fleet::keys::Keys;
-use fleet::packet::{decode, encode, Body, Packet};
-use fleet::state_sync::FullState;
-use fleet::{
+use foca::{Member, State};
+use membership::file::File;
+use membership::fragments::Fragment;
+use membership::keys::Keys;
+use membership::packet::{decode, encode, Body, Packet};
+use membership::state_sync::FullState;
+use membership::{
     hash, Action, Config, Identity, Machine, MembershipEvent, ProcessStart, Timing, DATAGRAM_MAX, FRAME_MAX,
 };
-use foca::{Member, State};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/fleet/tests/keys.rs
+++ b/membership/tests/keys.rs
@@ -1,6 +1,6 @@
 //! Key files and message authentication.
 
-use fleet::keys::Keys;
+use membership::keys::Keys;
 
 const OLD: &str = "00112233445566778899aabbccddeeff";
 const NEW: &str = "ffeeddccbbaa99887766554433221100";
--- a/fleet/tests/machine.rs
+++ b/membership/tests/machine.rs
@@ -1,13 +1,13 @@
 //! A machine against peers that lie, replay, or belong elsewhere: machines that receive each other's datagrams at once,
 //! and messages encoded by hand with the fleet's key.
 
-use fleet::keys::Keys;
-use fleet::packet::{decode, encode, Body, Packet};
-use fleet::state_sync::FullState;
-use fleet::{
+use foca::Member;
+use membership::keys::Keys;
+use membership::packet::{decode, encode, Body, Packet};
+use membership::state_sync::FullState;
+use membership::{
     hash, Action, Config, Counters, Identity, Machine, MembershipEvent, ProcessStart, Timing, DATAGRAM_MAX,
 };
-use foca::Member;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/fleet/tests/session.rs
+++ b/membership/tests/session.rs
@@ -1,6 +1,6 @@
 //! Replay protection.
 
-use fleet::session::{Admission, Sessions, CHALLENGES_MAX, REPLAY_WINDOW, SESSIONS_MAX};
+use membership::session::{Admission, Sessions, CHALLENGES_MAX, REPLAY_WINDOW, SESSIONS_MAX};
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -14,14 +14,14 @@
 use crate::counters::Counters;
 use crate::fleet;
 use crate::phase::{Phase, Phases};
-use ::fleet::file::{Duties as File, ScheduledCall};
-use ::fleet::{hash, Peer};
 use coordination::{
     BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
     Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
     VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
 use disk::Why;
+use membership::file::{Duties as File, ScheduledCall};
+use membership::{hash, Peer};
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/node/src/duties/errand.rs
+++ b/node/src/duties/errand.rs
@@ -1,12 +1,12 @@
 //! One call of an errand: the token goes along, and whoever is called refuses one that is lower than it has seen.
 
-use ::fleet::file::ScheduledCall;
 use http_body_util::Empty;
 use hyper::body::Bytes;
 use hyper::client::conn::http1::handshake;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use membership::file::ScheduledCall;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
--- a/node/src/duties/lists.rs
+++ b/node/src/duties/lists.rs
@@ -3,8 +3,8 @@
 use super::ListBroadcastStatus;
 use crate::list::{ListBody, Member};
 use crate::platform::ListSharing;
-use ::fleet::{hash, Peer};
 use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use membership::{hash, Peer};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/node/src/duties/roll.rs
+++ b/node/src/duties/roll.rs
@@ -1,8 +1,8 @@
 //! The roll on this node's side: it goes when the holder says so; and where the duty is held here, it carries on the roll.
 
 use crate::phase::Phases;
-use ::fleet::Peer;
 use coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+use membership::Peer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/node/src/fleet.rs
+++ b/node/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Talk;
 use crate::phase::Phase;
-use fleet::{
+use membership::{
     Action, Config, FleetSize, Machine, MembershipEvent, Peer, ProcessStart, SenderCounts, Status,
     DATAGRAM_MAX,
 };
@@ -144,7 +144,7 @@
     /// Configuration file, and the keys at the start.
     pub talk: Talk,
     /// Current keys.
-    pub keys: watch::Receiver<Option<fleet::keys::Keys>>,
+    pub keys: watch::Receiver<Option<membership::keys::Keys>>,
     /// Current settings, for the planned number of nodes.
     pub planned: watch::Receiver<crate::retune::Tuning>,
     /// Phase of the process.
--- a/node/src/fleet/show.rs
+++ b/node/src/fleet/show.rs
@@ -3,8 +3,8 @@
 use crate::ask::ask;
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use fleet::{MemberInfo, Status};
 use hyper::{Method, StatusCode};
+use membership::{MemberInfo, Status};
 use std::net::SocketAddr;
 
 /// Requests the status of the node at a management address and returns the text to print, or an error message.
--- a/node/src/fleet/state_sync.rs
+++ b/node/src/fleet/state_sync.rs
@@ -2,7 +2,7 @@
 //!
 //! Frames are a length of four bytes, big endian, and at most [`FRAME_MAX`] bytes.
 
-use fleet::{PendingSync, FRAME_MAX};
+use membership::{PendingSync, FRAME_MAX};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config::{Sources, Told};
 use crate::retune::{lacks, Tuning};
 use crate::signals::{Command, Signals};
-use fleet::keys::Keys;
+use membership::keys::Keys;
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program with faults between them: what each tells of the others becomes equal and true, and
 //! stays so. Steps wait for what is seen, with generous limits; the views' own pace is set fast.
 
-use fleet::{MemberStatus, Status};
+use membership::{MemberStatus, Status};
 use rustix::process::Signal;
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
@@ -403,7 +403,7 @@
     assert!(out.starts_with("fleet testbed, as n01 sees it: 4 take jobs, 4 may be sending\n"), "{out}");
     assert!((0..4).all(|i| out.contains(&Cluster::name(i))) && out.matches(" alive ").count() == 4, "{out}");
     let (_, json, _) = show(&["fleet", "show", &at, "--json"]);
-    let shown: fleet::Status = serde_json::from_str(&json).unwrap();
+    let shown: membership::Status = serde_json::from_str(&json).unwrap();
     assert_eq!(shown.view.members.len(), 4);
     cluster.kill(1);
     let (code, _, said) = show(&["fleet", "show", &at]);
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -3,7 +3,7 @@
 //!
 //! `GOLDEN_RECORD=1` writes the files anew.
 
-use fleet::Status;
+use membership::Status;
 use molevale::counters::{Counters, ResourceUsage};
 use serde_json::Value;
 use std::io::{Read, Write};
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{request, Client, Peer, Seen, Worker};
-use fleet::keys::Keys;
+use membership::keys::Keys;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -469,19 +469,19 @@
     const MANY: usize = 1024;
     let now = Duration::from_secs(1);
     let start = |n: usize| {
-        let config = fleet::Config {
+        let config = membership::Config {
             fleet: "many".to_string(),
-            name: format!("{n:0>width$}", width = fleet::NAME_MAX),
-            zone: "z".repeat(fleet::NAME_MAX),
+            name: format!("{n:0>width$}", width = membership::NAME_MAX),
+            zone: "z".repeat(membership::NAME_MAX),
             advertise: SocketAddr::from((Ipv4Addr::new(127, 92, (n / 250) as u8, (n % 250 + 1) as u8), 7946)),
             seeds: Vec::new(),
             keys: Keys::parse("current 0f1e2d3c4b5a69788796a5b4c3d2e1f0").unwrap(),
-            timing: fleet::Timing::default(),
+            timing: membership::Timing::default(),
         };
         let address = config.advertise;
         let birth =
-            fleet::ProcessStart { boot: n as u64 + 1, unix_ms: 1_700_000_000_000, seed: n as u64 + 1 };
-        (fleet::Machine::new(config, birth, now), address)
+            membership::ProcessStart { boot: n as u64 + 1, unix_ms: 1_700_000_000_000, seed: n as u64 + 1 };
+        (membership::Machine::new(config, birth, now), address)
     };
     let (mut one, at) = start(0);
     let mut answer = None;
@@ -495,7 +495,7 @@
     let size = one.fleet_size(now, 1);
     assert_eq!((size.siblings as usize, size.names.len(), one.peers().len()), (MANY, MANY, MANY));
     let (mut last, asked, state) = answer.expect("an answer to the last");
-    assert!(state.len() <= fleet::FRAME_MAX, "{} bytes", state.len());
+    assert!(state.len() <= membership::FRAME_MAX, "{} bytes", state.len());
     assert!(last.finish_sync(now, asked, &state), "it counts");
     assert_eq!(last.fleet_size(now, 1).names.len(), MANY, "the last one is told of all others");
 }
--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -1,7 +1,7 @@
 //! Says what is wrong with the views of many nodes, beside what the rig knows to be true. It knows nothing of how nodes
 //! come to their views.
 
-use fleet::View;
+use membership::View;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/testbed/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -8,7 +8,7 @@
 use crate::soak::shim::{self, Control};
 use crate::wire;
 use crate::worker::{Kind, Worker};
-use fleet::{Status, View};
+use membership::{Status, View};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, Spec, TENANTS};
 use crate::load::{play, Load};
-use fleet::{MemberStatus, Status};
+use membership::{MemberStatus, Status};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::time::Duration;
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -3,8 +3,8 @@
 
 use crate::check::{faults, Fault, Truth};
 use crate::relay::Rules;
-use fleet::keys::Keys;
-use fleet::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Timing, View};
+use membership::keys::Keys;
+use membership::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Timing, View};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -5,8 +5,8 @@
 use crate::emulated::{name, Spec, World};
 use crate::lists;
 use crate::relay::Rule;
-use fleet::{MemberStatus, MembershipEvent};
 use hdrhistogram::Histogram;
+use membership::{MemberStatus, MembershipEvent};
 use std::fmt;
 use std::io;
 use std::path::Path;
@@ -135,7 +135,7 @@
         let mut first = None;
         while first.is_none() && killed.elapsed() < bound {
             let views = cluster.views().await;
-            let dead = |v: &fleet::View| {
+            let dead = |v: &membership::View| {
                 v.members.iter().any(|m| m.name == Cluster::name(victim) && m.status == MemberStatus::Dead)
             };
             first = views.values().flatten().any(dead).then(|| killed.elapsed());
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{Cluster, Duties, Spec, NODES_MAX, TENANTS};
 use crate::load::{play, Load, Report};
 use crate::relay::Rule;
-use fleet::Status;
+use membership::Status;
 use rustix::process::Signal;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -1,6 +1,6 @@
 //! One process of the program: started, stopped, continued, killed, and never left behind.
 
-use fleet::Status;
+use membership::Status;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::fs::File;
--- a/testbed/src/scale/membership.rs
+++ b/testbed/src/scale/membership.rs
@@ -6,7 +6,7 @@
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::traffic::Traffic;
 use crate::emulated::{address, name, Spec as WorldSpec, World};
-use fleet::{MembershipEvent, Phase};
+use membership::{MembershipEvent, Phase};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -151,7 +151,7 @@
     /// Whether a node sees so many others and itself there.
     fn sees(&self, node: usize, running: usize) -> bool {
         let view = self.world.view(node);
-        let there = |view: &fleet::View| view.members.iter().filter(|m| m.status.is_present()).count();
+        let there = |view: &membership::View| view.members.iter().filter(|m| m.status.is_present()).count();
         view.is_some_and(|view| there(&view) == running)
     }
 
@@ -183,7 +183,8 @@
     }
 
     fn whole_state_bytes(&mut self) -> usize {
-        let length = |machine: &mut fleet::Machine, now| machine.request_sync(now, address(1), 1).1.len();
+        let length =
+            |machine: &mut membership::Machine, now| machine.request_sync(now, address(1), 1).1.len();
         self.world.with(0, length).unwrap_or(0)
     }
 
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -61,7 +61,7 @@
     pub mechanism: &'static str,
 }
 
-const VIEW: &str = "membership, `fleet::Machine`";
+const VIEW: &str = "membership, `membership::Machine`";
 const LIST: &str = "each node reads each line, `platform::follow`";
 const DECISION: &str = "decision module, `dispatch_policy::Policy`";
 const RATES: &str = "rates of 90 tenants at most to 16 siblings a second, `Machine::tell`";
--- a/testbed/src/scale/sealer.rs
+++ b/testbed/src/scale/sealer.rs
@@ -1,7 +1,7 @@
 //! What messages between nodes take once the membership machine has sealed them, measured by sending one.
 
 use crate::emulated::{address, name, Spec, World};
-use fleet::Machine;
+use membership::Machine;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -33,9 +33,9 @@
         Sealer { world, words: HashMap::new() }
     }
 
-    /// A message with the rates of so many tenants. The membership machine leaves out those beyond `fleet::RATES_MAX`.
+    /// A message with the rates of so many tenants. The membership machine leaves out those beyond `membership::RATES_MAX`.
     pub fn rates(&mut self, tenants: usize) -> Sealed {
-        let rates = (0..tenants).map(|i| (fleet::hash(&format!("tenant-{i}")), RATE)).collect();
+        let rates = (0..tenants).map(|i| (membership::hash(&format!("tenant-{i}")), RATE)).collect();
         self.sent_by(|machine, now| machine.send_rates(now, &name(1), rates))
     }
 
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,7 +1,7 @@
 //! Messages and bytes of each node between two moments.
 
 use super::result::{Figures as Measured, Quantity, Value};
-use fleet::Counters;
+use membership::Counters;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -1,6 +1,6 @@
 //! Faults planted in views, and whether the checker reports each.
 
-use fleet::{MemberInfo, MemberStatus, View};
+use membership::{MemberInfo, MemberStatus, View};
 use std::collections::BTreeMap;
 use testbed::check::{faults, Fault, Truth};
 
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -1,6 +1,6 @@
 //! The fleet's machines in emulated time: hard cases one by one, then random schedules against a plain model.
 
-use fleet::{MemberStatus, MembershipEvent, Timing};
+use membership::{MemberStatus, MembershipEvent, Timing};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
