--- a/Makefile
+++ b/Makefile
@@ -8,11 +8,12 @@
 
 test: lint build
 	@test ! -s KNOWN-RED.txt || (echo "Known to fail, passed over:"; cat KNOWN-RED.txt)
-	cargo test --locked --workspace -- $(KNOWN_RED)
+	cargo test --locked --workspace --no-fail-fast -- $(KNOWN_RED)
 
 lint:
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --quiet
 
 run: build
 	target/release/molevale
