--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! What the tests share: small settings and stand-ins that speak the wires from their public pages.
 #![allow(dead_code)]
 
+pub mod deployments;
+
 use molevale::counters::Counters;
 use molevale::faktory::{Node, Operator};
 use molevale::phase::{Phase, Phases};
--- /dev/null
+++ b/node/tests/golden/rendering.rs
@@ -0,0 +1,213 @@
+//! Settings as text whose keys are this file's own: it stays where an item of the code has another name. All fields are
+//! taken apart one by one, so that none is left out.
+
+use dewlever::api::{Allowance, ClassSettings, Group, Rules, Semantics, Settings, TenantSettings};
+use dewlever::settings::Field;
+use fleet::file::File;
+use molevale::names::Names;
+use std::fmt::{Debug, Write};
+
+fn put(out: &mut String, key: &str, value: &dyn Debug) {
+    writeln!(out, "{key} = {value:?}").unwrap();
+}
+
+fn semantics(semantics: Semantics) -> &'static str {
+    match semantics {
+        Semantics::Safe => "safe",
+        Semantics::Keyed(Group::All) => "keyed, all",
+        Semantics::Keyed(Group::Zone) => "keyed, zone",
+        Semantics::Keyed(Group::Cell) => "keyed, cell",
+        Semantics::Unsafe => "unsafe",
+    }
+}
+
+fn class(out: &mut String, n: usize, class: &ClassSettings) {
+    let ClassSettings {
+        aim_us,
+        stretch,
+        deadline_us,
+        worth,
+        late_worth,
+        semantics: effect,
+        repeat_window_us,
+        kind,
+    } = class;
+    let effect = semantics(*effect);
+    writeln!(
+        out,
+        "class {n}: aim {aim_us:?} stretch {stretch:?} deadline {deadline_us:?} worth {worth:?} late {late_worth:?} \
+         effect {effect} window {repeat_window_us:?} kind {kind:?}"
+    )
+    .unwrap();
+}
+
+fn rules(out: &mut String, rules: &Rules) {
+    let Rules { ask_every_us, cold_share, warm_up_us, fall_multiple, fall_us, allowance, soft_removal } =
+        rules;
+    put(out, "rules ask every us", ask_every_us);
+    put(out, "rules cold share", cold_share);
+    put(out, "rules warm up us", warm_up_us);
+    put(out, "rules fall multiple", fall_multiple);
+    put(out, "rules fall us", fall_us);
+    put(out, "rules soft removal", soft_removal);
+    match allowance {
+        Some(Allowance { spare, ratio, span_us }) => {
+            writeln!(out, "rules allowance: spare {spare:?} ratio {ratio:?} span us {span_us:?}").unwrap();
+        }
+        None => writeln!(out, "rules allowance: none").unwrap(),
+    }
+}
+
+/// The settings of the decision module.
+pub fn settings(out: &mut String, settings: &Settings) {
+    let Settings {
+        classes,
+        retired,
+        tenants,
+        siblings,
+        ordinal,
+        most_senders,
+        order,
+        zone,
+        max_attempts,
+        cancelling,
+        peers,
+        max_retry_after_us,
+        unmarked_repeats,
+        probes,
+        reports_free,
+        list_asked,
+        live_weights,
+        tells_taken,
+        tells_start,
+        progress_us,
+        cross_zone_price,
+        peer_price,
+        handshake_price,
+        origin_price,
+        conn_idle_us,
+        tail_weight,
+        tail_slack,
+        worst_class_weight,
+        over_share_worth,
+        resolution_us,
+        lag_us,
+        rules: figures,
+    } = settings;
+    classes.iter().enumerate().for_each(|(n, c)| class(out, n, c));
+    for (n, TenantSettings { quota_per_s, share }) in tenants.iter().enumerate() {
+        writeln!(out, "tenant {n}: quota {quota_per_s:?} share {share:?}").unwrap();
+    }
+    let all: [(&str, &dyn Debug); 29] = [
+        ("retired", retired),
+        ("siblings", siblings),
+        ("ordinal", ordinal),
+        ("most senders", most_senders),
+        ("order", order),
+        ("zone", zone),
+        ("max attempts", max_attempts),
+        ("cancelling", cancelling),
+        ("peers", peers),
+        ("max retry after us", max_retry_after_us),
+        ("unmarked repeats", unmarked_repeats),
+        ("probes", probes),
+        ("reports free", reports_free),
+        ("list asked", list_asked),
+        ("live weights", live_weights),
+        ("tells taken", tells_taken),
+        ("tells start", tells_start),
+        ("progress us", progress_us),
+        ("cross zone price", cross_zone_price),
+        ("peer price", peer_price),
+        ("handshake price", handshake_price),
+        ("origin price", origin_price),
+        ("conn idle us", conn_idle_us),
+        ("tail weight", tail_weight),
+        ("tail slack", tail_slack),
+        ("worst class weight", worst_class_weight),
+        ("over share worth", over_share_worth),
+        ("resolution us", resolution_us),
+        ("lag us", lag_us),
+    ];
+    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    rules(out, figures);
+}
+
+fn field(field: Field) -> &'static str {
+    match field {
+        Field::FreeSlots => "free slots",
+        Field::FreeMemory => "free memory",
+        Field::Queue => "queue",
+        Field::InFlight => "in flight",
+        Field::Other => "other",
+    }
+}
+
+/// The names and figures beside the module's settings.
+pub fn names(out: &mut String, names: &Names) {
+    let Names {
+        classes,
+        retired,
+        continues,
+        keyed,
+        tenants,
+        gone_tenants,
+        zones,
+        kinds,
+        report,
+        connect_timeout,
+        conn_idle,
+        drain_grace,
+        longest,
+    } = names;
+    let report: Vec<String> = report.iter().map(|(name, f)| format!("{name}: {}", field(*f))).collect();
+    let all: [(&str, &dyn Debug); 13] = [
+        ("classes", classes),
+        ("classes retired", retired),
+        ("classes continue", continues),
+        ("classes keyed", keyed),
+        ("tenants", tenants),
+        ("tenants gone", gone_tenants),
+        ("zones", zones),
+        ("kinds", kinds),
+        ("report", &report),
+        ("connect timeout", connect_timeout),
+        ("conn idle", conn_idle),
+        ("drain grace", drain_grace),
+        ("longest", longest),
+    ];
+    all.into_iter().for_each(|(key, value)| put(out, key, value));
+}
+
+/// The operator's file of the talk between nodes.
+pub fn fleet_file(out: &mut String, file: &File) {
+    let File { fleet, listen, advertise, zone, key_file, seeds, timing, duties } = file;
+    let all: [(&str, &dyn Debug); 11] = [
+        ("fleet", fleet),
+        ("listen", listen),
+        ("advertise", advertise),
+        ("zone", zone),
+        ("key file", key_file),
+        ("seeds", seeds),
+        ("probe", &timing.probe),
+        ("answer", &timing.answer),
+        ("suspicion", &timing.suspicion),
+        ("contact", &timing.contact),
+        ("forget", &timing.forget),
+    ];
+    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    let Some(duties) = duties else { return writeln!(out, "duties: none").unwrap() };
+    let all: [(&str, &dyn Debug); 6] = [
+        ("duties state", &duties.state),
+        ("duties voters", &duties.voters),
+        ("duties lease", &duties.lease),
+        ("duties election", &duties.election),
+        ("duties lists", &duties.lists),
+        ("duties roll", &duties.roll),
+    ];
+    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    for call in &duties.scheduled_calls {
+        writeln!(out, "duties call: {:?} at {:?} {:?} every {:?}", call.name, call.at, call.path, call.every)
+            .unwrap();
+    }
+}
