--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::{duties, fleet};
+use crate::{coordination, fleet};
 use clap::error::ErrorKind;
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
@@ -90,18 +90,18 @@
     pub async fn run(self) -> Result<String, String> {
         match self {
             Fleet::Show { address, json } => fleet::show(address, json).await,
-            Fleet::Duties { address, json } => duties::print_status(address, json).await,
+            Fleet::Duties { address, json } => coordination::print_status(address, json).await,
             Fleet::Roll { address, stop: true, .. } => {
-                duties::send_command(address, "/fleet/roll/stop").await
+                coordination::send_command(address, "/fleet/roll/stop").await
             }
             Fleet::Roll { address, away, .. } => {
-                duties::send_command(address, &format!("/fleet/roll?away={away}")).await
+                coordination::send_command(address, &format!("/fleet/roll?away={away}")).await
             }
             Fleet::Voter(Voter::Add { address, name, at }) => {
-                duties::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}")).await
+                coordination::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}")).await
             }
             Fleet::Voter(Voter::Remove { address, name }) => {
-                duties::send_command(address, &format!("/fleet/voter/remove?name={name}")).await
+                coordination::send_command(address, &format!("/fleet/voter/remove?name={name}")).await
             }
         }
     }
--- a/node/src/duties.rs
+++ b/node/src/coordination.rs
@@ -1,25 +1,24 @@
 //! The duties that one node holds at a time: a thin task that carries the words of a [`Client`] and, where there is a state
 //! folder, of a [`Voter`], and does what the duties held here ask for. No job waits for it.
 
-mod disk;
-mod errand;
-mod lists;
-mod roll;
-mod show;
+mod list_delivery;
+mod rolling_restart;
+mod scheduled_call;
+mod status;
+mod store_folder;
 
-pub use lists::Lists;
-pub use roll::{RestartMessage, RestartRequest};
-pub use show::{print_status, send_command};
+pub use list_delivery::Lists;
+pub use rolling_restart::{RestartMessage, RestartRequest};
+pub use status::{print_status, send_command};
 
 use crate::counters::Counters;
 use crate::fleet;
 use crate::phase::{Phase, Phases};
-use coordination::{
+use ::coordination::{
     BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
     Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
     VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
-use disk::Why;
 use membership::file::{Duties as File, ScheduledCall};
 use membership::{hash, Peer};
 use rustix::time::{clock_gettime, ClockId};
@@ -29,6 +28,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use store_folder::Why;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
@@ -62,7 +62,7 @@
     /// Between nodes of a zone.
     Lists(BroadcastMessage),
     /// Between the holder of the roll and the nodes.
-    RollingRestart(roll::RestartMessage),
+    RollingRestart(rolling_restart::RestartMessage),
 }
 
 /// A clock that goes on while the machine sleeps.
@@ -143,8 +143,8 @@
             return Err("no voter that leads answers".to_string());
         };
         let held = |ms: &u64| *ms > 0;
-        let held = told.remaining_ms.iter().any(|(duty, ms)| duty == roll::DUTY && held(ms));
-        let Some(holder) = told.table.holder(roll::DUTY).filter(|_| held) else {
+        let held = told.remaining_ms.iter().any(|(duty, ms)| duty == rolling_restart::DUTY && held(ms));
+        let Some(holder) = told.table.holder(rolling_restart::DUTY).filter(|_| held) else {
             return Err("nobody holds the duty 'roll': does the fleet's file say roll = true?".to_string());
         };
         let (tell, said) = oneshot::channel();
@@ -211,7 +211,7 @@
         calls: BTreeMap::new(),
         refused: 0,
         phase,
-        roll: roll::Hand::default(),
+        roll: rolling_restart::Hand::default(),
         links,
     };
     tokio::spawn(task.run(told, written));
@@ -222,7 +222,7 @@
 enum Done {
     Opened(Result<Box<(Store, StoreContents)>, Why>),
     Written(u64, Result<(), StoreError>),
-    Called(String, u64, errand::Outcome),
+    Called(String, u64, scheduled_call::Outcome),
 }
 
 struct Asked {
@@ -270,7 +270,7 @@
     calls: BTreeMap<String, Due>,
     refused: u64,
     phase: Phase,
-    roll: roll::Hand,
+    roll: rolling_restart::Hand,
 }
 
 fn errand_duty(call: &ScheduledCall) -> String {
@@ -294,7 +294,7 @@
                 () = sleep_until(Instant::now() + due) => self.tick(),
                 Some((from, bytes)) = heard.recv() => self.hear(from, &bytes),
                 Some(outcome) = done.recv() => self.done(outcome),
-                Some(list) = lists::next(&mut told) => {
+                Some(list) = list_delivery::next(&mut told) => {
                     let (now, holds) = (boottime(), self.holds_lists());
                     self.lists(|l| l.told(now, &list, holds));
                 }
@@ -312,7 +312,7 @@
                     Command::RollingRestart(holder, wanted, tell) => {
                         let to = peers.borrow().iter().find(|p| p.name == holder).map(|p| p.address);
                         if let Some(to) = to {
-                            self.say(to, &NodeMessage::RollingRestart(roll::RestartMessage::Requested(wanted)));
+                            self.say(to, &NodeMessage::RollingRestart(rolling_restart::RestartMessage::Requested(wanted)));
                         }
                         let _ = tell.send(to.is_some()); // fails where nobody waits any more
                     }
@@ -421,7 +421,7 @@
             }
         }
         if self.links.file.roll {
-            duties.push((roll::DUTY.to_string(), &all[..]));
+            duties.push((rolling_restart::DUTY.to_string(), &all[..]));
         }
         for (duty, peers) in duties {
             let place = |name: &str| hash(&format!("{duty}\n{name}"));
@@ -458,10 +458,10 @@
             (self.links.fleet_name.clone(), self.links.name.clone(), self.wrote.clone());
         self.opening = true;
         tokio::task::spawn_blocking(move || {
-            let mut opened = disk::open(&folder, &fleet, &name);
+            let mut opened = store_folder::open(&folder, &fleet, &name);
             while matches!(opened, Err(Why::InUse)) && !wrote.is_closed() {
                 std::thread::sleep(OPEN_AGAIN);
-                opened = disk::open(&folder, &fleet, &name);
+                opened = store_folder::open(&folder, &fleet, &name);
             }
             let _ = wrote.blocking_send(Done::Opened(opened.map(Box::new)));
         });
@@ -607,7 +607,7 @@
                     if duty == self.lists_duty() {
                         self.lists(|l| l.hold(boottime(), token));
                     }
-                    if duty == roll::DUTY {
+                    if duty == rolling_restart::DUTY {
                         self.roll.take(&self.links.name, &state);
                     }
                     self.calls.insert(duty, Due { next: boottime(), out: false });
@@ -623,7 +623,7 @@
                     if duty == self.lists_duty() {
                         self.lists(|l| l.release(boottime()));
                     }
-                    if duty == roll::DUTY {
+                    if duty == rolling_restart::DUTY {
                         self.roll.lose();
                     }
                     self.calls.remove(&duty);
@@ -662,46 +662,48 @@
     /// Goes on with the roll, if the duty may be acted on now.
     fn roll_on(&mut self, now: Duration) {
         let peers = self.links.fleet.peers().borrow().clone();
-        let held = self.client.may_act(now, roll::DUTY);
-        self.roll.look(now, &peers, held.is_some() && !self.client.is_saving_state(roll::DUTY));
+        let held = self.client.may_act(now, rolling_restart::DUTY);
+        self.roll.look(now, &peers, held.is_some() && !self.client.is_saving_state(rolling_restart::DUTY));
         if let Some(left) = self.roll.left() {
-            self.client.save_state(now, roll::DUTY, left);
+            self.client.save_state(now, rolling_restart::DUTY, left);
         }
         // What is left for the next holder is agreed on before anybody is told to go.
-        if self.client.is_saving_state(roll::DUTY) {
+        if self.client.is_saving_state(rolling_restart::DUTY) {
             return;
         }
         while let Some((to, word)) = self.roll.word() {
             // Asked for anew before each act.
-            let Some(token) = self.client.may_act(boottime(), roll::DUTY) else { break };
+            let Some(token) = self.client.may_act(boottime(), rolling_restart::DUTY) else { break };
             self.say(to, &NodeMessage::RollingRestart(word(token)));
         }
     }
 
-    fn roll_word(&mut self, from: SocketAddr, word: roll::RestartMessage) {
+    fn roll_word(&mut self, from: SocketAddr, word: rolling_restart::RestartMessage) {
         let now = boottime();
         match word {
-            roll::RestartMessage::Requested(wanted) if self.client.may_act(now, roll::DUTY).is_some() => {
+            rolling_restart::RestartMessage::Requested(wanted)
+                if self.client.may_act(now, rolling_restart::DUTY).is_some() =>
+            {
                 let peers = self.links.fleet.peers().borrow().clone();
                 self.roll.wanted(&self.links.name, wanted, &peers);
             }
-            roll::RestartMessage::Requested(_) => {}
-            roll::RestartMessage::Restart { token, process_id: boot } => {
-                match self.roll.fence.check(roll::DUTY, token) {
+            rolling_restart::RestartMessage::Requested(_) => {}
+            rolling_restart::RestartMessage::Restart { token, process_id: boot } => {
+                match self.roll.fence.check(rolling_restart::DUTY, token) {
                     Ok(()) if boot == self.links.fleet.boot() => self.roll.go(&self.links.phases),
                     Ok(()) => {}
-                    Err(e) => log::warn!(event = "act_refused", duty = roll::DUTY, token = token;
+                    Err(e) => log::warn!(event = "act_refused", duty = rolling_restart::DUTY, token = token;
                     "duties: this node was told to go by a holder that is none any more: {e}"),
                 }
             }
-            roll::RestartMessage::HealthQuery { token } => {
-                if self.roll.fence.check(roll::DUTY, token).is_ok() {
+            rolling_restart::RestartMessage::HealthQuery { token } => {
+                if self.roll.fence.check(rolling_restart::DUTY, token).is_ok() {
                     let c = &self.links.counters;
                     let (failed, served, refused) = (c.failed.get(), c.served.get(), c.refused.get());
                     let (boot, ended) = (self.links.fleet.boot(), served + refused + failed);
                     self.say(
                         from,
-                        &NodeMessage::RollingRestart(roll::RestartMessage::HealthReport {
+                        &NodeMessage::RollingRestart(rolling_restart::RestartMessage::HealthReport {
                             process_id: boot,
                             failed,
                             ended,
@@ -709,7 +711,7 @@
                     );
                 }
             }
-            roll::RestartMessage::HealthReport { process_id: boot, failed, ended } => {
+            rolling_restart::RestartMessage::HealthReport { process_id: boot, failed, ended } => {
                 self.roll.health(boot, failed, ended)
             }
         }
@@ -724,24 +726,24 @@
             (due.next, due.out) = (now + call.every, true);
             let (call, wrote, node) = (call.clone(), self.wrote.clone(), self.links.name.clone());
             tokio::spawn(async move {
-                let outcome = errand::run(&call, &duty, token, &node).await;
+                let outcome = scheduled_call::run(&call, &duty, token, &node).await;
                 let _ = wrote.send(Done::Called(duty, token, outcome)).await;
             });
         }
     }
 
-    fn called(&mut self, duty: &str, token: u64, outcome: errand::Outcome) {
+    fn called(&mut self, duty: &str, token: u64, outcome: scheduled_call::Outcome) {
         if let Some(due) = self.calls.get_mut(duty) {
             due.out = false;
         }
         match outcome {
-            errand::Outcome::Done => {}
-            errand::Outcome::Refused => {
+            scheduled_call::Outcome::Done => {}
+            scheduled_call::Outcome::Refused => {
                 self.refused += 1;
                 log::warn!(event = "act_refused", duty = duty, token = token;
                     "duties: {duty}: an act under token {token} was refused: a later holder has acted");
             }
-            errand::Outcome::Failed(why) => {
+            scheduled_call::Outcome::Failed(why) => {
                 log::warn!(event = "act_failed", duty = duty, token = token, why = why;
                 "duties: {duty}: an act failed: {why}")
             }
--- a/node/src/duties/lists.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -3,7 +3,7 @@
 use super::ListBroadcastStatus;
 use crate::list::{ListBody, Member};
 use crate::platform::ListSharing;
-use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use membership::{hash, Peer};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/node/src/duties/roll.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -1,7 +1,7 @@
 //! The roll on this node's side: it goes when the holder says so; and where the duty is held here, it carries on the roll.
 
 use crate::phase::Phases;
-use coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+use ::coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
 use membership::Peer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/node/src/duties/show.rs
+++ b/node/src/coordination/status.rs
@@ -2,9 +2,9 @@
 
 use super::Status;
 use crate::ask::ask;
+use ::coordination::{ChangeKind, ClusterStatus, RestartProgress, VoterState};
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use coordination::{ChangeKind, ClusterStatus, RestartProgress, VoterState};
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -95,7 +95,7 @@
     }
     let voters: Vec<String> =
         told.table.voters.values().map(|s| format!("{} ({})", s.name, s.address)).collect();
-    let left = told.table.leases.get(super::roll::DUTY).map_or(&[][..], |h| &h.state);
+    let left = told.table.leases.get(super::rolling_restart::DUTY).map_or(&[][..], |h| &h.state);
     let roll = match postcard::from_bytes::<RestartProgress>(left) {
         Ok(RestartProgress { completed, total, outcome: Some(outcome), .. }) => {
             format!("last roll: {completed} of {total}, ended: {outcome}\n")
--- a/node/src/duties/disk.rs
+++ b/node/src/coordination/store_folder.rs
@@ -1,7 +1,7 @@
 //! The voter's folder on a real disk. Opening and writing wait for the disk, so neither ever runs on the thread that serves
 //! jobs.
 
-use coordination::{Store, StoreContents, StoreError};
+use ::coordination::{Store, StoreContents, StoreError};
 use redb::backends::FileBackend;
 use std::fs::{create_dir_all, File, OpenOptions};
 use std::os::unix::fs::MetadataExt;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -8,9 +8,9 @@
 mod ask;
 pub mod cli;
 pub mod config;
+pub mod coordination;
 pub mod counters;
 pub mod dispatcher;
-pub mod duties;
 pub mod faktory;
 pub mod fleet;
 pub mod invariants;
@@ -113,10 +113,10 @@
         let duties = match (&fleet, &config, duties_file) {
             (Some(fleet), Some(config), Some((file, folder, fleet_name, zone, own))) => {
                 let (name, fleet, phase) = (config.name.clone(), fleet.clone(), phases.follow());
-                let (lists, theirs) = duties::Lists::pair(file.lists, reload.discovery());
+                let (lists, theirs) = coordination::Lists::pair(file.lists, reload.discovery());
                 shared = theirs;
                 let (phases, counters) = (phases.clone(), counters[0].clone());
-                Some(duties::start(duties::Dependencies {
+                Some(coordination::start(coordination::Dependencies {
                     name,
                     fleet_name,
                     zone,
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -4,8 +4,8 @@
 use crate::acceptor::Acceptor;
 use crate::phase::Phases;
 use crate::platform::socket::Socket;
-use crate::{duties, fleet};
-use coordination::{Operation, Outcome, VoterMember, NAME_MAX};
+use crate::{coordination, fleet};
+use ::coordination::{Operation, Outcome, VoterMember, NAME_MAX};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -38,7 +38,7 @@
     /// The talk between nodes, where it is on.
     pub fleet: Option<fleet::Handle>,
     /// The duties, where they are on.
-    pub duties: Option<duties::Handle>,
+    pub duties: Option<coordination::Handle>,
 }
 
 impl Management {
@@ -136,10 +136,10 @@
         let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
         let away = query.strip_prefix("away=").map_or(Ok(1), str::parse);
         let wanted = match (path, away) {
-            ("/fleet/roll/stop", _) => duties::RestartRequest::Stop,
+            ("/fleet/roll/stop", _) => coordination::RestartRequest::Stop,
             (_, Ok(away @ 1..=4)) => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                duties::RestartRequest::Begin { id: unix.as_millis() as u64, away }
+                coordination::RestartRequest::Begin { id: unix.as_millis() as u64, away }
             }
             _ => return say(StatusCode::BAD_REQUEST, "away is from 1 to 4"),
         };
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -5,7 +5,7 @@
     BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Holder, LeaseRecord, LeaseTable, Message,
     Outcome, Response, RestartProgress, VoterMember, VoterMetrics, VoterState,
 };
-use molevale::duties::{
+use molevale::coordination::{
     print_status, ListBroadcastStatus, NodeMessage, RestartMessage, RestartRequest, Status,
 };
 use std::collections::{BTreeMap, VecDeque};
--- a/testbed/src/duties.rs
+++ b/testbed/src/coordination.rs
@@ -5,7 +5,7 @@
 use crate::disk::MemDisk;
 use crate::history_check::Act;
 use crate::relay::Rules;
-use coordination::{
+use ::coordination::{
     Client, ClientAction, FencingGuard, Holder, LeaseLost, Message, Operation, Store, Timing, Voter,
     VoterAction, VoterConfig, VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -7,10 +7,10 @@
 pub mod allocation;
 pub mod check;
 pub mod cluster;
+pub mod coordination;
 pub mod demo;
 pub mod discovery;
 pub mod disk;
-pub mod duties;
 pub mod emulated;
 pub mod history_check;
 pub mod lists;
--- a/testbed/src/lists.rs
+++ b/testbed/src/lists.rs
@@ -1,7 +1,7 @@
 //! The lists of one zone in emulated time: how many calls discovery gets, and how long a change takes to the last node, with
 //! one node that follows it for all and without.
 
-use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,7 +1,7 @@
 //! Measures the view: how long it takes to settle and what it costs.
 
 use crate::cluster::{self, Cluster};
-use crate::duties;
+use crate::coordination as emulated;
 use crate::emulated::{name, Spec, World};
 use crate::lists;
 use crate::relay::Rule;
@@ -165,8 +165,9 @@
     for way in ["handed on", "killed", "cut off", "killed with the leader"] {
         let mut spans = Histogram::<u64>::new(3).expect("three digits are allowed");
         for seed in 0..plays {
-            let spec = duties::Spec { timing: coordination::Timing::default(), ..duties::Spec::new(seed) };
-            let mut world = duties::World::started(spec);
+            let spec =
+                emulated::Spec { timing: ::coordination::Timing::default(), ..emulated::Spec::new(seed) };
+            let mut world = emulated::World::started(spec);
             world.until_held(Duration::from_secs(60)).expect("somebody holds it");
             world.run(Duration::from_millis(10_000 + seed * 317 % 5000));
             let (holder, token) = world.holder().expect("it is held");
@@ -196,10 +197,10 @@
             span(spans.max())
         ));
     }
-    let spec = duties::Spec { timing: coordination::Timing::default(), ..duties::Spec::new(1) };
-    let mut world = duties::World::started(spec);
+    let spec = emulated::Spec { timing: ::coordination::Timing::default(), ..emulated::Spec::new(1) };
+    let mut world = emulated::World::started(spec);
     world.run(Duration::from_secs(30));
-    let writes = |w: &duties::World| (0..3).map(|i| w.figures(i).writes).sum::<u64>();
+    let writes = |w: &emulated::World| (0..3).map(|i| w.figures(i).writes).sum::<u64>();
     let (words, before) = (world.words, writes(&world));
     world.run(Duration::from_secs(100));
     ways.push(format!(
--- a/testbed/src/scale/broadcast.rs
+++ b/testbed/src/scale/broadcast.rs
@@ -5,7 +5,7 @@
 use super::processor::Stopwatch;
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::sealer::Sealer;
-use coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta};
+use ::coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -1,6 +1,6 @@
 //! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
 
-use coordination::Entry;
+use ::coordination::Entry;
 use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
 use rand::rngs::SmallRng;
 use rand::RngExt;
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -6,7 +6,7 @@
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
 use super::sealer::Sealer;
 use crate::disk::MemDisk;
-use coordination::{
+use ::coordination::{
     Client, ClientAction, Holder, Message, Store, Timing, Voter, VoterAction, VoterConfig, VoterMember,
     VoterState,
 };
--- a/testbed/tests/duties.rs
+++ b/testbed/tests/coordination.rs
@@ -4,8 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
+use testbed::coordination::{address, name, Spec, World};
 use testbed::disk::MemDisk;
-use testbed::duties::{address, name, Spec, World};
 use testbed::history_check::violations;
 use testbed::relay::Rule;
 
