--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -14,8 +14,8 @@
 mod fencing;
 mod lease_table;
 mod list_broadcast;
-mod log;
 mod message;
+mod raft_log;
 mod rolling_restart;
 mod store;
 mod voter;
@@ -29,11 +29,11 @@
     BroadcastAction, BroadcastMessage, BroadcastMetrics, Entry, ListBroadcast, ListDelta,
 };
 pub use message::{
-    ClusterStatus, Handshake, Message, Operation, Outcome, Request, Response, VoterStatus, MESSAGE_MAX,
-    NAME_MAX,
+    ClusterStatus, Handshake, HandshakeAnswer, Message, Operation, Outcome, Request, Response, VoterStatus,
+    MESSAGE_MAX, NAME_MAX,
 };
 pub use rolling_restart::{Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
-pub use store::{DiskIdentity, Store, StoreContents, StoreError, WriteBatch};
+pub use store::{DiskIdentity, ProcessStart, Store, StoreContents, StoreError, WriteBatch};
 pub use voter::{Voter, VoterAction, VoterConfig, VoterEvent, VoterMetrics, VoterState};
 
 use std::time::Duration;
--- a/duties/src/message.rs
+++ b/duties/src/message.rs
@@ -1,54 +1,65 @@
-//! What voters and clients tell each other. The embedder carries it, sealed and for one receiver each.
+//! Messages between voters and clients. The embedder carries them, encrypted and each for one receiver.
+//!
+//! They are encoded by `postcard`: the bytes depend on the order of variants and fields, not on their names.
 
 use crate::lease_table::{Holder, LeaseTable, VoterMember};
+use crate::store::ProcessStart;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name of a node or duty, in bytes.
+/// Longest name of a node or lease, in bytes.
 pub const NAME_MAX: usize = 64;
-/// The longest word, in bytes: a snapshot of a full table goes in.
+/// Longest message, in bytes; a snapshot of a full lease table fits.
 pub const MESSAGE_MAX: usize = 64 * 1024;
 
-/// A word.
+/// Message between voters, or between a client and a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters: `raft`'s own, from one disk to another.
+    /// Raft message from one disk to another.
     Raft {
-        /// The foundation that both belong to.
+        /// Cluster that both disks belong to.
         cluster_id: u64,
-        /// From which disk.
+        /// Disk of the sender.
         from: u64,
-        /// To which.
+        /// Disk of the receiver.
         to: u64,
-        /// The message.
+        /// The message as the Raft library encodes it.
         bytes: Vec<u8>,
     },
-    /// Between voters: who is there, with which disk.
+    /// Identity of a voter, sent to the other voters.
     Handshake(Handshake),
-    /// A client's wish.
+    /// Request of a client.
     Request(Request),
-    /// The voters' answer.
+    /// Response of a voter.
     Response(Response),
 }
 
-/// A voter says who it is.
+/// Identity of a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its disk: drawn when the folder was made.
+    /// Id of its disk.
     pub disk_id: u64,
-    /// How often this folder has been started from: one that goes back is an older copy.
+    /// Number of starts from this disk; one that goes back shows an older copy.
     pub starts: u64,
-    /// The process.
+    /// Id of the process.
     pub process_id: u64,
-    /// The foundation it belongs to, if it was founded.
+    /// Cluster that the disk belongs to, if any.
     pub cluster_id: Option<u64>,
-    /// Whom it would found a new set of voters with: a hash of their names and places.
+    /// Hash of the founders that the voter would form a new cluster with.
     pub founders_digest: u64,
-    /// To one that asked: which start of which process it was, and what that is here. Guards a process against an answer
-    /// that is late, and was for the one before it. None in a question.
-    pub answer: Option<(u64, u64, VoterStatus)>,
+    /// Answer to a handshake; `None` in one that asks for an answer.
+    pub answer: Option<HandshakeAnswer>,
+}
+
+/// Answer to a handshake.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HandshakeAnswer {
+    /// The start that it answers: a late answer for an earlier process must not count for this one.
+    pub start: ProcessStart,
+    /// What the receiver is to the sender.
+    pub status: VoterStatus,
 }
 
 /// What a voter is to another.
@@ -56,125 +67,125 @@
 pub enum VoterStatus {
     /// Nothing is known that speaks against it.
     Current,
-    /// Its disk is not among the voters'.
+    /// Its disk is not among the voters.
     NotMember,
-    /// A later start of its disk was seen here: its folder is an older copy.
+    /// A later start of its disk was seen: its store is an older copy.
     StaleCopy,
 }
 
-/// A client's wish.
+/// Request of a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Comes back with the answer.
+    /// Number that the response repeats.
     pub id: u64,
-    /// Who asks.
+    /// The client's process.
     pub client: Holder,
-    /// How long ago it heard anything of the voters last, in milliseconds. Guards a duty against a holder that is heard
-    /// and hears nothing: its lease would be extended for ever, and it would never know.
+    /// Time since the client last received anything from a leader, in milliseconds. A holder whose requests arrive but who
+    /// receives nothing would otherwise keep its lease without knowing it.
     pub silence_ms: u64,
-    /// What for.
+    /// What is requested.
     pub operation: Operation,
 }
 
-/// What a client wishes.
+/// Operation that a client requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// To have a duty, or to hold on to it.
+    /// Acquire or renew a lease.
     Acquire {
-        /// Which.
+        /// Name of the lease.
         lease: String,
-        /// The token it holds it under; 0 where it does not.
+        /// Token under which the client holds it; 0 if it does not.
         token: u64,
     },
-    /// To give it back.
+    /// Release a lease.
     Release {
-        /// Which.
+        /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// Token under which the client holds it.
         token: u64,
     },
-    /// To leave word for the next holder.
+    /// Save state for the next holder of a lease.
     SaveState {
-        /// Of which duty.
+        /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// Token under which the client holds it.
         token: u64,
-        /// What.
+        /// The state.
         state: Vec<u8>,
     },
-    /// To see all of it.
+    /// Show the status of the cluster.
     Status,
-    /// An operator's word: this one is to be a voter, too.
+    /// Add a voter.
     AddVoter(VoterMember),
-    /// An operator's word: this one is to be none.
+    /// Remove the voter with this name.
     RemoveVoter(String),
 }
 
-/// The voters' answer.
+/// Response of a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Response {
-    /// The ask's.
+    /// Number of the request.
     pub request_id: u64,
-    /// The process that asked. Guards the next process of its name against an answer that is late: it counts its asks from
-    /// the start, too, and would take a lease that began long ago for one that begins now.
+    /// Process that sent the request. The next process of the same name counts its requests from the start, too, and a late
+    /// response must not give it a lease that began long ago.
     pub process_id: u64,
-    /// Who answers.
+    /// Name of the voter that responds.
     pub voter: String,
-    /// What it says.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
-/// What an answer says.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The duty is the asker's, from when it asked.
+    /// The client holds the lease, counted from the moment of its request.
     Granted {
-        /// Which.
+        /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// Its fencing token.
         token: u64,
-        /// What the holder before left.
+        /// State that the last holder saved.
         state: Vec<u8>,
     },
-    /// Another holds it. The wish is kept for a moment, in case it is given back.
+    /// Another process holds the lease. The request waits for a moment, in case the lease is released.
     HeldByOther {
-        /// Which.
+        /// Name of the lease.
         lease: String,
-        /// Who.
+        /// Name of the holder.
         holder: String,
-        /// Under which token.
+        /// The holder's token.
         token: u64,
     },
-    /// The asker does not hold it: it gave it back, or another has it.
+    /// The client does not hold the lease: it released it, or another process holds it.
     NotHolder {
-        /// Which.
+        /// Name of the lease.
         lease: String,
-        /// The token of its last grant.
+        /// Token of its last grant.
         token: u64,
     },
-    /// It was done.
+    /// The operation was carried out.
     Done,
-    /// The asker has heard nothing for long: nothing is done before it asks again and says that it heard this.
+    /// The client has received nothing for long: nothing is done before a request shows that it received this.
     ConfirmReceipt,
-    /// Another voter leads; `None` where none is known to.
+    /// This voter does not lead; the address of the leader, if known.
     NotLeader(Option<SocketAddr>),
-    /// It can't be done, and why.
+    /// The operation can't be carried out, for this reason.
     Rejected(String),
-    /// All of it.
+    /// Status of the cluster.
     Status(Box<ClusterStatus>),
 }
 
-/// What the leader tells an operator.
+/// Status of the cluster, as its leader shows it to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
-    /// The duties, voters and last changes.
+    /// Leases, voters and last changes.
     pub table: LeaseTable,
-    /// The foundation.
+    /// Id of the cluster.
     #[serde(rename = "founded")]
     pub cluster_id: u64,
     /// The leader's term.
     pub term: u64,
-    /// How long each duty's lease has yet to go, as its grantor counts, in milliseconds.
+    /// Time left of each lease by the leader's clock, in milliseconds.
     #[serde(rename = "left_ms")]
     pub remaining_ms: Vec<(String, u64)>,
 }
--- a/duties/src/log.rs
+++ b/duties/src/raft_log.rs
@@ -1,20 +1,19 @@
-//! What `raft` reads of its log: all of it is in memory, and bounded by the snapshots. What is durable is [`crate::store`]'s
-//! business; it is written before anything that hangs on it leaves.
+//! In-memory Raft log, as the Raft library reads it. Snapshots bound its length; [`crate::store`] keeps it on the disk.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// A log: a snapshot, and the entries behind it.
+/// A snapshot and the entries after it.
 #[derive(Default)]
-pub(crate) struct Log {
+pub(crate) struct RaftLog {
     pub hard_state: HardState,
     pub conf_state: ConfState,
     pub snapshot: Snapshot,
     pub entries: Vec<Entry>,
 }
 
-impl Log {
-    /// The index of the snapshot.
+impl RaftLog {
+    /// Returns the index of the snapshot.
     pub fn base(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
@@ -23,7 +22,7 @@
         self.base() + self.entries.len() as u64
     }
 
-    /// Takes entries in, in place of those that they contradict.
+    /// Appends entries; they replace the ones that they conflict with.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let keep = first.index.saturating_sub(self.base() + 1) as usize;
@@ -31,7 +30,7 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Begins anew from a snapshot that another one sent.
+    /// Replaces the whole log by a snapshot of another voter.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.hard_state.commit = self.hard_state.commit.max(meta.index);
@@ -41,15 +40,15 @@
         self.snapshot = snapshot;
     }
 
-    /// Puts a snapshot of what was applied in place of the entries up to there.
+    /// Replaces the entries up to the snapshot's index by the snapshot.
     pub fn compact(&mut self, snapshot: Snapshot) {
-        let drop = (snapshot.get_metadata().index - self.base()) as usize;
-        self.entries.drain(..drop.min(self.entries.len()));
+        let covered = (snapshot.get_metadata().index - self.base()) as usize;
+        self.entries.drain(..covered.min(self.entries.len()));
         self.snapshot = snapshot;
     }
 }
 
-impl Storage for Log {
+impl Storage for RaftLog {
     fn initial_state(&self) -> Result<RaftState> {
         Ok(RaftState::new(self.hard_state.clone(), self.conf_state.clone()))
     }
@@ -67,8 +66,8 @@
         if high > self.last() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let part = |index: u64| (index - self.base() - 1) as usize;
-        let mut entries = self.entries[part(low)..part(high)].to_vec();
+        let position = |index: u64| (index - self.base() - 1) as usize;
+        let mut entries = self.entries[position(low)..position(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
@@ -80,8 +79,8 @@
         if index < self.base() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = (index - self.base() - 1) as usize;
-        self.entries.get(at).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        let position = (index - self.base() - 1) as usize;
+        self.entries.get(position).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/duties/tests/golden_bytes/messages.rs
+++ b/duties/tests/golden_bytes/messages.rs
@@ -1,9 +1,9 @@
 //! One of each message between voters, clients and the list broadcast, all fields set to fixed values.
 
 use duties::{
-    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Entry, Handshake, Holder, LeaseChange,
-    LeaseRecord, LeaseTable, Message, Operation, Outcome, Request, Response, RestartOutcome, RestartProgress,
-    VoterMember, VoterMetrics, VoterState, VoterStatus,
+    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Entry, Handshake, HandshakeAnswer, Holder,
+    LeaseChange, LeaseRecord, LeaseTable, Message, Operation, Outcome, ProcessStart, Request, Response,
+    RestartOutcome, RestartProgress, VoterMember, VoterMetrics, VoterState, VoterStatus,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -73,15 +73,17 @@
     ClusterStatus { table: table(), cluster_id: 99, term: 12, remaining_ms: vec![("errand/a".into(), 8_500)] }
 }
 
-fn hello(you: Option<(u64, u64, VoterStatus)>) -> Message {
+fn hello(status: Option<(u64, VoterStatus)>) -> Message {
+    let start = |starts| ProcessStart { starts, process_id: 5 };
+    let answer = status.map(|(starts, status)| HandshakeAnswer { start: start(starts), status });
     Message::Handshake(Handshake {
         name: "v0".into(),
         disk_id: 17,
         starts: 3,
         process_id: 0xffff_0000_1111_2222,
-        cluster_id: you.map(|_| 99),
+        cluster_id: answer.map(|_| 99),
         founders_digest: 0x8000_0000_0000_0001,
-        answer: you,
+        answer,
     })
 }
 
@@ -103,9 +105,9 @@
     vec![
         sample("raft", raft),
         sample("hello/question", hello(None)),
-        sample("hello/fine", hello(Some((4, 5, VoterStatus::Current)))),
-        sample("hello/unseated", hello(Some((4, 5, VoterStatus::NotMember)))),
-        sample("hello/older", hello(Some((u64::MAX, 5, VoterStatus::StaleCopy)))),
+        sample("hello/fine", hello(Some((4, VoterStatus::Current)))),
+        sample("hello/unseated", hello(Some((4, VoterStatus::NotMember)))),
+        sample("hello/older", hello(Some((u64::MAX, VoterStatus::StaleCopy)))),
     ]
 }
 
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -751,11 +751,11 @@
 
 fn say(event: &VoterEvent) {
     match event {
-        VoterEvent::ClusterFormed(number) => {
+        VoterEvent::ClusterFormed { cluster_id: number } => {
             log::info!(event = "voters_founded", founded = number; "duties: the voters are founded")
         }
         VoterEvent::VotingEnabled => log::info!(event = "voting"; "duties: this voter votes"),
-        VoterEvent::BecameLeader(term) => {
+        VoterEvent::BecameLeader { term } => {
             log::info!(event = "leads", term = term; "duties: this voter leads")
         }
         VoterEvent::LeadershipLost => log::info!(event = "leads_no_more"; "duties: this voter leads no more"),
@@ -764,13 +764,13 @@
              folder and add it again"),
         VoterEvent::NotMember => log::warn!(event = "unseated";
             "duties: this voter's folder has no seat: it does not vote until it is added"),
-        VoterEvent::StorageFailed(why) => log::error!(event = "store_broken", why = why;
+        VoterEvent::StorageFailed { reason: why } => log::error!(event = "store_broken", why = why;
             "duties: this voter's folder fails, it grants nothing more: {why}"),
-        VoterEvent::VotersChanged(names) => {
+        VoterEvent::VotersChanged { names } => {
             let names = names.join(", ");
             log::info!(event = "voters", names = names; "duties: the voters are {names}")
         }
-        VoterEvent::LeaseGranted(duty, holder, token) => {
+        VoterEvent::LeaseGranted { lease: duty, holder, token } => {
             log::info!(event = "duty_granted", duty = duty, holder = holder.name,
             token = token; "duties: {duty} goes to {} under token {token}", holder.name)
         }
--- a/node/src/duties/disk.rs
+++ b/node/src/duties/disk.rs
@@ -46,8 +46,8 @@
     let place = meta.ino() ^ meta.dev().rotate_left(32) ^ (made.as_nanos() as u64).rotate_left(16);
     match Store::open(backend, fleet, name, fastrand::u64(1..), place) {
         Ok(opened) => Ok(opened),
-        Err(StoreError::Io(e)) if e.contains("already open") => Err(Why::InUse),
-        Err(e @ StoreError::Io(_)) => Err(Why::Refused(format!("{}: {e}", folder.display()))),
+        Err(StoreError::Disk(e)) if e.contains("already open") => Err(Why::InUse),
+        Err(e @ StoreError::Disk(_)) => Err(Why::Refused(format!("{}: {e}", folder.display()))),
         Err(e) => Err(bad(&e)),
     }
 }
--- a/rig/src/duties.rs
+++ b/rig/src/duties.rs
@@ -286,7 +286,7 @@
                     let now = self.local(i);
                     if let Some(p) = self.nodes[i].process.as_mut().filter(|p| p.process_id == process_id) {
                         if let Some((voter, _)) = &mut p.voter {
-                            let bad = duties::StoreError::Io("no space left on the disk".into());
+                            let bad = duties::StoreError::Disk("no space left on the disk".into());
                             voter.persisted(now, number, if outcome { Ok(()) } else { Err(bad) });
                         }
                         self.after(i);
