--- a/duties/src/lease_table.rs
+++ b/duties/src/lease_table.rs
@@ -1,231 +1,221 @@
-//! What the voters agree on: who holds which duty under which token. The same commands in the same order give the same
-//! table at each of them; it knows no time.
+//! Lease table: the replicated state machine of the voters. The same commands in the same order give the same table at each
+//! voter; it knows no time.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Duties at most: bounds the table, and with it every snapshot.
+/// Most leases; bounds the table, and with it each snapshot.
 pub const LEASES_MAX: usize = 64;
-/// Changes that are remembered.
+/// Changes that the history keeps.
 pub const HISTORY_MAX: usize = 32;
-/// What a holder may leave for the next one, in bytes.
-pub(crate) const STATE_MAX: usize = 512;
+/// Most bytes of state that a holder may save for the next one.
+pub const STATE_MAX: usize = 512;
 
-/// Who holds a duty: a process, not a name. One that was started again is another holder.
+/// Process that holds a lease. A process that was started again is another holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// The process: drawn anew at each start.
+    /// Id of the process, drawn at each start.
     #[serde(rename = "boot")]
     pub process_id: u64,
 }
 
-/// A duty.
+/// Record of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it; `None` where it was given back. A holder whose lease is over stays here until the next one.
+    /// Holder; `None` after a release. The holder of an expired lease stays here until the next grant.
     pub holder: Option<Holder>,
-    /// Under which token, or under which it was held last.
+    /// Fencing token of the last grant.
     pub token: u64,
-    /// Since when, in Unix time in milliseconds, by the clock of the leader that granted it: to be shown, never compared.
+    /// Unix time of the grant in milliseconds, by the clock of the leader that granted it: for display, never compared.
     #[serde(rename = "since_ms")]
     pub granted_at_ms: u64,
-    /// What the last holder left for the next one.
+    /// State that the last holder saved for the next one.
     #[serde(rename = "left")]
     pub state: Vec<u8>,
 }
 
-/// A voter's place.
+/// Name and address of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterMember {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where it is reached.
+    /// Address at which the other nodes reach it.
     pub address: SocketAddr,
 }
 
-/// What happened to a duty.
+/// Kind of a change of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// It was granted.
+    /// The lease was granted.
     Granted,
-    /// Its holder gave it back.
+    /// The holder released the lease.
     #[serde(rename = "freed")]
     Released,
 }
 
-/// A line of the history.
+/// Change of a lease, as the history keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseChange {
-    /// Which duty.
+    /// Name of the lease.
     #[serde(rename = "duty")]
     pub lease: String,
-    /// What happened.
+    /// Kind of the change.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
-    /// To whom, or by whom.
+    /// Name of the node that got or released the lease.
     #[serde(rename = "name")]
     pub holder: String,
-    /// Under which token.
+    /// Fencing token.
     pub token: u64,
-    /// In Unix time in milliseconds, by the clock of the leader of that moment.
+    /// Unix time in milliseconds, by the clock of the leader.
     pub at_ms: u64,
 }
 
-/// What a voter proposes.
+/// Command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Command {
-    /// Guards against a grant that was decided before another one: it counts only right `after` this token.
-    Grant { lease: String, holder: Holder, previous_token: u64, at_ms: u64 },
-    /// The holder of this token gives it back.
-    Release { lease: String, token: u64, at_ms: u64 },
-    /// The holder of this token leaves word for the next one.
-    SaveState { lease: String, token: u64, state: Vec<u8> },
+pub enum Command {
+    /// Grant a lease.
+    Grant {
+        /// Name of the lease.
+        lease: String,
+        /// The new holder.
+        holder: Holder,
+        /// Token of the grant before; if another grant came in between, the command is ignored.
+        previous_token: u64,
+        /// Unix time in milliseconds by the leader's clock.
+        at_ms: u64,
+    },
+    /// Release a lease.
+    Release {
+        /// Name of the lease.
+        lease: String,
+        /// The holder's token.
+        token: u64,
+        /// Unix time in milliseconds by the leader's clock.
+        at_ms: u64,
+    },
+    /// Save state for the next holder.
+    SaveState {
+        /// Name of the lease.
+        lease: String,
+        /// The holder's token.
+        token: u64,
+        /// The state.
+        state: Vec<u8>,
+    },
 }
 
-/// What became of a command.
+/// Result of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ApplyResult {
-    Granted { lease: String, token: u64 },
-    Released { lease: String },
-    StateSaved { lease: String },
-    Ignored { lease: String },
+pub enum ApplyResult {
+    /// The lease was granted.
+    Granted {
+        /// Name of the lease.
+        lease: String,
+        /// The new fencing token.
+        token: u64,
+    },
+    /// The lease was released.
+    Released {
+        /// Name of the lease.
+        lease: String,
+    },
+    /// The state was saved.
+    StateSaved {
+        /// Name of the lease.
+        lease: String,
+    },
+    /// The command was ignored: its token is not the lease's, or a bound is reached.
+    Ignored {
+        /// Name of the lease.
+        lease: String,
+    },
 }
 
-/// All duties, and the voters.
+/// All leases, and the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// The last token that was granted, of whatever duty.
+    /// Last fencing token that was granted, of any lease.
     pub last_token: u64,
-    /// The duties that were ever held.
+    /// Leases that were ever granted, by name.
     #[serde(rename = "held")]
     pub leases: BTreeMap<String, LeaseRecord>,
-    /// The voters, by the number of their disk.
+    /// Voters by disk id.
     #[serde(rename = "seats")]
     pub voters: BTreeMap<u64, VoterMember>,
-    /// The last changes, oldest first.
+    /// Last changes, oldest first.
     pub history: VecDeque<LeaseChange>,
 }
 
 impl LeaseTable {
-    /// The token of a duty's last grant; 0 where there was none.
+    /// Returns the fencing token of a lease's last grant; 0 if there was none.
     pub fn token(&self, lease: &str) -> u64 {
-        self.leases.get(lease).map_or(0, |h| h.token)
+        self.leases.get(lease).map_or(0, |record| record.token)
     }
 
-    /// Who holds a duty, as far as the log tells.
+    /// Returns the holder of a lease, as far as the log tells.
     pub fn holder(&self, lease: &str) -> Option<&Holder> {
         self.leases.get(lease)?.holder.as_ref()
     }
 
-    pub(crate) fn apply(&mut self, command: Command) -> ApplyResult {
+    /// Applies a committed command.
+    pub fn apply(&mut self, command: Command) -> ApplyResult {
         match command {
             Command::Grant { lease, holder, previous_token, at_ms } => {
-                let room = self.leases.contains_key(&lease) || self.leases.len() < LEASES_MAX;
-                if self.token(&lease) != previous_token || !room {
-                    return ApplyResult::Ignored { lease };
-                }
-                // The first one is no lower than the time: tokens go on growing where all voters were lost and founded
-                // anew, for those that remember the old ones.
-                self.last_token = if self.last_token == 0 { at_ms.max(1) } else { self.last_token + 1 };
-                let (token, name) = (self.last_token, holder.name.clone());
-                let state = self.leases.remove(&lease).map_or(Vec::new(), |h| h.state);
-                let held = LeaseRecord { holder: Some(holder), token, granted_at_ms: at_ms, state };
-                self.leases.insert(lease.clone(), held);
-                self.record(LeaseChange {
-                    lease: lease.clone(),
-                    kind: ChangeKind::Granted,
-                    holder: name,
-                    token,
-                    at_ms,
-                });
-                ApplyResult::Granted { lease, token }
-            }
-            Command::Release { lease, token, at_ms } => {
-                let held = self.leases.get_mut(&lease).filter(|h| h.token == token);
-                let Some(holder) = held.and_then(|h| h.holder.take()) else {
-                    return ApplyResult::Ignored { lease };
-                };
-                let name = holder.name;
-                self.record(LeaseChange {
-                    lease: lease.clone(),
-                    kind: ChangeKind::Released,
-                    holder: name,
-                    token,
-                    at_ms,
-                });
-                ApplyResult::Released { lease }
-            }
-            Command::SaveState { lease, token, state } => {
-                let held = self.leases.get_mut(&lease).filter(|h| h.token == token && h.holder.is_some());
-                match held {
-                    Some(held) if state.len() <= STATE_MAX => {
-                        held.state = state;
-                        ApplyResult::StateSaved { lease }
-                    }
-                    _ => ApplyResult::Ignored { lease },
-                }
+                self.grant(lease, holder, previous_token, at_ms)
             }
+            Command::Release { lease, token, at_ms } => self.release(lease, token, at_ms),
+            Command::SaveState { lease, token, state } => self.save_state(lease, token, state),
         }
     }
 
-    fn record(&mut self, change: LeaseChange) {
-        while self.history.len() >= HISTORY_MAX {
-            self.history.pop_front();
+    fn grant(&mut self, lease: String, holder: Holder, previous_token: u64, at_ms: u64) -> ApplyResult {
+        let has_room = self.leases.contains_key(&lease) || self.leases.len() < LEASES_MAX;
+        if self.token(&lease) != previous_token || !has_room {
+            return ApplyResult::Ignored { lease };
         }
-        self.history.push_back(change);
+        // The first token is no lower than the time, so that tokens go on growing when all voters were lost and a new
+        // cluster is formed, for those that remember the old tokens.
+        self.last_token = if self.last_token == 0 { at_ms.max(1) } else { self.last_token + 1 };
+        let token = self.last_token;
+        let name = holder.name.clone();
+        let state = self.leases.remove(&lease).map_or(Vec::new(), |record| record.state);
+        let record = LeaseRecord { holder: Some(holder), token, granted_at_ms: at_ms, state };
+        self.leases.insert(lease.clone(), record);
+        let kind = ChangeKind::Granted;
+        self.record(LeaseChange { lease: lease.clone(), kind, holder: name, token, at_ms });
+        ApplyResult::Granted { lease, token }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    fn grant(lease: &str, name: &str, previous_token: u64) -> Command {
-        let holder = Holder { name: name.into(), process_id: 1 };
-        Command::Grant { lease: lease.into(), holder, previous_token, at_ms: 1000 }
+    fn release(&mut self, lease: String, token: u64, at_ms: u64) -> ApplyResult {
+        let record = self.leases.get_mut(&lease).filter(|record| record.token == token);
+        let Some(holder) = record.and_then(|record| record.holder.take()) else {
+            return ApplyResult::Ignored { lease };
+        };
+        let kind = ChangeKind::Released;
+        self.record(LeaseChange { lease: lease.clone(), kind, holder: holder.name, token, at_ms });
+        ApplyResult::Released { lease }
     }
 
-    #[test]
-    fn a_grant_counts_only_after_the_one_that_it_was_decided_on() {
-        let mut t = LeaseTable::default();
-        let token = |applied| match applied {
-            ApplyResult::Granted { token, .. } => token,
-            other => panic!("{other:?}"),
-        };
-        let first = token(t.apply(grant("lists", "a", 0)));
-        assert_eq!(first, 1000, "no lower than the time");
-        assert_eq!(t.apply(grant("lists", "b", 0)), ApplyResult::Ignored { lease: "lists".into() });
-        let other = token(t.apply(grant("roll", "b", 0)));
-        let second = token(t.apply(grant("lists", "b", first)));
-        assert!(first < other && other < second, "over all duties");
-        let free = |token| Command::Release { lease: "lists".into(), token, at_ms: 1 };
-        assert_eq!(
-            t.apply(free(first)),
-            ApplyResult::Ignored { lease: "lists".into() },
-            "an old holder's word"
-        );
-        assert_eq!(t.holder("lists").unwrap().name, "b");
-        assert_eq!(t.apply(free(second)), ApplyResult::Released { lease: "lists".into() });
-        assert_eq!((t.holder("lists"), t.token("lists")), (None, second), "the token stays");
-        let state = Command::SaveState { lease: "roll".into(), token: other, state: vec![7] };
-        t.apply(state);
-        assert!(token(t.apply(grant("roll", "c", other))) > second);
-        assert_eq!(t.leases["roll"].state, [7], "what was left goes on to the next holder");
+    fn save_state(&mut self, lease: String, token: u64, state: Vec<u8>) -> ApplyResult {
+        let record = self.leases.get_mut(&lease).filter(|r| r.token == token && r.holder.is_some());
+        match record {
+            Some(record) if state.len() <= STATE_MAX => {
+                record.state = state;
+                ApplyResult::StateSaved { lease }
+            }
+            _ => ApplyResult::Ignored { lease },
+        }
     }
 
-    #[test]
-    fn duties_history_and_what_is_left_are_bounded() {
-        let mut t = LeaseTable::default();
-        for i in 0..200 {
-            t.apply(grant(&format!("d{i}"), "a", 0));
+    fn record(&mut self, change: LeaseChange) {
+        while self.history.len() >= HISTORY_MAX {
+            self.history.pop_front();
         }
-        assert_eq!((t.leases.len(), t.history.len()), (LEASES_MAX, HISTORY_MAX));
-        let token = t.token("d0");
-        let state = Command::SaveState { lease: "d0".into(), token, state: vec![0; STATE_MAX + 1] };
-        assert_eq!(t.apply(state), ApplyResult::Ignored { lease: "d0".into() });
+        self.history.push_back(change);
     }
 }
--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -23,7 +23,8 @@
 pub use client::{Client, ClientAction, LeaseLost};
 pub use fencing::{FencingGuard, StaleToken};
 pub use lease_table::{
-    ChangeKind, Holder, LeaseChange, LeaseRecord, LeaseTable, VoterMember, HISTORY_MAX, LEASES_MAX,
+    ApplyResult, ChangeKind, Command, Holder, LeaseChange, LeaseRecord, LeaseTable, VoterMember, HISTORY_MAX,
+    LEASES_MAX, STATE_MAX,
 };
 pub use list_broadcast::{
     BroadcastAction, BroadcastMessage, BroadcastMetrics, Entry, ListBroadcast, ListDelta,
@@ -32,7 +33,10 @@
     ClusterStatus, Handshake, HandshakeAnswer, Message, Operation, Outcome, Request, Response, VoterStatus,
     MESSAGE_MAX, NAME_MAX,
 };
-pub use rolling_restart::{Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+pub use rolling_restart::{
+    Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX, MISSING_TOLERANCE,
+    RETURN_TIMEOUT,
+};
 pub use store::{DiskIdentity, ProcessStart, Store, StoreContents, StoreError, WriteBatch};
 pub use voter::{Voter, VoterAction, VoterConfig, VoterEvent, VoterMetrics, VoterState};
 
--- a/duties/src/rolling_restart.rs
+++ b/duties/src/rolling_restart.rs
@@ -1,47 +1,49 @@
-//! A roll: whoever holds the duty takes the fleet's nodes through a drain and a restart, one after another, at most so many
-//! away at a time in each zone. It goes on with the next holder where it stood, and stops by itself where jobs fail, where
-//! a node does not come back, or where others go missing.
+//! Rolling restart of a fleet. The lease holder lets the nodes drain and restart one after another, with a bounded number
+//! unavailable in each zone. The next holder continues from the saved progress. The restart halts when jobs fail, when a
+//! node does not come back, or when other nodes disappear.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// For a node to be gone and back again.
-const BACK: Duration = Duration::from_secs(120);
-/// Between two words to a node that has yet to go.
-const AGAIN: Duration = Duration::from_millis(500);
-/// For which others may be missing from the view: some views are late.
-const MISSING: Duration = Duration::from_secs(5);
-/// Jobs that have to have ended, and of them the part that may fail: one in so many.
-const ENDED: u64 = 20;
-const FAILS: u64 = 20;
-/// Nodes under way at once: bounds what is left for the next holder.
-const UNDER_WAY: usize = 4;
+/// Time in which a node has to restart.
+pub const RETURN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Time for which other nodes may be missing from the view, which may lag behind.
+pub const MISSING_TOLERANCE: Duration = Duration::from_secs(5);
+/// Most nodes that restart at once; bounds the saved progress.
+pub const IN_PROGRESS_MAX: usize = 4;
+/// Interval between requests to a node that has not restarted yet.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Fewest ended jobs from which the ratio of failed ones is judged.
+const JOBS_MIN: u64 = 20;
+/// The restart halts if more than one in this many jobs failed.
+const JOBS_PER_FAILURE: u64 = 20;
 
-/// How a roll ended.
+/// Outcome of a rolling restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartOutcome {
-    /// All nodes were started anew.
+    /// All nodes restarted.
     #[serde(rename = "Done")]
     Completed,
-    /// An operator stopped it.
+    /// An operator cancelled it.
     #[serde(rename = "Asked")]
     Cancelled,
     /// This node did not come back.
     #[serde(rename = "NotBack")]
     NodeNotBack(String),
-    /// So many nodes are missing that it did not take away.
+    /// This number of nodes disappeared without having been told to restart.
     #[serde(rename = "Missing")]
     NodesMissing(u16),
-    /// Of so many jobs that ended so many failed.
+    /// Too many jobs failed: the number of failed jobs, and of all that ended.
     #[serde(rename = "JobsFail")]
     JobsFailed(u64, u64),
 }
 
-/// The words that operators see.
-impl std::fmt::Display for RestartOutcome {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+/// The text that operators see.
+impl fmt::Display for RestartOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RestartOutcome::Completed => write!(f, "Done"),
             RestartOutcome::Cancelled => write!(f, "Asked"),
@@ -52,108 +54,114 @@
     }
 }
 
-/// How far a roll is: what a holder leaves for the next one.
+/// Progress of a rolling restart, as a holder saves it for the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartProgress {
-    /// Which roll: when it was asked for.
+    /// Id of the restart: Unix time in milliseconds at which it was requested.
     pub id: u64,
-    /// Nodes of one zone that may be away at once.
+    /// Most nodes of one zone that may be unavailable at once.
     #[serde(rename = "away")]
     pub max_unavailable: u8,
-    /// The last node, by name, that was told to go.
+    /// Last node, by name, that was chosen to restart.
     pub cursor: String,
-    /// Those that are under way, with the process that was told.
+    /// Nodes that restart now, with the process that is to end.
     #[serde(rename = "under_way")]
     pub in_progress: Vec<(String, u64)>,
-    /// Nodes that there were at its begin.
+    /// Number of nodes at the start.
     pub total: u16,
-    /// Nodes that are back.
+    /// Number of nodes that came back.
     #[serde(rename = "done")]
     pub completed: u16,
-    /// How it ended.
+    /// Outcome, once it has ended.
     #[serde(rename = "end")]
     pub outcome: Option<RestartOutcome>,
 }
 
-/// A node that takes jobs.
+/// Node that takes jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where it is reached.
+    /// Address at which the other nodes reach it.
     pub address: SocketAddr,
-    /// Its process.
+    /// Id of its process.
     pub process_id: u64,
 }
 
-/// What the embedder is to do.
+/// Action for the embedder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestartStep {
-    /// Leave this for the next holder.
+    /// Save the progress for the next holder; the steps that follow wait for it.
     SaveProgress(RestartProgress),
-    /// Tell this process to drain and end.
+    /// Tell a process to drain and end.
     Restart {
-        /// The node.
+        /// Name of the node.
         name: String,
-        /// Where it is reached.
+        /// Address of the node.
         address: SocketAddr,
         /// The process.
         process_id: u64,
     },
 }
 
-/// A roll in the hands of its holder.
+/// Times of the requests to a node that restarts.
+struct RequestTimes {
+    first: Duration,
+    last: Duration,
+}
+
+/// Rolling restart at the holder of its lease.
 pub struct RollingRestart {
-    own: String,
+    own_name: String,
     progress: RestartProgress,
     zones: BTreeMap<String, String>,
-    told: BTreeMap<String, (Duration, Duration)>, // first, and last
+    requested: BTreeMap<String, RequestTimes>,
     missing_since: Option<Duration>,
     steps: VecDeque<RestartStep>,
 }
 
 impl RollingRestart {
-    /// A new one, of these nodes.
-    pub fn start(own: &str, id: u64, max_unavailable: u8, members: &[Member]) -> RollingRestart {
+    /// Starts a rolling restart of these nodes. `own_name` is the holder's.
+    pub fn start(own_name: &str, id: u64, max_unavailable: u8, members: &[Member]) -> RollingRestart {
         let progress = RestartProgress {
             id,
-            max_unavailable: max_unavailable.clamp(1, UNDER_WAY as u8),
+            max_unavailable: max_unavailable.clamp(1, IN_PROGRESS_MAX as u8),
             cursor: String::new(),
             in_progress: Vec::new(),
             total: members.len().min(usize::from(u16::MAX)) as u16,
             completed: 0,
             outcome: None,
         };
-        let mut roll = RollingRestart::resume(own, progress);
-        roll.save();
-        roll
+        let mut restart = RollingRestart::resume(own_name, progress);
+        restart.save();
+        restart
     }
 
-    /// One that another holder left.
-    pub fn resume(own: &str, progress: RestartProgress) -> RollingRestart {
+    /// Resumes a rolling restart from the progress that another holder saved.
+    pub fn resume(own_name: &str, progress: RestartProgress) -> RollingRestart {
         RollingRestart {
-            own: own.to_string(),
+            own_name: own_name.to_string(),
             progress,
             zones: BTreeMap::new(),
-            told: BTreeMap::new(),
+            requested: BTreeMap::new(),
             missing_since: None,
             steps: VecDeque::new(),
         }
     }
 
-    /// How far it is.
+    /// Returns the progress.
     pub fn progress(&self) -> &RestartProgress {
         &self.progress
     }
 
-    /// The next thing to do, if there is one.
+    /// Returns the next step for the embedder, if there is one.
     pub fn next_step(&mut self) -> Option<RestartStep> {
         self.steps.pop_front()
     }
 
-    /// It ends here.
+    /// Ends the restart, unless it has ended.
     pub fn stop(&mut self, outcome: RestartOutcome) {
         if self.progress.outcome.is_none() {
             self.progress.outcome = Some(outcome);
@@ -161,85 +169,126 @@
         }
     }
 
-    /// What jobs came to since it began, at all nodes that were asked.
+    /// Records the jobs that failed and ended since the start, at all nodes that were asked; halts if too many failed.
     pub fn record_jobs(&mut self, failed: u64, ended: u64) {
-        if ended >= ENDED && failed * FAILS > ended {
+        if ended >= JOBS_MIN && failed * JOBS_PER_FAILURE > ended {
             self.stop(RestartOutcome::JobsFailed(failed, ended));
         }
     }
 
-    /// Looks at the nodes that take jobs now, and goes on.
+    /// Continues with the nodes that take jobs now.
     pub fn advance(&mut self, now: Duration, members: &[Member]) {
         if self.progress.outcome.is_some() {
             return;
         }
         let before = self.progress.clone();
-        let process = |name: &str| members.iter().find(|m| m.name == name);
-        for m in members {
-            self.zones.insert(m.name.clone(), m.zone.clone());
-        }
-        let back =
-            |(name, process_id): &(String, u64)| process(name).is_some_and(|m| m.process_id != *process_id);
-        self.progress.completed += self.progress.in_progress.iter().filter(|u| back(u)).count() as u16;
-        self.progress.in_progress.retain(|u| !back(u));
-        let in_progress = &self.progress.in_progress;
-        self.told.retain(|name, _| in_progress.iter().any(|(n, _)| n == name));
-        if let Some((name, _)) = self.told.iter().find(|(_, (first, _))| now.saturating_sub(*first) >= BACK) {
-            let name = name.clone();
+        self.zones.extend(members.iter().map(|m| (m.name.clone(), m.zone.clone())));
+        self.record_returned(members);
+        if let Some(name) = self.overdue(now) {
             return self.stop(RestartOutcome::NodeNotBack(name));
         }
-        // Those that are gone and were not told to go.
-        let gone = in_progress.iter().filter(|(name, _)| process(name).is_none()).count();
-        let missing = usize::from(self.progress.total).saturating_sub(members.len() + gone);
-        if missing > 0 {
-            let since = *self.missing_since.get_or_insert(now);
-            if now.saturating_sub(since) >= MISSING {
-                return self.stop(RestartOutcome::NodesMissing(missing as u16));
-            }
-        } else {
-            self.missing_since = None;
+        let missing = self.count_missing(members);
+        if self.is_missing_too_long(now, missing) {
+            return self.stop(RestartOutcome::NodesMissing(missing as u16));
         }
-        // Nobody more goes while some are missing, or where the view is not yet whole.
-        let mut rest: Vec<&Member> = members.iter().filter(|m| m.name > self.progress.cursor).collect();
-        rest.sort_by(|a, b| a.name.cmp(&b.name));
-        if rest.is_empty() && self.progress.in_progress.is_empty() && missing == 0 {
+        let remaining = self.remaining(members);
+        if remaining.is_empty() && self.progress.in_progress.is_empty() && missing == 0 {
             return self.stop(RestartOutcome::Completed);
         }
-        for m in rest {
-            let away = |zone: &str| {
-                let same = |(n, _): &&(String, u64)| self.zones.get(n).is_some_and(|z| z == zone);
-                self.progress.in_progress.iter().filter(same).count()
-            };
-            let full = self.progress.in_progress.len() >= UNDER_WAY;
-            if missing > 0 || full || away(&m.zone) >= usize::from(self.progress.max_unavailable) {
+        // No more nodes are chosen while some are missing, or the view is not complete yet.
+        if missing == 0 {
+            self.choose(&remaining);
+        }
+        // What the next holder has to know is saved before any node is told.
+        if self.progress != before {
+            self.save();
+        }
+        self.request_restarts(now, members);
+    }
+
+    /// Counts the nodes that came back with another process.
+    fn record_returned(&mut self, members: &[Member]) {
+        let has_returned = |(name, process_id): &(String, u64)| {
+            find(members, name).is_some_and(|member| member.process_id != *process_id)
+        };
+        let returned = self.progress.in_progress.iter().filter(|node| has_returned(node)).count();
+        self.progress.completed += returned as u16;
+        self.progress.in_progress.retain(|node| !has_returned(node));
+        let in_progress = &self.progress.in_progress;
+        self.requested.retain(|name, _| in_progress.iter().any(|(node, _)| node == name));
+    }
+
+    /// Name of a node that did not come back in time.
+    fn overdue(&self, now: Duration) -> Option<String> {
+        let is_overdue = |times: &RequestTimes| now.saturating_sub(times.first) >= RETURN_TIMEOUT;
+        self.requested.iter().find(|(_, times)| is_overdue(times)).map(|(name, _)| name.clone())
+    }
+
+    /// Number of nodes that disappeared without having been told to restart.
+    fn count_missing(&self, members: &[Member]) -> usize {
+        let in_progress = self.progress.in_progress.iter();
+        let restarting = in_progress.filter(|(name, _)| find(members, name).is_none()).count();
+        usize::from(self.progress.total).saturating_sub(members.len() + restarting)
+    }
+
+    fn is_missing_too_long(&mut self, now: Duration, missing: usize) -> bool {
+        if missing == 0 {
+            self.missing_since = None;
+            return false;
+        }
+        let since = *self.missing_since.get_or_insert(now);
+        now.saturating_sub(since) >= MISSING_TOLERANCE
+    }
+
+    /// Nodes that have not been chosen yet, in the order in which they restart.
+    fn remaining<'a>(&self, members: &'a [Member]) -> Vec<&'a Member> {
+        let mut remaining: Vec<&Member> =
+            members.iter().filter(|member| member.name > self.progress.cursor).collect();
+        remaining.sort_by(|a, b| a.name.cmp(&b.name));
+        remaining
+    }
+
+    /// Chooses the next nodes to restart.
+    fn choose(&mut self, remaining: &[&Member]) {
+        for member in remaining {
+            let is_full = self.progress.in_progress.len() >= IN_PROGRESS_MAX;
+            if is_full || self.unavailable_in(&member.zone) >= usize::from(self.progress.max_unavailable) {
                 break;
             }
-            // The holder goes when nobody else is away: the next one finds only that to wait for.
-            if m.name == self.own && !self.progress.in_progress.is_empty() {
+            // The holder restarts alone, so that the next holder has only that node to wait for.
+            let is_holder = member.name == self.own_name;
+            if is_holder && !self.progress.in_progress.is_empty() {
                 break;
             }
-            self.progress.cursor = m.name.clone();
-            self.progress.in_progress.push((m.name.clone(), m.process_id));
-            if m.name == self.own {
+            self.progress.cursor.clone_from(&member.name);
+            self.progress.in_progress.push((member.name.clone(), member.process_id));
+            if is_holder {
                 break;
             }
         }
-        // What the next holder has to know is left before anybody hears of it.
-        if self.progress != before {
-            self.save();
-        }
+    }
+
+    fn unavailable_in(&self, zone: &str) -> usize {
+        let is_in_zone = |name: &str| self.zones.get(name).is_some_and(|other| other == zone);
+        self.progress.in_progress.iter().filter(|(name, _)| is_in_zone(name)).count()
+    }
+
+    /// Tells the chosen nodes to restart, again and again until they are gone.
+    fn request_restarts(&mut self, now: Duration, members: &[Member]) {
         for (name, process_id) in &self.progress.in_progress {
-            let Some(m) = process(name).filter(|m| m.process_id == *process_id) else {
-                self.told.entry(name.clone()).or_insert((now, now));
+            let times = self.requested.get(name);
+            let Some(member) = find(members, name).filter(|m| m.process_id == *process_id) else {
+                if times.is_none() {
+                    self.requested.insert(name.clone(), RequestTimes { first: now, last: now });
+                }
                 continue;
             };
-            let due = self.told.get(name).is_none_or(|(_, last)| now.saturating_sub(*last) >= AGAIN);
-            if due {
-                let first = self.told.get(name).map_or(now, |(first, _)| *first);
-                self.told.insert(name.clone(), (first, now));
+            if times.is_none_or(|times| now.saturating_sub(times.last) >= REQUEST_INTERVAL) {
+                let first = times.map_or(now, |times| times.first);
+                self.requested.insert(name.clone(), RequestTimes { first, last: now });
                 self.steps.push_back(RestartStep::Restart {
                     name: name.clone(),
-                    address: m.address,
+                    address: member.address,
                     process_id: *process_id,
                 });
             }
@@ -251,104 +300,6 @@
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const S: Duration = Duration::from_secs(1);
-
-    fn fleet(n: usize) -> Vec<Member> {
-        let member = |i: usize| Member {
-            name: format!("n{i}"),
-            zone: format!("z{}", i % 2),
-            address: SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16)),
-            process_id: 1,
-        };
-        (0..n).map(member).collect()
-    }
-
-    /// Those that were told to go are gone for a look, and back with another process at the next.
-    fn step(
-        roll: &mut RollingRestart,
-        now: Duration,
-        members: &mut Vec<Member>,
-        away: &mut Vec<Member>,
-    ) -> Vec<String> {
-        members.append(away);
-        roll.advance(now, members);
-        let mut told = Vec::new();
-        while let Some(next) = roll.next_step() {
-            if let RestartStep::Restart { name, process_id, .. } = next {
-                let at = members
-                    .iter()
-                    .position(|m| m.name == name && m.process_id == process_id)
-                    .expect("it is there");
-                let m = members.remove(at);
-                away.push(Member { process_id: process_id + 1, ..m });
-                told.push(name);
-            }
-        }
-        told
-    }
-
-    #[test]
-    fn all_nodes_go_once_and_never_too_many_of_a_zone() {
-        let (mut members, mut away) = (fleet(8), Vec::new());
-        let mut roll = RollingRestart::start("n3", 7, 1, &members);
-        let (mut order, mut now) = (Vec::new(), S);
-        while roll.progress().outcome.is_none() {
-            let told = step(&mut roll, now, &mut members, &mut away);
-            for zone in ["z0", "z1"] {
-                assert!(away.iter().filter(|m| m.zone == zone).count() <= 1);
-            }
-            order.extend(told);
-            now += S;
-            assert!(now < 100 * S, "{:?}", roll.progress());
-            // The holder goes alone, and another goes on with what it left.
-            if order.last().is_some_and(|n| n == "n3") && roll.own == "n3" {
-                assert_eq!(away.len(), 1);
-                roll = RollingRestart::resume("n0", roll.progress().clone());
-            }
-        }
-        assert_eq!(roll.progress().outcome, Some(RestartOutcome::Completed));
-        assert_eq!((order.len(), roll.progress().completed), (8, 8), "{order:?}");
-        assert!(members.iter().all(|m| m.process_id == 2) && members.len() == 8);
-    }
-
-    #[test]
-    fn it_stops_where_others_go_missing_jobs_fail_or_one_does_not_come_back() {
-        let begin = || RollingRestart::start("n0", 7, 1, &fleet(4));
-        let mut roll = begin();
-        let three = fleet(3);
-        roll.advance(S, &three);
-        assert!(roll.progress().in_progress.is_empty(), "nobody goes while one is missing");
-        roll.advance(S + MISSING, &three);
-        assert_eq!(roll.progress().outcome, Some(RestartOutcome::NodesMissing(1)));
-        let mut roll = begin();
-        roll.record_jobs(1, 30);
-        assert_eq!(roll.progress().outcome, None);
-        roll.record_jobs(2, 30);
-        assert_eq!(roll.progress().outcome, Some(RestartOutcome::JobsFailed(2, 30)));
-        let (mut roll, mut members) = (begin(), fleet(4));
-        roll.advance(S, &members);
-        members.remove(0);
-        roll.advance(2 * S, &members);
-        roll.advance(S + BACK, &members);
-        assert_eq!(roll.progress().outcome, Some(RestartOutcome::NodeNotBack("n0".into())));
-    }
-
-    #[test]
-    fn what_is_left_for_the_next_holder_is_short() {
-        let long = "n".repeat(64);
-        let progress = RestartProgress {
-            id: u64::MAX,
-            max_unavailable: 4,
-            cursor: long.clone(),
-            in_progress: vec![(long.clone(), u64::MAX); UNDER_WAY],
-            total: u16::MAX,
-            completed: u16::MAX,
-            outcome: Some(RestartOutcome::NodeNotBack(long)),
-        };
-        assert!(postcard::to_stdvec(&progress).unwrap().len() <= crate::lease_table::STATE_MAX);
-    }
+fn find<'a>(members: &'a [Member], name: &str) -> Option<&'a Member> {
+    members.iter().find(|member| member.name == name)
 }
--- /dev/null
+++ b/duties/tests/list_broadcast.rs
@@ -0,0 +1,188 @@
+//! List broadcast among the nodes of a zone whose messages arrive at once.
+
+use duties::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const MS: Duration = Duration::from_millis(1);
+
+fn entry(key: &str, removed: bool, length: usize) -> Entry {
+    Entry { key: key.into(), removed, bytes: vec![7; length] }
+}
+
+fn at(i: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16))
+}
+
+/// Nodes of a zone, with the deltas that each applied.
+struct Zone {
+    nodes: Vec<ListBroadcast>,
+    applied: Vec<Vec<ListDelta>>,
+}
+
+impl Zone {
+    fn new(nodes: usize) -> Zone {
+        let peers: Vec<(String, SocketAddr)> = (0..nodes).map(|i| (format!("n{i:03}"), at(i))).collect();
+        let node = |i: usize| {
+            let mut node = ListBroadcast::new(&peers[i].0, 1);
+            node.set_peers(peers.clone());
+            node
+        };
+        Zone { nodes: (0..nodes).map(node).collect(), applied: vec![Vec::new(); nodes] }
+    }
+
+    /// Delivers all messages but the lost ones; returns the most that one node sent.
+    fn deliver(&mut self, now: Duration, lost: impl Fn(usize, usize) -> bool) -> u64 {
+        let before: Vec<u64> = self.nodes.iter().map(|s| s.metrics().sent).collect();
+        let mut is_quiet = false;
+        while !is_quiet {
+            is_quiet = true;
+            for from in 0..self.nodes.len() {
+                while let Some(action) = self.nodes[from].next_action() {
+                    is_quiet = false;
+                    match action {
+                        BroadcastAction::Send { to, message } => {
+                            let to = (to.port() - 1000) as usize;
+                            if !lost(from, to) {
+                                self.nodes[to].receive(now, at(from), message);
+                            }
+                        }
+                        BroadcastAction::Apply(delta) => self.applied[from].push(delta),
+                        BroadcastAction::PollDiscovery(_) => {}
+                    }
+                }
+            }
+        }
+        self.nodes.iter().zip(before).map(|(s, b)| s.metrics().sent - b).max().unwrap_or(0)
+    }
+}
+
+fn complete(version: u64, entries: Vec<Entry>) -> ListDelta {
+    ListDelta { version, complete: true, entries }
+}
+
+#[test]
+fn a_version_reaches_all_nodes_and_each_sends_to_few() {
+    let mut zone = Zone::new(300);
+    let now = MS * 1000;
+    zone.nodes[7].lease_acquired(now, 5);
+    let list: Vec<Entry> = (0..400).map(|i| entry(&format!("w{i}"), false, 300)).collect();
+    zone.nodes[7].publish(now, &complete(3, list.clone()), true);
+    zone.nodes[7].tick(now, true);
+    let most = zone.deliver(now, |_, _| false);
+    assert!(zone.nodes.iter().all(|s| s.version() == 3 && s.entries().len() == 400));
+    assert!(most <= 16 * 8, "some chunks to each of sixteen: {most}");
+    assert_eq!(zone.nodes.iter().filter(|s| s.polls_discovery()).count(), 1, "the holder alone polls");
+    // A delta costs one message to each child.
+    let delta = ListDelta { version: 4, complete: false, entries: vec![entry("w3", true, 0)] };
+    zone.nodes[7].publish(now, &delta, true);
+    let most = zone.deliver(now, |_, _| false);
+    assert!(most <= 16 && zone.nodes.iter().all(|s| s.version() == 4 && s.entries().len() == 399), "{most}");
+}
+
+#[test]
+fn missed_deltas_arrive_after_the_next_heartbeat() {
+    let mut zone = Zone::new(20);
+    zone.nodes[0].lease_acquired(MS, 5);
+    zone.nodes[0].tick(MS, true);
+    zone.deliver(MS, |_, _| false);
+    zone.nodes[0].publish(MS, &complete(1, vec![entry("a", false, 9), entry("b", false, 9)]), true);
+    zone.deliver(MS, |_, _| false);
+    for version in 2..5 {
+        let delta = ListDelta { version, complete: false, entries: vec![entry("a", version == 4, 9)] };
+        zone.nodes[0].publish(MS, &delta, true);
+        zone.deliver(MS, |_, to| to == 3 || to > 15);
+    }
+    assert_eq!((zone.nodes[3].version(), zone.nodes[19].version()), (1, 1));
+    let now = MS * 200;
+    zone.nodes[0].tick(now, true);
+    zone.deliver(now, |_, _| false);
+    assert!(zone.nodes.iter().all(|s| s.version() == 4 && s.entries().len() == 1));
+    assert_eq!(zone.applied[3].last().unwrap().entries.len(), 1, "the changes, not the whole list");
+}
+
+/// An old holder's list never replaces a newer one, nor does a new holder's that is behind.
+#[test]
+fn a_list_never_goes_back() {
+    let mut zone = Zone::new(3);
+    zone.nodes[0].lease_acquired(MS, 5);
+    zone.nodes[0].publish(MS, &complete(9, vec![entry("a", false, 9)]), true);
+    zone.deliver(MS, |_, _| false);
+    zone.nodes[1].lease_acquired(MS, 6);
+    zone.nodes[1].tick(MS, true);
+    zone.deliver(MS, |_, _| false);
+    // The old holder was stalled and goes on.
+    let delta = ListDelta { version: 12, complete: true, entries: vec![] };
+    let chunk = BroadcastMessage::Chunk {
+        token: 5,
+        source: 1,
+        base_version: 0,
+        version: 12,
+        index: 0,
+        count: 1,
+        entries: vec![],
+    };
+    zone.nodes[2].receive(MS, at(0), chunk);
+    assert_eq!((zone.nodes[2].version(), zone.nodes[2].metrics().stale_messages), (9, 1));
+    // It receives the heartbeat of the next one, and sends nothing more even if discovery tells it.
+    zone.nodes[0].publish(MS, &delta, true);
+    zone.deliver(MS, |_, _| false);
+    assert_eq!(zone.nodes[2].version(), 9);
+    // The new one is told an older list by discovery.
+    zone.nodes[1].publish(MS, &complete(8, vec![]), true);
+    zone.deliver(MS, |_, _| false);
+    assert!(zone.nodes[2].version() == 9 && zone.nodes[2].entries().len() == 1);
+    // From another discovery nothing counts here, until this node follows that one.
+    let chunk = BroadcastMessage::Chunk {
+        token: 7,
+        source: 2,
+        base_version: 0,
+        version: 20,
+        index: 0,
+        count: 1,
+        entries: vec![],
+    };
+    zone.nodes[2].receive(MS, at(1), chunk.clone());
+    assert_eq!(zone.nodes[2].version(), 9);
+    zone.nodes[2].set_source(2);
+    zone.nodes[2].receive(MS, at(1), chunk);
+    assert_eq!(zone.nodes[2].version(), 20);
+}
+
+#[test]
+fn nodes_poll_discovery_in_turn_when_heartbeats_stop() {
+    let mut zone = Zone::new(100);
+    zone.nodes[0].lease_acquired(MS, 5);
+    zone.nodes[0].publish(MS, &complete(1, vec![]), true);
+    zone.nodes[0].tick(MS, true);
+    zone.deliver(MS, |_, _| false);
+    let mut polling = Vec::new();
+    for ms in 1..1500 {
+        let now = MS * ms;
+        for i in 1..100 {
+            if !zone.nodes[i].polls_discovery() && zone.nodes[i].next_tick() <= now {
+                zone.nodes[i].tick(now, false);
+                polling.push(ms);
+            }
+        }
+    }
+    assert_eq!(polling.len(), 99);
+    assert!(polling[0] > 490 && polling[98] < 900, "{polling:?}");
+    let most = polling.chunk_by(|a, b| a == b).map(<[u32]>::len).max().unwrap();
+    assert!(most <= 2, "{most} at once");
+    // They stop with the heartbeat of the next holder.
+    zone.nodes[4].lease_acquired(MS * 2000, 6);
+    zone.nodes[4].tick(MS * 2000, true);
+    zone.deliver(MS * 2000, |_, _| false);
+    assert_eq!(zone.nodes.iter().filter(|s| s.polls_discovery()).count(), 1);
+}
+
+#[test]
+fn a_holder_whose_lease_is_not_valid_sends_nothing() {
+    let mut zone = Zone::new(3);
+    zone.nodes[0].lease_acquired(MS, 5);
+    zone.nodes[0].publish(MS, &complete(2, vec![]), false);
+    zone.nodes[0].tick(MS, false);
+    assert_eq!(zone.deliver(MS, |_, _| false), 0);
+    assert_eq!(zone.nodes[1].version(), 0);
+}
