--- a/duties/src/client.rs
+++ b/duties/src/client.rs
@@ -1,355 +1,293 @@
-//! What every node is to the voters: it asks for duties, holds on to them, gives them back, and knows by its own clock
-//! until when it may act.
+//! Client of the voters: acquires leases, renews and releases them, and knows by its own clock how long each is valid.
+
+mod action;
+mod lease;
+mod voter_directory;
+
+pub use action::{ClientAction, LeaseLost};
 
 use crate::lease_table::Holder;
 use crate::message::{ClusterStatus, Operation, Outcome, Request, Response};
 use crate::Timing;
+use lease::{Grant, LeaseState};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
+use voter_directory::VoterDirectory;
 
-/// Asks of one wish whose answer may still come.
-const OUT: usize = 4;
-/// Voters that are known at once.
-const VOTERS: usize = 16;
-
-/// What the embedder is to do.
-#[derive(Debug, PartialEq)]
-pub enum ClientAction {
-    /// Bring this ask to a voter.
-    Send {
-        /// Where it is reached.
-        to: SocketAddr,
-        /// What is asked.
-        request: Request,
-    },
-    /// The duty is this node's from now on.
-    Acquired {
-        /// Which.
-        lease: String,
-        /// Under which token: it goes along with each act.
-        token: u64,
-        /// What the holder before left.
-        state: Vec<u8>,
-    },
-    /// The duty is this node's no more: whatever is under way must not go on.
-    Lost {
-        /// Which.
-        lease: String,
-        /// Its token.
-        token: u64,
-        /// Why.
-        reason: LeaseLost,
-    },
-}
+/// Longest interval between requests that were not answered.
+const RETRY_INTERVAL_MAX: Duration = Duration::from_millis(500);
 
-/// Why a duty is held no more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseLost {
-    /// No voter confirmed it in time.
-    Expired,
-    /// The voters say that it is another's.
-    TakenOver,
-    /// This node gave it back.
-    Released,
-}
-
-#[derive(Clone, Copy, Debug)]
-struct Grant {
-    token: u64,
-    until: Duration,
-}
-
-#[derive(Default)]
-struct Want {
-    wanted: bool,
-    grant: Option<Grant>,
-    /// The token that is being given back; it was told as lost before the first word of that went out.
-    giving: Option<(u64, Duration)>,
-    /// The last token that was given back. The word of that may come late, so it is never acted on again.
-    given: u64,
-    leave: Option<Vec<u8>>,
-    out: VecDeque<(u64, Duration)>,
-    next: Duration,
-    /// Who holds it, as the voters said last.
-    other: Option<(String, u64)>,
-}
-
-/// One node's part in the duties.
+/// Client of the voters; without I/O, clock or thread of its own.
 pub struct Client {
-    client: Holder,
+    process: Holder,
     timing: Timing,
-    voters: Vec<SocketAddr>,
-    leader: Option<SocketAddr>,
-    turn: usize,
-    silent: u32,
-    heard: Option<Duration>,
-    wants: BTreeMap<String, Want>,
-    number: u64,
+    directory: VoterDirectory,
+    /// Time of the last response of a leader.
+    last_response: Option<Duration>,
+    leases: BTreeMap<String, LeaseState>,
+    last_request_id: u64,
     actions: VecDeque<ClientAction>,
 }
 
 impl Client {
-    /// A client of these voters.
-    pub fn new(client: Holder, timing: Timing, voters: Vec<SocketAddr>) -> Client {
-        let voters = voters.into_iter().take(VOTERS).collect();
+    /// Returns a client of the voters at these addresses.
+    pub fn new(process: Holder, timing: Timing, voters: Vec<SocketAddr>) -> Client {
         Client {
-            client,
+            process,
             timing,
-            voters,
-            leader: None,
-            turn: 0,
-            silent: 0,
-            heard: None,
-            wants: BTreeMap::new(),
-            number: 0,
+            directory: VoterDirectory::new(voters),
+            last_response: None,
+            leases: BTreeMap::new(),
+            last_request_id: 0,
             actions: VecDeque::new(),
         }
     }
 
-    /// The next thing to do, if there is one.
+    /// Returns the next action for the embedder, if there is one.
     pub fn next_action(&mut self) -> Option<ClientAction> {
         self.actions.pop_front()
     }
 
-    /// From now on this duty is wanted: it is asked for until it is given up.
+    /// Requests a lease, and renews it, until it is released.
     pub fn acquire(&mut self, now: Duration, lease: &str) {
-        let want = self.wants.entry(lease.to_string()).or_default();
-        if !want.wanted {
-            (want.wanted, want.next) = (true, now);
+        let state = self.leases.entry(lease.to_string()).or_default();
+        if !state.wanted {
+            state.wanted = true;
+            state.next_request = now;
         }
     }
 
-    /// This duty is given back, where it is held, and not asked for any more.
+    /// Releases a lease if it is held, and requests it no longer.
     pub fn release(&mut self, now: Duration, lease: &str) {
-        let Some(want) = self.wants.get_mut(lease) else { return };
-        want.wanted = false;
-        if let Some(grant) = want.grant.take() {
-            // First it holds it no more, then the voters hear of that.
-            (want.giving, want.given, want.next) = (Some((grant.token, grant.until)), grant.token, now);
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        state.wanted = false;
+        if let Some(grant) = state.grant.take() {
+            // The lease is lost here before the voters hear of it.
+            state.start_release(now, grant);
             self.lost(lease, grant.token, LeaseLost::Released);
-        } else if want.giving.is_none() {
-            self.wants.remove(lease);
+        } else if state.releasing.is_none() {
+            self.leases.remove(lease);
         }
     }
 
-    /// Leaves word for whoever holds this duty next, under the token that it is held under now.
-    pub fn save_state(&mut self, now: Duration, lease: &str, state: Vec<u8>) {
-        if let Some(want) = self.wants.get_mut(lease).filter(|w| w.grant.is_some()) {
-            (want.leave, want.next) = (Some(state), now);
+    /// Saves state for the next holder of a lease that is held.
+    pub fn save_state(&mut self, now: Duration, lease: &str, saved: Vec<u8>) {
+        if let Some(state) = self.leases.get_mut(lease).filter(|state| state.grant.is_some()) {
+            state.unsaved = Some(saved);
+            state.next_request = now;
         }
     }
 
-    /// Whether the word left for the next holder has yet to be agreed on.
+    /// Returns whether saved state of a lease is not confirmed yet.
     pub fn is_saving_state(&self, lease: &str) -> bool {
-        self.wants.get(lease).is_some_and(|w| w.leave.is_some())
+        self.leases.get(lease).is_some_and(|state| state.unsaved.is_some())
     }
 
-    /// The token under which this node may act on a duty at this moment. To be asked right before each act.
+    /// Returns the fencing token of a lease if it is valid at this moment. To be called right before each act.
     pub fn may_act(&self, now: Duration, lease: &str) -> Option<u64> {
-        let grant = self.wants.get(lease)?.grant.filter(|l| now < l.until)?;
-        Some(grant.token)
+        self.leases.get(lease)?.valid_grant(now).map(|grant| grant.token)
     }
 
-    /// The duties that are held now, with their tokens and how long each may yet be acted on.
+    /// Returns the leases that are valid now, with token and remaining time of each.
     pub fn held_leases(&self, now: Duration) -> impl Iterator<Item = (&str, u64, Duration)> {
-        self.wants.iter().filter_map(move |(lease, want)| {
-            let grant = want.grant.filter(|l| now < l.until)?;
-            Some((lease.as_str(), grant.token, grant.until - now))
+        self.leases.iter().filter_map(move |(lease, state)| {
+            let grant = state.valid_grant(now)?;
+            Some((lease.as_str(), grant.token, grant.valid_until - now))
         })
     }
 
-    /// Who holds a duty that is wanted here, as the voters said last.
+    /// Returns name and token of the other holder of a lease that is requested here, as the voters said last.
     pub fn other_holder(&self, lease: &str) -> Option<(&str, u64)> {
-        let (name, token) = self.wants.get(lease)?.other.as_ref()?;
+        let (name, token) = self.leases.get(lease)?.other_holder.as_ref()?;
         Some((name, *token))
     }
 
-    /// When [`Client::tick`] is due next.
+    /// Returns the time at which [`Client::tick`] is due next.
     pub fn next_tick(&self) -> Duration {
-        let each = self.wants.values().map(|w| w.grant.map_or(w.next, |l| l.until.min(w.next)));
-        each.min().unwrap_or(Duration::MAX)
+        self.leases.values().map(LeaseState::next_tick).min().unwrap_or(Duration::MAX)
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
-        let lapsed = |w: &Want| w.grant.filter(|l| now >= l.until);
-        let over: Vec<(String, u64)> =
-            self.wants.iter().filter_map(|(d, w)| Some((d.clone(), lapsed(w)?.token))).collect();
-        for (lease, token) in over {
-            if let Some(want) = self.wants.get_mut(&lease) {
-                want.grant = None;
-            }
-            self.lost(&lease, token, LeaseLost::Expired);
-        }
-        // A duty that was given back and of which nobody heard is over by itself by then.
-        self.wants.retain(|_, w| w.wanted || w.giving.is_some_and(|(_, until)| now < until));
+        self.expire_grants(now);
+        // A released lease of which no voter heard has expired by itself by then.
+        self.leases.retain(|_, state| state.wanted || state.is_releasing(now));
+        let is_due = |state: &LeaseState| now >= state.next_request;
         let due: Vec<String> =
-            self.wants.iter().filter(|(_, w)| now >= w.next).map(|(d, _)| d.clone()).collect();
+            self.leases.iter().filter(|(_, state)| is_due(state)).map(|(lease, _)| lease.clone()).collect();
         for lease in due {
-            self.ask(now, &lease);
+            self.send_request(now, &lease);
         }
     }
 
-    /// Asks an operator's question; the answer comes with this number.
-    pub fn request(&mut self, now: Duration, to: SocketAddr, wish: Operation) -> Request {
-        self.number += 1;
-        let ask = Request {
-            id: self.number,
-            client: self.client.clone(),
+    /// Sends an operator's request; returns it, so that its response can be recognized.
+    pub fn request(&mut self, now: Duration, to: SocketAddr, operation: Operation) -> Request {
+        self.last_request_id += 1;
+        let request = Request {
+            id: self.last_request_id,
+            client: self.process.clone(),
             silence_ms: self.silence_ms(now),
-            operation: wish,
+            operation,
         };
-        self.actions.push_back(ClientAction::Send { to, request: ask.clone() });
-        ask
+        self.actions.push_back(ClientAction::Send { to, request: request.clone() });
+        request
     }
 
-    /// The voter to ask next: the leader, where one is known.
-    pub fn target_voter(&mut self) -> Option<SocketAddr> {
-        match self.leader {
-            Some(leader) => Some(leader),
-            None => self.voters.get(self.turn % self.voters.len().max(1)).copied(),
-        }
+    /// Returns the voter to ask next: the leader, if it is known.
+    pub fn target_voter(&self) -> Option<SocketAddr> {
+        self.directory.target()
     }
 
-    /// The voter that was asked does not answer, or knows no leader.
+    /// Turns to the next voter, when the one that was asked does not respond or knows no leader.
     pub fn try_next_voter(&mut self) {
-        (self.leader, self.turn) = (None, self.turn.wrapping_add(1));
+        self.directory.try_next();
     }
 
-    /// Who the voters are, as one of them told.
-    pub fn update_voters(&mut self, told: &ClusterStatus) {
-        for seat in told.table.voters.values() {
-            if !self.voters.contains(&seat.address) && self.voters.len() < VOTERS {
-                self.voters.push(seat.address);
-            }
-        }
+    /// Adds the voters that a leader named.
+    pub fn update_voters(&mut self, status: &ClusterStatus) {
+        self.directory.add(status.table.voters.values().map(|member| member.address));
     }
 
-    /// Takes an answer in.
-    pub fn receive(&mut self, now: Duration, from: SocketAddr, answer: Response) {
-        if answer.process_id != self.client.process_id {
+    /// Handles a response.
+    pub fn receive(&mut self, now: Duration, from: SocketAddr, response: Response) {
+        if response.process_id != self.process.process_id {
             return;
         }
-        // Only one that leads counts as heard: another voter may be next door, or this very node's.
-        if !matches!(answer.outcome, Outcome::NotLeader(_)) {
-            self.heard = Some(now);
+        let id = response.request_id;
+        if let Outcome::NotLeader(leader) = response.outcome {
+            return self.redirected(now, from, id, leader);
         }
-        match &answer.outcome {
-            Outcome::ConfirmReceipt => {
-                (self.leader, self.silent) = (Some(from), 0);
-                return self.retry_soon(now, answer.request_id);
-            }
-            Outcome::NotLeader(Some(at)) => {
-                if self.leader != Some(*at) {
-                    self.leader = Some(*at);
-                    self.retry_soon(now, answer.request_id);
-                }
-                return;
+        // Only a leader's response counts: another voter may be reachable while the leader is not.
+        self.last_response = Some(now);
+        self.directory.leader_found(from);
+        if response.outcome == Outcome::ConfirmReceipt {
+            return self.retry_soon(now, id);
+        }
+        let Some((lease, sent_at)) = self.find_request(id) else { return };
+        match response.outcome {
+            Outcome::Granted { lease: granted, token, state } if granted == lease => {
+                self.granted(now, &lease, token, state, sent_at);
             }
-            Outcome::NotLeader(None) => {
-                if self.leader == Some(from) || self.leader.is_none() {
-                    self.try_next_voter();
+            Outcome::HeldByOther { holder, token, .. } => {
+                if let Some(state) = self.leases.get_mut(&lease) {
+                    state.other_holder = Some((holder, token));
                 }
-                return;
             }
-            _ => (self.leader, self.silent) = (Some(from), 0),
+            Outcome::NotHolder { token, .. } => self.not_holder(now, &lease, token),
+            Outcome::Done => self.done(&lease),
+            _ => {}
         }
-        let found = self.wants.iter().find_map(|(lease, w)| {
-            let sent = w.out.iter().find(|(n, _)| *n == answer.request_id)?.1;
-            Some((lease.clone(), sent))
-        });
-        let Some((lease, sent)) = found else { return };
-        let usable = self.timing.holder_validity();
-        let Some(want) = self.wants.get_mut(&lease) else { return };
-        match answer.outcome {
-            Outcome::Granted { lease: of, token, state } if of == lease => {
-                let until = sent + usable;
-                if token <= want.given || !want.wanted {
-                    if want.giving.is_none() {
-                        (want.giving, want.given, want.next) = (Some((token, now + usable)), token, now);
-                    }
-                    return;
-                }
-                if now >= until {
-                    return; // too late to be of use: the next ask finds it held by this very node, and renews it
-                }
-                want.other = None;
-                match &mut want.grant {
-                    Some(grant) if grant.token == token => grant.until = grant.until.max(until),
-                    Some(grant) if grant.token > token => {}
-                    _ => {
-                        let old = want.grant.replace(Grant { token, until });
-                        if let Some(old) = old {
-                            self.lost(&lease, old.token, LeaseLost::TakenOver);
-                        }
-                        self.actions.push_back(ClientAction::Acquired { lease, token, state });
-                    }
+    }
+
+    fn redirected(&mut self, now: Duration, from: SocketAddr, id: u64, leader: Option<SocketAddr>) {
+        match leader {
+            Some(leader) => {
+                if self.directory.leader != Some(leader) {
+                    self.directory.leader = Some(leader);
+                    self.retry_soon(now, id);
                 }
             }
-            Outcome::HeldByOther { holder, token, .. } => want.other = Some((holder, token)),
-            Outcome::NotHolder { token, .. } => {
-                want.giving = None;
-                if let Some(grant) = want.grant.take_if(|l| l.token <= token) {
-                    want.next = now + self.timing.renew_interval();
-                    self.lost(&lease, grant.token, LeaseLost::TakenOver);
+            None => {
+                if self.directory.leader.is_none_or(|known| known == from) {
+                    self.directory.try_next();
                 }
             }
-            Outcome::Done => {
-                want.leave = None;
-                if want.giving.take().is_some() && !want.wanted {
-                    self.wants.remove(&lease);
+        }
+    }
+
+    /// Lease and time of a request whose response may still come.
+    fn find_request(&self, id: u64) -> Option<(String, Duration)> {
+        self.leases.iter().find_map(|(lease, state)| Some((lease.clone(), state.sent_at(id)?)))
+    }
+
+    fn granted(&mut self, now: Duration, lease: &str, token: u64, saved: Vec<u8>, sent_at: Duration) {
+        let validity = self.timing.holder_validity();
+        let valid_until = sent_at + validity;
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        if token <= state.last_released || !state.wanted {
+            // It was released already: the voters have to hear of that (again).
+            if state.releasing.is_none() {
+                state.start_release(now, Grant { token, valid_until: now + validity });
+            }
+            return;
+        }
+        if now >= valid_until {
+            return; // too late: the next request finds the lease held by this process, and renews it
+        }
+        state.other_holder = None;
+        match &mut state.grant {
+            Some(grant) if grant.token == token => grant.valid_until = grant.valid_until.max(valid_until),
+            Some(grant) if grant.token > token => {}
+            _ => {
+                let before = state.grant.replace(Grant { token, valid_until });
+                if let Some(before) = before {
+                    self.lost(lease, before.token, LeaseLost::TakenOver);
                 }
+                let lease = lease.to_string();
+                self.actions.push_back(ClientAction::Acquired { lease, token, state: saved });
             }
-            _ => {}
         }
     }
 
-    /// Asks again at once, what was asked of one that does not lead.
-    fn retry_soon(&mut self, now: Duration, number: u64) {
-        for want in self.wants.values_mut().filter(|w| w.out.iter().any(|(n, _)| *n == number)) {
-            want.next = now;
+    fn not_holder(&mut self, now: Duration, lease: &str, token: u64) {
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        state.releasing = None;
+        if let Some(grant) = state.grant.take_if(|grant| grant.token <= token) {
+            state.next_request = now + self.timing.renew_interval();
+            self.lost(lease, grant.token, LeaseLost::TakenOver);
+        }
+    }
+
+    fn done(&mut self, lease: &str) {
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        state.unsaved = None;
+        if state.releasing.take().is_some() && !state.wanted {
+            self.leases.remove(lease);
+        }
+    }
+
+    fn expire_grants(&mut self, now: Duration) {
+        let mut expired = Vec::new();
+        for (lease, state) in &mut self.leases {
+            if let Some(grant) = state.grant.take_if(|grant| now >= grant.valid_until) {
+                expired.push((lease.clone(), grant.token));
+            }
+        }
+        for (lease, token) in expired {
+            self.lost(&lease, token, LeaseLost::Expired);
+        }
+    }
+
+    /// Repeats a request at once.
+    fn retry_soon(&mut self, now: Duration, id: u64) {
+        for state in self.leases.values_mut().filter(|state| state.sent_at(id).is_some()) {
+            state.next_request = now;
         }
     }
 
     fn silence_ms(&self, now: Duration) -> u64 {
-        self.heard.map_or(u64::MAX, |at| (now - at).as_millis() as u64)
+        self.last_response.map_or(u64::MAX, |at| (now - at).as_millis() as u64)
     }
 
     fn lost(&mut self, lease: &str, token: u64, reason: LeaseLost) {
         self.actions.push_back(ClientAction::Lost { lease: lease.to_string(), token, reason });
     }
 
-    fn ask(&mut self, now: Duration, lease: &str) {
-        // A voter that gave no word on the last two asks may be gone.
-        self.silent += 1;
-        if self.silent > 2 {
-            self.try_next_voter();
-            self.silent = 0;
-        }
-        let Some(to) = self.target_voter() else { return };
-        let silence_ms = self.silence_ms(now);
-        let patience = self.timing.renew_interval() / 2;
-        let renew = self.timing.renew_interval();
-        let Some(want) = self.wants.get_mut(lease) else { return };
-        let lease = lease.to_string();
-        let wish = match (&want.grant, want.giving, &want.leave) {
-            (_, Some((token, _)), _) => Operation::Release { lease, token },
-            (Some(grant), _, Some(state)) => {
-                Operation::SaveState { lease, token: grant.token, state: state.clone() }
-            }
-            (Some(grant), ..) => Operation::Acquire { lease, token: grant.token },
-            _ => Operation::Acquire { lease, token: 0 },
-        };
-        // One that has no answer yet asks sooner: a lost word must not cost the lease.
-        let answered = want.giving.is_none() && want.leave.is_none() && self.leader.is_some();
-        want.next = now + if answered { renew } else { patience.min(Duration::from_millis(500)) };
-        self.number += 1;
-        if want.out.len() >= OUT {
-            want.out.pop_front();
+    fn send_request(&mut self, now: Duration, lease: &str) {
+        self.directory.count_request();
+        let Some(to) = self.directory.target() else { return };
+        let renew_interval = self.timing.renew_interval();
+        let Some(state) = self.leases.get_mut(lease) else { return };
+        // Without a response requests follow sooner: a lost message must not cost the lease.
+        let is_settled =
+            state.releasing.is_none() && state.unsaved.is_none() && self.directory.leader.is_some();
+        let retry_interval = (renew_interval / 2).min(RETRY_INTERVAL_MAX);
+        state.next_request = now + if is_settled { renew_interval } else { retry_interval };
+        let operation = state.next_operation(lease);
+        let id = self.request(now, to, operation).id;
+        if let Some(state) = self.leases.get_mut(lease) {
+            state.sent(id, now);
         }
-        want.out.push_back((self.number, now));
-        let ask = Request { id: self.number, client: self.client.clone(), silence_ms, operation: wish };
-        self.actions.push_back(ClientAction::Send { to, request: ask });
     }
 }
--- /dev/null
+++ b/duties/src/client/lease.rs
@@ -0,0 +1,80 @@
+//! State of one lease at a client.
+
+use crate::message::Operation;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// Requests of one lease whose responses may still come.
+const OUTSTANDING_MAX: usize = 4;
+
+/// A grant by the voters.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Grant {
+    pub(super) token: u64,
+    /// Time until which this process may act, by its own clock.
+    pub(super) valid_until: Duration,
+}
+
+/// State of one lease at a client.
+#[derive(Default)]
+pub(super) struct LeaseState {
+    /// The lease is to be acquired and renewed.
+    pub(super) wanted: bool,
+    pub(super) grant: Option<Grant>,
+    /// Grant that is being released; it was reported as lost before.
+    pub(super) releasing: Option<Grant>,
+    /// Token that was released last. A late response must not bring it back.
+    pub(super) last_released: u64,
+    /// State for the next holder that the voters have not confirmed.
+    pub(super) unsaved: Option<Vec<u8>>,
+    /// Ids and times of the last requests.
+    outstanding: VecDeque<(u64, Duration)>,
+    pub(super) next_request: Duration,
+    /// Name and token of the other holder.
+    pub(super) other_holder: Option<(String, u64)>,
+}
+
+impl LeaseState {
+    pub(super) fn valid_grant(&self, now: Duration) -> Option<Grant> {
+        self.grant.filter(|grant| now < grant.valid_until)
+    }
+
+    pub(super) fn is_releasing(&self, now: Duration) -> bool {
+        self.releasing.is_some_and(|grant| now < grant.valid_until)
+    }
+
+    pub(super) fn next_tick(&self) -> Duration {
+        self.grant.map_or(self.next_request, |grant| grant.valid_until.min(self.next_request))
+    }
+
+    pub(super) fn start_release(&mut self, now: Duration, grant: Grant) {
+        self.releasing = Some(grant);
+        self.last_released = grant.token;
+        self.next_request = now;
+    }
+
+    /// Operation that the next request is for.
+    pub(super) fn next_operation(&self, lease: &str) -> Operation {
+        let lease = lease.to_string();
+        match (&self.grant, self.releasing, &self.unsaved) {
+            (_, Some(Grant { token, .. }), _) => Operation::Release { lease, token },
+            (Some(grant), _, Some(state)) => {
+                Operation::SaveState { lease, token: grant.token, state: state.clone() }
+            }
+            (Some(grant), ..) => Operation::Acquire { lease, token: grant.token },
+            _ => Operation::Acquire { lease, token: 0 },
+        }
+    }
+
+    pub(super) fn sent(&mut self, id: u64, at: Duration) {
+        if self.outstanding.len() >= OUTSTANDING_MAX {
+            self.outstanding.pop_front();
+        }
+        self.outstanding.push_back((id, at));
+    }
+
+    /// Time at which a request was sent whose response may still come.
+    pub(super) fn sent_at(&self, id: u64) -> Option<Duration> {
+        self.outstanding.iter().find(|(sent, _)| *sent == id).map(|(_, at)| *at)
+    }
+}
--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -1,12 +1,93 @@
-//! Duties that one node of the fleet holds at a time. A majority of a few voters grants each for a lease, with a fencing
-//! token that only grows; everything else in the fleet is a client of theirs.
+//! Leases that one node of a fleet holds at a time, and what their holders do.
 //!
-//! [`Voter`] and [`Client`] have no I/O, clock or thread of their own: words, timers and the outcome of writes go in with
-//! the time, and actions come out. So the same code runs over sockets and in emulated time. The voters' log is `raft`'s;
-//! [`Store`] keeps it on `redb`, over whatever the embedder gives as a disk.
+//! A majority of a few voters grants each lease for a limited time, with a fencing token that only grows. All nodes are
+//! clients of the voters. The holder of a lease makes scheduled calls, follows discovery for its zone, or restarts the nodes
+//! of the fleet one after another.
 //!
-//! Times are spans on a clock of the embedder's that only runs forward and goes on while the machine sleeps. No two
-//! clocks are ever compared.
+//! | type | role |
+//! | --- | --- |
+//! | [`Voter`] | member of the Raft group that grants leases |
+//! | [`Store`] | durable store of a voter, on `redb` |
+//! | [`Client`] | acquires and renews leases, knows how long each is valid |
+//! | [`FencingGuard`] | rejects acts under a token that is over |
+//! | [`ListBroadcast`] | distribution of a zone's endpoint list from the lease holder to all nodes |
+//! | [`RollingRestart`] | restart of a fleet's nodes by the lease holder |
+//!
+//! These types have no I/O, clock or thread of their own: messages, timers and the outcomes of writes go in together with the
+//! time, and actions come out. The same code runs over sockets and in emulated time.
+//!
+//! Times are durations on a clock of the embedder that only runs forward and goes on while the machine sleeps. Clocks of two
+//! processes are never compared.
+//!
+//! # Example
+//!
+//! Three voters grant a lease to a client; all messages arrive at once.
+//!
+//! ```
+//! use coordination::{
+//!     Client, ClientAction, Holder, Message, Store, Timing, Voter, VoterAction, VoterConfig, VoterMember,
+//! };
+//! use redb::backends::InMemoryBackend;
+//! use std::collections::VecDeque;
+//! use std::net::SocketAddr;
+//! use std::time::Duration;
+//!
+//! let address = |i: usize| SocketAddr::from(([127, 0, 0, 1], 7000 + i as u16));
+//! let member = |i: usize| VoterMember { name: format!("voter-{i}"), address: address(i) };
+//! let client_address = address(9);
+//! let mut now = Duration::ZERO;
+//!
+//! let mut voters = Vec::new();
+//! for i in 0..3 {
+//!     let disk_id = 100 + i as u64;
+//!     let (store, contents) = Store::open(InMemoryBackend::new(), "fleet", &member(i).name, disk_id, 0)?;
+//!     let config = VoterConfig {
+//!         member: member(i),
+//!         founders: (0..3).map(member).collect(),
+//!         timing: Timing::default(),
+//!         process_id: disk_id,
+//!         seed: disk_id,
+//!         unix_ms: 1_700_000_000_000,
+//!     };
+//!     voters.push((Voter::new(config, contents, now), store));
+//! }
+//! let process = Holder { name: "node-1".into(), process_id: 1 };
+//! let mut client = Client::new(process, Timing::default(), (0..3).map(address).collect());
+//! client.acquire(now, "lists/zone-a");
+//!
+//! let mut messages: VecDeque<(SocketAddr, SocketAddr, Message)> = VecDeque::new();
+//! while client.may_act(now, "lists/zone-a").is_none() {
+//!     now += Duration::from_millis(10);
+//!     client.tick(now);
+//!     voters.iter_mut().for_each(|(voter, _)| voter.tick(now));
+//!     loop {
+//!         while let Some(action) = client.next_action() {
+//!             if let ClientAction::Send { to, request } = action {
+//!                 messages.push_back((client_address, to, Message::Request(request)));
+//!             }
+//!         }
+//!         for (i, (voter, store)) in voters.iter_mut().enumerate() {
+//!             while let Some(action) = voter.next_action() {
+//!                 match action {
+//!                     VoterAction::Send { to, message } => messages.push_back((address(i), to, message)),
+//!                     VoterAction::Write(batch) => voter.persisted(now, batch.number, store.write(&batch)),
+//!                     VoterAction::Report(event) => println!("voter-{i}: {event:?}"),
+//!                 }
+//!             }
+//!         }
+//!         let Some((from, to, message)) = messages.pop_front() else { break };
+//!         match message {
+//!             Message::Response(response) => client.receive(now, from, response),
+//!             message => {
+//!                 let receiver = (0..3).find(|i| address(*i) == to).expect("a voter has this address");
+//!                 voters[receiver].0.receive(now, from, message);
+//!             }
+//!         }
+//!     }
+//! }
+//! assert!(client.may_act(now, "lists/zone-a").is_some_and(|token| token >= 1_700_000_000_000));
+//! # Ok::<(), coordination::StoreError>(())
+//! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,6 +99,7 @@
 mod raft_log;
 mod rolling_restart;
 mod store;
+mod timing;
 mod voter;
 
 pub use client::{Client, ClientAction, LeaseLost};
@@ -38,34 +120,5 @@
     RETURN_TIMEOUT,
 };
 pub use store::{DiskIdentity, ProcessStart, Store, StoreContents, StoreError, WriteBatch};
+pub use timing::Timing;
 pub use voter::{Voter, VoterAction, VoterConfig, VoterEvent, VoterMetrics, VoterState};
-
-use std::time::Duration;
-
-/// How long leases and elections take. All voters and clients of a fleet have to agree on the lease.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timing {
-    /// For which a duty is granted, as its grantor counts.
-    pub lease: Duration,
-    /// Without a leader, before a voter calls for an election; it waits up to twice as long.
-    pub election: Duration,
-}
-
-impl Default for Timing {
-    fn default() -> Self {
-        Timing { lease: Duration::from_secs(10), election: Duration::from_secs(1) }
-    }
-}
-
-impl Timing {
-    /// For which a holder may act from the moment at which it *asked*. The grantor counts the whole lease from a later
-    /// moment; what is left over covers two clocks of which one runs 5% fast and the other 5% slow.
-    pub fn holder_validity(&self) -> Duration {
-        self.lease * 17 / 20
-    }
-
-    /// Between two asks of a holder.
-    pub(crate) fn renew_interval(&self) -> Duration {
-        self.lease / 5
-    }
-}
