--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -198,7 +198,7 @@
                         fleet,
                         list_sharing: shared,
                     };
-                    platform::serve(config, listener, dependencies).await
+                    platform::serve(config, listener, dependencies).await.map_err(|e| e.to_string())
                 }
                 None => Ok(()),
             }
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at a worker, from its connection to its one outcome.
 
-use super::fields::{self, News};
+use super::fields::{self, WorkerUpdate};
 use super::in_flight_ids::InFlightId;
 use super::job_handover::{Adopted, Line};
 use super::pool::{ConnectError, Connection, Pool};
@@ -16,277 +16,378 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::http::uri::PathAndQuery;
-use hyper::{Request, Response, StatusCode, Uri};
+use hyper::{Method, Request, Response, StatusCode, Uri};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 use tokio::time::{timeout, Instant};
 
-/// A worker's answer holds 64 KiB at most, so a line does.
+/// Longest line of a worker, in bytes: its whole answer holds no more.
 const LINE_MAX: usize = 64 * 1024;
-/// What a worker that turns a job away may say beside, for its connection to be kept.
-const WORDS_MAX: usize = 4096;
-/// A worker's second answer may come some milliseconds behind the first. One without an id, on a connection that was given
-/// out again so soon, may be that.
-const ECHO: Duration = Duration::from_millis(20);
-/// For which a finished answer's end is awaited before its connection is given up.
-const TAIL_WAIT: Duration = Duration::from_millis(250);
+/// Longest body of a worker that rejects a job, in bytes, for its connection to be kept.
+const REJECTION_BODY_MAX: usize = 4096;
+/// Time after a job's end in which an answer without an id may be a second answer to that job: a worker's second answer may
+/// come some milliseconds behind the first.
+const STRAY_ANSWER_WINDOW: Duration = Duration::from_millis(20);
+/// Time for which the end of a finished answer is awaited before its connection is given up.
+const ANSWER_END_WAIT: Duration = Duration::from_millis(250);
 
-/// What goes on unchanged.
-pub struct Parcel {
+/// A request as one attempt forwards it.
+pub struct AttemptRequest {
+    /// The attempt's number in the dispatcher.
+    pub tag: Tag,
+    /// The worker that it is for.
+    pub worker: WorkerId,
+    /// When its client stops waiting.
+    pub deadline: Instant,
+    /// Wire id, in flight for as long as this exists.
     pub id: Arc<InFlightId>,
+    /// Idempotency key.
     pub key: Option<HeaderValue>,
+    /// Path and query.
     pub target: PathAndQuery,
+    /// Body, forwarded unchanged.
     pub body: Bytes,
-    /// Where its connection can be found.
+    /// Where its connection can be found by who moves it to another process.
     pub line: Arc<Line>,
     /// Its client's connection.
     pub client: Option<PeerObserver>,
-    /// An attempt that another process made, to go on with.
-    pub adopted: Option<Adopted>,
 }
 
-/// What attempts share.
-pub struct AttemptRunner {
-    pub handle: Handle<Job>,
-    pub pool: Arc<Pool>,
-    pub names: watch::Receiver<Arc<Names>>,
-    pub counters: Arc<Counters>,
+impl AttemptRequest {
+    fn to_http(&self, connection: &Connection) -> Request<Full<Bytes>> {
+        let left = self.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = Method::POST;
+        *request.uri_mut() = Uri::from(self.target.clone());
+        let headers = request.headers_mut();
+        headers.insert("x-request-id", self.id.value.clone());
+        if let Some(key) = &self.key {
+            headers.insert("idempotency-key", key.clone());
+        }
+        headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
+        for (name, value) in [
+            (HOST, connection.address.to_string()),
+            ("x-deadline".parse().expect("a name"), format!("{left:.3}")),
+        ] {
+            headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
+        }
+        request
+    }
 }
 
-struct End {
+/// End of an attempt.
+struct AttemptEnd {
     outcome: Outcome,
     report: Option<LoadReport>,
     result: Bytes,
-    blameless: bool,                 // it tells nothing of the worker
-    rest: Option<(Incoming, usize)>, // to be read before the connection is free again, so much at most
+    /// Whether it says nothing about the worker.
+    is_blameless: bool,
+    /// To be read before the connection is free again.
+    unread: Option<UnreadAnswer>,
 }
 
-impl End {
-    fn plain(outcome: Outcome) -> End {
-        End { outcome, report: None, result: Bytes::new(), blameless: false, rest: None }
+/// The rest of an answer.
+struct UnreadAnswer {
+    body: Incoming,
+    /// Bytes that may come, white space aside, for the connection to be kept.
+    limit: usize,
+}
+
+impl AttemptEnd {
+    /// An end without an answer: the connection is closed.
+    fn without_answer(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, report: None, result: Bytes::new(), is_blameless: false, unread: None }
+    }
+
+    /// The same, which says nothing about the worker.
+    fn blameless(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { is_blameless: true, ..AttemptEnd::without_answer(outcome) }
     }
 }
 
+/// What all attempts share.
+pub struct AttemptRunner {
+    /// The dispatcher, which gets the outcomes.
+    pub handle: Handle<Job>,
+    /// Connections to workers.
+    pub pool: Arc<Pool>,
+    /// Names on the wire.
+    pub names: watch::Receiver<Arc<Names>>,
+    /// Counters of this frontend.
+    pub counters: Arc<Counters>,
+}
+
 impl AttemptRunner {
-    /// Carries one attempt through and reports its one outcome.
-    pub async fn carry(
+    /// Runs an attempt, or continues one of another process, and reports its one outcome.
+    pub async fn run(
         self: Arc<Self>,
-        tag: Tag,
-        mut parcel: Parcel,
-        worker: WorkerId,
-        until: Instant,
+        request: AttemptRequest,
+        adopted: Option<Adopted>,
         stopped: oneshot::Receiver<Outcome>,
     ) {
-        let (mut connection, adopted) = (None, parcel.adopted.take());
+        let mut connection = None;
         let end = tokio::select! {
             biased;
-            end = self.exchange(tag, &parcel, worker, until, adopted, &mut connection) => end,
-            // A sender that is dropped unused means that the core has ended.
-            why = stopped => End::plain(why.unwrap_or(Outcome::Cancelled)),
+            end = self.execute(&request, adopted, &mut connection) => end,
+            // A sender that is dropped unused means that the dispatcher has ended.
+            why = stopped => AttemptEnd::without_answer(why.unwrap_or(Outcome::Cancelled)),
         };
-        let End { outcome, report, result, blameless, rest } = end;
-        if parcel.line.moved.load(Ordering::Relaxed) {
-            return; // another process goes on with it
+        if request.line.moved.load(Ordering::Relaxed) {
+            return; // another process continues it
         }
-        let Some((rest, most)) = rest else {
-            // Guards the rule of one copy: the connection is closed before the core may send a new one.
+        self.finish(request, connection, end).await;
+    }
+
+    /// Reports the outcome, and keeps or closes the connection.
+    async fn finish(&self, request: AttemptRequest, connection: Option<Connection>, end: AttemptEnd) {
+        let AttemptEnd { outcome, report, result, is_blameless, unread } = end;
+        let (tag, worker) = (request.tag, request.worker);
+        let Some(unread) = unread else {
+            // At most one copy may run: the connection is closed before the dispatcher may send a new one.
             if let Some(connection) = connection {
                 connection.close().await;
             }
-            if blameless {
-                return self.handle.ended_blameless(tag, outcome);
-            }
-            return self.handle.ended(tag, outcome, report, result);
+            return match is_blameless {
+                true => self.handle.ended_blameless(tag, outcome),
+                false => self.handle.ended(tag, outcome, report, result),
+            };
         };
-        drop(parcel); // the id is open no more once the answer is out
+        drop(request); // its id is no longer in flight once the answer is out
         self.handle.ended(tag, outcome, report, result);
-        let Some(mut connection) = connection else { return };
-        let clean = timeout(TAIL_WAIT, ends(rest, most)).await.unwrap_or(false);
-        if clean && connection.sender.ready().await.is_ok() {
+        if let Some(connection) = connection {
+            self.keep_if_clean(worker, connection, unread).await;
+        }
+    }
+
+    /// Keeps a connection whose answer ends in time and as it should.
+    async fn keep_if_clean(&self, worker: WorkerId, mut connection: Connection, unread: UnreadAnswer) {
+        let is_clean = timeout(ANSWER_END_WAIT, unread.ends_within_limit()).await.unwrap_or(false);
+        if is_clean && connection.sender.ready().await.is_ok() {
             connection.job_ended = Some(Instant::now());
             self.pool.keep(worker, connection);
         }
     }
 
-    async fn exchange(
+    /// Sends the request and reads the answer. The connection is left in `slot`, also where this is cancelled.
+    async fn execute(
         &self,
-        tag: Tag,
-        parcel: &Parcel,
-        worker: WorkerId,
-        until: Instant,
+        request: &AttemptRequest,
         adopted: Option<Adopted>,
-        place: &mut Option<Connection>,
-    ) -> End {
-        let again = adopted.is_some();
-        let connection = match adopted {
-            // An attempt that was made by another process may have run.
-            Some(adopted) => {
-                self.pool.adopt(adopted, parcel.body.len()).await.ok_or(End::plain(Outcome::Reset))
-            }
-            None => self.pool.connect(worker).await.map_err(|why| End {
-                blameless: why == ConnectError::Here,
-                ..End::plain(Outcome::ConnectFailed)
-            }),
-        };
-        let connection = match connection {
-            Ok(connection) => connection,
+        slot: &mut Option<Connection>,
+    ) -> AttemptEnd {
+        let is_adopted = adopted.is_some();
+        let connection = match self.connect(request, adopted).await {
+            Ok(connection) => slot.insert(connection),
             Err(end) => return end,
         };
-        let connection = place.insert(connection);
-        if !again {
-            self.guard(connection, parcel, worker, until);
+        if !is_adopted {
+            self.arm_send_guard(connection, request);
         }
-        let link = (connection.socket_handle.clone(), connection.meter.clone(), connection.address);
-        *parcel.line.link.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
-        let request = parcel.request(connection, until);
-        let soon = connection.job_ended.is_some_and(|at| at.elapsed() < ECHO);
-        match connection.sender.send_request(request).await {
-            // Guards what must not run twice against another job's 'never ran': nothing was surely said of this one.
-            Ok(response) if soon && response.status() != StatusCode::OK => {
-                End { blameless: true, ..End::plain(Outcome::Reset) }
+        let link = (connection.socket_handle.clone(), connection.progress.clone(), connection.address);
+        *request.line.link.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
+        let http_request = request.to_http(connection);
+        let may_be_stray = connection.job_ended.is_some_and(|at| at.elapsed() < STRAY_ANSWER_WINDOW);
+        match connection.sender.send_request(http_request).await {
+            // 'It never ran' may have been said of the job before: nothing is certain of this one.
+            Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
+                AttemptEnd::blameless(Outcome::Reset)
             }
-            Ok(response) => self.read(tag, parcel, response).await,
-            Err(e) => {
-                log::debug!("attempt {tag:?}: {e}");
-                if let Some(barred) = connection.guard.blocked_by() {
-                    self.counters.held_back.add();
-                    log::debug!(request = tag.id, attempt = tag.attempt, reason:? = barred; "held back");
-                    return match barred {
-                        SendBlocked::ClientLeft => End::plain(Outcome::Cancelled),
-                        SendBlocked::Overdue | SendBlocked::Withdrawn => {
-                            End { blameless: true, ..End::plain(Outcome::ConnectFailed) }
-                        }
-                    };
-                }
-                let whole =
-                    again || connection.meter.lock().map_or(true, |w| w.is_complete(parcel.body.len()));
-                // Unless some of the request surely is still here, it may have run.
-                let outcome = if whole { Outcome::Reset } else { Outcome::ConnectFailed };
-                // One that breaks on a kept connection with no word on this job: idle connections break unseen.
-                End { blameless: whole && connection.kept, ..End::plain(outcome) }
+            Ok(response) => self.read_response(request, response).await,
+            Err(error) => self.send_failed(request, connection, is_adopted, &error),
+        }
+    }
+
+    async fn connect(
+        &self,
+        request: &AttemptRequest,
+        adopted: Option<Adopted>,
+    ) -> Result<Connection, AttemptEnd> {
+        match adopted {
+            // An attempt of another process may have run.
+            Some(adopted) => {
+                let connection = self.pool.adopt(adopted, request.body.len()).await;
+                connection.ok_or(AttemptEnd::without_answer(Outcome::Reset))
             }
+            None => self.pool.connect(request.worker).await.map_err(|error| match error {
+                ConnectError::LocalResources => AttemptEnd::blameless(Outcome::ConnectFailed),
+                ConnectError::Unreachable => AttemptEnd::without_answer(Outcome::ConnectFailed),
+            }),
         }
     }
 
-    /// Has the rules asked right before the request's first byte goes out.
-    fn guard(&self, connection: &Connection, parcel: &Parcel, worker: WorkerId, until: Instant) {
-        let (line, client, pool) = (parcel.line.clone(), parcel.client.clone(), self.pool.clone());
+    /// Has the conditions for sending checked right before the request's first byte goes out.
+    fn arm_send_guard(&self, connection: &Connection, request: &AttemptRequest) {
+        let (line, client, pool) = (request.line.clone(), request.client.clone(), self.pool.clone());
+        let (worker, deadline) = (request.worker, request.deadline);
         connection.guard.arm(move || {
-            // Whether or not an attempt may be called off: of one that has not begun, nothing need go out.
-            let unwanted = line.unwanted.load(Ordering::Relaxed);
-            if unwanted || client.is_some_and(|client| client.is_peer_closed()) {
+            // Holds also where attempts may not be cancelled: of one that has not begun, nothing need go out.
+            let is_unwanted = line.unwanted.load(Ordering::Relaxed);
+            if is_unwanted || client.is_some_and(|client| client.is_peer_closed()) {
                 return Err(SendBlocked::ClientLeft);
             }
-            if Instant::now() >= until {
-                return Err(SendBlocked::Overdue);
+            if Instant::now() >= deadline {
+                return Err(SendBlocked::DeadlinePassed);
             }
-            if !pool.may_begin(worker) {
-                return Err(SendBlocked::Withdrawn);
+            if !pool.accepts_new_requests(worker) {
+                return Err(SendBlocked::EndpointDraining);
             }
             Ok(())
         });
     }
 
-    async fn read(&self, tag: Tag, parcel: &Parcel, response: Response<Incoming>) -> End {
-        let (head, mut body) = response.into_parts();
-        if head.status != StatusCode::OK {
-            let not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
-            let outcome = match head.status {
-                StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
-                _ => Outcome::Error,
-            };
-            let report = fields::load_header(&head.headers, &self.names.borrow());
-            return End {
-                outcome,
-                report,
-                result: Bytes::new(),
-                blameless: false,
-                rest: Some((body, WORDS_MAX)),
+    /// End of an attempt whose connection broke before an answer began.
+    fn send_failed(
+        &self,
+        request: &AttemptRequest,
+        connection: &Connection,
+        is_adopted: bool,
+        error: &hyper::Error,
+    ) -> AttemptEnd {
+        let Tag { id, attempt } = request.tag;
+        log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no answer from the worker");
+        if let Some(reason) = connection.guard.blocked_by() {
+            self.counters.held_back.add();
+            log::debug!(event = "send_blocked", request = id, attempt, reason:?; "request not sent");
+            return match reason {
+                SendBlocked::ClientLeft => AttemptEnd::without_answer(Outcome::Cancelled),
+                SendBlocked::DeadlinePassed | SendBlocked::EndpointDraining => {
+                    AttemptEnd::blameless(Outcome::ConnectFailed)
+                }
             };
         }
-        self.handle.taken(tag);
-        let mut buffer = BytesMut::new();
+        let progress = connection.progress.lock();
+        let is_written = is_adopted || progress.map_or(true, |p| p.is_complete(request.body.len()));
+        match (is_written, connection.kept) {
+            // Some of the request surely is still here: it has not run.
+            (false, _) => AttemptEnd::without_answer(Outcome::ConnectFailed),
+            // Idle connections break unseen: a kept one without a word on this job says nothing about the worker.
+            (true, true) => AttemptEnd::blameless(Outcome::Reset),
+            (true, false) => AttemptEnd::without_answer(Outcome::Reset),
+        }
+    }
+
+    async fn read_response(&self, request: &AttemptRequest, response: Response<Incoming>) -> AttemptEnd {
+        let (head, body) = response.into_parts();
+        if head.status == StatusCode::OK {
+            self.handle.taken(request.tag);
+            return self.read_updates(request, UpdateLines::new(body)).await;
+        }
+        let has_not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
+        let outcome = match head.status {
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => Outcome::Full,
+            _ => Outcome::Error,
+        };
+        AttemptEnd {
+            report: fields::load_header(&head.headers, &self.names.borrow()),
+            unread: Some(UnreadAnswer { body, limit: REJECTION_BODY_MAX }),
+            ..AttemptEnd::without_answer(outcome)
+        }
+    }
+
+    /// Follows the worker's updates on an accepted job to the one that ends it.
+    async fn read_updates(&self, request: &AttemptRequest, mut lines: UpdateLines) -> AttemptEnd {
+        let Tag { id, attempt } = request.tag;
         loop {
-            while let Some(at) = buffer.iter().position(|&b| b == b'\n') {
-                let line = buffer.split_to(at + 1);
-                if line.trim_ascii().is_empty() {
+            let line = match lines.next().await {
+                Ok(line) => line,
+                Err(error) => {
+                    if let LineError::TooLong = error {
+                        log::warn!(event = "worker_update_too_long", request = id, attempt, limit = LINE_MAX;
+                            "worker update without an end: the attempt counts as broken");
+                    }
+                    return AttemptEnd::without_answer(Outcome::Reset);
+                }
+            };
+            let update = fields::parse_update(&line, request.id.value.as_bytes(), &self.names.borrow());
+            let (outcome, report, result) = match update {
+                Some(WorkerUpdate::Started) => {
+                    self.handle.started(request.tag);
                     continue;
                 }
-                let Some(news) = fields::news(&line, parcel.id.value.as_bytes(), &self.names.borrow()) else {
-                    log::warn!("attempt {tag:?}: a bad line from its worker");
-                    return End::plain(Outcome::Reset);
-                };
-                let (outcome, report, result) = match news {
-                    News::Started => {
-                        self.handle.started(tag);
-                        continue;
-                    }
-                    News::Running(done) => {
-                        self.handle.progress(tag, done);
-                        continue;
-                    }
-                    News::Done(result, report) => (Outcome::Ok, report, result),
-                    News::Failed(report) => (Outcome::Error, report, Bytes::new()),
-                    News::Returned(report) => (Outcome::Full, report, Bytes::new()),
-                    News::Lost(report) => (Outcome::Reset, report, Bytes::new()),
-                };
-                return End { outcome, report, result, blameless: false, rest: Some((body, 0)) };
+                Some(WorkerUpdate::Running(done)) => {
+                    self.handle.progress(request.tag, done);
+                    continue;
+                }
+                Some(WorkerUpdate::Done(result, report)) => (Outcome::Ok, report, result),
+                Some(WorkerUpdate::Failed(report)) => (Outcome::Error, report, Bytes::new()),
+                Some(WorkerUpdate::Returned(report)) => (Outcome::Full, report, Bytes::new()),
+                Some(WorkerUpdate::Lost(report)) => (Outcome::Reset, report, Bytes::new()),
+                None => {
+                    log::warn!(event = "worker_update_malformed", request = id, attempt;
+                        "malformed worker update: the attempt counts as broken");
+                    return AttemptEnd::without_answer(Outcome::Reset);
+                }
+            };
+            let unread = Some(UnreadAnswer { body: lines.body, limit: 0 });
+            return AttemptEnd { outcome, report, result, is_blameless: false, unread };
+        }
+    }
+}
+
+/// Why a worker's answer has no next line.
+#[derive(Debug, thiserror::Error)]
+enum LineError {
+    #[error("a line is longer than {LINE_MAX} bytes")]
+    TooLong,
+    #[error("the answer broke off")]
+    Broken(#[source] hyper::Error),
+    #[error("the answer ended without a final update")]
+    Ended,
+}
+
+/// Lines of a worker's answer, empty ones left out.
+struct UpdateLines {
+    body: Incoming,
+    buffer: BytesMut,
+}
+
+impl UpdateLines {
+    fn new(body: Incoming) -> UpdateLines {
+        UpdateLines { body, buffer: BytesMut::new() }
+    }
+
+    async fn next(&mut self) -> Result<BytesMut, LineError> {
+        loop {
+            while let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
+                let line = self.buffer.split_to(end + 1);
+                if !line.trim_ascii().is_empty() {
+                    return Ok(line);
+                }
             }
-            // Guards memory against a line without an end.
-            if buffer.len() > LINE_MAX {
-                log::warn!("attempt {tag:?}: an endless line from its worker");
-                return End::plain(Outcome::Reset);
+            // Bounds memory.
+            if self.buffer.len() > LINE_MAX {
+                return Err(LineError::TooLong);
             }
-            match body.frame().await {
+            match self.body.frame().await {
                 Some(Ok(frame)) => {
                     if let Some(data) = frame.data_ref() {
-                        buffer.extend_from_slice(data);
+                        self.buffer.extend_from_slice(data);
                     }
                 }
-                Some(Err(_)) => return End::plain(Outcome::Reset),
+                Some(Err(error)) => return Err(LineError::Broken(error)),
                 // The last line may lack its line end.
-                None if !buffer.trim_ascii().is_empty() => buffer.extend_from_slice(b"\n"),
-                None => return End::plain(Outcome::Reset),
+                None if !self.buffer.trim_ascii().is_empty() => self.buffer.extend_from_slice(b"\n"),
+                None => return Err(LineError::Ended),
             }
         }
     }
 }
 
-impl Parcel {
-    fn request(&self, connection: &Connection, until: Instant) -> Request<Full<Bytes>> {
-        let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
-        let mut request = Request::new(Full::new(self.body.clone()));
-        *request.method_mut() = hyper::Method::POST;
-        *request.uri_mut() = Uri::from(self.target.clone());
-        let headers = request.headers_mut();
-        headers.insert("x-request-id", self.id.value.clone());
-        if let Some(key) = &self.key {
-            headers.insert("idempotency-key", key.clone());
-        }
-        headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
-        for (name, value) in [
-            (HOST, connection.address.to_string()),
-            ("x-deadline".parse().expect("a name"), format!("{left:.3}")),
-        ] {
-            headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
-        }
-        request
-    }
-}
-
-/// Whether an answer ends with no more than this, white space aside.
-async fn ends(mut rest: Incoming, most: usize) -> bool {
-    let mut seen = 0;
-    loop {
-        match rest.frame().await {
-            None => return true,
-            Some(Ok(frame)) => seen += frame.data_ref().map_or(0, |d| d.trim_ascii().len()),
-            Some(Err(_)) => return false,
-        }
-        if seen > most {
-            return false;
+impl UnreadAnswer {
+    /// Whether the answer ends with no more than its limit.
+    async fn ends_within_limit(mut self) -> bool {
+        let mut seen = 0;
+        loop {
+            match self.body.frame().await {
+                None => return true,
+                Some(Ok(frame)) => seen += frame.data_ref().map_or(0, |d| d.trim_ascii().len()),
+                Some(Err(_)) => return false,
+            }
+            if seen > self.limit {
+                return false;
+            }
         }
     }
 }
--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -1,6 +1,6 @@
-//! The descriptors for clients: who has one, and who gives one up where there is none left.
+//! Slots for connections of clients: who has one, and who is evicted where none is left.
 
-use super::framing::{IdleState, MessageMonitor};
+use super::monitored_stream::{IdleState, MessageMonitor};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,125 +8,148 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// For which a newcomer waits until another connection has given its place up.
-const MAKE_WAY: Duration = Duration::from_millis(100);
-
-/// For which a new connection may say nothing before it is the first to make way. A client that has a request
+/// Time for which a new connection waits until an evicted one has freed its slot.
+const EVICTION_WAIT: Duration = Duration::from_millis(100);
+/// Time for which a new connection may be silent before it is the first to be evicted. A client that has a request
 /// writes its first bytes at once.
-const SILENCE: Duration = Duration::from_millis(300);
-
-/// Who goes first. Those that asked for nothing; then those between two requests, for closing these harms nobody;
-/// then those that write, the one that paused for longest; last those that have only just come.
-fn turn(quiet: &IdleState, now: Instant) -> (u8, Instant) {
-    let rank = match (quiet.begun, quiet.answered) {
-        (true, _) => 2,
-        (false, true) => 1,
-        (false, false) if now.saturating_duration_since(quiet.since) >= SILENCE => 0,
-        (false, false) => 3,
+const SILENCE_ALLOWED: Duration = Duration::from_millis(300);
+
+/// Order of eviction: a lesser one goes first, and of equal ones the connection that has been idle for longer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EvictionRank {
+    /// It has asked for nothing.
+    Silent,
+    /// It is between two requests: closing it harms nobody.
+    BetweenRequests,
+    /// It is writing a request.
+    Writing,
+    /// It has only just come.
+    New,
+}
+
+/// Rank of a connection without a request at work, and since when it has been idle.
+pub fn eviction_order(idle: &IdleState, now: Instant) -> (EvictionRank, Instant) {
+    let rank = match (idle.has_begun, idle.is_answered) {
+        (true, _) => EvictionRank::Writing,
+        (false, true) => EvictionRank::BetweenRequests,
+        (false, false) if now.saturating_duration_since(idle.since) >= SILENCE_ALLOWED => {
+            EvictionRank::Silent
+        }
+        (false, false) => EvictionRank::New,
     };
-    (rank, quiet.since)
+    (rank, idle.since)
+}
+
+/// A connection without a request at work.
+struct IdleConnection {
+    monitor: MessageMonitor,
+    evicted: Arc<Notify>,
 }
 
 #[derive(Default)]
-struct Seats {
-    next: u64,
-    quiet: BTreeMap<u64, (MessageMonitor, Arc<Notify>)>,
+struct Connections {
+    last_number: u64,
+    /// By number.
+    idle: BTreeMap<u64, IdleConnection>,
 }
 
-/// ConnectionSlots for so many connections.
+/// Slots for a number of connections.
 pub struct ConnectionSlots {
     taken: AtomicUsize,
     freed: Notify,
-    owed: AtomicUsize, // places taken ahead of their being there
+    /// Slots taken ahead of their being granted.
+    overdraft: AtomicUsize,
     permits: Arc<Semaphore>,
-    seats: Mutex<Seats>,
+    connections: Mutex<Connections>,
 }
 
 impl ConnectionSlots {
-    /// With this many places.
+    /// This many slots.
     pub fn new(size: usize) -> Arc<ConnectionSlots> {
-        let permits = Arc::new(Semaphore::new(size));
         Arc::new(ConnectionSlots {
             taken: AtomicUsize::new(0),
             freed: Notify::new(),
-            owed: AtomicUsize::new(0),
-            permits,
-            seats: Mutex::default(),
+            overdraft: AtomicUsize::new(0),
+            permits: Arc::new(Semaphore::new(size)),
+            connections: Mutex::default(),
         })
     }
 
-    fn seats(&self) -> MutexGuard<'_, Seats> {
-        self.seats.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> MutexGuard<'_, Connections> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A place for a new connection. Where there is none, the quiet one whose turn it is makes way; `None`
-    /// where all are at work.
-    pub async fn acquire(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor) -> Option<Slot> {
+    /// A slot for a new connection. Where none is free, the idle connection that is the first in [`eviction_order`] is
+    /// evicted; `None` where all have a request at work.
+    pub async fn acquire(self: &Arc<Self>, monitor: &MessageMonitor) -> Option<Slot> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                self.first()?.notify_one();
-                timeout(MAKE_WAY, self.permits.clone().acquire_owned()).await.ok()?.ok()?
+                self.take_next_evicted()?.notify_one();
+                timeout(EVICTION_WAIT, self.permits.clone().acquire_owned()).await.ok()?.ok()?
             }
         };
-        Some(self.place(watcher, permit))
-    }
-
-    fn place(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor, permit: OwnedSemaphorePermit) -> Slot {
-        let number = {
-            let mut seats = self.seats();
-            seats.next += 1;
-            seats.next
-        };
-        let (asked, watcher) = (Arc::default(), watcher.clone());
-        self.taken.fetch_add(1, Ordering::Relaxed);
-        let seat = Slot { room: self.clone(), number, watcher, asked, _permit: permit };
-        seat.rest();
-        seat
-    }
-
-    /// Takes out who is to make way.
-    fn first(&self) -> Option<Arc<Notify>> {
-        let (mut seats, now) = (self.seats(), Instant::now());
-        let turns =
-            seats.quiet.iter().map(|(number, (watcher, _))| (turn(&watcher.idle_state(), now), *number));
-        let (_, number) = turns.min()?;
-        seats.quiet.remove(&number).map(|(_, asked)| asked)
+        Some(self.occupy(monitor, permit))
     }
 
-    /// A place for a connection that another process gives up, whether there is one or not.
-    pub fn acquire_transferred(self: &Arc<ConnectionSlots>, watcher: &MessageMonitor) -> Option<Slot> {
+    /// A slot for a connection that another process releases, whether one is free or not.
+    pub fn acquire_transferred(self: &Arc<Self>, monitor: &MessageMonitor) -> Option<Slot> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|_| {
-            self.grow(1);
-            self.owed.fetch_add(1, Ordering::Relaxed);
+            self.permits.add_permits(1);
+            self.overdraft.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
         });
-        Some(self.place(watcher, permit.ok()?))
+        Some(self.occupy(monitor, permit.ok()?))
     }
 
-    /// So many places more, less what was taken ahead of that.
-    pub fn share(&self, places: usize) {
-        let owed = self.owed.load(Ordering::Relaxed).min(places);
-        self.owed.fetch_sub(owed, Ordering::Relaxed);
-        self.grow(places - owed);
+    fn occupy(self: &Arc<Self>, monitor: &MessageMonitor, permit: OwnedSemaphorePermit) -> Slot {
+        let number = {
+            let mut connections = self.connections();
+            connections.last_number += 1;
+            connections.last_number
+        };
+        self.taken.fetch_add(1, Ordering::Relaxed);
+        let slot = Slot {
+            slots: self.clone(),
+            number,
+            monitor: monitor.clone(),
+            evicted: Arc::default(),
+            _permit: permit,
+        };
+        slot.set_idle();
+        slot
     }
 
-    fn grow(&self, places: usize) {
-        self.permits.add_permits(places);
+    /// Takes out the connection that is evicted next.
+    fn take_next_evicted(&self) -> Option<Arc<Notify>> {
+        let (mut connections, now) = (self.connections(), Instant::now());
+        let order = connections
+            .idle
+            .iter()
+            .map(|(number, idle)| (eviction_order(&idle.monitor.idle_state(), now), *number));
+        let (_, number) = order.min()?;
+        connections.idle.remove(&number).map(|idle| idle.evicted)
     }
 
-    /// How many places are taken.
+    /// Grants so many slots more, less what was taken ahead of that.
+    pub fn grant(&self, slots: usize) {
+        let repaid = self.overdraft.load(Ordering::Relaxed).min(slots);
+        self.overdraft.fetch_sub(repaid, Ordering::Relaxed);
+        self.permits.add_permits(slots - repaid);
+    }
+
+    /// Number of slots that are taken.
     pub fn taken(&self) -> usize {
         self.taken.load(Ordering::Relaxed)
     }
 
-    /// How many places have a request at work.
+    /// Number of connections with a request at work.
     pub fn at_work(&self) -> usize {
-        self.taken().saturating_sub(self.seats().quiet.len())
+        self.taken().saturating_sub(self.connections().idle.len())
     }
 
-    /// Returns once all places are free. It takes none to see that: what is free is counted meanwhile.
-    pub async fn empty(&self) {
+    /// Returns once all slots are free. It takes none to see that: what is free is counted meanwhile.
+    pub async fn all_free(&self) {
         let freed = self.freed.notified();
         tokio::pin!(freed);
         while self.taken() > 0 {
@@ -136,83 +159,45 @@
     }
 }
 
-#[cfg(test)]
-impl ConnectionSlots {
-    /// So many places at once, with a request at work at each.
-    pub fn at_work_now(self: &Arc<ConnectionSlots>, n: usize) -> Vec<Slot> {
-        let watcher = super::framing::MonitoredStream::new(()).monitor();
-        let seat = |_| self.place(&watcher, self.permits.clone().try_acquire_owned().unwrap());
-        let seats: Vec<Slot> = (0..n).map(seat).collect();
-        seats.iter().for_each(Slot::work);
-        seats
-    }
-}
-
-/// A connection's place.
+/// A connection's slot.
 pub struct Slot {
-    room: Arc<ConnectionSlots>,
+    slots: Arc<ConnectionSlots>,
     number: u64,
-    watcher: MessageMonitor,
-    asked: Arc<Notify>,
+    monitor: MessageMonitor,
+    evicted: Arc<Notify>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Slot {
-    /// The connection has nothing at work.
-    pub fn rest(&self) {
-        self.room.seats().quiet.insert(self.number, (self.watcher.clone(), self.asked.clone()));
+    /// The connection has no request at work: it may be evicted.
+    pub fn set_idle(&self) {
+        let idle = IdleConnection { monitor: self.monitor.clone(), evicted: self.evicted.clone() };
+        self.slots.connections().idle.insert(self.number, idle);
     }
 
     /// A whole request is at work: the connection stays.
-    pub fn work(&self) {
-        self.room.seats().quiet.remove(&self.number);
+    pub fn set_busy(&self) {
+        self.slots.connections().idle.remove(&self.number);
     }
 
-    /// It has something to do after all: the next one is to make way.
-    pub fn pass_on(&self) {
-        if let Some(asked) = self.room.first() {
-            asked.notify_one();
+    /// Has the next connection evicted in place of this one.
+    pub fn pass_on_eviction(&self) {
+        if let Some(evicted) = self.slots.take_next_evicted() {
+            evicted.notify_one();
         }
     }
 
-    /// Returns once the connection is to make way, and says whether it had an answer.
-    pub async fn make_way(&self) -> bool {
-        self.asked.notified().await;
-        self.watcher.idle_state().answered
+    /// Returns once the connection is evicted, and says whether it has ever had an answer.
+    pub async fn evicted(&self) -> bool {
+        self.evicted.notified().await;
+        self.monitor.idle_state().is_answered
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.work();
-        self.room.taken.fetch_sub(1, Ordering::Relaxed);
-        self.room.freed.notify_waiters();
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards true requests in a crowd: who says nothing goes before who writes, and of those that write the one
-    /// that has paused for longest.
-    #[tokio::test(start_paused = true)]
-    async fn those_that_ask_for_nothing_make_way_before_those_that_write() {
-        let now = Instant::now() + Duration::from_secs(9);
-        let ago = |ms| now - Duration::from_millis(ms);
-        let quiet = |begun, answered, ms| IdleState { begun, answered, since: ago(ms) };
-        let order = [
-            quiet(false, false, 2000),
-            quiet(false, false, 300),
-            quiet(false, true, 4000),
-            quiet(false, true, 0),
-            quiet(true, false, 1000),
-            quiet(true, true, 500),
-            quiet(true, false, 10),
-            quiet(false, false, 299),
-            quiet(false, false, 1),
-        ];
-        let turns: Vec<_> = order.iter().map(|q| turn(q, now)).collect();
-        assert!(turns.is_sorted(), "{turns:?}");
+        self.set_busy();
+        self.slots.taken.fetch_sub(1, Ordering::Relaxed);
+        self.slots.freed.notify_waiters();
     }
 }
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of the platform's wire: what is taken out of requests and worker lines.
+//! Fields of the platform's protocol: what is read out of requests, workers' updates and load reports.
 
 use crate::dispatcher::number_of;
 use crate::names::Names;
@@ -10,73 +10,147 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// The first part of a path, which names the class; what a path can't hold comes in it as `%` and two digits.
+/// Longest `X-Request-Id`, in bytes.
+const REQUEST_ID_MAX: usize = 256;
+/// Longest `X-Deadline`, in seconds: a day.
+const DEADLINE_MAX_S: f64 = 86_400.0;
+
+/// The first part of a path, which names the class; what a path cannot hold comes in it percent-encoded.
 pub fn class_in(path: &str) -> Cow<'_, str> {
     let part = path.trim_start_matches('/').split('/').next().unwrap_or("");
     percent_decode_str(part).decode_utf8().unwrap_or(Cow::Borrowed(part))
 }
 
-/// Why a request is answered 400.
-pub type Bad = &'static str;
+/// What is wrong with a request's fields. Its text is the body of the answer, with status 400.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldError {
+    /// There is not exactly one id, or it is empty or too long.
+    #[error("X-Request-Id is missing or malformed")]
+    RequestId,
+    /// The path names no class that is offered.
+    #[error("the class is unknown")]
+    UnknownClass,
+    /// The header names another class than the path.
+    #[error("X-Class is unknown or differs from the path")]
+    ClassMismatch,
+    /// There are tenants, and this is none of them.
+    #[error("the tenant is unknown")]
+    UnknownTenant,
+    /// The class needs a key.
+    #[error("Idempotency-Key is missing")]
+    MissingIdempotencyKey,
+    /// The deadline is no positive number of seconds within a day.
+    #[error("X-Deadline is missing or malformed")]
+    Deadline,
+}
+
+/// Headers as text. Names in the settings may hold more than ASCII, so values are read as UTF-8.
+struct Headers<'a>(&'a HeaderMap);
 
-/// What the decisions need of a request. Its number is the core's to give.
-pub fn request(headers: &HeaderMap, path: &str, query: &str, names: &Names) -> Result<Request, Bad> {
-    // As UTF-8: the names in the settings may hold more than ASCII.
-    let text = |name: &str| {
-        let value = headers.get(name).and_then(|v| std::str::from_utf8(v.as_bytes()).ok());
+impl<'a> Headers<'a> {
+    /// A header's value without white space around it; empty if it is missing.
+    fn text(&self, name: &str) -> &'a str {
+        let value = self.0.get(name).and_then(|v| std::str::from_utf8(v.as_bytes()).ok());
         value.map(str::trim).unwrap_or("")
-    };
-    let id = text("x-request-id");
-    if id.is_empty() || id.len() > 256 || headers.get_all("x-request-id").iter().count() > 1 {
-        return Err("X-Request-Id is missing or malformed");
     }
-    let class = names.class(&class_in(path)).ok_or("the class is unknown")?;
-    let stated = text("x-class");
-    if !stated.is_empty() && stated != names.classes[class] {
-        return Err("X-Class is unknown or differs from the path");
+
+    fn check_request_id(&self) -> Result<(), FieldError> {
+        let id = self.text("x-request-id");
+        let is_single = self.0.get_all("x-request-id").iter().count() <= 1;
+        if id.is_empty() || id.len() > REQUEST_ID_MAX || !is_single {
+            return Err(FieldError::RequestId);
+        }
+        Ok(())
     }
-    let tenant = match names.tenant(text("x-tenant")) {
-        Some(i) => i,
-        None if names.tenants.is_empty() => 0,
-        None => return Err("the tenant is unknown"),
-    };
-    if names.keyed[class] && text("idempotency-key").is_empty() {
-        return Err("Idempotency-Key is missing");
+
+    fn class(&self, path: &str, names: &Names) -> Result<usize, FieldError> {
+        let class = names.class(&class_in(path)).ok_or(FieldError::UnknownClass)?;
+        let stated = self.text("x-class");
+        if !stated.is_empty() && stated != names.classes[class] {
+            return Err(FieldError::ClassMismatch);
+        }
+        Ok(class)
+    }
+
+    fn tenant(&self, names: &Names) -> Result<usize, FieldError> {
+        match names.tenant(self.text("x-tenant")) {
+            Some(tenant) => Ok(tenant),
+            None if names.tenants.is_empty() => Ok(0),
+            None => Err(FieldError::UnknownTenant),
+        }
+    }
+
+    /// Time that the client still waits, in microseconds.
+    fn time_left_us(&self) -> Result<u64, FieldError> {
+        let seconds = self.text("x-deadline").parse::<f64>().ok();
+        let seconds = seconds.filter(|s| *s > 0.0 && *s <= DEADLINE_MAX_S).ok_or(FieldError::Deadline)?;
+        Ok((seconds * 1e6).round() as u64)
+    }
+
+    /// A value of the `X-Extras` header; 0 if it is missing.
+    fn extra(&self, name: &str) -> f64 {
+        let value = |pair: &str| {
+            let (_, value) = pair.split_once('=').filter(|(key, _)| key.trim() == name)?;
+            non_negative(value.trim())
+        };
+        self.text("x-extras").split(',').find_map(value).unwrap_or(0.0)
+    }
+}
+
+fn non_negative(text: &str) -> Option<f64> {
+    text.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0)
+}
+
+/// The affinity key of a query; 0 if there is none.
+fn affinity_key(query: &str) -> u64 {
+    match query.split('&').find_map(|part| part.strip_prefix("user=")).unwrap_or("") {
+        "" => 0,
+        user => u64::from_str_radix(user, 16).unwrap_or_else(|_| number_of(user)),
+    }
+}
+
+/// What the dispatcher's decisions need of a request. Its number is the dispatcher's to give.
+///
+/// # Errors
+/// [`FieldError`]: the first field that is wrong.
+pub fn parse_request(
+    headers: &HeaderMap,
+    path: &str,
+    query: &str,
+    names: &Names,
+) -> Result<Request, FieldError> {
+    let headers = Headers(headers);
+    headers.check_request_id()?;
+    let class = headers.class(path, names)?;
+    let tenant = headers.tenant(names)?;
+    if names.keyed[class] && headers.text("idempotency-key").is_empty() {
+        return Err(FieldError::MissingIdempotencyKey);
     }
-    let left = text("x-deadline").parse::<f64>().ok().filter(|s| *s > 0.0 && *s <= 86_400.0);
-    let left_us = (left.ok_or("X-Deadline is missing or malformed")? * 1e6).round() as u64;
-    let number = |s: &str| s.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
-    let extra = |name: &str| {
-        let pair =
-            |p: &str| p.split_once('=').filter(|(k, _)| k.trim() == name).and_then(|(_, v)| number(v.trim()));
-        text("x-extras").split(',').find_map(pair).unwrap_or(0.0)
-    };
-    let key = query.split('&').find_map(|p| p.strip_prefix("user=")).unwrap_or("");
     Ok(Request {
         id: 0,
         class,
         tenant,
-        left_us,
-        hint_us: number(text("x-cost-hint")).filter(|h| *h > 0.0).map(|h| h as u64),
-        retry: text("x-retry") == "1",
-        key: if key.is_empty() { 0 } else { u64::from_str_radix(key, 16).unwrap_or_else(|_| number_of(key)) },
-        slots: extra("slots"),
-        memory: extra("memory"),
+        left_us: headers.time_left_us()?,
+        hint_us: non_negative(headers.text("x-cost-hint")).filter(|h| *h > 0.0).map(|h| h as u64),
+        retry: headers.text("x-retry") == "1",
+        key: affinity_key(query),
+        slots: headers.extra("slots"),
+        memory: headers.extra("memory"),
     })
 }
 
-/// What one line of a worker says.
+/// What one line of a worker's answer says.
 #[derive(Debug, PartialEq)]
-pub enum News {
+pub enum WorkerUpdate {
     /// The job has started.
     Started,
-    /// This part of it is done.
+    /// This part of it is done, from 0 to 1.
     Running(f64),
     /// Served, with this result.
     Done(Bytes, Option<LoadReport>),
-    /// The worker gave an error.
+    /// The worker reported an error.
     Failed(Option<LoadReport>),
-    /// Handed back unstarted.
+    /// Given back without having been started.
     Returned(Option<LoadReport>),
     /// The job was killed.
     Lost(Option<LoadReport>),
@@ -94,20 +168,20 @@
     load: Option<serde_json::Map<String, serde_json::Value>>,
 }
 
-/// Reads a worker's line about the request with this wire id; `None` is a bad line.
-pub fn news(line: &[u8], id: &[u8], names: &Names) -> Option<News> {
+/// Parses a worker's line about the request with this wire id; `None` if it is malformed or about another request.
+pub fn parse_update(line: &[u8], id: &[u8], names: &Names) -> Option<WorkerUpdate> {
     let line: Line = serde_json::from_slice(line).ok()?;
     if line.id.as_bytes() != id {
         return None;
     }
     let load = line.load.map(|load| report(names, |name| load.get(name).and_then(|v| v.as_f64())));
     Some(match &*line.state {
-        "started" => News::Started,
-        "running" => News::Running(line.share.filter(|s| (0.0..=1.0).contains(s))?),
-        "done" => News::Done(result(line.result?)?, load),
-        "failed" => News::Failed(load),
-        "returned" => News::Returned(load),
-        "lost" => News::Lost(load),
+        "started" => WorkerUpdate::Started,
+        "running" => WorkerUpdate::Running(line.share.filter(|s| (0.0..=1.0).contains(s))?),
+        "done" => WorkerUpdate::Done(result(line.result?)?, load),
+        "failed" => WorkerUpdate::Failed(load),
+        "returned" => WorkerUpdate::Returned(load),
+        "lost" => WorkerUpdate::Lost(load),
         _ => return None,
     })
 }
@@ -136,19 +210,20 @@
     Some(pairs(headers.get("x-load")?.to_str().ok()?, names))
 }
 
-/// The load report that a probe's body is: an object as in a worker's lines, or pairs as in the header. `None` where it
-/// tells nothing that the settings name.
+/// The load report in a probe's answer: an object as in a worker's lines, or pairs as in the header. `None` where it holds
+/// nothing that the settings name.
 pub fn load_body(body: &[u8], names: &Names) -> Option<LoadReport> {
-    let told = match serde_json::from_slice::<serde_json::Value>(body) {
+    let load = match serde_json::from_slice::<serde_json::Value>(body) {
         Ok(object) => {
             let load = object.get("load").unwrap_or(&object);
             report(names, |name| load.get(name).and_then(|v| v.as_f64()))
         }
         Err(_) => pairs(std::str::from_utf8(body).ok()?, names),
     };
-    Some(told).filter(|told| *told != LoadReport::default())
+    Some(load).filter(|load| *load != LoadReport::default())
 }
 
+/// A load report of `name=value` pairs with commas between them.
 fn pairs(text: &str, names: &Names) -> LoadReport {
     let pairs: Vec<(&str, &str)> = text.split(',').filter_map(|p| p.trim().split_once('=')).collect();
     let value = |name: &str| pairs.iter().find(|p| p.0 == name).and_then(|p| p.1.parse().ok());
--- a/node/src/platform/in_flight_ids.rs
+++ b/node/src/platform/in_flight_ids.rs
@@ -1,43 +1,45 @@
-//! The wire ids of requests that are open: workers know a request by its id, so two at once must not share one.
+//! Wire ids of requests in flight: workers know a request by its id, so two at once must not share one.
 
 use hyper::header::HeaderValue;
 use std::collections::HashSet;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The ids that are open.
+/// Set of the ids in flight.
 #[derive(Clone, Default)]
 pub struct InFlightIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
 impl InFlightIds {
-    /// Opens an id; `None` where it is open already.
+    /// Adds an id; `None` where it is in flight already.
     pub fn open(&self, value: HeaderValue) -> Option<Arc<InFlightId>> {
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.insert(value.clone()).then(|| Arc::new(InFlightId { value, all: self.clone() }))
+        let is_new = self.ids().insert(value.clone());
+        is_new.then(|| Arc::new(InFlightId { value, ids: self.clone() }))
     }
-}
 
-impl InFlightIds {
-    /// How many are open.
+    /// Number of ids in flight.
     pub fn len(&self) -> usize {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).len()
+        self.ids().len()
     }
 
-    /// All that are open.
+    /// All ids in flight.
     pub fn all(&self) -> Vec<String> {
-        let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.iter().filter_map(|id| id.to_str().ok().map(String::from)).collect()
+        self.ids().iter().filter_map(|id| id.to_str().ok().map(String::from)).collect()
+    }
+
+    fn ids(&self) -> MutexGuard<'_, HashSet<HeaderValue>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// An open id. It closes once the request is answered and no attempt is out: when the last hold on it goes.
+/// An id in flight. It leaves the set once the request is answered and no attempt is out: when the last reference to
+/// it is dropped.
 pub struct InFlightId {
-    /// As it came.
+    /// The id as the client sent it.
     pub value: HeaderValue,
-    all: InFlightIds,
+    ids: InFlightIds,
 }
 
 impl Drop for InFlightId {
     fn drop(&mut self) {
-        self.all.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.value);
+        self.ids.ids().remove(&self.value);
     }
 }
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -2,7 +2,7 @@
 //! with what either has said so far, which the new process plays back into connections of its own.
 
 use super::counted_writes::SharedProgress;
-use super::framing::MessageMonitor;
+use super::monitored_stream::MessageMonitor;
 use super::socket::SocketHandle;
 use super::Job;
 use crate::dispatcher::{Handle, Sent};
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -23,34 +23,37 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout, Instant};
 
-/// The part of the idle limit for which a connection is kept: a request written past the limit is lost.
-const KEEP: f64 = 0.5;
-/// Answers carry 64 KiB at most; no more is read ahead.
+/// Part of the workers' idle limit for which a connection is kept: a request written past the limit is lost.
+const IDLE_LIMIT_USED: f64 = 0.5;
+/// Bytes of an answer that are read ahead: answers carry no more.
 const READ_AHEAD: usize = 64 * 1024;
-
-/// For which the process may be held up between the look at the clock and the write that follows.
-const STANDSTILL: Duration = Duration::from_millis(150);
+/// Time for which the process may be held up between the look at the clock and the write that follows.
+const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
+/// Interval between removals of expired connections.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why there is no connection to a worker. Nothing was sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The worker, or the way there, did not take it.
-    NotTaken,
-    /// This node has no descriptor left, or none of its own errors passed in time: that tells nothing of the worker.
-    Here,
+    /// The worker, or the way there, did not take the connection.
+    #[error("the worker did not take the connection")]
+    Unreachable,
+    /// This node has no descriptor left, or an error of its own machine lasted too long: this says nothing about the worker.
+    #[error("this node has no resources for a connection")]
+    LocalResources,
 }
 
 /// A connection to a worker. Dropped, it closes soon; see [`Connection::close`].
 pub struct Connection {
     /// Takes the next request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What the socket has taken of the current one.
-    pub meter: SharedProgress,
-    /// Asked before its first byte.
+    /// What the socket has taken of the current request.
+    pub progress: SharedProgress,
+    /// Checked before its first byte.
     pub guard: SendGuard,
-    /// The other end.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// A hold on its socket.
+    /// Handle to its socket.
     pub socket_handle: SocketHandle,
     driver: JoinHandle<()>,
     /// Whether it has served before.
@@ -68,6 +71,13 @@
         // An aborted driver ends with an error by design; what counts is that it has ended.
         let _ = (&mut self.driver).await;
     }
+
+    /// Whether the next request may go out on it. Something that its worker has said and nobody has read, as a second
+    /// answer, would be taken for the next request's answer; a close for a break under that request.
+    fn is_reusable(&self, keep: Duration) -> bool {
+        let is_young = self.idle_since.elapsed() < keep;
+        is_young && self.sender.is_ready() && self.socket_handle.has_nothing_unread()
+    }
 }
 
 impl Drop for Connection {
@@ -76,217 +86,229 @@
     }
 }
 
-struct Line {
+/// A worker's address and idle connections.
+struct Endpoint {
     address: SocketAddr,
-    listed: bool,
-    /// When it was told that it drains or is gone, where it is so now.
-    leaves: Option<Instant>,
+    is_listed: bool,
+    /// When discovery said that it drains or is gone, where it is so now.
+    draining_since: Option<Instant>,
     idle: Vec<Connection>,
 }
 
-impl Line {
-    fn told(&mut self, stays: bool) {
-        self.leaves = if stays { None } else { self.leaves.or_else(|| Some(Instant::now())) };
+impl Endpoint {
+    fn set_ready(&mut self, is_ready: bool) {
+        let since = self.draining_since.or_else(|| Some(Instant::now()));
+        self.draining_since = if is_ready { None } else { since };
     }
 }
 
-/// All idle connections, and where workers listen.
-pub struct Pool {
-    lines: Mutex<HashMap<WorkerId, Line>>,
-    permits: Arc<Semaphore>,
-    room: AtomicUsize,
-    owed: AtomicUsize, // room taken ahead of its being there
-    times: Mutex<Times>,
-    counters: Arc<Counters>,
-}
-
+/// Timeouts that the settings give.
 #[derive(Clone, Copy)]
-struct Times {
+struct Timeouts {
     connect: Duration,
     keep: Duration,
-    grace: Duration,
+    drain_grace: Duration,
 }
 
-impl Times {
-    fn new(names: &Names) -> Times {
-        let (connect, keep) = (names.connect_timeout, names.conn_idle.mul_f64(KEEP));
-        Times { connect, keep, grace: names.drain_grace }
+impl Timeouts {
+    fn new(names: &Names) -> Timeouts {
+        Timeouts {
+            connect: names.connect_timeout,
+            keep: names.conn_idle.mul_f64(IDLE_LIMIT_USED),
+            drain_grace: names.drain_grace,
+        }
     }
 }
 
+/// Idle connections and addresses of all workers.
+pub struct Pool {
+    endpoints: Mutex<HashMap<WorkerId, Endpoint>>,
+    permits: Arc<Semaphore>,
+    capacity: AtomicUsize,
+    /// Capacity used ahead of its being granted.
+    overdraft: AtomicUsize,
+    timeouts: Mutex<Timeouts>,
+    counters: Arc<Counters>,
+}
+
 impl Pool {
-    /// A pool with room for this many connections.
-    pub fn new(room: usize, names: &Names, counters: Arc<Counters>) -> Pool {
+    /// A pool for this many connections.
+    pub fn new(capacity: usize, names: &Names, counters: Arc<Counters>) -> Pool {
         Pool {
-            lines: Mutex::default(),
-            permits: Arc::new(Semaphore::new(room)),
-            room: AtomicUsize::new(room),
-            owed: AtomicUsize::new(0),
-            times: Mutex::new(Times::new(names)),
+            endpoints: Mutex::default(),
+            permits: Arc::new(Semaphore::new(capacity)),
+            capacity: AtomicUsize::new(capacity),
+            overdraft: AtomicUsize::new(0),
+            timeouts: Mutex::new(Timeouts::new(names)),
             counters,
         }
     }
 
-    /// Changes the times that the settings give.
-    pub fn times(&self, names: &Names) {
-        *self.times.lock().unwrap_or_else(PoisonError::into_inner) = Times::new(names);
+    /// Changes the timeouts to those of newer settings.
+    pub fn set_timeouts(&self, names: &Names) {
+        *self.timeouts.lock().unwrap_or_else(PoisonError::into_inner) = Timeouts::new(names);
     }
 
-    fn current(&self) -> Times {
-        *self.times.lock().unwrap_or_else(PoisonError::into_inner)
+    fn timeouts(&self) -> Timeouts {
+        *self.timeouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// ConnectionSlots for so many connections more, less what was taken ahead of that.
-    pub fn share(&self, connections: usize) {
-        let owed = self.owed.load(Ordering::Relaxed).min(connections);
-        self.owed.fetch_sub(owed, Ordering::Relaxed);
-        self.grow(connections - owed);
+    fn endpoints(&self) -> MutexGuard<'_, HashMap<WorkerId, Endpoint>> {
+        self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Grants capacity for so many connections more, less what was used ahead of that.
+    pub fn grant(&self, connections: usize) {
+        let repaid = self.overdraft.load(Ordering::Relaxed).min(connections);
+        self.overdraft.fetch_sub(repaid, Ordering::Relaxed);
+        self.grow(connections - repaid);
     }
 
     fn grow(&self, connections: usize) {
-        self.room.fetch_add(connections, Ordering::Relaxed);
+        self.capacity.fetch_add(connections, Ordering::Relaxed);
         self.permits.add_permits(connections);
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn taken(&self) -> usize {
-        self.room.load(Ordering::Relaxed).saturating_sub(self.permits.available_permits())
+        self.capacity.load(Ordering::Relaxed).saturating_sub(self.permits.available_permits())
     }
 
-    /// How many of them are idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
-        self.lines().values().map(|l| l.idle.len()).sum()
+        self.endpoints().values().map(|endpoint| endpoint.idle.len()).sum()
     }
 
     /// Closes all idle connections.
     pub fn close_idle(&self) {
-        self.lines().values_mut().for_each(|l| l.idle.clear());
+        self.endpoints().values_mut().for_each(|endpoint| endpoint.idle.clear());
     }
 
-    fn lines(&self) -> MutexGuard<'_, HashMap<WorkerId, Line>> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Closes the idle connections to a worker.
+    pub fn close_idle_to(&self, worker: WorkerId) {
+        if let Some(endpoint) = self.endpoints().get_mut(&worker) {
+            endpoint.idle.clear();
+        }
     }
 
-    /// Takes note of where workers listen; idle connections to those gone or moved are closed.
-    pub fn listed(&self, members: &[Member], full: bool) {
-        let mut lines = self.lines();
-        if full {
-            lines.values_mut().for_each(|l| l.listed = false);
+    /// Takes over the addresses of a list; idle connections to workers that are gone or have moved are closed.
+    pub fn update_endpoints(&self, members: &[Member], is_complete: bool) {
+        let mut endpoints = self.endpoints();
+        if is_complete {
+            endpoints.values_mut().for_each(|endpoint| endpoint.is_listed = false);
         }
         for member in members {
             let (worker, address) = member.address();
-            let line = lines.entry(worker).or_insert_with(|| Line {
+            let endpoint = endpoints.entry(worker).or_insert_with(|| Endpoint {
                 address,
-                listed: true,
-                leaves: None,
+                is_listed: true,
+                draining_since: None,
                 idle: vec![],
             });
-            line.listed = !member.is_gone();
-            line.told(member.is_ready());
-            if line.address != address {
-                line.address = address;
-                line.idle.clear();
+            endpoint.is_listed = !member.is_gone();
+            endpoint.set_ready(member.is_ready());
+            if endpoint.address != address {
+                endpoint.address = address;
+                endpoint.idle.clear();
             }
         }
-        for line in lines.values_mut().filter(|l| !l.listed) {
-            line.told(false);
-            line.idle.clear();
+        for endpoint in endpoints.values_mut().filter(|endpoint| !endpoint.is_listed) {
+            endpoint.set_ready(false);
+            endpoint.idle.clear();
         }
     }
 
     /// A connection to this worker, idle or new.
     ///
     /// # Errors
-    /// Why there is none within the settings' time.
+    /// [`ConnectError`] if there is none within the settings' time.
     pub async fn connect(&self, worker: WorkerId) -> Result<Connection, ConnectError> {
-        let times = self.current();
+        let timeouts = self.timeouts();
         let address = {
-            let mut lines = self.lines();
-            let line = lines.get_mut(&worker).ok_or(ConnectError::NotTaken)?;
-            while let Some(connection) = line.idle.pop() {
-                let young = connection.idle_since.elapsed() < times.keep;
-                // Guards the next request against what its worker has just said or done here and nobody has read: a second
-                // answer would be taken for this one's, and a close for a break under it.
-                if young && connection.sender.is_ready() && connection.socket_handle.has_nothing_unread() {
-                    if let Ok(mut written) = connection.meter.lock() {
-                        *written = RequestProgress::default();
+            let mut endpoints = self.endpoints();
+            let endpoint = endpoints.get_mut(&worker).ok_or(ConnectError::Unreachable)?;
+            while let Some(connection) = endpoint.idle.pop() {
+                if connection.is_reusable(timeouts.keep) {
+                    if let Ok(mut progress) = connection.progress.lock() {
+                        *progress = RequestProgress::default();
                     }
                     return Ok(connection);
                 }
             }
-            line.address
+            endpoint.address
         };
-        self.open(address, times.connect).await
+        self.open(address, timeouts.connect).await
     }
 
-    /// Whether a request may begin at this worker now. Guards one that was told to drain while its connection was coming
-    /// up: what is written now is new to it.
-    pub fn may_begin(&self, worker: WorkerId) -> bool {
-        let grace = self.current().grace.saturating_sub(STANDSTILL);
-        let leaves = self.lines().get(&worker).and_then(|line| line.leaves);
-        leaves.is_none_or(|at| at.elapsed() < grace)
+    /// Whether a request may begin at this worker now. It may have been told to drain while its connection was coming up,
+    /// and what is written now is new to it.
+    pub fn accepts_new_requests(&self, worker: WorkerId) -> bool {
+        let grace = self.timeouts().drain_grace.saturating_sub(STALL_ALLOWANCE);
+        let draining_since = self.endpoints().get(&worker).and_then(|endpoint| endpoint.draining_since);
+        draining_since.is_none_or(|at| at.elapsed() < grace)
     }
 
     async fn open(&self, address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
-        // Guards the descriptor limit: at it, idle connections elsewhere make way, else there is none.
-        let permit = match self.permits.clone().try_acquire_owned() {
-            Ok(permit) => permit,
-            Err(_) => {
-                self.close_idle();
-                tokio::task::yield_now().await; // lets the drivers of those let go
-                self.permits.clone().try_acquire_owned().map_err(|_| ConnectError::Here)?
-            }
-        };
-        // Guards workers against this machine's own errors: a moment later there may be a socket.
+        let permit = self.permit().await?;
+        // Errors of this machine say nothing about the worker: a moment later there may be a socket.
         let connect = transient::outlast(limit, || TcpStream::connect(address));
         let socket = match timeout(limit, connect).await {
             Ok(Ok(socket)) => socket,
-            Ok(Err(e)) if transient::is_local(&e) => return Err(ConnectError::Here),
-            Ok(Err(_)) | Err(_) => return Err(ConnectError::NotTaken),
+            Ok(Err(e)) if transient::is_local(&e) => return Err(ConnectError::LocalResources),
+            Ok(Err(_)) | Err(_) => return Err(ConnectError::Unreachable),
         };
-        socket.set_nodelay(true).map_err(|_| ConnectError::NotTaken)?;
-        let socket = CountingStream::new(Socket::new(socket), SharedProgress::default());
-        let connection = self.start(socket, address, permit).await;
+        socket.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
+        let stream = CountingStream::new(Socket::new(socket), SharedProgress::default());
+        let connection = self.start(stream, address, permit).await;
         self.counters.opened.add();
-        connection.ok_or(ConnectError::NotTaken)
+        connection.ok_or(ConnectError::Unreachable)
     }
 
-    /// A connection that another process has written a request to, with a body of this length; what its worker
-    /// has said to that comes first.
+    /// A descriptor for a connection. Where all are in use, idle connections elsewhere make way.
+    async fn permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
+        if let Ok(permit) = self.permits.clone().try_acquire_owned() {
+            return Ok(permit);
+        }
+        self.close_idle();
+        tokio::task::yield_now().await; // lets the drivers of those connections end
+        self.permits.clone().try_acquire_owned().map_err(|_| ConnectError::LocalResources)
+    }
+
+    /// A connection on which another process has written a request with a body of `body` bytes; what its worker has
+    /// answered so far comes first. `None` where the socket cannot be used.
     pub async fn adopt(&self, adopted: Adopted, body: usize) -> Option<Connection> {
         let permit = self.permits.clone().try_acquire_owned();
         let permit = permit.or_else(|_| {
-            // The other process gives its descriptor up for it.
+            // The other process releases its descriptor for it.
             self.grow(1);
-            self.owed.fetch_add(1, Ordering::Relaxed);
+            self.overdraft.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
         });
         let socket = Socket::received(adopted.socket, adopted.said.to_vec()).ok()?;
-        let socket =
-            CountingStream { written: Some(body), ..CountingStream::new(socket, SharedProgress::default()) };
-        self.start(socket, adopted.address, permit.ok()?).await
+        let stream = CountingStream::already_written(socket, SharedProgress::default(), body);
+        self.start(stream, adopted.address, permit.ok()?).await
     }
 
     async fn start(
         &self,
-        socket: CountingStream<Socket>,
+        stream: CountingStream<Socket>,
         address: SocketAddr,
         permit: OwnedSemaphorePermit,
     ) -> Option<Connection> {
-        let (meter, guard, socket_handle) =
-            (socket.meter.clone(), socket.guard.clone(), socket.socket.socket_handle());
-        let io = TokioIo::new(socket);
+        let (progress, guard) = (stream.progress(), stream.guard());
+        let socket_handle = stream.get_ref().socket_handle();
+        let io = TokioIo::new(stream);
         let (mut sender, connection) =
             Builder::new().max_buf_size(READ_AHEAD).handshake::<_, Full<Bytes>>(io).await.ok()?;
         let driver = tokio::spawn(async move {
             if let Err(e) = connection.await {
-                log::debug!("connection to {address}: {e}");
+                log::debug!(event = "worker_connection_broken", address:%, error:% = e; "connection to a worker broke");
             }
         });
         sender.ready().await.ok()?;
         Some(Connection {
             sender,
-            meter,
+            progress,
             guard,
             address,
             socket_handle,
@@ -300,30 +322,25 @@
 
     /// Keeps a connection whose last answer ended cleanly, unless its worker is gone.
     pub fn keep(&self, worker: WorkerId, mut connection: Connection) {
-        if let Some(line) = self.lines().get_mut(&worker) {
-            if line.listed && line.address == connection.address && !connection.sender.is_closed() {
-                (connection.idle_since, connection.kept) = (Instant::now(), true);
-                line.idle.push(connection);
+        if let Some(endpoint) = self.endpoints().get_mut(&worker) {
+            let is_current = endpoint.is_listed && endpoint.address == connection.address;
+            if is_current && !connection.sender.is_closed() {
+                connection.idle_since = Instant::now();
+                connection.kept = true;
+                endpoint.idle.push(connection);
                 self.counters.kept_alive.add();
             }
         }
     }
 
-    /// Closes the idle connections to a worker.
-    pub fn release(&self, worker: WorkerId) {
-        if let Some(line) = self.lines().get_mut(&worker) {
-            line.idle.clear();
-        }
-    }
-
-    /// Drops connections that have been idle too long or have closed, once a second.
-    pub async fn sweep(self: Arc<Self>) {
-        let mut every = interval(Duration::from_secs(1));
+    /// Drops connections that have been idle too long or have closed, at an interval, without end.
+    pub async fn evict_expired(self: Arc<Self>) {
+        let mut interval = interval(EVICTION_INTERVAL);
         loop {
-            every.tick().await;
-            let keep = self.current().keep;
-            for line in self.lines().values_mut() {
-                line.idle.retain(|c| c.idle_since.elapsed() < keep && !c.sender.is_closed());
+            interval.tick().await;
+            let keep = self.timeouts().keep;
+            for endpoint in self.endpoints().values_mut() {
+                endpoint.idle.retain(|c| c.idle_since.elapsed() < keep && !c.sender.is_closed());
             }
         }
     }
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -1,8 +1,8 @@
-//! Asks a worker for its load, where the settings allow that: the module says whom and when.
+//! Health checks: a worker is asked for its load, where the settings allow that. The decision module says whom and when.
 
 use super::attempt::AttemptRunner;
 use super::fields;
-use super::pool::Connection;
+use super::pool::{ConnectError, Connection};
 use bytes::Bytes;
 use dispatch_policy::api::{LoadReport, WorkerId};
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,38 +11,53 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// A load report is a few numbers.
+/// Longest load report, in bytes: it is a few numbers.
 const BODY_MAX: usize = 4096;
 
-/// Asks once and says what came of it, once: no answer, a late and a wrong one are a no. Its connection may take as long as
-/// the settings allow to come up, the answer as long again.
-pub async fn carry(runner: Arc<AttemptRunner>, worker: WorkerId) {
+/// Why a worker told no load.
+#[derive(Debug, thiserror::Error)]
+enum ProbeError {
+    #[error("no connection")]
+    Connect(#[from] ConnectError),
+    #[error("no answer")]
+    Exchange(#[source] Box<dyn std::error::Error + Send + Sync>),
+    #[error("the worker answered with status {0}")]
+    Status(StatusCode),
+    #[error("the answer is no load report")]
+    NotAReport,
+}
+
+/// Probes a worker and reports the one outcome: a missing, a late and a wrong answer count as a failure. The connection may
+/// take as long as the settings allow to come up, the answer as long again.
+pub async fn run(runner: Arc<AttemptRunner>, worker: WorkerId) {
     let limit = 2 * runner.names.borrow().connect_timeout;
-    let said = timeout(limit, ask(&runner, worker)).await.ok().flatten();
-    if said.is_some() {
+    let answer = timeout(limit, request_load(&runner, worker)).await;
+    let load = answer.ok().and_then(Result::ok);
+    if load.is_some() {
         runner.counters.probes_answered.add();
     }
-    runner.handle.probed(worker, said.is_some(), said.flatten());
+    runner.handle.probed(worker, load.is_some(), load.flatten());
 }
 
-/// The worker's load, if it has one to tell yet; `None` where it says no, or what is none. A connection that is not read to its
-/// end is closed.
-async fn ask(runner: &AttemptRunner, worker: WorkerId) -> Option<Option<LoadReport>> {
-    let mut connection = runner.pool.connect(worker).await.ok()?;
+/// The worker's load; `None` if it has none to tell yet. A connection that is not read to its end is closed.
+async fn request_load(runner: &AttemptRunner, worker: WorkerId) -> Result<Option<LoadReport>, ProbeError> {
+    let exchange_failed = |error: hyper::Error| ProbeError::Exchange(error.into());
+    let mut connection = runner.pool.connect(worker).await?;
     let Connection { sender, address, .. } = &mut connection;
     let request =
         Request::get("/metrics/load").header(HOST, address.to_string()).body(Full::<Bytes>::default());
-    let response = sender.send_request(request.ok()?).await.ok()?;
+    let request = request.map_err(|error| ProbeError::Exchange(error.into()))?;
+    let response = sender.send_request(request).await.map_err(exchange_failed)?;
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, BODY_MAX).collect().await.ok()?.to_bytes();
+    let body = Limited::new(body, BODY_MAX).collect().await.map_err(ProbeError::Exchange)?.to_bytes();
     if sender.ready().await.is_ok() {
         runner.pool.keep(worker, connection);
     }
     if head.status != StatusCode::OK {
-        return None;
+        return Err(ProbeError::Status(head.status));
     }
     match fields::load_body(&body, &runner.names.borrow()) {
-        None if !body.is_empty() => None,
-        told => Some(told),
+        None if !body.is_empty() => Err(ProbeError::NotAReport),
+        load => Ok(load),
     }
 }
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -1,5 +1,5 @@
-//! What the front may hold: descriptors of clients and workers, memory for bodies, and the ids and the list that
-//! go to the process that takes its place. While two processes are one node, both share what `limits` allows.
+//! Budget of what the frontend may hold: descriptors of clients and workers, and memory for bodies. It also keeps the ids
+//! and the endpoint list that go to the next process. While two processes are one node, both share what `limits` allows.
 
 use super::connection_slots::ConnectionSlots;
 use super::in_flight_ids::InFlightIds;
@@ -11,57 +11,72 @@
 use crate::list::ListBody;
 use crate::names::Names;
 use crate::upgrade::{Held, Holder, Lifted, State};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Semaphore;
 
 /// Descriptors beside those of clients and workers: standard streams, poller, signals, listeners, discovery, a
 /// link to another process, and those of [`crate::management::CALLERS`].
-const FIXED: usize = 32;
-/// Connections beyond the budget that are held at once to be told so.
-const TURNED_AWAY: usize = 32;
+pub const FIXED_DESCRIPTORS: usize = 32;
+/// Connections beyond the budget that are held at once to be refused.
+pub const REJECTION_SLOTS: usize = 32;
 /// Descriptors for clients and workers that a node has however little is left: it serves a little at least.
-const FLOOR: usize = 12;
-/// The part of the memory that bodies of clients may hold. Heads and tasks take less than half of the rest.
-const BODIES: usize = 4;
+pub const DESCRIPTORS_MIN: usize = 12;
+/// Descriptors for clients and workers of a process whose limit is lower than what is set aside.
+const DESCRIPTORS_OF_TINY_LIMIT: usize = 4;
+/// Divisor of the memory that bodies of clients may hold. Heads and tasks take less than half of the rest.
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// How much there is for each use.
+/// What there is for each use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Allocation {
-    clients: usize,
-    workers: usize,
-    bodies_kib: usize,
+pub struct Allocation {
+    /// Connections of clients.
+    pub clients: usize,
+    /// Connections to workers.
+    pub workers: usize,
+    /// Memory for bodies, in KiB.
+    pub bodies_kib: usize,
 }
 
 impl Allocation {
     fn new(limits: Limits, other: Held) -> Allocation {
-        let budget = limits.sockets.saturating_sub(FIXED + TURNED_AWAY).max(4);
-        let budget = budget.saturating_sub(other.descriptors).max(FLOOR.min(budget));
+        let set_aside = FIXED_DESCRIPTORS + REJECTION_SLOTS;
+        let budget = limits.sockets.saturating_sub(set_aside).max(DESCRIPTORS_OF_TINY_LIMIT);
+        let budget = budget.saturating_sub(other.descriptors).max(DESCRIPTORS_MIN.min(budget));
         let workers = budget / 3;
-        let bodies_kib = (limits.memory_mb * 1024 / BODIES).saturating_sub(other.bodies_kib);
+        let bodies_kib = (limits.memory_mb * 1024 / BODY_MEMORY_DIVISOR).saturating_sub(other.bodies_kib);
         Allocation { clients: budget - workers, workers, bodies_kib }
     }
+
+    /// The larger of the two, use by use.
+    fn max(self, other: Allocation) -> Allocation {
+        Allocation {
+            clients: self.clients.max(other.clients),
+            workers: self.workers.max(other.workers),
+            bodies_kib: self.bodies_kib.max(other.bodies_kib),
+        }
+    }
 }
 
-/// All that is shared out.
+/// All that is allocated from.
 pub struct ResourceBudget {
-    /// The core, for the jobs that move.
-    pub core: Handle<Job>,
-    /// The running jobs that it took up for another process.
+    /// The dispatcher, for the jobs that move.
+    core: Handle<Job>,
+    /// Running jobs that were collected for another process.
     pub lifted: Arc<Mutex<Vec<Lifted>>>,
-    /// Places for clients.
+    /// Slots for connections of clients.
     pub client_slots: Arc<ConnectionSlots>,
-    /// Places for those that find none.
+    /// Slots for connections that are only refused.
     pub rejection_slots: Arc<Semaphore>,
     /// Connections to workers.
-    pub pool: Arc<Pool>,
+    pub(super) pool: Arc<Pool>,
     /// Memory for bodies, in KiB.
     pub body_memory_kib: Semaphore,
-    /// InFlightIds that are open.
-    pub in_flight_ids: InFlightIds,
-    /// The workers, as told last.
+    /// Ids of requests in flight.
+    pub(super) in_flight_ids: InFlightIds,
+    /// Latest endpoint list.
     pub latest_list: Arc<Mutex<ListBody>>,
     limits: Limits,
-    given: Mutex<Allocation>,
+    allocation: Mutex<Allocation>,
 }
 
 impl ResourceBudget {
@@ -73,30 +88,48 @@
         names: &Names,
         counters: Arc<Counters>,
     ) -> ResourceBudget {
-        let given = Allocation::new(limits, other);
+        let allocation = Allocation::new(limits, other);
         ResourceBudget {
             core,
             lifted: Arc::default(),
-            client_slots: ConnectionSlots::new(given.clients),
-            rejection_slots: Arc::new(Semaphore::new(TURNED_AWAY)),
-            pool: Arc::new(Pool::new(given.workers, names, counters)),
-            body_memory_kib: Semaphore::new(given.bodies_kib),
+            client_slots: ConnectionSlots::new(allocation.clients),
+            rejection_slots: Arc::new(Semaphore::new(REJECTION_SLOTS)),
+            pool: Arc::new(Pool::new(allocation.workers, names, counters)),
+            body_memory_kib: Semaphore::new(allocation.bodies_kib),
             in_flight_ids: InFlightIds::default(),
             latest_list: Arc::default(),
             limits,
-            given: Mutex::new(given),
+            allocation: Mutex::new(allocation),
         }
     }
 
-    /// Returns once no client is left, not even one that is being told that there is no room.
+    /// What is allocated to this process now.
+    pub fn allocation(&self) -> Allocation {
+        *self.lock_allocation()
+    }
+
+    fn lock_allocation(&self) -> MutexGuard<'_, Allocation> {
+        self.allocation.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Number of connections to workers.
+    pub fn worker_connections(&self) -> usize {
+        self.pool.taken()
+    }
+
+    fn bodies_held_kib(&self) -> usize {
+        self.allocation().bodies_kib.saturating_sub(self.body_memory_kib.available_permits())
+    }
+
+    /// Returns once no client is left, not even one that is being refused.
     pub async fn clients_closed(&self) {
-        self.client_slots.empty().await;
-        let _ = self.rejection_slots.acquire_many(TURNED_AWAY as u32).await; // never closed
+        self.client_slots.all_free().await;
+        // Fails with a closed semaphore only, and this one is never closed.
+        let _ = self.rejection_slots.acquire_many(REJECTION_SLOTS as u32).await;
     }
 
     /// What is held now.
-    pub fn holdings(&self) -> ResourceUsage {
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner).bodies_kib;
+    pub fn usage(&self) -> ResourceUsage {
         let idle = self.pool.idle();
         ResourceUsage {
             clients: self.client_slots.taken(),
@@ -104,22 +137,18 @@
             attempts: self.pool.taken().saturating_sub(idle),
             idle,
             ids: self.in_flight_ids.len(),
-            bodies_kib: given.saturating_sub(self.body_memory_kib.available_permits()),
+            bodies_kib: self.bodies_held_kib(),
         }
     }
 
-    /// The other process now holds no more than this: what it gave up is there for this one.
+    /// The other process now holds no more than this: what it released is allocated here. Nothing is taken away again.
     pub fn update_peer_usage(&self, other: Held) {
-        let mut given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = Allocation::new(self.limits, other);
-        self.client_slots.share(now.clients.saturating_sub(given.clients));
-        self.pool.share(now.workers.saturating_sub(given.workers));
-        self.body_memory_kib.add_permits(now.bodies_kib.saturating_sub(given.bodies_kib));
-        *given = Allocation {
-            clients: now.clients.max(given.clients),
-            workers: now.workers.max(given.workers),
-            bodies_kib: now.bodies_kib.max(given.bodies_kib),
-        };
+        let mut allocation = self.lock_allocation();
+        let newer = Allocation::new(self.limits, other);
+        self.client_slots.grant(newer.clients.saturating_sub(allocation.clients));
+        self.pool.grant(newer.workers.saturating_sub(allocation.workers));
+        self.body_memory_kib.add_permits(newer.bodies_kib.saturating_sub(allocation.bodies_kib));
+        *allocation = allocation.max(newer);
     }
 }
 
@@ -131,11 +160,11 @@
 
     fn held(&self) -> Held {
         let clients = self.client_slots.taken();
-        let turned_away = TURNED_AWAY.saturating_sub(self.rejection_slots.available_permits());
+        let refused = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may yet have an attempt out.
-        let descriptors = FIXED + clients + turned_away + self.client_slots.at_work().max(self.pool.taken());
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner).bodies_kib;
-        Held { descriptors, bodies_kib: given.saturating_sub(self.body_memory_kib.available_permits()) }
+        let workers = self.client_slots.at_work().max(self.pool.taken());
+        let descriptors = FIXED_DESCRIPTORS + clients + refused + workers;
+        Held { descriptors, bodies_kib: self.bodies_held_kib() }
     }
 
     fn let_go(&self) {
@@ -147,50 +176,3 @@
         std::mem::take(&mut *self.lifted.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::dispatcher::queue;
-    use std::time::Duration;
-    use tokio::time::timeout;
-
-    /// Guards the limits while two processes are one node: together they never hold more than one may.
-    #[tokio::test(start_paused = true)]
-    async fn what_another_process_holds_is_not_there_until_it_gives_it_up() {
-        for (sockets, memory_mb) in [(128, 16), (256, 32), (1024, 192)] {
-            let limits = Limits { sockets, memory_mb };
-            let budget =
-                |held| ResourceBudget::new(queue().0, limits, held, &Names::default(), Arc::default());
-            let old = budget(Held::default());
-            let all = *old.given.lock().unwrap();
-            let mut clients = old.client_slots.at_work_now(all.clients / 4);
-            let bodies = old.body_memory_kib.try_acquire_many(all.bodies_kib as u32 / 2).unwrap();
-            let held = old.held();
-            let new = budget(held);
-            let given = *new.given.lock().unwrap();
-            let together = held.descriptors + FIXED + TURNED_AWAY + given.clients + given.workers;
-            assert!(together <= sockets || given.clients + given.workers <= FLOOR, "{together} of {sockets}");
-            assert_eq!(held.bodies_kib + given.bodies_kib, all.bodies_kib);
-            // Who waits for the last client to go takes nothing meanwhile.
-            let mut last = std::pin::pin!(old.clients_closed());
-            assert!(timeout(Duration::ZERO, last.as_mut()).await.is_err());
-            drop(clients.pop());
-            assert_eq!(old.held().descriptors, held.descriptors - 2, "its client and its attempt");
-            drop((clients, bodies));
-            assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
-            new.update_peer_usage(old.held());
-            let less = *new.given.lock().unwrap();
-            assert!(less.clients > given.clients && less.clients < all.clients, "it is still there");
-            new.update_peer_usage(held); // nothing is taken away again
-            new.update_peer_usage(Held::default());
-            assert_eq!(*new.given.lock().unwrap(), all);
-            assert_eq!(new.client_slots.taken() + new.pool.taken(), 0);
-            let _all = new.client_slots.at_work_now(all.clients);
-            assert_eq!(
-                (new.client_slots.taken(), new.body_memory_kib.available_permits()),
-                (all.clients, all.bodies_kib)
-            );
-        }
-    }
-}
--- a/node/src/platform/send_guard.rs
+++ b/node/src/platform/send_guard.rs
@@ -1,53 +1,75 @@
-//! The one guard of sending: asked right before the first byte of a request goes to a worker, on whichever connection
-//! and however long that took to come up.
+//! Last check before a request is sent: made right before its first byte goes to a worker, on whichever connection and
+//! however long that took to come up.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Why a request must not be written. Nothing of it has gone out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendBlocked {
     /// Its client has left.
+    #[error("its client has left")]
     ClientLeft,
     /// Its client stops waiting now.
-    Overdue,
+    #[error("its deadline has passed")]
+    DeadlinePassed,
     /// Its worker was told to drain, or is gone, for about as long as the settings allow.
-    Withdrawn,
+    #[error("its worker is draining or gone")]
+    EndpointDraining,
 }
 
 type Check = Box<dyn FnOnce() -> Result<(), SendBlocked> + Send>;
 
+/// What is known of the next request.
 #[derive(Default)]
-struct State {
-    check: Option<Check>,
-    barred: Option<SendBlocked>,
+enum State {
+    /// Nothing is to be checked, or the check has passed.
+    #[default]
+    Open,
+    /// The check is made with the next byte.
+    Armed(Check),
+    /// The check has failed.
+    Blocked(SendBlocked),
 }
 
-/// What a connection's user and its socket share.
+/// Guard that a connection's user and its socket share.
 #[derive(Clone, Default)]
 pub struct SendGuard(Arc<Mutex<State>>);
 
 impl SendGuard {
-    /// Has this asked before the next byte goes out.
+    /// Has this checked before the next byte goes out.
     pub fn arm(&self, check: impl FnOnce() -> Result<(), SendBlocked> + Send + 'static) {
-        *self.state() = State { check: Some(Box::new(check)), barred: None };
+        *self.state() = State::Armed(Box::new(check));
     }
 
-    /// Why the request was held back, if it was.
+    /// Why the request was not sent, if its check failed.
     pub fn blocked_by(&self) -> Option<SendBlocked> {
-        self.state().barred
+        match *self.state() {
+            State::Blocked(reason) => Some(reason),
+            State::Open | State::Armed(_) => None,
+        }
     }
 
-    /// Asks, once for each request.
+    /// Makes the check, once for each request.
     ///
     /// # Errors
-    /// Where the request must not be written; its connection ends with that.
+    /// The request must not be written; its connection ends with this error, whose source is a [`SendBlocked`].
     pub fn check(&self) -> io::Result<()> {
         // Taken out first: the check may take its time, and locks of its own.
-        let Some(check) = self.state().check.take() else { return Ok(()) };
-        let Err(barred) = check() else { return Ok(()) };
-        self.state().barred = Some(barred);
-        Err(io::Error::other(format!("held back: {barred:?}")))
+        let check = {
+            let mut state = self.state();
+            match std::mem::take(&mut *state) {
+                State::Armed(check) => check,
+                other => {
+                    *state = other;
+                    return Ok(());
+                }
+            }
+        };
+        check().map_err(|reason| {
+            *self.state() = State::Blocked(reason);
+            io::Error::other(reason)
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP socket that may go to another process while it is in use: what this process does with it can be frozen
-//! at any moment, and what an earlier one has read of it comes first here.
+//! TCP socket that may go to another process while it is in use: what this process does with it can be frozen at any
+//! moment, and what an earlier process has read of it comes first here.
 
 use crate::transient::{self, Again, PAUSE, REPEATS_AT_ONCE};
 use futures_util::FutureExt;
@@ -15,40 +15,45 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// Between looks at a socket whose end may hide behind bytes that nobody reads.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// Places of the two directions.
-const READ: usize = 0;
-const WRITE: usize = 1;
+/// Interval between looks at a socket whose end may hide behind bytes that nobody reads.
+const PEER_CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
 struct State {
-    frozen: bool,
-    wakers: [Option<Waker>; 2], // of who waits for it to thaw: to read, to write
-    replay: Vec<u8>,            // to be read first
-    pauses: [Pause; 2],         // before a call that failed is made again: to read, to write
+    is_frozen: bool,
+    /// Bytes to be read first.
+    replay: Vec<u8>,
+    read: Direction,
+    write: Direction,
 }
 
-/// The calls that failed in a row, and the pause after many.
+/// One direction of a socket.
 #[derive(Default)]
-struct Pause {
+struct Direction {
+    /// Who waits for the socket to thaw.
+    waker: Option<Waker>,
+    retry: CallRetry,
+}
+
+/// Repetition of calls that fail for a passing reason: at once a few times, then after a pause.
+#[derive(Default)]
+struct CallRetry {
     failures: u32,
-    timer: Option<Pin<Box<Sleep>>>,
+    pause: Option<Pin<Box<Sleep>>>,
 }
 
-impl Pause {
+impl CallRetry {
     /// Ready once the call may be made.
-    fn poll(&mut self, cx: &mut Context) -> Poll<()> {
-        if let Some(timer) = &mut self.timer {
-            ready!(timer.as_mut().poll(cx));
-            self.timer = None;
+    fn poll_ready(&mut self, cx: &mut Context) -> Poll<()> {
+        if let Some(pause) = &mut self.pause {
+            ready!(pause.as_mut().poll(cx));
+            self.pause = None;
         }
         Poll::Ready(())
     }
 
-    /// Takes note of a call's end. `None` where it is to be made again, by the next [`Pause::poll`].
-    fn outlasts<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
+    /// The call's final result; `None` where it is to be made again, by the next [`CallRetry::poll_ready`].
+    fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         let again = match &result {
             Ok(_) => None,
             Err(e) => transient::of_transfer(e),
@@ -60,7 +65,7 @@
         self.failures += 1;
         if again == Again::Soon || self.failures >= REPEATS_AT_ONCE {
             self.failures = 0;
-            self.timer = Some(Box::pin(sleep(PAUSE)));
+            self.pause = Some(Box::pin(sleep(PAUSE)));
         }
         None
     }
@@ -68,15 +73,15 @@
 
 /// What lies on a socket that nobody has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ahead {
+enum Unread {
     Nothing,
     Bytes,
     End,
-    /// The look itself failed: it tells nothing of the other end.
+    /// The look itself failed: it says nothing about the other end.
     Unknown,
 }
 
-/// Both halves of the socket, and who else has a hold on it.
+/// A socket to read and write.
 pub struct Socket(Arc<Inner>);
 
 struct Inner {
@@ -84,16 +89,16 @@
     state: Mutex<State>,
 }
 
-/// A hold on a socket that something else reads and writes.
+/// Handle to a socket that something else reads and writes.
 #[derive(Clone)]
 pub struct SocketHandle(Arc<Inner>);
 
-/// Sees whether a socket's other end is there, and does not keep the socket open.
+/// Observer of a socket's other end that does not keep the socket open.
 #[derive(Clone)]
 pub struct PeerObserver(Weak<Inner>);
 
 impl PeerObserver {
-    /// Whether the other end has closed, half-closed or reset it by now, or this process has.
+    /// Whether the other end has closed, half-closed or reset it by now, or this process has closed it.
     pub fn is_peer_closed(&self) -> bool {
         self.0.upgrade().is_none_or(|socket| SocketHandle(socket).is_peer_closed())
     }
@@ -106,6 +111,9 @@
     }
 
     /// A socket that another process had, and what is to be read first.
+    ///
+    /// # Errors
+    /// The system's, if the descriptor cannot be used in this process.
     pub fn received(socket: OwnedFd, replay: Vec<u8>) -> io::Result<Socket> {
         let stream = std::net::TcpStream::from(socket);
         stream.set_nonblocking(true)?;
@@ -113,7 +121,7 @@
         Ok(Socket(Arc::new(Inner { stream: TcpStream::from_std(stream)?, state })))
     }
 
-    /// A hold on it.
+    /// A handle to it.
     pub fn socket_handle(&self) -> SocketHandle {
         SocketHandle(self.0.clone())
     }
@@ -123,19 +131,25 @@
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
+
+    /// Looks at one byte without taking it; 0 is the end of the stream.
+    fn peek(&self, flags: RecvFlags) -> rustix::io::Result<usize> {
+        Ok(recv(&self.stream, &mut [0u8; 1][..], RecvFlags::PEEK | flags)?.1)
+    }
 }
 
 impl SocketHandle {
     /// From here on nothing is read or written until it thaws.
     pub fn freeze(&self) {
-        self.0.state().frozen = true;
+        self.0.state().is_frozen = true;
     }
 
-    /// All goes on where it stood.
+    /// All continues where it stood.
     pub fn thaw(&self) {
         let mut state = self.0.state();
-        state.frozen = false;
-        state.wakers.iter_mut().filter_map(Option::take).for_each(Waker::wake);
+        state.is_frozen = false;
+        let wakers = [state.read.waker.take(), state.write.waker.take()];
+        wakers.into_iter().flatten().for_each(Waker::wake);
     }
 
     /// Whether nothing is left that an earlier process had read.
@@ -143,50 +157,48 @@
         self.0.state().replay.is_empty()
     }
 
-    /// The one look ahead: what lies there that nobody has read.
-    fn ahead(&self) -> Ahead {
+    fn unread(&self) -> Unread {
         for _ in 0..REPEATS_AT_ONCE {
-            match recv(&self.0.stream, &mut [0u8; 1][..], RecvFlags::PEEK | RecvFlags::DONTWAIT) {
-                Ok((_, 0)) => return Ahead::End,
-                Ok(_) => return Ahead::Bytes,
-                Err(rustix::io::Errno::WOULDBLOCK) => return Ahead::Nothing,
+            match self.0.peek(RecvFlags::DONTWAIT) {
+                Ok(0) => return Unread::End,
+                Ok(_) => return Unread::Bytes,
+                Err(rustix::io::Errno::WOULDBLOCK) => return Unread::Nothing,
                 Err(e) => match transient::of_transfer(&e.into()) {
                     Some(Again::Now) => {}
-                    Some(Again::Soon) => return Ahead::Unknown,
-                    None => return Ahead::End,
+                    Some(Again::Soon) => return Unread::Unknown,
+                    None => return Unread::End,
                 },
             }
         }
-        Ahead::Unknown
+        Unread::Unknown
     }
 
-    /// Whether bytes lie there that nobody has read.
+    /// Whether bytes have come that nobody has read.
     pub fn has_unread(&self) -> bool {
-        self.ahead() == Ahead::Bytes
+        self.unread() == Unread::Bytes
     }
 
     /// Whether nothing has come that nobody has read, not even an end.
     pub fn has_nothing_unread(&self) -> bool {
-        self.ahead() == Ahead::Nothing
+        self.unread() == Unread::Nothing
     }
 
-    /// Whether the other end has closed, half-closed or reset it by now, as far as the kernel has told.
+    /// Whether the other end has closed, half-closed or reset it by now, as far as the kernel knows.
     pub fn is_peer_closed(&self) -> bool {
         let ready = self.0.stream.ready(Interest::READABLE).now_or_never();
-        let told = matches!(ready, Some(Ok(ready)) if ready.is_read_closed());
-        told || self.ahead() == Ahead::End
+        let is_read_closed = matches!(ready, Some(Ok(ready)) if ready.is_read_closed());
+        is_read_closed || self.unread() == Unread::End
     }
 
     /// Returns once the other end has closed, half-closed or reset it, also behind bytes that nobody has read. While it
-    /// is frozen that is for the process that gets it to see.
+    /// is frozen, that is for the process that gets it to see.
     pub async fn peer_closed(&self) {
         loop {
-            let ready = self.0.stream.ready(Interest::READABLE).await;
-            let over = match ready {
+            let is_closed = match self.0.stream.ready(Interest::READABLE).await {
                 Ok(ready) if ready.is_read_closed() => true,
                 Ok(_) => {
-                    // Says 'not ready' where nothing is there, so that the next look waits for news.
-                    let peek = || Ok(recv(&self.0.stream, &mut [0u8; 1][..], RecvFlags::PEEK)?.1);
+                    // Reports 'not ready' where nothing is there, so that the next look waits for an event.
+                    let peek = || Ok(self.0.peek(RecvFlags::empty())?);
                     match self.0.stream.try_io(Interest::READABLE, peek) {
                         Ok(bytes) => bytes == 0,
                         Err(e) if e.kind() == ErrorKind::WouldBlock => continue,
@@ -195,14 +207,14 @@
                 }
                 Err(_) => true,
             };
-            if over && !self.0.state().frozen {
+            if is_closed && !self.0.state().is_frozen {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(PEER_CLOSED_POLL_INTERVAL).await;
         }
     }
 
-    /// For who only looks.
+    /// An observer of the other end.
     pub fn observer(&self) -> PeerObserver {
         PeerObserver(Arc::downgrade(&self.0))
     }
@@ -217,25 +229,25 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         {
             let mut state = self.0.state();
-            if state.frozen {
-                state.wakers[READ] = Some(cx.waker().clone());
+            if state.is_frozen {
+                state.read.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
             if !state.replay.is_empty() {
-                let n = buf.remaining().min(state.replay.len());
-                buf.put_slice(&state.replay[..n]);
-                state.replay.drain(..n);
+                let length = buf.remaining().min(state.replay.len());
+                buf.put_slice(&state.replay[..length]);
+                state.replay.drain(..length);
                 return Poll::Ready(Ok(()));
             }
         }
         loop {
-            ready!(self.0.state().pauses[READ].poll(cx));
+            ready!(self.0.state().read.retry.poll_ready(cx));
             ready!(self.0.stream.poll_read_ready(cx))?;
             let read = self.0.stream.try_read_buf(buf);
             if read.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 continue;
             }
-            if let Some(read) = self.0.state().pauses[READ].outlasts(read) {
+            if let Some(read) = self.0.state().read.retry.final_result(read) {
                 return Poll::Ready(read.map(|_| ()));
             }
         }
@@ -246,19 +258,19 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         {
             let mut state = self.0.state();
-            if state.frozen {
-                state.wakers[WRITE] = Some(cx.waker().clone());
+            if state.is_frozen {
+                state.write.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
         }
         loop {
-            ready!(self.0.state().pauses[WRITE].poll(cx));
+            ready!(self.0.state().write.retry.poll_ready(cx));
             ready!(self.0.stream.poll_write_ready(cx))?;
             let written = self.0.stream.try_write(bytes);
             if written.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 continue;
             }
-            if let Some(written) = self.0.state().pauses[WRITE].outlasts(written) {
+            if let Some(written) = self.0.state().write.retry.final_result(written) {
                 return Poll::Ready(written);
             }
         }
@@ -270,8 +282,8 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         let mut state = self.0.state();
-        if state.frozen {
-            state.wakers[WRITE] = Some(cx.waker().clone());
+        if state.is_frozen {
+            state.write.waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
         Poll::Ready(match shutdown(&self.0.stream, Shutdown::Write) {
@@ -280,38 +292,3 @@
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::time::Duration;
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    use tokio::net::TcpListener;
-    use tokio::time::timeout;
-
-    /// Guards what is on its way while a socket moves: frozen, nothing is read or written; thawed, all goes on.
-    #[tokio::test(start_paused = true)]
-    async fn a_frozen_socket_neither_reads_nor_writes_and_goes_on_where_it_stood() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let mut socket = Socket::new(listener.accept().await.unwrap().0);
-        let socket_handle = socket.socket_handle();
-        let mut four = [0; 4];
-        socket_handle.freeze();
-        peer.write_all(b"ping").await.unwrap();
-        let hour = Duration::from_secs(3600);
-        assert!(timeout(hour, socket.read_exact(&mut four)).await.is_err());
-        assert!(timeout(hour, socket.write_all(b"pong")).await.is_err());
-        assert!(timeout(hour, socket.shutdown()).await.is_err());
-        let reads = tokio::spawn(async move {
-            socket.read_exact(&mut four).await.unwrap();
-            socket.write_all(b"pong").await.unwrap();
-            four
-        });
-        tokio::task::yield_now().await;
-        socket_handle.thaw();
-        assert_eq!(&reads.await.unwrap(), b"ping");
-        peer.read_exact(&mut four).await.unwrap();
-        assert_eq!(&four, b"pong");
-    }
-}
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -452,7 +452,8 @@
             fleet: None,
             list_sharing: None,
         };
-        let served = tokio::spawn(platform::serve(config, listener, dependencies));
+        let served = platform::serve(config, listener, dependencies);
+        let served = tokio::spawn(async move { served.await.map_err(|e| e.to_string()) });
         is_ready.wait_for(|ready| *ready).await.unwrap();
         Platform { address, counters, phases, tuning, served, discovery, calls, agent, old: None, _time }
     }
--- a/node/tests/peers.rs
+++ b/node/tests/peers.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::{request, until, Client, Platform, Worker};
+use molevale::platform::peers::{decode, encode, is_newer, DATAGRAM_MAX, HEADER_LENGTH, VERSION};
 use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
@@ -140,3 +141,23 @@
     other.send_to(b"to whoever is there", own.local_addr().unwrap()).unwrap();
     assert_eq!(take(&own).unwrap(), b"to whoever is there", "the node has no socket there");
 }
+
+/// Protects the run from a datagram that is too long, and the decision module from what is none of ours.
+#[test]
+fn a_datagram_holds_256_bytes_and_only_ours_are_decoded() {
+    let complete = encode(7, 5, &[1; DATAGRAM_MAX - HEADER_LENGTH]).unwrap();
+    assert_eq!(complete.len(), 256);
+    assert_eq!(decode(7, &complete), Some((5, &[1; DATAGRAM_MAX - HEADER_LENGTH][..])));
+    assert_eq!(encode(7, 5, &[1; DATAGRAM_MAX - HEADER_LENGTH + 1]), None);
+    assert_eq!(decode(7, &[&complete[..], &[1]].concat()), None, "257 bytes");
+    assert_eq!(decode(8, &complete), None, "other tenants");
+    assert_eq!(decode(7, &[&[VERSION + 1], &complete[1..]].concat()), None, "another version");
+    assert_eq!(decode(7, &complete[..HEADER_LENGTH - 1]), None, "cut off");
+    assert_eq!(decode(7, &[]), None);
+}
+
+#[test]
+fn a_datagram_that_is_old_or_came_twice_is_not_newer() {
+    assert!(is_newer(6, 5) && is_newer(3, u32::MAX - 3), "the count wraps around");
+    assert!(!is_newer(5, 5) && !is_newer(4, 5) && !is_newer(u32::MAX - 3, 3));
+}
