--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::{duties, fleet};
+use crate::{duties, membership};
 use clap::error::ErrorKind;
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
@@ -89,7 +89,9 @@
     /// Asks the node, and returns what to print.
     pub async fn run(self) -> Result<String, String> {
         match self {
-            Fleet::Show { address, json } => fleet::show(address, json).await,
+            Fleet::Show { address, json } => {
+                membership::show(address, json).await.map_err(|error| error.to_string())
+            }
             Fleet::Duties { address, json } => duties::print_status(address, json).await,
             Fleet::Roll { address, stop: true, .. } => {
                 duties::send_command(address, "/fleet/roll/stop").await
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -12,16 +12,16 @@
 pub use show::{print_status, send_command};
 
 use crate::counters::Counters;
-use crate::fleet;
+use crate::membership;
 use crate::phase::{Phase, Phases};
+use ::membership::file::{Duties as File, ScheduledCall};
+use ::membership::{hash, Peer};
 use coordination::{
     BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
     Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
     VoterEvent, VoterMember, VoterMetrics, VoterState,
 };
 use disk::Why;
-use membership::file::{Duties as File, ScheduledCall};
-use membership::{hash, Peer};
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -177,7 +177,7 @@
     /// Where a voter's state is.
     pub folder: Option<PathBuf>,
     /// The talk between nodes.
-    pub fleet: fleet::Handle,
+    pub fleet: membership::Handle,
     /// Where the process is between its start and its end.
     pub phase: watch::Receiver<Phase>,
     /// The way to who follows discovery, where that is shared.
@@ -191,7 +191,7 @@
 /// Starts the task.
 pub fn start(links: Dependencies) -> Handle {
     let (orders, told) = mpsc::channel(QUEUE);
-    let who = Holder { name: links.name.clone(), process_id: links.fleet.boot() };
+    let who = Holder { name: links.name.clone(), process_id: links.fleet.process_id() };
     let timing = Timing { lease: links.file.lease, election: links.file.election };
     let voters = links.file.voters.iter().map(|(_, at)| *at).collect();
     let (wrote, written) = mpsc::channel(4);
@@ -279,7 +279,7 @@
 
 impl Task {
     async fn run(mut self, mut orders: mpsc::Receiver<Command>, mut done: mpsc::Receiver<Done>) {
-        let Some(mut heard) = self.links.fleet.messages() else { return };
+        let Some(mut heard) = self.links.fleet.take_messages() else { return };
         let mut told = self.links.lists.as_mut().and_then(|l| l.told.take());
         let mut peers = self.links.fleet.peers();
         let mut phase = self.links.phase.clone();
@@ -408,7 +408,7 @@
     /// The wanted duties of this node, as the view of the fleet has it: who asks is only a matter of load, never of right.
     fn seek(&mut self, peers: &[Peer]) {
         let (now, serving) = (boottime(), self.phase.up());
-        let boot = self.links.fleet.boot();
+        let boot = self.links.fleet.process_id();
         let here = serving && peers.iter().any(|p| p.name == self.links.name && p.boot == boot);
         let all: Vec<&Peer> = peers.iter().collect();
         let zone: Vec<&Peer> = peers.iter().filter(|p| p.zone == self.links.zone).collect();
@@ -485,7 +485,7 @@
                     member: VoterMember { name: self.links.name.clone(), address: self.links.own },
                     founders: self.links.file.voters.iter().map(seat).collect(),
                     timing: self.timing,
-                    process_id: self.links.fleet.boot(),
+                    process_id: self.links.fleet.process_id(),
                     seed: fastrand::u64(..),
                     unix_ms: unix.saturating_sub(now).as_millis() as u64,
                 };
@@ -532,7 +532,7 @@
         let now = boottime();
         match postcard::from_bytes::<NodeMessage>(bytes) {
             Ok(NodeMessage::Coordination(Message::Response(answer)))
-                if answer.process_id != self.links.fleet.boot() => {}
+                if answer.process_id != self.links.fleet.process_id() => {}
             Ok(NodeMessage::Coordination(Message::Response(answer))) => {
                 if let Outcome::Status(told) = &answer.outcome {
                     self.client.update_voters(told);
@@ -688,7 +688,7 @@
             roll::RestartMessage::Requested(_) => {}
             roll::RestartMessage::Restart { token, process_id: boot } => {
                 match self.roll.fence.check(roll::DUTY, token) {
-                    Ok(()) if boot == self.links.fleet.boot() => self.roll.go(&self.links.phases),
+                    Ok(()) if boot == self.links.fleet.process_id() => self.roll.go(&self.links.phases),
                     Ok(()) => {}
                     Err(e) => log::warn!(event = "act_refused", duty = roll::DUTY, token = token;
                     "duties: this node was told to go by a holder that is none any more: {e}"),
@@ -698,7 +698,7 @@
                 if self.roll.fence.check(roll::DUTY, token).is_ok() {
                     let c = &self.links.counters;
                     let (failed, served, refused) = (c.failed.get(), c.served.get(), c.refused.get());
-                    let (boot, ended) = (self.links.fleet.boot(), served + refused + failed);
+                    let (boot, ended) = (self.links.fleet.process_id(), served + refused + failed);
                     self.say(
                         from,
                         &NodeMessage::RollingRestart(roll::RestartMessage::HealthReport {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -12,11 +12,11 @@
 pub mod dispatcher;
 pub mod duties;
 pub mod faktory;
-pub mod fleet;
 pub mod invariants;
 pub mod list;
 pub mod logger;
 pub mod management;
+pub mod membership;
 pub mod metrics;
 pub mod names;
 pub mod phase;
@@ -99,13 +99,16 @@
             Some((file, folder, talk.file.fleet.clone(), talk.file.zone.clone(), talk.file.advertise))
         });
         let fleet = match (talk, &config) {
-            (Some(talk), Some(config)) => Some(fleet::start(fleet::Links {
-                name: config.name.clone(),
-                talk,
-                keys: reload.keys(),
-                planned: reload.tuning(),
-                phase: phases.follow(),
-            })?),
+            (Some(talk), Some(config)) => {
+                let started = membership::start(membership::Dependencies {
+                    name: config.name.clone(),
+                    talk,
+                    keys: reload.keys(),
+                    planned: reload.tuning(),
+                    phase: phases.follow(),
+                });
+                Some(started.map_err(|error| error.to_string())?)
+            }
             _ => None,
         };
         let counters = [Arc::new(Counters::default()), Arc::new(Counters::default())];
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -4,7 +4,7 @@
 use crate::acceptor::Acceptor;
 use crate::phase::Phases;
 use crate::platform::socket::Socket;
-use crate::{duties, fleet};
+use crate::{duties, membership};
 use coordination::{Operation, Outcome, VoterMember, NAME_MAX};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -36,7 +36,7 @@
     /// Whether the process can serve.
     pub ready: watch::Receiver<bool>,
     /// The talk between nodes, where it is on.
-    pub fleet: Option<fleet::Handle>,
+    pub fleet: Option<membership::Handle>,
     /// The duties, where they are on.
     pub duties: Option<duties::Handle>,
 }
--- /dev/null
+++ b/node/src/membership.rs
@@ -0,0 +1,109 @@
+//! Membership of this node in the fleet: drives a [`membership::Machine`] with sockets and timers.
+//!
+//! One task owns the machine and its UDP socket. It makes no decisions, and no job waits for it: other parts of the node
+//! reach it through a [`Handle`], by a bounded queue, and read its results from watch channels. State synchronizations run
+//! in tasks of their own.
+
+mod datagram_budget;
+mod handle;
+mod log_records;
+mod show;
+mod sockets;
+mod state_sync;
+mod task;
+
+pub use handle::{Handle, Rates, ReceivedMessage};
+pub use show::{show, ShowError};
+pub(crate) use sockets::bind_datagram_socket;
+
+use crate::config::Talk;
+use crate::phase::Phase;
+use handle::HandleParts;
+use membership::{Config, FleetSize, Machine, ProcessStart};
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use task::{Outputs, Task};
+use tokio::sync::{mpsc, watch};
+
+/// Length of the queues to and from the task. A full queue drops what is sent: a newer message follows.
+const QUEUE_LENGTH: usize = 256;
+/// State synchronizations that other nodes may have open here at once.
+const SYNC_STREAMS_MAX: usize = 4;
+
+/// Inputs of the task.
+pub struct Dependencies {
+    /// Name of the node.
+    pub name: String,
+    /// Configuration file, and the keys at the start.
+    pub talk: Talk,
+    /// Current keys.
+    pub keys: watch::Receiver<Option<membership::keys::Keys>>,
+    /// Current settings, for the planned number of nodes.
+    pub planned: watch::Receiver<crate::retune::Tuning>,
+    /// Phase of the process.
+    pub phase: watch::Receiver<Phase>,
+}
+
+/// Error at the start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The address can't be bound.
+    #[error("cannot listen on {address} (fleet): {source}")]
+    Bind {
+        /// Address in the fleet file.
+        address: SocketAddr,
+        /// Error of the system call.
+        source: io::Error,
+    },
+}
+
+/// Starts the task.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
+pub fn start(dependencies: Dependencies) -> Result<Handle, StartError> {
+    let address = dependencies.talk.file.listen;
+    let socket = bind_datagram_socket(address).map_err(|source| StartError::Bind { address, source })?;
+    let start = draw_process_start();
+    let file = &dependencies.talk.file;
+    log::info!(event = "membership_started", fleet = file.fleet, listen:% = address, advertise:% = file.advertise,
+        process = start.boot; "membership started");
+    let machine = Machine::new(machine_config(&dependencies), start, Duration::ZERO);
+    let planned = dependencies.planned.borrow().settings.siblings;
+    let initial = FleetSize { siblings: planned, ordinal: 0, senders: planned, names: Vec::new() };
+    let (commands, command_queue) = mpsc::channel(QUEUE_LENGTH);
+    let (rates, received_rates) = mpsc::channel(QUEUE_LENGTH);
+    let (messages, received_messages) = mpsc::channel(QUEUE_LENGTH);
+    let (fleet_size, current_fleet_size) = watch::channel(initial);
+    let (peers, current_peers) = watch::channel(Vec::new());
+    let outputs = Outputs { fleet_size, peers, rates, messages };
+    tokio::spawn(Task::new(machine, socket, outputs, command_queue, dependencies).run());
+    Ok(Handle::new(HandleParts {
+        commands,
+        fleet_size: current_fleet_size,
+        peers: current_peers,
+        rates: received_rates,
+        messages: received_messages,
+        process_id: start.boot,
+    }))
+}
+
+fn draw_process_start() -> ProcessStart {
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    ProcessStart { boot: fastrand::u64(..), unix_ms: unix.as_millis() as u64, seed: fastrand::u64(..) }
+}
+
+fn machine_config(dependencies: &Dependencies) -> Config {
+    let Dependencies { name, talk, .. } = dependencies;
+    Config {
+        fleet: talk.file.fleet.clone(),
+        name: name.clone(),
+        zone: talk.file.zone.clone(),
+        advertise: talk.file.advertise,
+        seeds: talk.file.seeds.clone(),
+        keys: talk.keys.clone(),
+        timing: talk.file.timing.clone(),
+    }
+}
--- /dev/null
+++ b/node/src/membership/log_records.rs
@@ -0,0 +1,47 @@
+//! Log records of the membership task.
+
+use membership::{FleetSize, MembershipEvent, Status};
+
+/// Logs a change of the view, or of this node's place in it.
+pub(super) fn log_event(event: &MembershipEvent) {
+    match event {
+        MembershipEvent::Up(id) => log::info!(event = "member_up", member = id.name, zone = id.zone,
+            address:% = id.address, incarnation = id.incarnation, process = id.boot, phase:? = id.phase;
+            "member is present"),
+        MembershipEvent::Down(id) => log::warn!(event = "member_down", member = id.name, zone = id.zone,
+            address:% = id.address, incarnation = id.incarnation; "member is declared dead"),
+        MembershipEvent::Left(id) => log::info!(event = "member_left", member = id.name, zone = id.zone,
+            incarnation = id.incarnation; "member left"),
+        MembershipEvent::Forgotten(name) => {
+            log::info!(event = "member_forgotten", member = name; "dead or left member is forgotten")
+        }
+        MembershipEvent::Returned(incarnation) => log::warn!(event = "rejoined", incarnation = incarnation;
+            "this node was declared dead, and rejoined"),
+        MembershipEvent::NameConflict(id) => log::warn!(event = "name_conflict", address:% = id.address,
+            process = id.boot; "another process claims this node's name"),
+        MembershipEvent::Yielded(id) => log::error!(event = "name_yielded", address:% = id.address,
+            process = id.boot;
+            "yielded the name to a newer process: this one serves jobs and stays out of the view"),
+    }
+}
+
+/// Logs a change of the fleet size.
+pub(super) fn log_fleet_size(size: &FleetSize) {
+    log::info!(event = "fleet_size_changed", siblings = size.siblings, ordinal = size.ordinal,
+        senders = size.senders; "fleet size changed");
+}
+
+/// Logs the counters.
+pub(super) fn log_counters(status: &Status) {
+    let Status { counters, floods, .. } = status;
+    let rejected = counters.refused;
+    log::info!(event = "membership_counters",
+        sent = counters.sent, sent_bytes = counters.sent_bytes,
+        received = counters.received, received_bytes = counters.received_bytes,
+        states = counters.states, rates = counters.rates, deaths = counters.deaths,
+        returns = counters.returns, sessions = counters.sessions, floods = *floods,
+        oversized = rejected.oversized, version = rejected.version, seal = rejected.seal,
+        malformed = rejected.malformed, astray = rejected.astray, replayed = rejected.replayed,
+        unproven = rejected.unproven;
+        "counters: fleet");
+}
--- /dev/null
+++ b/node/src/membership/show.rs
@@ -0,0 +1,83 @@
+//! Command `molevale fleet show`: requests a node's status report from its management address and formats it.
+
+use crate::ask::ask;
+use comfy_table::presets::NOTHING;
+use comfy_table::Table;
+use hyper::{Method, StatusCode};
+use membership::{MemberInfo, Status};
+use std::net::SocketAddr;
+
+/// Error of the command.
+#[derive(Debug, thiserror::Error)]
+pub enum ShowError {
+    /// The node can't be reached, or does not answer.
+    #[error("{0}")]
+    Request(String),
+    /// The node rejects the request.
+    #[error("{address}: {reason}")]
+    Rejected {
+        /// Management address.
+        address: SocketAddr,
+        /// Text of the answer.
+        reason: String,
+    },
+    /// The answer is not a status report.
+    #[error("{address}: an answer that can't be read: {source}")]
+    Unreadable {
+        /// Management address.
+        address: SocketAddr,
+        /// Error of the parser.
+        source: serde_json::Error,
+    },
+}
+
+/// Requests the status of the node at a management address, and returns the text to print: a table, or the report itself
+/// in JSON.
+///
+/// # Errors
+///
+/// Fails if the node can't be reached, rejects the request, or returns no status report.
+pub async fn show(address: SocketAddr, json: bool) -> Result<String, ShowError> {
+    let (code, body) = ask(address, Method::GET, "/fleet").await.map_err(ShowError::Request)?;
+    if code != StatusCode::OK {
+        let reason = String::from_utf8_lossy(&body).trim().to_string();
+        return Err(ShowError::Rejected { address, reason });
+    }
+    if json {
+        return Ok(String::from_utf8_lossy(&body).into_owned());
+    }
+    let status = serde_json::from_slice(&body).map_err(|source| ShowError::Unreadable { address, source })?;
+    Ok(format_status(&status))
+}
+
+fn format_status(status: &Status) -> String {
+    let mut table = Table::new();
+    table.load_style(NOTHING).set_header(["NAME", "ZONE", "ADDRESS", "STATUS", "FOR", "INCARNATION"]);
+    for member in &status.view.members {
+        table.add_row(member_row(member, member.name == status.view.node));
+    }
+    format!("{}\n{table}\n", headline(status))
+}
+
+fn headline(status: &Status) -> String {
+    let Status { view, fleet_size, .. } = status;
+    let summary = match view.yielded_to {
+        Some(other) => format!("it yielded to a process of its name at {other}"),
+        None if !view.joined => "it has heard of nobody yet".to_string(),
+        None => format!("{} take jobs, {} may be sending", fleet_size.siblings, fleet_size.senders),
+    };
+    format!("fleet {}, as {} sees it: {summary}", view.fleet, view.node)
+}
+
+fn member_row(member: &MemberInfo, is_own: bool) -> [String; 6] {
+    let status = serde_json::to_value(member.status).ok().and_then(|value| value.as_str().map(String::from));
+    let age = if is_own { "-".to_string() } else { format!("{:.1} s", member.for_ms as f64 / 1000.0) };
+    [
+        member.name.clone(),
+        member.zone.clone(),
+        member.address.to_string(),
+        status.unwrap_or_default(),
+        age,
+        member.incarnation.to_string(),
+    ]
+}
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -23,18 +23,18 @@
 use crate::config::Config;
 use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::{number_of, queue, Answer, Dispatcher, Front, Handle, Sent, Tag};
-use crate::fleet;
+use crate::membership;
 use crate::names::Names;
 use crate::phase::Phases;
 use crate::retune::Tuning;
 use crate::upgrade::{self, Before, Held, Lifted};
+use ::membership::{FleetSize, RATES_MAX};
 use attempt::AttemptRunner;
 use bytes::Bytes;
 use dispatch_policy::api::{Outcome, Request, Settings, WorkerId};
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
 use job_handover::{Adopted, Hold, Line, Moving};
-use membership::{FleetSize, RATES_MAX};
 use peers::PeerSocket;
 use resource_budget::ResourceBudget;
 use std::collections::HashMap;
@@ -148,7 +148,7 @@
     /// Where the next one asks.
     pub handover_path: Option<PathBuf>,
     /// The talk between nodes, where it is on.
-    pub fleet: Option<fleet::Handle>,
+    pub fleet: Option<membership::Handle>,
     /// How calls for lists are shared, where they are.
     pub list_sharing: Option<ListSharing>,
 }
@@ -180,7 +180,7 @@
 
 /// What other nodes are told, and tell: by name on the wire, by number in the module.
 struct Peers {
-    fleet: fleet::Handle,
+    fleet: membership::Handle,
     fleet_size: watch::Receiver<FleetSize>,
     names: watch::Receiver<Arc<Names>>,
 }
@@ -199,7 +199,7 @@
 
     /// Brings what others tell to the core, as long as they talk.
     async fn follow(self, handle: Handle<Job>) {
-        let Some(mut told) = self.fleet.rates() else { return };
+        let Some(mut told) = self.fleet.take_rates() else { return };
         while let Some((from, rates)) = told.recv().await {
             let from = self.fleet_size.borrow().names.iter().position(|n| *n == from);
             let rates: HashMap<u64, u16> = rates.into_iter().collect();
@@ -317,7 +317,7 @@
     if let Some(place) = handover_path {
         let (listener, phases, budget) = (Arc::downgrade(&listener), phases.clone(), budget.clone());
         let fleet = fleet.clone();
-        let displaced = move || fleet.iter().for_each(fleet::Handle::suspend);
+        let displaced = move || fleet.iter().for_each(membership::Handle::suspend);
         tokio::spawn(async move { upgrade::offer(&place, listener, &phases, &*budget, displaced).await });
     }
     let server = Arc::new(server::Server { handle, names, counters, budget, phase: phases.follow(), phases });
--- a/node/src/platform/peers.rs
+++ b/node/src/platform/peers.rs
@@ -4,7 +4,7 @@
 use super::Job;
 use crate::counters::Counters;
 use crate::dispatcher::{number_of, Clock, Handle};
-use crate::fleet::datagrams;
+use crate::membership::bind_datagram_socket;
 use crate::names::Names;
 use std::io;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
         names: watch::Receiver<Arc<Names>>,
         counters: Arc<Counters>,
     ) -> io::Result<PeerSocket> {
-        Ok(PeerSocket { socket: datagrams(at)?, peers, names, counters, clock: Clock::start() })
+        Ok(PeerSocket { socket: bind_datagram_socket(at)?, peers, names, counters, clock: Clock::start() })
     }
 
     /// Tells another node, by its number. One that can't go out now is lost, as on its way.
--- a/node/tests/fleet.rs
+++ b/node/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program with faults between them: what each tells of the others becomes equal and true, and
-//! stays so. Steps wait for what is seen, with generous limits; the views' own pace is set fast.
+//! Membership of real processes with faults between them: their views become equal and true, and stay so. Each step waits
+//! for what it needs to see, with a generous limit; the timing of the protocol is set short.
 
 use membership::{MemberStatus, Status};
 use rustix::process::Signal;
@@ -15,14 +15,14 @@
 use tokio::time::{sleep, timeout, Instant};
 
 const S: Duration = Duration::from_secs(1);
-/// For views to settle; they take some seconds.
+/// Time limit for views to converge, which takes some seconds.
 const BOUND: Duration = Duration::from_secs(60);
 
-/// Guards the machine against all fleets at once: a node that gets no processor is no fault of the fleet.
-static PLACES: Semaphore = Semaphore::const_new(2);
+/// Limits the clusters that run at once: a node that gets no processor time is no fault of membership.
+static CLUSTER_SLOTS: Semaphore = Semaphore::const_new(2);
 
-async fn place() -> SemaphorePermit<'static> {
-    PLACES.acquire().await.unwrap()
+async fn cluster_slot() -> SemaphorePermit<'static> {
+    CLUSTER_SLOTS.acquire().await.unwrap()
 }
 
 fn spec(nodes: usize) -> Spec {
@@ -36,7 +36,7 @@
     cluster
 }
 
-/// All that run see each other, and nobody else.
+/// Waits until the views of all running nodes hold each other, and nobody else.
 async fn settled(cluster: &Cluster, running: impl IntoIterator<Item = usize>) -> Duration {
     truly(cluster, &Cluster::truth(running)).await
 }
@@ -52,19 +52,19 @@
     seen(cluster, viewer, of).await.map(|s| s.2)
 }
 
-/// What a node tells.
-async fn shown(cluster: &Cluster, i: usize) -> Option<Status> {
+/// Status report of a node.
+async fn status_of(cluster: &Cluster, i: usize) -> Option<Status> {
     cluster.statuses().await.remove(&Cluster::name(i))?
 }
 
-/// How one node sees another: where, in which life, and what it holds it to be.
+/// Address, incarnation and status under which one node knows another.
 async fn seen(cluster: &Cluster, viewer: usize, of: usize) -> Option<(SocketAddr, u64, MemberStatus)> {
-    let view = shown(cluster, viewer).await?.view;
+    let view = status_of(cluster, viewer).await?.view;
     let line = view.members.into_iter().find(|m| m.name == Cluster::name(of))?;
     Some((line.address, line.incarnation, line.status))
 }
 
-/// Waits until this holds.
+/// Waits until a condition holds.
 async fn until<F: std::future::Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let start = Instant::now();
     while !holds().await {
@@ -73,15 +73,15 @@
     }
 }
 
-/// How often a log tells of an event.
-fn told(log: &str, event: &str) -> usize {
+/// Number of log records of an event.
+fn count_events(log: &str, event: &str) -> usize {
     let mark = format!("\"event\":\"{event}\"");
     log.lines().filter(|l| l.contains(&mark)).count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_third_is_killed_at_once_and_all_are_restarted_at_once() {
-    let _place = place().await;
+async fn views_converge_after_a_third_is_killed_and_after_all_restart() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(spec(9)).await;
     (0..3).for_each(|i| cluster.kill(i)); // all seeds
     settled(&cluster, 3..9).await;
@@ -100,8 +100,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn halves_hold_each_other_dead_and_find_each_other_again() {
-    let _place = place().await;
+async fn partitioned_halves_declare_each_other_dead_and_merge_after_healing() {
+    let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
     let parts = [0, 1, 0, 1, 0, 1, 0, 1];
     cluster.relays.part(&parts);
@@ -119,8 +119,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_reaches_half_of_the_others_stays_and_one_cut_one_way_comes_back() {
-    let _place = place().await;
+async fn partially_reachable_member_stays_and_one_way_partition_heals() {
+    let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
     for to in [1, 3, 5, 7] {
         cluster.relays.rule(0, to, Rule { cut: true, ..Rule::default() });
@@ -145,8 +145,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_fifth_of_all_datagrams_is_lost_and_nobody_is_held_dead_for_good() {
-    let _place = place().await;
+async fn views_converge_after_a_fifth_of_datagrams_was_lost() {
+    let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
     let bad = Rule { loss: 0.2, twice: 0.1, mutated: 0.02, jitter_ms: 30, ..Rule::default() };
     cluster.relays.everywhere(8, bad);
@@ -159,16 +159,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stopped_process_learns_that_it_was_held_dead_and_comes_back() {
-    let _place = place().await;
+async fn paused_process_rejoins_and_declares_nobody_dead() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(spec(8)).await;
     cluster.node(6).stop();
     settled(&cluster, [0, 1, 2, 3, 4, 5, 7]).await;
-    let deaths = |cluster: &Cluster| (0..8).map(|i| told(&cluster.log(i), "member_down")).sum::<usize>();
+    let deaths =
+        |cluster: &Cluster| (0..8).map(|i| count_events(&cluster.log(i), "member_down")).sum::<usize>();
     let before = deaths(&cluster);
     cluster.node(6).go_on();
     settled(&cluster, 0..8).await;
-    assert_eq!(told(&cluster.log(6), "returned"), 1);
+    assert_eq!(count_events(&cluster.log(6), "rejoined"), 1);
     assert_eq!(
         deaths(&cluster),
         before,
@@ -177,27 +178,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_restart_before_the_death_was_noticed_is_a_new_life() {
-    let _place = place().await;
+async fn restart_before_detection_takes_a_higher_incarnation() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(spec(8)).await;
-    let before = shown(&cluster, 2).await.unwrap().view.incarnation;
+    let before = status_of(&cluster, 2).await.unwrap().view.incarnation;
     cluster.kill(2);
     cluster.start_node(2).unwrap();
     settled(&cluster, 0..8).await;
-    assert!(shown(&cluster, 2).await.unwrap().view.incarnation > before);
-    assert!((0..8).all(|i| told(&cluster.log(i), "member_down") == 0));
+    assert!(status_of(&cluster, 2).await.unwrap().view.incarnation > before);
+    assert!((0..8).all(|i| count_events(&cluster.log(i), "member_down") == 0));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_processes_with_one_name_one_yields_and_no_view_flaps() {
-    let _place = place().await;
+async fn older_of_two_processes_with_one_name_yields_without_flapping() {
+    let _slot = cluster_slot().await;
     let mut cluster = Cluster::prepare(spec(8)).await.unwrap();
     (0..7).for_each(|i| cluster.start_node(i).unwrap());
     settled(&cluster, 0..7).await;
     cluster.start_as(7, &Cluster::name(4)).unwrap();
     let at = cluster.advertise(7);
     until("the older one yields", || async {
-        shown(&cluster, 4).await.is_some_and(|s| s.view.yielded_to == Some(at))
+        status_of(&cluster, 4).await.is_some_and(|s| s.view.yielded_to == Some(at))
     })
     .await;
     until("the others know the newer one", || async {
@@ -211,7 +212,7 @@
         sleep(S / 5).await;
     }
     let said = cluster.log(4);
-    assert!(told(&said, "yielded") == 1 && told(&said, "rival") >= 1, "{said}");
+    assert!(count_events(&said, "name_yielded") == 1 && count_events(&said, "name_conflict") >= 1, "{said}");
     // It serves all the same, and takes its place again when the other is gone.
     assert_eq!(call(cluster.listen(4), "GET", "/up").await.map(|a| a.0), Some(200));
     cluster.kill(7);
@@ -219,13 +220,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_is_told_to_end_leaves_and_one_that_drains_is_no_sibling() {
-    let _place = place().await;
+async fn terminated_member_leaves_and_draining_member_is_no_sibling() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(spec(6)).await;
     let at = cluster.node(2).management;
     assert_eq!(call(at, "POST", "/healthcheck/fail").await.map(|a| a.0), Some(200));
     until("one fewer takes jobs", || async {
-        shown(&cluster, 0).await.is_some_and(|s| (s.fleet_size.siblings, s.fleet_size.senders) == (5, 6))
+        status_of(&cluster, 0).await.is_some_and(|s| (s.fleet_size.siblings, s.fleet_size.senders) == (5, 6))
     })
     .await;
     assert_eq!(status(&cluster, 0, 2).await, Some(MemberStatus::Draining));
@@ -234,17 +235,18 @@
     until("it left, and did not die", || async { status(&cluster, 0, 2).await == Some(MemberStatus::Left) })
         .await;
     settled(&cluster, [0, 1, 3, 4, 5]).await;
-    assert!([0, 1, 3, 4, 5].iter().all(|i| told(&cluster.log(*i), "member_down") == 0));
+    assert!([0, 1, 3, 4, 5].iter().all(|i| count_events(&cluster.log(*i), "member_down") == 0));
 }
 
 /// Both processes of a node at an upgrade, either killed or stopped at each step: the node keeps its place.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_upgrade_is_one_node_whatever_becomes_of_either_process() {
-    let _place = place().await;
+async fn process_handover_keeps_the_member_whichever_process_fails() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(spec(5)).await;
     let up = |at| async move { call(at, "GET", "/healthcheck").await.map(|a| a.0) == Some(200) };
-    let dead =
-        |cluster: &Cluster| [0, 1, 3, 4].iter().map(|i| told(&cluster.log(*i), "member_down")).sum::<usize>();
+    let dead = |cluster: &Cluster| {
+        [0, 1, 3, 4].iter().map(|i| count_events(&cluster.log(*i), "member_down")).sum::<usize>()
+    };
 
     // As it should go.
     cluster.start_node(2).unwrap();
@@ -309,7 +311,7 @@
 /// Whoever has no key, the wrong one, or old datagrams, changes nothing; a flood costs no job its time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn strangers_replays_and_floods_change_nothing() {
-    let _place = place().await;
+    let _slot = cluster_slot().await;
     let mut cluster = started(Spec { workers: 3, quota: 100.0, ..spec(6) }).await;
     cluster.relays.tape();
     sleep(3 * S).await;
@@ -352,7 +354,7 @@
     let used = cluster.node(0).ticks().unwrap() - ticks;
     assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
     settled(&cluster, 0..5).await;
-    let told = shown(&cluster, 0).await.unwrap();
+    let told = status_of(&cluster, 0).await.unwrap();
     let refused = told.counters.refused;
     assert!(refused.replayed + refused.astray + refused.unproven > 0, "{refused:?}");
     assert!(refused.oversized > 0 && refused.malformed > 0 && told.floods > 0, "{refused:?}");
@@ -361,7 +363,7 @@
     std::fs::write(cluster.folder().join("fleet.key"), "current 00112233445566778899aabbccddeeff").unwrap();
     cluster.start_node(5).unwrap();
     settled(&cluster, 0..5).await;
-    let alone = shown(&cluster, 5).await.unwrap();
+    let alone = status_of(&cluster, 5).await.unwrap();
     assert!(!alone.view.joined && alone.fleet_size.siblings == 6, "one that hears nobody goes by the plan");
     cluster.kill(5);
 
@@ -384,8 +386,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nodes_tell_each_other_the_tenants_rates_and_operators_the_view() {
-    let _place = place().await;
+async fn tenant_rates_are_exchanged_and_fleet_show_prints_the_view() {
+    let _slot = cluster_slot().await;
     let mut cluster = started(Spec { workers: 3, quota: 20.0, ..spec(4) }).await;
     let load = Load { rate: 20.0, length: 4 * S, seed: 5, tenants: TENANTS.map(String::from).to_vec() };
     let report = play(load, (0..4).map(|i| cluster.listen(i)).collect()).await;
