--- a/membership/src/codec.rs
+++ b/membership/src/codec.rs
@@ -31,14 +31,14 @@
     /// Name of this node.
     pub name: String,
     /// This process.
-    pub boot: u64,
+    pub process_id: u64,
     /// Record of conflicts.
     pub name_conflicts: NameConflicts,
 }
 
 impl ConflictCodec {
     fn check_name(&self, id: &Identity) {
-        if id.name == self.name && id.boot != self.boot {
+        if id.name == self.name && id.process_id != self.process_id {
             self.name_conflicts.add(id);
         }
     }
--- a/membership/src/file/validate.rs
+++ b/membership/src/file/validate.rs
@@ -1,7 +1,7 @@
 //! Validation of the deserialized file. Each error names the line of the value.
 
 use super::raw::{RawDuties, RawErrand, RawFile, RawTiming, RawVoter};
-use super::{ConfigError, Duties, File, ScheduledCall};
+use super::{CoordinationSection, FileError, FleetFile, ScheduledCall};
 use crate::machine::Timing;
 use crate::member::NAME_MAX;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// Milliseconds in a second.
 const SECOND: u64 = 1000;
 
-type Result<T> = std::result::Result<T, ConfigError>;
+type Result<T> = std::result::Result<T, FileError>;
 
 /// Validator of a file, with its text for the lines in errors.
 pub(super) struct Validator<'a>(pub &'a str);
@@ -28,11 +28,11 @@
     }
 
     /// Validates the whole file.
-    pub fn file(&self, raw: RawFile) -> Result<File> {
+    pub fn file(&self, raw: RawFile) -> Result<FleetFile> {
         let timing = self.timing(&raw.timing)?;
         let duties = raw.duties.as_ref().map(|duties| self.duties(duties)).transpose()?;
         let listen = self.address(&raw.listen)?;
-        Ok(File {
+        Ok(FleetFile {
             fleet: self.name(&raw.fleet, "the fleet's name")?,
             listen,
             advertise: raw.advertise.as_ref().map_or(Ok(listen), |at| self.address(at))?,
@@ -47,28 +47,38 @@
     fn timing(&self, raw: &RawTiming) -> Result<Timing> {
         let default = Timing::default();
         let timing = Timing {
-            probe: self.duration(&raw.probe_ms, 1, default.probe, 100..=60_000)?,
-            answer: self.duration(&raw.answer_ms, 1, default.answer, 10..=30_000)?,
-            suspicion: self.duration(&raw.suspicion_ms, 1, default.suspicion, 200..=600_000)?,
-            contact: self.duration(&raw.contact_ms, 1, default.contact, 100..=60_000)?,
-            forget: self.duration(&raw.forget_s, SECOND, default.forget, 10..=31_536_000)?,
+            probe_interval: self.duration(&raw.probe_ms, 1, default.probe_interval, 100..=60_000)?,
+            probe_timeout: self.duration(&raw.answer_ms, 1, default.probe_timeout, 10..=30_000)?,
+            suspicion_timeout: self.duration(
+                &raw.suspicion_ms,
+                1,
+                default.suspicion_timeout,
+                200..=600_000,
+            )?,
+            reconnect_interval: self.duration(
+                &raw.contact_ms,
+                1,
+                default.reconnect_interval,
+                100..=60_000,
+            )?,
+            forget_after: self.duration(&raw.forget_s, SECOND, default.forget_after, 10..=31_536_000)?,
         };
         let span = |value: &Option<Spanned<u64>>| value.as_ref().map_or(0..0, Spanned::span);
-        if timing.answer * 2 > timing.probe {
+        if timing.probe_timeout * 2 > timing.probe_interval {
             return self.error(span(&raw.answer_ms), "answer_ms must be half of probe_ms at most");
         }
-        if timing.forget < timing.suspicion * 2 {
+        if timing.forget_after < timing.suspicion_timeout * 2 {
             return self.error(span(&raw.forget_s), "forget_s must be twice suspicion_ms at least");
         }
         Ok(timing)
     }
 
-    fn duties(&self, raw: &RawDuties) -> Result<Duties> {
-        Ok(Duties {
+    fn duties(&self, raw: &RawDuties) -> Result<CoordinationSection> {
+        Ok(CoordinationSection {
             voters: self.voters(&raw.voters)?,
             scheduled_calls: self.scheduled_calls(&raw.errand)?,
-            lease: self.duration(&raw.lease_ms, 1, Duration::from_secs(10), 1000..=600_000)?,
-            election: self.duration(&raw.election_ms, 1, Duration::from_secs(1), 100..=60_000)?,
+            lease_duration: self.duration(&raw.lease_ms, 1, Duration::from_secs(10), 1000..=600_000)?,
+            election_timeout: self.duration(&raw.election_ms, 1, Duration::from_secs(1), 100..=60_000)?,
             state: raw.state.clone(),
             lists: raw.lists,
             roll: raw.roll,
@@ -106,7 +116,7 @@
                 return self.error(call.path.span(), "a path is wanted, such as /run");
             }
             let every = self.duration(&call.every_ms, 1, Duration::from_secs(1), 10..=86_400_000)?;
-            calls.push(ScheduledCall { name, at: self.address(&call.at)?, path, every });
+            calls.push(ScheduledCall { name, address: self.address(&call.at)?, path, interval: every });
         }
         Ok(calls)
     }
@@ -143,6 +153,6 @@
     }
 
     fn error<T>(&self, span: Range<usize>, reason: &str) -> Result<T> {
-        Err(ConfigError { line: self.line(span.start), reason: reason.into() })
+        Err(FileError { line: self.line(span.start), reason: reason.into() })
     }
 }
--- a/membership/src/fleet_size.rs
+++ b/membership/src/fleet_size.rs
@@ -58,6 +58,6 @@
     match member.status {
         MemberStatus::Alive | MemberStatus::Suspect => true,
         MemberStatus::Draining | MemberStatus::Left => false,
-        MemberStatus::Dead => member.for_ms < DEATH_DELAY.as_millis() as u64,
+        MemberStatus::Dead => member.status_age_ms < DEATH_DELAY.as_millis() as u64,
     }
 }
--- a/membership/src/fragments.rs
+++ b/membership/src/fragments.rs
@@ -49,7 +49,13 @@
 impl Reassembler {
     /// Adds a fragment and returns the message once it is complete. A fragment that is invalid or was received before
     /// is ignored.
-    pub fn insert(&mut self, now: Duration, boot: u64, message: u64, fragment: Fragment) -> Option<Vec<u8>> {
+    pub fn insert(
+        &mut self,
+        now: Duration,
+        process_id: u64,
+        message: u64,
+        fragment: Fragment,
+    ) -> Option<Vec<u8>> {
         let Fragment { index, count, bytes } = fragment;
         let (index, count) = (usize::from(index), usize::from(count));
         if index >= count || count > MESSAGE_MAX.div_ceil(FRAGMENT_MAX) || bytes.len() > FRAGMENT_MAX {
@@ -58,7 +64,7 @@
         if count == 1 {
             return Some(bytes);
         }
-        let key = (boot, message);
+        let key = (process_id, message);
         if !self.0.contains_key(&key) {
             self.make_room(now);
         }
--- a/membership/src/keys.rs
+++ b/membership/src/keys.rs
@@ -4,7 +4,7 @@
 use sha2::Sha256;
 
 /// Length of the truncated MAC on the wire, in bytes: 128 bits.
-pub const TAG: usize = 16;
+pub const MAC_LENGTH: usize = 16;
 /// Shortest key, in bytes.
 const KEY_MIN: usize = 16;
 /// Longest key, in bytes.
@@ -66,14 +66,14 @@
     }
 
     /// Appends the MAC of the current key to a message.
-    pub fn seal(&self, message: &mut Vec<u8>) {
+    pub fn sign(&self, message: &mut Vec<u8>) {
         let tag = mac(&self.current, message).finalize().into_bytes();
-        message.extend_from_slice(&tag[..TAG]);
+        message.extend_from_slice(&tag[..MAC_LENGTH]);
     }
 
     /// Returns the message without its MAC, or `None` if it was made with neither key. Compares in constant time.
-    pub fn open<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
-        let (message, tag) = sealed.split_at(sealed.len().checked_sub(TAG)?);
+    pub fn verify<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
+        let (message, tag) = sealed.split_at(sealed.len().checked_sub(MAC_LENGTH)?);
         let verifies = |key: &Vec<u8>| mac(key, message).verify_truncated_left(tag).is_ok();
         (verifies(&self.current) || self.previous.as_ref().is_some_and(verifies)).then_some(message)
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -25,9 +25,9 @@
 
 pub use fleet_size::{FleetSize, OtherMembers};
 pub use fragments::MESSAGE_MAX;
-pub use hash::hash;
-pub use machine::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Refused, Timing};
+pub use hash::name_hash;
+pub use machine::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Rejections, Timing};
 pub use member::{Identity, MemberInfo, MemberStatus, Peer, Phase, View, NAME_MAX};
 pub use packet::{DATAGRAM_MAX, RATES_MAX};
 pub use state_sync::{PendingSync, FRAME_MAX};
-pub use status::{SenderCounts, Status};
+pub use status::{FleetCounts, Status};
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -19,11 +19,11 @@
 
 pub use action::{Action, MembershipEvent};
 pub use config::{Config, ProcessStart, Timing};
-pub use counters::{Counters, Refused};
+pub use counters::{Counters, Rejections};
 
 use crate::codec::{ConflictCodec, NameConflicts};
 use crate::fragments::Reassembler;
-use crate::hash::hash;
+use crate::hash::name_hash;
 use crate::keys::Keys;
 use crate::member::{Identity, Phase};
 use crate::session::Sessions;
@@ -44,7 +44,7 @@
 /// All times are of one clock of the embedder's that only runs forward, from any start.
 pub struct Machine {
     config: Config,
-    boot: u64,
+    process_id: u64,
     /// Hash of the fleet's name.
     fleet: u64,
     foca: Foca<Identity, ConflictCodec, SmallRng, NoCustomBroadcast>,
@@ -81,11 +81,11 @@
 impl Machine {
     /// Creates the machine of a process that has just started, at the time `now`.
     pub fn new(config: Config, start: ProcessStart, now: Duration) -> Machine {
-        let mut rng = SmallRng::seed_from_u64(start.seed);
+        let mut rng = SmallRng::seed_from_u64(start.rng_seed);
         let name_conflicts = NameConflicts::default();
         let codec = ConflictCodec {
             name: config.name.clone(),
-            boot: start.boot,
+            process_id: start.process_id,
             name_conflicts: name_conflicts.clone(),
         };
         let foca_rng = SmallRng::seed_from_u64(rng.random());
@@ -93,8 +93,8 @@
         let mut timers = Timers::default();
         timers.schedule(now, Timer::Contact, Duration::ZERO);
         Machine {
-            boot: start.boot,
-            fleet: hash(&config.fleet),
+            process_id: start.process_id,
+            fleet: name_hash(&config.fleet),
             foca,
             effects: SwimEffects::default(),
             name_conflicts,
@@ -122,22 +122,22 @@
     }
 
     /// Removes and returns the next action to carry out.
-    pub fn action(&mut self) -> Option<Action> {
+    pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Time at which [`Machine::tick`] is to be called next.
-    pub fn due(&self) -> Duration {
+    /// Time at which [`Machine::handle_timeout`] is to be called next.
+    pub fn next_timeout(&self) -> Duration {
         self.timers.due()
     }
 
     /// Replaces the keys.
-    pub fn keys(&mut self, keys: Keys) {
+    pub fn set_keys(&mut self, keys: Keys) {
         self.config.keys = keys;
     }
 
     /// Runs the timers that have fired.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn handle_timeout(&mut self, now: Duration) {
         let now = self.timers.advance(now);
         while let Some(timer) = self.timers.pop(now) {
             match timer {
@@ -165,9 +165,9 @@
         name: config.name.clone(),
         zone: config.zone.clone(),
         address: config.advertise,
-        boot: start.boot,
-        incarnation: start.unix_ms,
+        process_id: start.process_id,
+        incarnation: start.unix_time_ms,
         phase: Phase::Serving,
-        hash: hash(&config.name),
+        hash: name_hash(&config.name),
     }
 }
--- a/membership/src/machine/action.rs
+++ b/membership/src/machine/action.rs
@@ -46,9 +46,9 @@
     /// A member left on purpose.
     Left(Identity),
     /// A member that was dead or had left is forgotten.
-    Forgotten(String),
+    Removed(String),
     /// This node was held dead, or its name was, and has rejoined under this incarnation.
-    Returned(u64),
+    Rejoined(u64),
     /// Another process with this node's name prevails; this one stays out of the view.
     Yielded(Identity),
     /// Another process claims this node's name.
--- a/membership/src/machine/config.rs
+++ b/membership/src/machine/config.rs
@@ -8,25 +8,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
     /// Interval between two probes of this node; each is of one member.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Time limit for the answer to a direct probe, before indirect ones are sent.
-    pub answer: Duration,
+    pub probe_timeout: Duration,
     /// Time in which a suspected member can refute before it is held dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Interval between two messages to a member held dead, and to a seed that is not in the view.
-    pub contact: Duration,
+    pub reconnect_interval: Duration,
     /// Time after which a member that died or left is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            probe: Duration::from_secs(1),
-            answer: Duration::from_millis(300),
-            suspicion: Duration::from_secs(4),
-            contact: Duration::from_secs(1),
-            forget: Duration::from_secs(24 * 3600),
+            probe_interval: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(300),
+            suspicion_timeout: Duration::from_secs(4),
+            reconnect_interval: Duration::from_secs(1),
+            forget_after: Duration::from_secs(24 * 3600),
         }
     }
 }
@@ -54,10 +54,10 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessStart {
     /// Process number, drawn at random: tells this process from every other.
-    pub boot: u64,
+    pub process_id: u64,
     /// Unix time in milliseconds, the first incarnation. If the clock was set back, the node first takes a lower one
     /// than before, and a higher one as soon as it hears of that.
-    pub unix_ms: u64,
+    pub unix_time_ms: u64,
     /// Seed of the random numbers, among them nonces; must be secret.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -10,14 +10,17 @@
 
 impl Machine {
     /// Handles a received datagram, whatever it holds. One that is invalid is counted and ignored.
-    pub fn datagram(&mut self, now: Duration, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         let now = self.timers.advance(now);
         let packet: Packet = match decode(&self.config.keys, bytes, DATAGRAM_MAX) {
             Ok(packet) => packet,
-            Err(error) => return self.counters.refused.count(error),
+            Err(error) => return self.counters.rejected.count(error),
         };
-        if packet.fleet != self.fleet || packet.to != self.config.advertise || packet.boot == self.boot {
-            self.counters.refused.astray += 1;
+        if packet.fleet != self.fleet
+            || packet.to != self.config.advertise
+            || packet.process_id == self.process_id
+        {
+            self.counters.rejected.misdirected += 1;
             return;
         }
         self.handle_packet(now, packet, bytes.len());
@@ -51,13 +54,13 @@
     /// Encodes and sends a body, and keeps it for a challenge.
     pub(super) fn send(&mut self, now: Duration, to: SocketAddr, body: Body) {
         // Challenges and their responses are not sent again: they answer one datagram of the receiver.
-        if !matches!(body, Body::Challenge(_) | Body::Proof(..)) {
+        if !matches!(body, Body::Challenge(_) | Body::ChallengeResponse(..)) {
             self.resend.push(now, to, body.clone());
         }
         self.packets_sent += 1;
         let packet = Packet {
             fleet: self.fleet,
-            boot: self.boot,
+            process_id: self.process_id,
             from: self.config.advertise,
             to,
             number: self.packets_sent,
@@ -71,26 +74,26 @@
 
     /// Handles a packet that is for this node, as its session admits.
     fn handle_packet(&mut self, now: Duration, packet: Packet, length: usize) {
-        let Packet { boot, from, number, body, .. } = packet;
+        let Packet { process_id, from, number, body, .. } = packet;
         match body {
             Body::Challenge(nonce) => self.respond_to_challenge(now, from, nonce),
-            Body::Proof(nonce, again) => {
-                if !self.sessions.complete_challenge(now, boot, number, nonce) {
-                    self.counters.refused.replayed += 1;
+            Body::ChallengeResponse(nonce, again) => {
+                if !self.sessions.complete_challenge(now, process_id, number, nonce) {
+                    self.counters.rejected.replayed += 1;
                 } else if let Some(body) = again {
-                    self.handle_body(now, boot, from, *body, length);
+                    self.handle_body(now, process_id, from, *body, length);
                 }
             }
             body => {
                 let rng = &mut self.rng;
-                match self.sessions.admit(now, boot, number, || rng.random()) {
-                    Admission::Accepted => self.handle_body(now, boot, from, body, length),
-                    Admission::Replayed => self.counters.refused.replayed += 1,
+                match self.sessions.admit(now, process_id, number, || rng.random()) {
+                    Admission::Accepted => self.handle_body(now, process_id, from, body, length),
+                    Admission::Replayed => self.counters.rejected.replayed += 1,
                     Admission::Challenge(nonce) => {
-                        self.counters.refused.unproven += 1;
+                        self.counters.rejected.without_session += 1;
                         self.send(now, from, Body::Challenge(nonce));
                     }
-                    Admission::ChallengePending => self.counters.refused.unproven += 1,
+                    Admission::ChallengePending => self.counters.rejected.without_session += 1,
                 }
             }
         }
@@ -100,45 +103,47 @@
     fn respond_to_challenge(&mut self, now: Duration, to: SocketAddr, nonce: u64) {
         if self.responses.acquire(now) {
             let again = self.resend.take(now, to).map(Box::new);
-            self.send(now, to, Body::Proof(nonce, again));
+            self.send(now, to, Body::ChallengeResponse(nonce, again));
         }
     }
 
     /// Handles an accepted body.
-    fn handle_body(&mut self, now: Duration, boot: u64, from: SocketAddr, body: Body, length: usize) {
+    fn handle_body(&mut self, now: Duration, process_id: u64, from: SocketAddr, body: Body, length: usize) {
         self.counters.received += 1;
         self.counters.received_bytes += length as u64;
         if self.participation == Participation::Left {
             return;
         }
         match body {
-            Body::Gossip(digest, data) => self.handle_gossip(now, boot, from, digest, &data),
+            Body::Gossip(digest, data) => self.handle_gossip(now, process_id, from, digest, &data),
             Body::IdentityRequest => {
                 if self.participation == Participation::Active {
                     let own = self.foca.identity().clone();
                     self.send(now, from, Body::IdentityResponse(own));
                 }
             }
-            Body::IdentityResponse(id) if id.boot == boot && id.is_valid() => {
+            Body::IdentityResponse(id) if id.process_id == process_id && id.is_valid() => {
                 self.handle_identity_response(now, id)
             }
             Body::NameConflict(id) if id.is_valid() && id.name == self.config.name => {
                 self.note_name_conflict(id)
             }
-            Body::Rates(name, rates) if rates.len() <= RATES_MAX => self.handle_rates(boot, name, rates),
+            Body::Rates(name, rates) if rates.len() <= RATES_MAX => {
+                self.handle_rates(process_id, name, rates)
+            }
             Body::Fragment(message, fragment) => {
-                if let Some(bytes) = self.reassembler.insert(now, boot, message, fragment) {
+                if let Some(bytes) = self.reassembler.insert(now, process_id, message, fragment) {
                     self.actions.push_back(Action::Message { from, bytes });
                 }
             }
-            _ => self.counters.refused.malformed += 1,
+            _ => self.counters.rejected.malformed += 1,
         }
     }
 
     /// Passes the rates of a node on, unless they come from a process other than the member of that name.
-    fn handle_rates(&mut self, boot: u64, name: String, rates: Vec<(u64, u16)>) {
-        if self.members.get_present(&name).is_some_and(|member| member.identity.boot == boot) {
-            self.counters.rates += 1;
+    fn handle_rates(&mut self, process_id: u64, name: String, rates: Vec<(u64, u16)>) {
+        if self.members.get_present(&name).is_some_and(|member| member.identity.process_id == process_id) {
+            self.counters.rate_messages += 1;
             self.actions.push_back(Action::Rates { from: name, rates });
         }
     }
--- a/membership/src/machine/effects.rs
+++ b/membership/src/machine/effects.rs
@@ -17,7 +17,7 @@
             }
             if std::mem::take(&mut self.effects.defunct) && self.participation == Participation::Active {
                 self.participation = Participation::DeclaredDead;
-                self.timers.schedule(now, Timer::Rejoin, self.config.timing.answer);
+                self.timers.schedule(now, Timer::Rejoin, self.config.timing.probe_timeout);
             }
             self.schedule_timers(now);
             self.send_gossip(now);
@@ -112,7 +112,7 @@
         let all = self.foca.iter_membership_state();
         let names: HashSet<&str> = all.map(|member| member.id().name.as_str()).collect();
         for name in self.members.retain_names(now, &names) {
-            self.actions.push_back(Action::Event(MembershipEvent::Forgotten(name)));
+            self.actions.push_back(Action::Event(MembershipEvent::Removed(name)));
         }
     }
 
--- a/membership/src/machine/gossip.rs
+++ b/membership/src/machine/gossip.rs
@@ -16,7 +16,7 @@
     pub(super) fn handle_gossip(
         &mut self,
         now: Duration,
-        boot: u64,
+        process_id: u64,
         from: SocketAddr,
         digest: u64,
         data: &[u8],
@@ -24,15 +24,15 @@
         if matches!(self.participation, Participation::Yielded(_)) {
             return;
         }
-        let Some(source) = source(data).filter(|id| id.boot == boot && id.is_valid()) else {
-            self.counters.refused.malformed += 1;
+        let Some(source) = source(data).filter(|id| id.process_id == process_id && id.is_valid()) else {
+            self.counters.rejected.malformed += 1;
             return;
         };
         if source.name == self.config.name {
             return self.note_name_conflict(source);
         }
         if let Some(member) = self.members.get(&source.name) {
-            if member.identity.boot != boot && member.identity.supersedes(&source) {
+            if member.identity.process_id != process_id && member.identity.supersedes(&source) {
                 // Nothing else in its message is used: it may be a process that was stopped and replaced meanwhile.
                 let rival = member.identity.clone();
                 return self.send(now, from, Body::NameConflict(rival));
@@ -40,7 +40,7 @@
         }
         // An error is a message that can't be decoded.
         if self.foca.handle_data(data, &mut self.effects).is_err() {
-            self.counters.refused.malformed += 1;
+            self.counters.rejected.malformed += 1;
         }
         self.compare_digests(now, source.address, digest);
     }
--- a/membership/src/machine/members.rs
+++ b/membership/src/machine/members.rs
@@ -160,8 +160,8 @@
         zone: id.zone.clone(),
         address: id.address,
         incarnation: id.incarnation,
-        boot: id.boot,
+        process_id: id.process_id,
         status,
-        for_ms: crate::member::millis(age),
+        status_age_ms: crate::member::millis(age),
     }
 }
--- a/membership/src/machine/participation.rs
+++ b/membership/src/machine/participation.rs
@@ -21,7 +21,7 @@
 
 impl Machine {
     /// Announces whether the node takes jobs or drains.
-    pub fn phase(&mut self, now: Duration, draining: bool) {
+    pub fn set_draining(&mut self, now: Duration, draining: bool) {
         let now = self.timers.advance(now);
         let phase = if draining { Phase::Draining } else { Phase::Serving };
         let own = self.foca.identity();
@@ -71,14 +71,14 @@
         let incarnation = own.incarnation.max(above) + 1;
         self.participation = Participation::Active;
         self.rival_probe = None;
-        self.counters.returns += 1;
-        self.actions.push_back(Action::Event(MembershipEvent::Returned(incarnation)));
+        self.counters.rejoins += 1;
+        self.actions.push_back(Action::Event(MembershipEvent::Rejoined(incarnation)));
         self.change_identity(now, Identity { incarnation, ..own });
     }
 
     /// Records a claim of another process to this node's name, for [`Machine::resolve_name_conflict`].
     pub(super) fn note_name_conflict(&mut self, id: Identity) {
-        if id.name == self.config.name && id.boot != self.boot {
+        if id.name == self.config.name && id.process_id != self.process_id {
             self.name_conflicts.add(&id);
         }
     }
@@ -94,7 +94,7 @@
         } else if rival.address == self.config.advertise {
             // No other process can be at this node's own address: it is an earlier one, with a clock that was ahead.
             self.rejoin(now, rival.incarnation);
-        } else if self.rival_probe.as_ref().is_none_or(|probe| probe.rival.boot != rival.boot) {
+        } else if self.rival_probe.as_ref().is_none_or(|probe| probe.rival.process_id != rival.process_id) {
             self.actions.push_back(Action::Event(MembershipEvent::NameConflict(rival.clone())));
             self.send(now, rival.address, Body::IdentityRequest);
             self.rival_probe = Some(RivalProbe { rival, sent: 1 });
@@ -113,7 +113,7 @@
     /// Notifies another process of this node's name that this one prevails. Most often the claim is outdated and that
     /// process gone, so this is limited to one message in each contact interval.
     fn notify_rival(&mut self, now: Duration, rival: Identity) {
-        let due = now - self.rival_notified >= self.config.timing.contact;
+        let due = now - self.rival_notified >= self.config.timing.reconnect_interval;
         if rival.address != self.config.advertise && due {
             self.rival_notified = now;
             let own = self.foca.identity().clone();
--- a/membership/src/machine/probing.rs
+++ b/membership/src/machine/probing.rs
@@ -23,7 +23,7 @@
     /// Contacts one rival, one member held dead and one seed that is not in the view, and schedules the next time.
     pub(super) fn contact_missing(&mut self, now: Duration) {
         let jitter = 0.8 + 0.4 * self.rng.random::<f64>();
-        self.timers.schedule(now, Timer::Contact, self.config.timing.contact.mul_f64(jitter));
+        self.timers.schedule(now, Timer::Contact, self.config.timing.reconnect_interval.mul_f64(jitter));
         if let Participation::Yielded(rival) = &self.participation {
             let rival = rival.clone();
             let sent = self.rival_probe.as_ref().map_or(0, |probe| probe.sent);
@@ -43,13 +43,13 @@
     /// Handles the identity of a process that was asked for it: a seed, a member that was held dead, or a rival.
     pub(super) fn handle_identity_response(&mut self, now: Duration, id: Identity) {
         if let Participation::Yielded(rival) = &self.participation {
-            if id.boot == rival.boot {
+            if id.process_id == rival.process_id {
                 self.rival_probe = None; // begins anew with the next contact
             }
             return;
         }
         if id.name == self.config.name {
-            if self.rival_probe.as_ref().is_some_and(|probe| probe.rival.boot == id.boot) {
+            if self.rival_probe.as_ref().is_some_and(|probe| probe.rival.process_id == id.process_id) {
                 self.yield_to(now, id);
             } else {
                 self.note_name_conflict(id);
@@ -57,7 +57,7 @@
             return;
         }
         let member = self.members.get_present(&id.name);
-        if member.is_none_or(|member| member.identity.boot != id.boot) {
+        if member.is_none_or(|member| member.identity.process_id != id.process_id) {
             let to = id.address;
             let _ = self.foca.announce(id, &mut self.effects);
             self.start_sync(now, to);
--- a/membership/src/machine/swim.rs
+++ b/membership/src/machine/swim.rs
@@ -59,12 +59,12 @@
 pub(super) fn swim_config(timing: &Timing, members: usize) -> foca::Config {
     let transmissions = transmissions(members);
     foca::Config {
-        probe_period: timing.probe,
-        probe_rtt: timing.answer,
+        probe_period: timing.probe_interval,
+        probe_rtt: timing.probe_timeout,
         num_indirect_probes: FANOUT,
         max_transmissions: NonZeroU8::new(transmissions.min(60) as u8).unwrap_or(NonZeroU8::MAX),
-        suspect_to_down_after: timing.suspicion,
-        remove_down_after: Some(timing.forget),
+        suspect_to_down_after: timing.suspicion_timeout,
+        remove_down_after: Some(timing.forget_after),
         max_packet_size: NonZeroUsize::new(GOSSIP_MAX).unwrap_or(NonZeroUsize::MAX),
         notify_down_members: true,
         periodic_announce: None,
--- a/membership/src/machine/sync.rs
+++ b/membership/src/machine/sync.rs
@@ -17,7 +17,7 @@
 
 impl Machine {
     /// Draws the nonce that an initiator has to return with its state.
-    pub fn challenge(&mut self) -> u64 {
+    pub fn draw_nonce(&mut self) -> u64 {
         self.rng.random()
     }
 
@@ -30,7 +30,7 @@
 
     /// Applies the state of an initiator that was sent this challenge, and returns this node's state; `None` if the
     /// initiator's is rejected.
-    pub fn answer_sync(&mut self, now: Duration, challenge: u64, bytes: &[u8]) -> Option<Vec<u8>> {
+    pub fn respond_to_sync(&mut self, now: Duration, challenge: u64, bytes: &[u8]) -> Option<Vec<u8>> {
         let now = self.timers.advance(now);
         let Accepted { from, nonce } = self.receive_state(now, challenge, bytes)?;
         let response = self.encode_state(now, from, nonce, 0);
@@ -39,7 +39,7 @@
     }
 
     /// Applies the state of a responder, and returns whether it was accepted.
-    pub fn finish_sync(&mut self, now: Duration, pending: PendingSync, bytes: &[u8]) -> bool {
+    pub fn complete_sync(&mut self, now: Duration, pending: PendingSync, bytes: &[u8]) -> bool {
         let now = self.timers.advance(now);
         let accepted = self.receive_state(now, pending.nonce, bytes).is_some();
         self.apply_effects(now);
@@ -55,12 +55,12 @@
         let me = (self.participation == Participation::Active).then(|| self.foca.identity().clone());
         let state = FullState {
             fleet: self.fleet,
-            boot: self.boot,
+            process_id: self.process_id,
             from: self.config.advertise,
             to,
-            answers,
+            answered_nonce: answers,
             nonce,
-            me,
+            sender: me,
             members: members.map(|member| (member.clone(), age(member))).collect(),
         };
         encode(&self.config.keys, &state)
@@ -71,21 +71,22 @@
         let state: FullState = match decode(&self.config.keys, bytes, FRAME_MAX) {
             Ok(state) => state,
             Err(error) => {
-                self.counters.refused.count(error);
+                self.counters.rejected.count(error);
                 return None;
             }
         };
-        let expected =
-            state.fleet == self.fleet && state.to == self.config.advertise && state.boot != self.boot;
+        let expected = state.fleet == self.fleet
+            && state.to == self.config.advertise
+            && state.process_id != self.process_id;
         if !expected || !state.is_valid() {
-            self.counters.refused.astray += 1;
+            self.counters.rejected.misdirected += 1;
             return None;
         }
-        if state.answers != challenge {
-            self.counters.refused.replayed += 1;
+        if state.answered_nonce != challenge {
+            self.counters.rejected.replayed += 1;
             return None;
         }
-        self.counters.states += 1;
+        self.counters.full_states += 1;
         let accepted = Accepted { from: state.from, nonce: state.nonce };
         if !matches!(self.participation, Participation::Yielded(_) | Participation::Left) {
             self.apply_state(now, state);
@@ -99,7 +100,7 @@
             if member.state() == foca::State::Down {
                 let age = Duration::from_millis(age);
                 // A member that is forgotten by its age is not learned again: it would circulate for ever.
-                if age >= self.config.timing.forget {
+                if age >= self.config.timing.forget_after {
                     continue;
                 }
                 self.death_ages.insert(member.id().name.clone(), age);
@@ -108,7 +109,7 @@
             }
             members.push(member);
         }
-        if let Some(me) = state.me {
+        if let Some(me) = state.sender {
             if me.name == self.config.name {
                 self.note_name_conflict(me);
             } else {
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,6 +1,6 @@
 //! Members of the fleet: identity, phase and status, and the view that lists them.
 
-use crate::hash::hash;
+use crate::hash::name_hash;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Address at which other nodes reach it.
     pub address: SocketAddr,
     /// Process number, drawn at random at each start.
-    pub boot: u64,
+    pub process_id: u64,
     /// Incarnation number of the name; only grows. A process begins with its start in Unix time, in milliseconds.
     pub incarnation: u64,
     /// Phase.
@@ -49,23 +49,23 @@
     name: String,
     zone: String,
     address: SocketAddr,
-    boot: u64,
+    process_id: u64,
     incarnation: u64,
     phase: Phase,
 }
 
 impl From<IdentityFields> for Identity {
     fn from(fields: IdentityFields) -> Identity {
-        let IdentityFields { name, zone, address, boot, incarnation, phase } = fields;
-        let hash = hash(&name);
-        Identity { name, zone, address, boot, incarnation, phase, hash }
+        let IdentityFields { name, zone, address, process_id, incarnation, phase } = fields;
+        let hash = name_hash(&name);
+        Identity { name, zone, address, process_id, incarnation, phase, hash }
     }
 }
 
 impl Identity {
     /// Whether this identity prevails over another of the same name. The process number breaks ties, alike at all nodes.
     pub fn supersedes(&self, other: &Identity) -> bool {
-        (self.incarnation, self.boot) > (other.incarnation, other.boot)
+        (self.incarnation, self.process_id) > (other.incarnation, other.process_id)
     }
 
     /// Whether its names are within the allowed lengths.
@@ -126,11 +126,13 @@
     /// Incarnation number.
     pub incarnation: u64,
     /// Process number.
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub process_id: u64,
     /// Status.
     pub status: MemberStatus,
     /// Time in this status, in milliseconds.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub status_age_ms: u64,
 }
 
 /// A member that takes jobs.
@@ -143,12 +145,12 @@
     /// Address at which it is reached.
     pub address: SocketAddr,
     /// Process number.
-    pub boot: u64,
+    pub process_id: u64,
 }
 
 impl Peer {
     pub(crate) fn of(id: &Identity) -> Peer {
-        Peer { name: id.name.clone(), zone: id.zone.clone(), address: id.address, boot: id.boot }
+        Peer { name: id.name.clone(), zone: id.zone.clone(), address: id.address, process_id: id.process_id }
     }
 }
 
--- a/membership/src/packet.rs
+++ b/membership/src/packet.rs
@@ -1,7 +1,7 @@
 //! Datagram format: a version, sender and receiver, a packet number and a body, authenticated with a shared key.
 
 use crate::fragments::Fragment;
-use crate::keys::{Keys, TAG};
+use crate::keys::{Keys, MAC_LENGTH};
 use crate::member::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 pub struct Packet {
     /// Hash of the fleet's name. Guards against another fleet that was given the same key by mistake.
     pub fleet: u64,
-    /// Sending process.
-    pub boot: u64,
+    /// Number of the sending process.
+    pub process_id: u64,
     /// Address at which the sender is reached.
     pub from: SocketAddr,
     /// Address of the receiver. Guards against datagrams that are replayed to another node.
@@ -40,7 +40,7 @@
     /// Challenge to a process that has no session here, with a nonce to return.
     Challenge(u64),
     /// Response to a challenge: the nonce, and the last body sent, which was not accepted before.
-    Proof(u64, Option<Box<Body>>),
+    ChallengeResponse(u64, Option<Box<Body>>),
     /// Digest of the sender's view, and a SWIM message as `foca` encodes it.
     Gossip(u64, Vec<u8>),
     /// Request for the identity of the process at an address.
@@ -63,7 +63,7 @@
     /// Of another version of the format.
     Version,
     /// Not authenticated with one of the keys.
-    Seal,
+    Unauthenticated,
     /// Not a message of this format.
     Malformed,
 }
@@ -73,7 +73,7 @@
     let start = vec![MAGIC[0], MAGIC[1], VERSION];
     // Fails only for types that can't be serialized at all.
     let mut bytes = postcard::to_extend(message, start).unwrap_or_default();
-    keys.seal(&mut bytes);
+    keys.sign(&mut bytes);
     bytes
 }
 
@@ -87,13 +87,13 @@
         return Err(DecodeError::Oversized);
     }
     let [first, second, version, ..] = *bytes else { return Err(DecodeError::Malformed) };
-    if [first, second] != MAGIC || bytes.len() < 3 + TAG {
+    if [first, second] != MAGIC || bytes.len() < 3 + MAC_LENGTH {
         return Err(DecodeError::Malformed);
     }
     if version != VERSION {
         return Err(DecodeError::Version);
     }
-    let opened = keys.open(bytes).ok_or(DecodeError::Seal)?;
+    let opened = keys.verify(bytes).ok_or(DecodeError::Unauthenticated)?;
     match postcard::take_from_bytes(&opened[3..]) {
         Ok((message, [])) => Ok(message),
         _ => Err(DecodeError::Malformed),
--- a/membership/src/session.rs
+++ b/membership/src/session.rs
@@ -55,9 +55,15 @@
 
 impl Sessions {
     /// Decides on a datagram by its packet number; `draw` returns a nonce that nobody can predict.
-    pub fn admit(&mut self, now: Duration, boot: u64, number: u64, draw: impl FnOnce() -> u64) -> Admission {
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        process_id: u64,
+        number: u64,
+        draw: impl FnOnce() -> u64,
+    ) -> Admission {
         if let Some(session) =
-            self.established.get_mut(&boot).filter(|s| now - s.last_received < IDLE_TIMEOUT)
+            self.established.get_mut(&process_id).filter(|s| now - s.last_received < IDLE_TIMEOUT)
         {
             if !session.accept(number) {
                 return Admission::Replayed;
@@ -65,7 +71,7 @@
             session.last_received = now;
             return Admission::Accepted;
         }
-        if let Some(open) = self.challenged.get(&boot) {
+        if let Some(open) = self.challenged.get(&process_id) {
             if now - open.at < CHALLENGE_INTERVAL {
                 return Admission::ChallengePending;
             }
@@ -78,20 +84,20 @@
             drop_oldest(&mut self.challenged, CHALLENGES_MAX - 1, |o| (o.at, o.nonce));
         }
         let nonce = draw();
-        self.challenged.insert(boot, PendingChallenge { nonce, at: now });
+        self.challenged.insert(process_id, PendingChallenge { nonce, at: now });
         Admission::Challenge(nonce)
     }
 
     /// Handles the response to a challenge, and returns whether it established a session.
-    pub fn complete_challenge(&mut self, now: Duration, boot: u64, number: u64, nonce: u64) -> bool {
+    pub fn complete_challenge(&mut self, now: Duration, process_id: u64, number: u64, nonce: u64) -> bool {
         let right = |o: &PendingChallenge| o.nonce == nonce && now - o.at < CHALLENGE_TIMEOUT;
-        if !self.challenged.get(&boot).is_some_and(right) {
+        if !self.challenged.get(&process_id).is_some_and(right) {
             return false;
         }
-        self.challenged.remove(&boot);
+        self.challenged.remove(&process_id);
         drop_oldest(&mut self.established, SESSIONS_MAX - 1, |s| (s.last_received, s.newest));
         // Datagrams sent before the response may be replayed ones: none of them is accepted.
-        self.established.insert(boot, Session { newest: number, seen: u128::MAX, last_received: now });
+        self.established.insert(process_id, Session { newest: number, seen: u128::MAX, last_received: now });
         true
     }
 
@@ -121,7 +127,10 @@
 
 fn drop_oldest<T>(all: &mut HashMap<u64, T>, most: usize, age: impl Fn(&T) -> (Duration, u64)) {
     while all.len() > most {
-        let oldest = all.iter().min_by_key(|(boot, t)| (age(t), **boot)).map(|(boot, _)| *boot);
+        let oldest = all
+            .iter()
+            .min_by_key(|(process_id, t)| (age(t), **process_id))
+            .map(|(process_id, _)| *process_id);
         let Some(oldest) = oldest else { return };
         all.remove(&oldest);
     }
--- a/membership/src/state_sync.rs
+++ b/membership/src/state_sync.rs
@@ -19,18 +19,18 @@
 pub struct FullState {
     /// Hash of the fleet's name.
     pub fleet: u64,
-    /// Sending process.
-    pub boot: u64,
+    /// Number of the sending process.
+    pub process_id: u64,
     /// Address at which the sender is reached.
     pub from: SocketAddr,
     /// Address of the receiver. Guards against a state that is replayed to another node.
     pub to: SocketAddr,
-    /// Nonce of the receiver that this state answers.
-    pub answers: u64,
+    /// Nonce of the receiver, which this state returns.
+    pub answered_nonce: u64,
     /// Nonce of the sender; 0 in a response, which nothing follows.
     pub nonce: u64,
-    /// Identity of the sender; `None` from a process that has yielded its name to another.
-    pub me: Option<Identity>,
+    /// Identity of the sender; `None` from a process that is not in its own view.
+    pub sender: Option<Identity>,
     /// Members, each with the time since it died or left, in milliseconds; 0 for a member that is present.
     pub members: Vec<(Member<Identity>, u64)>,
 }
@@ -40,7 +40,7 @@
     pub fn is_valid(&self) -> bool {
         self.members.len() <= MEMBERS_MAX
             && self.members.iter().all(|(member, _)| member.id().is_valid())
-            && self.me.as_ref().is_none_or(Identity::is_valid)
+            && self.sender.as_ref().is_none_or(Identity::is_valid)
     }
 }
 
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -13,7 +13,7 @@
     pub view: View,
     /// Counts that the node's decisions go by.
     #[serde(rename = "stand")]
-    pub fleet_size: SenderCounts,
+    pub fleet_size: FleetCounts,
     /// Counters of the protocol.
     #[serde(rename = "figures")]
     pub counters: Counters,
@@ -23,7 +23,7 @@
 
 /// Counts of a [`FleetSize`], without the names.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SenderCounts {
+pub struct FleetCounts {
     /// Nodes that take jobs, the reporting one included.
     pub siblings: u32,
     /// Position of the node among them.
@@ -32,8 +32,8 @@
     pub senders: u32,
 }
 
-impl From<&FleetSize> for SenderCounts {
-    fn from(size: &FleetSize) -> SenderCounts {
-        SenderCounts { siblings: size.siblings, ordinal: size.ordinal, senders: size.senders }
+impl From<&FleetSize> for FleetCounts {
+    fn from(size: &FleetSize) -> FleetCounts {
+        FleetCounts { siblings: size.siblings, ordinal: size.ordinal, senders: size.senders }
     }
 }
--- a/membership/tests/file.rs
+++ b/membership/tests/file.rs
@@ -1,12 +1,12 @@
 //! Errors in the configuration file.
 
-use membership::file::File;
+use membership::file::FleetFile;
 
 const GOOD: &str = "fleet = \"scp\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"fleet.key\"\n";
 
 #[test]
 fn a_bad_file_is_told_by_its_line() {
-    assert_eq!(File::parse(GOOD).unwrap().advertise.port(), 7946);
+    assert_eq!(FleetFile::parse(GOOD).unwrap().advertise.port(), 7946);
     for (more, line) in [
         ("seeds = [\"127.0.0.1:1\",\n\"nowhere\"]", 5),
         ("zome = \"koper\"", 4),
@@ -22,9 +22,9 @@
         ("[duties]\nvoters = [{ name = \"a\", at = \"127.0.0.1:1\" },\n{ name = \"a\", at = \"127.0.0.1:2\" }]", 6),
         ("fleet = \"scp\"", 4),
     ] {
-        let bad = File::parse(&format!("{GOOD}{more}")).unwrap_err();
+        let bad = FleetFile::parse(&format!("{GOOD}{more}")).unwrap_err();
         assert_eq!(bad.line(), line, "{more}: {bad}");
         assert!(!bad.to_string().contains('\n'), "{bad}");
     }
-    assert!(File::parse("").is_err());
+    assert!(FleetFile::parse("").is_err());
 }
--- a/membership/tests/fleet_size.rs
+++ b/membership/tests/fleet_size.rs
@@ -4,7 +4,15 @@
 
 fn member(name: &str, status: MemberStatus, for_ms: u64) -> MemberInfo {
     let address = "127.0.0.1:1".parse().unwrap();
-    MemberInfo { name: name.into(), zone: String::new(), address, incarnation: 1, boot: 1, status, for_ms }
+    MemberInfo {
+        name: name.into(),
+        zone: String::new(),
+        address,
+        incarnation: 1,
+        process_id: 1,
+        status,
+        status_age_ms: for_ms,
+    }
 }
 
 fn fleet_size(members: &[MemberInfo], planned: u32) -> FleetSize {
--- a/membership/tests/golden_bytes.rs
+++ b/membership/tests/golden_bytes.rs
@@ -5,13 +5,14 @@
 //! `GOLDEN_RECORD=1` writes the files anew.
 
 use foca::{Member, State};
-use membership::file::File;
+use membership::file::FleetFile;
 use membership::fragments::Fragment;
 use membership::keys::Keys;
 use membership::packet::{decode, encode, Body, Packet};
 use membership::state_sync::FullState;
 use membership::{
-    hash, Action, Config, Identity, Machine, MembershipEvent, ProcessStart, Timing, DATAGRAM_MAX, FRAME_MAX,
+    name_hash, Action, Config, Identity, Machine, MembershipEvent, ProcessStart, Timing, DATAGRAM_MAX,
+    FRAME_MAX,
 };
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
@@ -64,21 +65,27 @@
     let fragment = Fragment { index: 1, count: 3, bytes: b"fragment".to_vec() };
     let bodies = [
         ("challenge", Body::Challenge(0x0123_4567_89ab_cdef)),
-        ("proof", Body::Proof(7, None)),
-        ("proof_with_body", Body::Proof(7, Some(Box::new(Body::Gossip(3, vec![1, 2, 3]))))),
+        ("proof", Body::ChallengeResponse(7, None)),
+        ("proof_with_body", Body::ChallengeResponse(7, Some(Box::new(Body::Gossip(3, vec![1, 2, 3]))))),
         ("gossip", Body::Gossip(u64::MAX, vec![9; 20])),
         ("identity_request", Body::IdentityRequest),
         ("identity_response_serving", Body::IdentityResponse(identity(1, 1_700_000_000_000, 0))),
         ("identity_response_draining", Body::IdentityResponse(identity(2, 2, 1))),
         ("identity_response_left", Body::IdentityResponse(identity(3, 3, 2))),
         ("name_conflict", Body::NameConflict(identity(4, 4, 0))),
-        ("rates", Body::Rates("n1".into(), vec![(hash("tenant"), 640), (1, 65535)])),
+        ("rates", Body::Rates("n1".into(), vec![(name_hash("tenant"), 640), (1, 65535)])),
         ("fragment", Body::Fragment(12, fragment)),
     ];
     let mut text = String::new();
     for (name, body) in bodies {
-        let packet =
-            Packet { fleet: hash("f"), boot: 99, from: address(1), to: address(2), number: 300, body };
+        let packet = Packet {
+            fleet: name_hash("f"),
+            process_id: 99,
+            from: address(1),
+            to: address(2),
+            number: 300,
+            body,
+        };
         let bytes = encode(&keys(), &packet);
         writeln!(text, "{name} {}", hex(&bytes)).unwrap();
     }
@@ -108,7 +115,16 @@
         ("yielded", None, 1, Vec::new()),
     ] {
         let (from, to) = (address(1), "[::1]:7946".parse().unwrap());
-        let state = FullState { fleet: hash("f"), boot: 99, from, to, answers: 33, nonce, me, members };
+        let state = FullState {
+            fleet: name_hash("f"),
+            process_id: 99,
+            from,
+            to,
+            answered_nonce: 33,
+            nonce,
+            sender: me,
+            members,
+        };
         writeln!(text, "{name} {}", hex(&encode(&keys(), &state))).unwrap();
     }
     assert_golden("states.txt", &text);
@@ -142,9 +158,13 @@
                 advertise: address(i),
                 seeds: vec![address(0), address(1)],
                 keys: keys(),
-                timing: Timing { forget: Duration::from_secs(12), ..Timing::default() },
+                timing: Timing { forget_after: Duration::from_secs(12), ..Timing::default() },
+            };
+            let start = ProcessStart {
+                process_id: 50 + u64::from(i),
+                unix_time_ms: 1_000,
+                rng_seed: 7 + u64::from(i),
             };
-            let start = ProcessStart { boot: 50 + u64::from(i), unix_ms: 1_000, seed: 7 + u64::from(i) };
             Machine::new(config, start, Duration::ZERO)
         };
         Trace {
@@ -162,8 +182,8 @@
         while self.now < end {
             self.now += Duration::from_millis(10);
             for i in (0..self.machines.len()).filter(|i| self.running[*i]).collect::<Vec<_>>() {
-                if self.machines[i].due() <= self.now {
-                    self.machines[i].tick(self.now);
+                if self.machines[i].next_timeout() <= self.now {
+                    self.machines[i].handle_timeout(self.now);
                 }
                 self.drain(i);
             }
@@ -173,7 +193,7 @@
     }
 
     fn drain(&mut self, i: usize) {
-        while let Some(action) = self.machines[i].action() {
+        while let Some(action) = self.machines[i].next_action() {
             let at = format!("{} ms n{i}", self.now.as_millis());
             match action {
                 Action::Send { to, bytes } => self.deliver(&at, to, &bytes),
@@ -202,7 +222,7 @@
         }
         let to = usize::from(to.port() - 1000);
         if self.running[to] {
-            self.machines[to].datagram(self.now, bytes);
+            self.machines[to].handle_datagram(self.now, bytes);
         }
     }
 
@@ -210,27 +230,27 @@
         if !self.running[to] {
             return;
         }
-        let challenge = self.machines[to].challenge();
+        let challenge = self.machines[to].draw_nonce();
         let (pending, state) = self.machines[from].request_sync(self.now, address(to as u16), challenge);
-        let answer = self.machines[to].answer_sync(self.now, challenge, &state);
+        let answer = self.machines[to].respond_to_sync(self.now, challenge, &state);
         writeln!(self.text, "state {}", hex(&state)).unwrap();
-        if let Some(answer) = answer {
-            writeln!(self.text, "answer {}", hex(&answer)).unwrap();
-            self.machines[from].finish_sync(self.now, pending, &answer);
+        if let Some(probe_timeout) = answer {
+            writeln!(self.text, "answer {}", hex(&probe_timeout)).unwrap();
+            self.machines[from].complete_sync(self.now, pending, &probe_timeout);
         }
     }
 }
 
 fn describe(event: &MembershipEvent) -> String {
     let of = |what: &str, id: &Identity| {
-        format!("{what} {} {:?} {} {} {}", id.name, id.zone, id.address, id.boot, id.incarnation)
+        format!("{what} {} {:?} {} {} {}", id.name, id.zone, id.address, id.process_id, id.incarnation)
     };
     match event {
         MembershipEvent::Up(id) => of("up", id),
         MembershipEvent::Down(id) => of("down", id),
         MembershipEvent::Left(id) => of("left", id),
-        MembershipEvent::Forgotten(name) => format!("forgotten {name}"),
-        MembershipEvent::Returned(incarnation) => format!("returned {incarnation}"),
+        MembershipEvent::Removed(name) => format!("forgotten {name}"),
+        MembershipEvent::Rejoined(incarnation) => format!("returned {incarnation}"),
         MembershipEvent::Yielded(id) => of("yielded", id),
         MembershipEvent::NameConflict(id) => of("conflict", id),
     }
@@ -243,14 +263,14 @@
     let mut trace = Trace::new(4);
     trace.run(5);
     let now = trace.now;
-    trace.machines[1].send_rates(now, "n2", vec![(hash("tenant"), 64), (hash("other"), 1)]);
+    trace.machines[1].send_rates(now, "n2", vec![(name_hash("tenant"), 64), (name_hash("other"), 1)]);
     let message: Vec<u8> = (0..3000u32).map(|i| (i % 251) as u8).collect();
     trace.machines[2].send_message(now, address(3), &message);
     trace.machines[3].send_message(now, address(0), b"");
     trace.run(1);
-    trace.machines[1].phase(trace.now, true);
+    trace.machines[1].set_draining(trace.now, true);
     trace.run(2);
-    trace.machines[1].phase(trace.now, false);
+    trace.machines[1].set_draining(trace.now, false);
     trace.running[3] = false;
     trace.run(12);
     trace.synchronize(0, 2);
@@ -305,7 +325,7 @@
     ];
     let mut text = String::new();
     for file in files {
-        let error = File::parse(&file).unwrap_err();
+        let error = FleetFile::parse(&file).unwrap_err();
         writeln!(text, "{} {error}", error.line()).unwrap();
     }
     let key = "00112233445566778899aabbccddeeff";
--- a/membership/tests/keys.rs
+++ b/membership/tests/keys.rs
@@ -22,27 +22,27 @@
     for pair in steps.windows(2) {
         for (from, to) in [(0, 1), (1, 0)] {
             let mut message = b"hello".to_vec();
-            pair[from].seal(&mut message);
-            assert_eq!(pair[to].open(&message), Some(&b"hello"[..]));
+            pair[from].sign(&mut message);
+            assert_eq!(pair[to].verify(&message), Some(&b"hello"[..]));
         }
     }
     let mut message = b"hello".to_vec();
-    steps[0].seal(&mut message);
-    assert_eq!(steps[3].open(&message), None);
+    steps[0].sign(&mut message);
+    assert_eq!(steps[3].verify(&message), None);
 }
 
 #[test]
 fn what_was_changed_on_the_way_does_not_open() {
     let keys = keys(&format!("current {OLD}"));
     let mut message = b"hello".to_vec();
-    keys.seal(&mut message);
+    keys.sign(&mut message);
     for i in 0..message.len() {
         for bit in 0..8 {
             let mut bad = message.clone();
             bad[i] ^= 1 << bit;
-            assert_eq!(keys.open(&bad), None);
+            assert_eq!(keys.verify(&bad), None);
         }
-        assert_eq!(keys.open(&message[..i]), None);
+        assert_eq!(keys.verify(&message[..i]), None);
     }
 }
 
--- a/membership/tests/machine.rs
+++ b/membership/tests/machine.rs
@@ -6,7 +6,8 @@
 use membership::packet::{decode, encode, Body, Packet};
 use membership::state_sync::FullState;
 use membership::{
-    hash, Action, Config, Counters, Identity, Machine, MembershipEvent, ProcessStart, Timing, DATAGRAM_MAX,
+    name_hash, Action, Config, Counters, Identity, Machine, MembershipEvent, ProcessStart, Timing,
+    DATAGRAM_MAX,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,13 +37,17 @@
         keys: keys(),
         timing: Timing::default(),
     };
-    Machine::new(config, ProcessStart { boot, unix_ms: 1, seed: 10 + i as u64 }, Duration::ZERO)
+    Machine::new(
+        config,
+        ProcessStart { process_id: boot, unix_time_ms: 1, rng_seed: 10 + i as u64 },
+        Duration::ZERO,
+    )
 }
 
 /// A datagram in the name of the process of node `from`.
 fn packet(from: usize, to: usize, body: Body) -> Packet {
-    let (fleet, number) = (hash("f"), LATER);
-    Packet { fleet, boot: boot(from), from: address(from), to: address(to), number, body }
+    let (fleet, number) = (name_hash("f"), LATER);
+    Packet { fleet, process_id: boot(from), from: address(from), to: address(to), number, body }
 }
 
 /// Machines that receive each other's datagrams at once.
@@ -78,8 +83,8 @@
         while self.now < end {
             self.now += Duration::from_millis(10);
             for i in 0..self.machines.len() {
-                if self.machines[i].due() <= self.now {
-                    self.machines[i].tick(self.now);
+                if self.machines[i].next_timeout() <= self.now {
+                    self.machines[i].handle_timeout(self.now);
                 }
                 self.carry_out(i);
             }
@@ -87,7 +92,7 @@
     }
 
     fn carry_out(&mut self, i: usize) {
-        while let Some(action) = self.machines[i].action() {
+        while let Some(action) = self.machines[i].next_action() {
             match action {
                 Action::Send { to, bytes } => self.deliver(i, (to.port() - 1000) as usize, bytes),
                 Action::SyncState { .. } => self.syncs += 1,
@@ -109,7 +114,7 @@
                 bytes = encode(&keys(), &packet);
             }
         }
-        self.machines[to].datagram(self.now, &bytes);
+        self.machines[to].handle_datagram(self.now, &bytes);
     }
 
     fn counters(&self, i: usize) -> Counters {
@@ -123,19 +128,19 @@
     /// Makes `liar` hold `victim` dead and gossip of it, by a state that somebody with the key sends to it.
     fn lie(&mut self, liar: usize, victim: usize) {
         let victim = self.identities[victim].clone().expect("the others have seen it");
-        let challenge = self.machines[liar].challenge();
+        let challenge = self.machines[liar].draw_nonce();
         let state = FullState {
-            fleet: hash("f"),
-            boot: 99,
+            fleet: name_hash("f"),
+            process_id: 99,
             from: address(99),
             to: address(liar),
-            answers: challenge,
+            answered_nonce: challenge,
             nonce: 1,
-            me: None,
+            sender: None,
             members: vec![(Member::down(victim), 0)],
         };
         let state = encode(&keys(), &state);
-        assert!(self.machines[liar].answer_sync(self.now, challenge, &state).is_some());
+        assert!(self.machines[liar].respond_to_sync(self.now, challenge, &state).is_some());
     }
 }
 
@@ -152,7 +157,7 @@
     }
     let after = ring.machines[3].view(ring.now).incarnation;
     assert!(after >= before + 5, "each lie costs it an incarnation");
-    assert!(ring.counters(3).returns >= 5);
+    assert!(ring.counters(3).rejoins >= 5);
 }
 
 /// Guards against replayed datagrams: the receiver accepts each once, another receiver and a later process never.
@@ -161,18 +166,21 @@
     let mut ring = Ring::new(3);
     let bytes = encode(&keys(), &packet(0, 1, Body::IdentityRequest));
     let before = ring.counters(1);
-    (0..3).for_each(|_| ring.machines[1].datagram(ring.now, &bytes));
+    (0..3).for_each(|_| ring.machines[1].handle_datagram(ring.now, &bytes));
     let after = ring.counters(1);
-    assert_eq!((after.received - before.received, after.refused.replayed - before.refused.replayed), (1, 2));
-    let before = ring.counters(2).refused.astray;
-    ring.machines[2].datagram(ring.now, &bytes);
-    assert_eq!(ring.counters(2).refused.astray, before + 1);
+    assert_eq!(
+        (after.received - before.received, after.rejected.replayed - before.rejected.replayed),
+        (1, 2)
+    );
+    let before = ring.counters(2).rejected.misdirected;
+    ring.machines[2].handle_datagram(ring.now, &bytes);
+    assert_eq!(ring.counters(2).rejected.misdirected, before + 1);
     // A new process at the same address knows nothing of earlier datagrams.
     let mut fresh = machine(1, 99);
     let before = fresh.counters();
-    fresh.datagram(ring.now, &bytes);
+    fresh.handle_datagram(ring.now, &bytes);
     assert_eq!(fresh.counters().received, before.received);
-    assert_eq!(fresh.counters().refused.unproven, before.refused.unproven + 1);
+    assert_eq!(fresh.counters().rejected.without_session, before.rejected.without_session + 1);
 }
 
 /// Guards a member against another with the key that sends in its name.
@@ -183,11 +191,11 @@
     assert!(!data.is_empty());
     let before = ring.counters(0);
     let bytes = encode(&keys(), &packet(1, 0, Body::Gossip(0, data)));
-    ring.machines[0].datagram(ring.now, &bytes);
+    ring.machines[0].handle_datagram(ring.now, &bytes);
     let after = ring.counters(0);
     assert_eq!(
-        (after.received, after.refused.malformed),
-        (before.received + 1, before.refused.malformed + 1)
+        (after.received, after.rejected.malformed),
+        (before.received + 1, before.rejected.malformed + 1)
     );
 }
 
@@ -207,11 +215,11 @@
 #[test]
 fn another_fleet_and_another_version_are_rejected() {
     let mut ring = Ring::new(2);
-    let packet = Packet { fleet: hash("f") + 1, ..packet(0, 1, Body::IdentityRequest) };
+    let packet = Packet { fleet: name_hash("f") + 1, ..packet(0, 1, Body::IdentityRequest) };
     let mut bytes = encode(&keys(), &packet);
-    ring.machines[1].datagram(ring.now, &bytes);
+    ring.machines[1].handle_datagram(ring.now, &bytes);
     bytes[2] += 1;
-    ring.machines[1].datagram(ring.now, &bytes);
-    let refused = ring.counters(1).refused;
-    assert_eq!((refused.astray, refused.version), (1, 1));
+    ring.machines[1].handle_datagram(ring.now, &bytes);
+    let refused = ring.counters(1).rejected;
+    assert_eq!((refused.misdirected, refused.version), (1, 1));
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -5,7 +5,7 @@
 use crate::list::ListBody;
 use crate::names::read_settings;
 use crate::retune::Tuning;
-use membership::file::File;
+use membership::file::FleetFile;
 use membership::keys::Keys;
 use membership::NAME_MAX;
 use serde::Deserialize;
@@ -108,7 +108,7 @@
 #[derive(Clone, PartialEq)]
 pub struct Talk {
     /// The operator's file.
-    pub file: File,
+    pub file: FleetFile,
     /// The keys that it names.
     pub keys: Keys,
     /// The folder that the file stands in: relative names in it are meant from there.
@@ -118,7 +118,7 @@
 impl Talk {
     fn read(path: &Path, text: impl Fn(&PathBuf) -> Result<String, String>) -> Result<Talk, String> {
         let file =
-            File::parse(&text(&path.to_path_buf())?).map_err(|e| format!("{}: {e}", path.display()))?;
+            FleetFile::parse(&text(&path.to_path_buf())?).map_err(|e| format!("{}: {e}", path.display()))?;
         // A relative name is meant from where the file stands, wherever the node was started.
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         let at = folder.join(&file.key_file);
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -19,7 +19,7 @@
 
 /// The number of a named thing, such as a worker: the same at every node.
 pub fn number_of(name: &str) -> u64 {
-    membership::hash(name)
+    membership::name_hash(name)
 }
 
 /// One attempt at one request.
--- a/node/src/duties.rs
+++ b/node/src/duties.rs
@@ -14,8 +14,8 @@
 use crate::counters::Counters;
 use crate::membership;
 use crate::phase::{Phase, Phases};
-use ::membership::file::{Duties as File, ScheduledCall};
-use ::membership::{hash, Peer};
+use ::membership::file::{CoordinationSection, ScheduledCall};
+use ::membership::{name_hash, Peer};
 use coordination::{
     BroadcastMessage, BroadcastMetrics, Client, ClientAction, ClusterStatus, Holder, LeaseLost, Message,
     Operation, Outcome, Store, StoreContents, StoreError, Timing, Voter, VoterAction, VoterConfig,
@@ -173,7 +173,7 @@
     /// Where the other nodes reach it.
     pub own: SocketAddr,
     /// The section of the operator's file.
-    pub file: File,
+    pub file: CoordinationSection,
     /// Where a voter's state is.
     pub folder: Option<PathBuf>,
     /// The talk between nodes.
@@ -192,7 +192,7 @@
 pub fn start(links: Dependencies) -> Handle {
     let (orders, told) = mpsc::channel(QUEUE);
     let who = Holder { name: links.name.clone(), process_id: links.fleet.process_id() };
-    let timing = Timing { lease: links.file.lease, election: links.file.election };
+    let timing = Timing { lease: links.file.lease_duration, election: links.file.election_timeout };
     let voters = links.file.voters.iter().map(|(_, at)| *at).collect();
     let (wrote, written) = mpsc::channel(4);
     let phase = *links.phase.borrow();
@@ -409,7 +409,7 @@
     fn seek(&mut self, peers: &[Peer]) {
         let (now, serving) = (boottime(), self.phase.up());
         let boot = self.links.fleet.process_id();
-        let here = serving && peers.iter().any(|p| p.name == self.links.name && p.boot == boot);
+        let here = serving && peers.iter().any(|p| p.name == self.links.name && p.process_id == boot);
         let all: Vec<&Peer> = peers.iter().collect();
         let zone: Vec<&Peer> = peers.iter().filter(|p| p.zone == self.links.zone).collect();
         let mut duties: Vec<(String, &[&Peer])> =
@@ -424,7 +424,7 @@
             duties.push((roll::DUTY.to_string(), &all[..]));
         }
         for (duty, peers) in duties {
-            let place = |name: &str| hash(&format!("{duty}\n{name}"));
+            let place = |name: &str| name_hash(&format!("{duty}\n{name}"));
             let own = place(&self.links.name);
             let before = peers.iter().filter(|p| place(&p.name) < own).count();
             // Whoever holds it keeps it: a fleet that grows is no reason to hand it on.
@@ -721,7 +721,7 @@
             let duty = errand_duty(call);
             let Some(due) = self.calls.get_mut(&duty).filter(|d| !d.out && now >= d.next) else { continue };
             let Some(token) = self.client.may_act(boottime(), &duty) else { continue };
-            (due.next, due.out) = (now + call.every, true);
+            (due.next, due.out) = (now + call.interval, true);
             let (call, wrote, node) = (call.clone(), self.wrote.clone(), self.links.name.clone());
             tokio::spawn(async move {
                 let outcome = errand::run(&call, &duty, token, &node).await;
--- a/node/src/duties/errand.rs
+++ b/node/src/duties/errand.rs
@@ -36,11 +36,11 @@
 }
 
 async fn post(call: &ScheduledCall, duty: &str, token: u64, node: &str) -> Result<StatusCode, String> {
-    let socket = TcpStream::connect(call.at).await.map_err(|e| e.to_string())?;
+    let socket = TcpStream::connect(call.address).await.map_err(|e| e.to_string())?;
     let (mut sender, connection) = handshake(TokioIo::new(socket)).await.map_err(|e| e.to_string())?;
     tokio::spawn(connection);
     let request = Request::post(&call.path)
-        .header(HOST, call.at.to_string())
+        .header(HOST, call.address.to_string())
         .header("X-Duty", duty)
         .header("X-Token", token)
         .header("X-Node", node)
--- a/node/src/duties/lists.rs
+++ b/node/src/duties/lists.rs
@@ -4,7 +4,7 @@
 use crate::list::{ListBody, Member};
 use crate::platform::ListSharing;
 use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
-use membership::{hash, Peer};
+use membership::{name_hash, Peer};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 }
 
 fn source(place: &watch::Receiver<Option<SocketAddr>>) -> u64 {
-    place.borrow().map_or(0, |at| hash(&at.to_string()))
+    place.borrow().map_or(0, |at| name_hash(&at.to_string()))
 }
 
 impl Lists {
--- a/node/src/duties/roll.rs
+++ b/node/src/duties/roll.rs
@@ -82,7 +82,7 @@
         name: p.name.clone(),
         zone: p.zone.clone(),
         address: p.address,
-        process_id: p.boot,
+        process_id: p.process_id,
     };
     peers.iter().map(member).collect()
 }
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -69,7 +69,7 @@
     let start = draw_process_start();
     let file = &dependencies.talk.file;
     log::info!(event = "membership_started", fleet = file.fleet, listen:% = address, advertise:% = file.advertise,
-        process = start.boot; "membership started");
+        process = start.process_id; "membership started");
     let machine = Machine::new(machine_config(&dependencies), start, Duration::ZERO);
     let planned = dependencies.planned.borrow().settings.siblings;
     let initial = FleetSize { siblings: planned, ordinal: 0, senders: planned, names: Vec::new() };
@@ -86,13 +86,17 @@
         peers: current_peers,
         rates: received_rates,
         messages: received_messages,
-        process_id: start.boot,
+        process_id: start.process_id,
     }))
 }
 
 fn draw_process_start() -> ProcessStart {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    ProcessStart { boot: fastrand::u64(..), unix_ms: unix.as_millis() as u64, seed: fastrand::u64(..) }
+    ProcessStart {
+        process_id: fastrand::u64(..),
+        unix_time_ms: unix.as_millis() as u64,
+        rng_seed: fastrand::u64(..),
+    }
 }
 
 fn machine_config(dependencies: &Dependencies) -> Config {
--- a/node/src/membership/log_records.rs
+++ b/node/src/membership/log_records.rs
@@ -6,21 +6,21 @@
 pub(super) fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::Up(id) => log::info!(event = "member_up", member = id.name, zone = id.zone,
-            address:% = id.address, incarnation = id.incarnation, process = id.boot, phase:? = id.phase;
+            address:% = id.address, incarnation = id.incarnation, process = id.process_id, phase:? = id.phase;
             "member is present"),
         MembershipEvent::Down(id) => log::warn!(event = "member_down", member = id.name, zone = id.zone,
             address:% = id.address, incarnation = id.incarnation; "member is declared dead"),
         MembershipEvent::Left(id) => log::info!(event = "member_left", member = id.name, zone = id.zone,
             incarnation = id.incarnation; "member left"),
-        MembershipEvent::Forgotten(name) => {
-            log::info!(event = "member_forgotten", member = name; "dead or left member is forgotten")
+        MembershipEvent::Removed(name) => {
+            log::info!(event = "member_removed", member = name; "dead or left member is removed from the view")
         }
-        MembershipEvent::Returned(incarnation) => log::warn!(event = "rejoined", incarnation = incarnation;
+        MembershipEvent::Rejoined(incarnation) => log::warn!(event = "rejoined", incarnation = incarnation;
             "this node was declared dead, and rejoined"),
         MembershipEvent::NameConflict(id) => log::warn!(event = "name_conflict", address:% = id.address,
-            process = id.boot; "another process claims this node's name"),
+            process = id.process_id; "another process claims this node's name"),
         MembershipEvent::Yielded(id) => log::error!(event = "name_yielded", address:% = id.address,
-            process = id.boot;
+            process = id.process_id;
             "yielded the name to a newer process: this one serves jobs and stays out of the view"),
     }
 }
@@ -34,14 +34,14 @@
 /// Logs the counters.
 pub(super) fn log_counters(status: &Status) {
     let Status { counters, floods, .. } = status;
-    let rejected = counters.refused;
+    let rejected = counters.rejected;
     log::info!(event = "membership_counters",
         sent = counters.sent, sent_bytes = counters.sent_bytes,
         received = counters.received, received_bytes = counters.received_bytes,
-        states = counters.states, rates = counters.rates, deaths = counters.deaths,
-        returns = counters.returns, sessions = counters.sessions, floods = *floods,
-        oversized = rejected.oversized, version = rejected.version, seal = rejected.seal,
-        malformed = rejected.malformed, astray = rejected.astray, replayed = rejected.replayed,
-        unproven = rejected.unproven;
+        states = counters.full_states, rates = counters.rate_messages, deaths = counters.deaths,
+        returns = counters.rejoins, sessions = counters.sessions, floods = *floods,
+        oversized = rejected.oversized, version = rejected.version, seal = rejected.unauthenticated,
+        malformed = rejected.malformed, astray = rejected.misdirected, replayed = rejected.replayed,
+        unproven = rejected.without_session;
         "counters: fleet");
 }
--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -71,7 +71,7 @@
 
 fn member_row(member: &MemberInfo, is_own: bool) -> [String; 6] {
     let status = serde_json::to_value(member.status).ok().and_then(|value| value.as_str().map(String::from));
-    let age = if is_own { "-".to_string() } else { format!("{:.1} s", member.for_ms as f64 / 1000.0) };
+    let age = if is_own { "-".to_string() } else { format!("{:.1} s", member.status_age_ms as f64 / 1000.0) };
     [
         member.name.clone(),
         member.zone.clone(),
--- a/node/src/membership/task.rs
+++ b/node/src/membership/task.rs
@@ -7,7 +7,7 @@
 use super::state_sync::{self, SyncRequest};
 use super::{Dependencies, SYNC_STREAMS_MAX};
 use crate::phase::Phase;
-use membership::{Action, FleetSize, Machine, Peer, SenderCounts, Status, DATAGRAM_MAX};
+use membership::{Action, FleetCounts, FleetSize, Machine, Peer, Status, DATAGRAM_MAX};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -106,7 +106,7 @@
         self.run_actions();
         loop {
             self.listen_if_due();
-            let timer = self.started + self.machine.due().min(TIMER_WAIT_MAX);
+            let timer = self.started + self.machine.next_timeout().min(TIMER_WAIT_MAX);
             let is_active = self.activity == Activity::Active;
             tokio::select! {
                 _ = self.socket.readable(), if self.budget.is_available() => self.read_datagrams().await,
@@ -163,7 +163,7 @@
             let Ok((length, _)) = self.socket.try_recv_from(&mut bytes) else { break };
             self.budget.consume();
             if !self.is_silent() {
-                self.machine.datagram(self.now(), &bytes[..length]);
+                self.machine.handle_datagram(self.now(), &bytes[..length]);
             }
         }
         tokio::task::yield_now().await;
@@ -171,7 +171,7 @@
 
     fn run_timers(&mut self) {
         let now = self.now();
-        self.machine.tick(now);
+        self.machine.handle_timeout(now);
     }
 
     /// Refills the budget, and publishes peers and fleet size if they have changed.
@@ -221,7 +221,7 @@
     fn status(&self, now: Duration) -> Status {
         Status {
             view: self.machine.view(now),
-            fleet_size: SenderCounts::from(&*self.outputs.fleet_size.borrow()),
+            fleet_size: FleetCounts::from(&*self.outputs.fleet_size.borrow()),
             counters: self.machine.counters(),
             floods: self.floods,
         }
@@ -229,7 +229,7 @@
 
     fn apply_keys(&mut self) {
         if let Some(keys) = self.dependencies.keys.borrow_and_update().clone() {
-            self.machine.keys(keys);
+            self.machine.set_keys(keys);
         }
     }
 
@@ -249,7 +249,7 @@
                     self.activity = Activity::Active;
                     self.machine.resume(now);
                 }
-                self.machine.phase(now, phase != Phase::Serving);
+                self.machine.set_draining(now, phase != Phase::Serving);
             }
         }
     }
@@ -257,7 +257,7 @@
     /// Starts a task that responds to the state synchronization of another node, unless too many run.
     fn respond_to_sync(&mut self, stream: TcpStream) {
         let Ok(permit) = self.sync_permits.clone().try_acquire_owned() else { return };
-        let (challenge, requests) = (self.machine.challenge(), self.sync_requests.clone());
+        let (challenge, requests) = (self.machine.draw_nonce(), self.sync_requests.clone());
         tokio::spawn(async move {
             if let Err(error) = state_sync::respond(stream, challenge, requests).await {
                 log::debug!(event = "sync_failed", role = "responder", error:%; "state synchronization failed");
@@ -288,18 +288,18 @@
                 let _ = reply.send(self.machine.request_sync(now, to, challenge));
             }
             SyncRequest::Respond { challenge, bytes, reply } => {
-                if let Some(state) = self.machine.answer_sync(now, challenge, &bytes) {
+                if let Some(state) = self.machine.respond_to_sync(now, challenge, &bytes) {
                     let _ = reply.send(state);
                 }
             }
-            SyncRequest::Finish { pending, bytes } => drop(self.machine.finish_sync(now, pending, &bytes)),
+            SyncRequest::Finish { pending, bytes } => drop(self.machine.complete_sync(now, pending, &bytes)),
             SyncRequest::Done => self.syncing = false,
         }
     }
 
     /// Carries out what the machine requests.
     fn run_actions(&mut self) {
-        while let Some(action) = self.machine.action() {
+        while let Some(action) = self.machine.next_action() {
             match action {
                 Action::Send { to, bytes } => {
                     // A datagram that can't be sent now is lost.
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -154,7 +154,8 @@
     sleep(length).await;
     cluster.relays.heal();
     settled(&cluster, 0..8).await;
-    let refused: u64 = cluster.statuses().await.values().flatten().map(|s| s.counters.refused.seal).sum();
+    let refused: u64 =
+        cluster.statuses().await.values().flatten().map(|s| s.counters.rejected.unauthenticated).sum();
     assert!(refused > 0, "mutated ones were refused");
 }
 
@@ -355,8 +356,8 @@
     assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
     settled(&cluster, 0..5).await;
     let told = status_of(&cluster, 0).await.unwrap();
-    let refused = told.counters.refused;
-    assert!(refused.replayed + refused.astray + refused.unproven > 0, "{refused:?}");
+    let refused = told.counters.rejected;
+    assert!(refused.replayed + refused.misdirected + refused.without_session > 0, "{refused:?}");
     assert!(refused.oversized > 0 && refused.malformed > 0 && told.floods > 0, "{refused:?}");
 
     // Another key: neither side takes what the other sends.
@@ -393,7 +394,7 @@
     let report = play(load, (0..4).map(|i| cluster.listen(i)).collect()).await;
     assert!(report.in_time > report.due / 2, "{report}");
     for (name, shown) in cluster.statuses().await {
-        assert!(shown.unwrap().counters.rates > 0, "{name} heard of nobody's tenants");
+        assert!(shown.unwrap().counters.rate_messages > 0, "{name} heard of nobody's tenants");
     }
     let at = cluster.node(1).management.to_string();
     let show = |arguments: &[&str]| {
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -92,7 +92,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
     let (code, out) = start(None, &["fleet", "show", "nowhere"]);
     assert!(code == Some(2) && out.trim_end().lines().count() == 1, "{out}");
-    assert!(membership::file::File::parse(include_str!("../../deploy/fleet.toml")).is_ok());
+    assert!(membership::file::FleetFile::parse(include_str!("../../deploy/fleet.toml")).is_ok());
 }
 
 #[test]
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -479,23 +479,26 @@
             timing: membership::Timing::default(),
         };
         let address = config.advertise;
-        let birth =
-            membership::ProcessStart { boot: n as u64 + 1, unix_ms: 1_700_000_000_000, seed: n as u64 + 1 };
+        let birth = membership::ProcessStart {
+            process_id: n as u64 + 1,
+            unix_time_ms: 1_700_000_000_000,
+            rng_seed: n as u64 + 1,
+        };
         (membership::Machine::new(config, birth, now), address)
     };
     let (mut one, at) = start(0);
     let mut answer = None;
     for n in 1..MANY {
         let (mut other, _) = start(n);
-        let challenge = one.challenge();
+        let challenge = one.draw_nonce();
         let (asked, state) = other.request_sync(now, at, challenge);
-        answer = one.answer_sync(now, challenge, &state).map(|state| (other, asked, state));
-        while one.action().is_some() {} // news to the others, whom nobody plays here
+        answer = one.respond_to_sync(now, challenge, &state).map(|state| (other, asked, state));
+        while one.next_action().is_some() {} // news to the others, whom nobody plays here
     }
     let size = one.fleet_size(now, 1);
     assert_eq!((size.siblings as usize, size.names.len(), one.peers().len()), (MANY, MANY, MANY));
     let (mut last, asked, state) = answer.expect("an answer to the last");
     assert!(state.len() <= membership::FRAME_MAX, "{} bytes", state.len());
-    assert!(last.finish_sync(now, asked, &state), "it counts");
+    assert!(last.complete_sync(now, asked, &state), "it counts");
     assert_eq!(last.fleet_size(now, 1).names.len(), MANY, "the last one is told of all others");
 }
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -146,8 +146,11 @@
     pub fn start_as(&mut self, i: usize, name: &str) {
         let node = &mut self.nodes[i];
         let unix_ms = 1_700_000_000_000 + self.now.as_millis() as i64 + node.skew_ms;
-        let start =
-            ProcessStart { boot: self.rng.random(), unix_ms: unix_ms as u64, seed: self.rng.random() };
+        let start = ProcessStart {
+            process_id: self.rng.random(),
+            unix_time_ms: unix_ms as u64,
+            rng_seed: self.rng.random(),
+        };
         let config = Config {
             fleet: "emulated".to_string(),
             name: name.to_string(),
@@ -158,7 +161,7 @@
             timing: self.spec.timing.clone(),
         };
         node.machine = Some(Machine::new(config, start, Duration::ZERO));
-        (node.started, node.boot, node.stopped, node.wake) = (self.now, start.boot, false, None);
+        (node.started, node.boot, node.stopped, node.wake) = (self.now, start.process_id, false, None);
         node.inbox.clear();
         self.after(i);
     }
@@ -190,7 +193,7 @@
         let now = self.local(i);
         for bytes in std::mem::take(&mut self.nodes[i].inbox) {
             if let Some(machine) = &mut self.nodes[i].machine {
-                machine.datagram(now, &bytes);
+                machine.handle_datagram(now, &bytes);
             }
         }
         self.nodes[i].wake = None;
@@ -238,7 +241,7 @@
     /// long it took until then, or what was wrong last after `most`. Looked at each 50 ms.
     pub fn until(&mut self, most: Duration, truth: &Truth) -> Result<Duration, Vec<Fault>> {
         let start = self.now;
-        let steady = self.spec.timing.probe * 2 + self.spec.timing.suspicion;
+        let steady = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
         let mut right_since = None;
         loop {
             let wrong = if self.differ(truth) { None } else { Some(self.faults_of_one(truth)) };
@@ -322,7 +325,7 @@
             }
             return;
         }
-        machine.datagram(now, &bytes);
+        machine.handle_datagram(now, &bytes);
         self.after(to);
     }
 
@@ -334,7 +337,7 @@
         }
         node.wake = None;
         if let Some(machine) = &mut node.machine {
-            machine.tick(now);
+            machine.handle_timeout(now);
         }
         self.after(i);
     }
@@ -355,10 +358,10 @@
         let (here, there) = (self.local(from), self.local(other));
         let mut machine = |i: usize| self.nodes[i].machine.take();
         let (Some(mut asks), Some(mut tells)) = (machine(from), machine(other)) else { return };
-        let challenge = tells.challenge();
+        let challenge = tells.draw_nonce();
         let (asked, state) = asks.request_sync(here, to, challenge);
-        if let Some(answer) = tells.answer_sync(there, challenge, &state) {
-            asks.finish_sync(here, asked, &answer);
+        if let Some(answer) = tells.respond_to_sync(there, challenge, &state) {
+            asks.complete_sync(here, asked, &answer);
         }
         (self.nodes[from].machine, self.nodes[other].machine) = (Some(asks), Some(tells));
         self.after(from);
@@ -368,7 +371,7 @@
     /// Carries out what a machine wants done, and notes when it is to be woken.
     fn after(&mut self, i: usize) {
         let Some(mut machine) = self.nodes[i].machine.take() else { return };
-        while let Some(action) = machine.action() {
+        while let Some(action) = machine.next_action() {
             match action {
                 Action::Send { to, bytes } => self.send(i, to, bytes),
                 Action::SyncState { to } => {
@@ -379,7 +382,7 @@
                 Action::Event(event) => self.events.push((self.now, i, event)),
             }
         }
-        let due = self.nodes[i].started.saturating_add(machine.due()).max(self.now);
+        let due = self.nodes[i].started.saturating_add(machine.next_timeout()).max(self.now);
         let node = &mut self.nodes[i];
         node.machine = Some(machine);
         if node.wake.is_none_or(|at| due < at || at < self.now) {
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -89,7 +89,7 @@
 
     fn entry(&self) -> WorkerEntry {
         WorkerEntry {
-            worker: WorkerId(membership::hash(&self.id)),
+            worker: WorkerId(membership::name_hash(&self.id)),
             kind: 0,
             zone: zone_number(&self.locality),
             cell: self.cell,
--- a/testbed/src/scale/membership.rs
+++ b/testbed/src/scale/membership.rs
@@ -194,7 +194,7 @@
             |note: &MembershipEvent| matches!(note, MembershipEvent::Up(id) if id.phase == Phase::Draining);
         self.world.events.clear();
         let (before, changed_at) = (self.traffic(), self.world.now());
-        self.world.with(node, |machine, now| machine.phase(now, true));
+        self.world.with(node, |machine, now| machine.set_draining(now, true));
         self.until_noted(changed_at, others, draining, &before)
     }
 
--- a/testbed/src/scale/sealer.rs
+++ b/testbed/src/scale/sealer.rs
@@ -35,7 +35,7 @@
 
     /// A message with the rates of so many tenants. The membership machine leaves out those beyond `membership::RATES_MAX`.
     pub fn rates(&mut self, tenants: usize) -> Sealed {
-        let rates = (0..tenants).map(|i| (membership::hash(&format!("tenant-{i}")), RATE)).collect();
+        let rates = (0..tenants).map(|i| (membership::name_hash(&format!("tenant-{i}")), RATE)).collect();
         self.sent_by(|machine, now| machine.send_rates(now, &name(1), rates))
     }
 
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -41,6 +41,6 @@
 
     fn exchanges_since(&self, before: &Traffic) -> Option<Value> {
         let both = self.counters.iter().filter_map(|(i, now)| Some((now, before.counters.get(i)?)));
-        Value::of(both.map(|(now, then)| now.states.saturating_sub(then.states) as f64).collect())
+        Value::of(both.map(|(now, then)| now.full_states.saturating_sub(then.full_states) as f64).collect())
     }
 }
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -10,9 +10,9 @@
         zone: String::new(),
         address: "127.0.0.1:1".parse().unwrap(),
         incarnation: *incarnation,
-        boot: 1,
+        process_id: 1,
         status: *status,
-        for_ms: 0,
+        status_age_ms: 0,
     };
     let members: Vec<MemberInfo> = members.iter().map(line).collect();
     let incarnation = members.iter().find(|m| m.name == node).map_or(0, |m| m.incarnation);
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -108,7 +108,7 @@
     let deaths = world.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Down(_))).count();
     assert!(deaths <= 9, "{deaths} times somebody was held dead: more than one wrong death, told to all");
     // Guards those that refuted a suspicion against being told that they are dead all the same.
-    let returns = world.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Returned(_))).count();
+    let returns = world.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Rejoined(_))).count();
     assert!(returns <= deaths, "{returns} came back, of {deaths} told deaths");
     world.rules.heal();
     settled(&mut world, 20 * S);
@@ -125,7 +125,7 @@
     world.events.clear();
     world.go_on(5);
     settled(&mut world, 20 * S);
-    assert!(world.events.iter().any(|(_, i, n)| *i == 5 && matches!(n, MembershipEvent::Returned(_))));
+    assert!(world.events.iter().any(|(_, i, n)| *i == 5 && matches!(n, MembershipEvent::Rejoined(_))));
     // What others did not answer while it stood still is not held against them.
     assert!(
         world.events.iter().all(|(_, _, n)| !matches!(n, MembershipEvent::Down(_))),
@@ -178,7 +178,7 @@
 /// Guards against a dead name that newcomers hand on to each other, each counting its death from when it heard of it.
 #[test]
 fn a_death_is_as_old_for_a_newcomer_as_for_those_that_saw_it() {
-    let timing = Timing { forget: 60 * S, ..Timing::default() };
+    let timing = Timing { forget_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 18, timing, seeds: 2 });
     settled(&mut world, 20 * S);
     world.kill(7);
@@ -247,7 +247,7 @@
 #[test]
 fn a_node_that_leaves_on_purpose_is_not_held_to_have_crashed() {
     let mut world = fleet(8, 9);
-    world.with(3, |m, now| m.phase(now, true));
+    world.with(3, |m, now| m.set_draining(now, true));
     world.run(5 * S);
     assert!((0..8).all(|i| status(&world, i, 3) == Some(MemberStatus::Draining)));
     world.leave(3);
@@ -260,7 +260,7 @@
 
 #[test]
 fn names_that_come_and_go_are_forgotten() {
-    let timing = Timing { forget: 60 * S, ..Timing::default() };
+    let timing = Timing { forget_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 10, timing, ..Spec::default() });
     world.run(10 * S);
     for round in 0..40 {
@@ -291,7 +291,7 @@
     let names: Vec<String> = (0..6).map(name).collect();
     let truth = Truth::whole(names.iter().map(String::as_str));
     world.until(10 * S, &truth).unwrap();
-    let refused = |world: &World| (0..6).map(|i| world.counters(i).refused.seal).sum::<u64>();
+    let refused = |world: &World| (0..6).map(|i| world.counters(i).rejected.unauthenticated).sum::<u64>();
     assert!(refused(&world) > 0, "what the one with the wrong key sends");
     world.rules.everywhere(Rule { mutated: 0.1, ..Rule::default() });
     let mut rng = SmallRng::seed_from_u64(11);
@@ -302,7 +302,7 @@
         world.run(S / 10);
     }
     assert_eq!(world.faults(&truth), []);
-    let refused = world.counters(0).refused;
+    let refused = world.counters(0).rejected;
     assert!(refused.oversized > 0 && refused.malformed > 0, "{refused:?}");
 }
 
@@ -331,7 +331,7 @@
     }
     world.run(10 * S);
     assert_eq!((world.faults(&truth), lives(&world)), (vec![], before));
-    assert!(world.counters(0).refused.replayed > 100);
+    assert!(world.counters(0).rejected.replayed > 100);
 }
 
 /// The drawn faults of one schedule, and a plain model of them: who runs, and who can talk to whom.
