--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -29,7 +29,7 @@
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::dispatcher::{queue, Answer};
-use crate::fleet;
+use crate::membership;
 use crate::phase::Phases;
 use crate::retune::Tuning;
 use crate::upgrade::Before;
@@ -100,7 +100,7 @@
     /// Unix socket at which the next process takes over, if it may.
     pub handover_path: Option<PathBuf>,
     /// Cluster membership, where it is configured.
-    pub fleet: Option<fleet::Handle>,
+    pub fleet: Option<membership::Handle>,
     /// Sharing of endpoint lists among the nodes of a zone, where it is configured.
     pub list_sharing: Option<ListSharing>,
 }
--- a/node/src/platform/peers.rs
+++ b/node/src/platform/peers.rs
@@ -7,7 +7,7 @@
 use super::Job;
 use crate::counters::Counters;
 use crate::dispatcher::{number_of, Clock, Handle};
-use crate::fleet::datagrams;
+use crate::membership::bind_datagram_socket;
 use crate::names::Names;
 use std::io;
 use std::net::SocketAddr;
@@ -113,7 +113,13 @@
         names: watch::Receiver<Arc<Names>>,
         counters: Arc<Counters>,
     ) -> io::Result<PeerSocket> {
-        Ok(PeerSocket { socket: datagrams(address)?, peers, names, counters, clock: Clock::start() })
+        Ok(PeerSocket {
+            socket: bind_datagram_socket(address)?,
+            peers,
+            names,
+            counters,
+            clock: Clock::start(),
+        })
     }
 
     /// Sends rates to another node, by its number. A datagram that cannot go out now is lost, as on its way.
--- a/node/src/platform/rate_gossip.rs
+++ b/node/src/platform/rate_gossip.rs
@@ -3,7 +3,7 @@
 use super::peers::PeerSocket;
 use super::Job;
 use crate::dispatcher::{number_of, Handle};
-use crate::fleet;
+use crate::membership;
 use crate::names::Names;
 use ::membership::{FleetSize, RATES_MAX};
 use std::collections::HashMap;
@@ -30,14 +30,14 @@
 
 /// Rates sent and received by the cluster's members.
 pub struct MembershipGossip {
-    membership: fleet::Handle,
+    membership: membership::Handle,
     cluster_size: watch::Receiver<FleetSize>,
     names: watch::Receiver<Arc<Names>>,
 }
 
 impl MembershipGossip {
     /// Gossip by this membership.
-    pub fn new(membership: fleet::Handle, names: watch::Receiver<Arc<Names>>) -> MembershipGossip {
+    pub fn new(membership: membership::Handle, names: watch::Receiver<Arc<Names>>) -> MembershipGossip {
         let cluster_size = membership.fleet_size();
         MembershipGossip { membership, cluster_size, names }
     }
@@ -55,7 +55,7 @@
 
     /// Brings the rates of other members to the dispatcher, as long as there is a membership.
     pub async fn receive(self, handle: Handle<Job>) {
-        let Some(mut received) = self.membership.rates() else { return };
+        let Some(mut received) = self.membership.take_rates() else { return };
         while let Some((sender, rates)) = received.recv().await {
             let sender = self.cluster_size.borrow().names.iter().position(|name| *name == sender);
             let rates: HashMap<u64, u16> = rates.into_iter().collect();
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -13,8 +13,8 @@
 use crate::config::Config;
 use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::{Dispatcher, Handle, Inbox};
-use crate::fleet;
 use crate::list::ListBody;
+use crate::membership;
 use crate::names::Names;
 use crate::phase::Phases;
 use crate::retune::Tuning;
@@ -48,7 +48,7 @@
     phases: Phases,
     discovery: watch::Receiver<Option<SocketAddr>>,
     handover_path: Option<PathBuf>,
-    membership: Option<fleet::Handle>,
+    membership: Option<membership::Handle>,
     list_sharing: Option<ListSharing>,
 }
 
@@ -192,7 +192,7 @@
         let Some(path) = self.handover_path.take() else { return };
         let (listener, phases, budget) = (Arc::downgrade(listener), self.phases.clone(), self.budget.clone());
         let membership = self.membership.clone();
-        let displaced = move || membership.iter().for_each(fleet::Handle::suspend);
+        let displaced = move || membership.iter().for_each(membership::Handle::suspend);
         tokio::spawn(async move { upgrade::offer(&path, listener, &phases, &*budget, displaced).await });
     }
 
--- a/node/tests/golden/rendering.rs
+++ b/node/tests/golden/rendering.rs
@@ -3,7 +3,7 @@
 
 use dispatch_policy::api::{Allowance, ClassSettings, Group, Rules, Semantics, Settings, TenantSettings};
 use dispatch_policy::settings::Field;
-use membership::file::File;
+use membership::file::FleetFile;
 use molevale::names::Names;
 use std::fmt::{Debug, Write};
 
@@ -180,8 +180,8 @@
 }
 
 /// The operator's file of the talk between nodes.
-pub fn fleet_file(out: &mut String, file: &File) {
-    let File { fleet, listen, advertise, zone, key_file, seeds, timing, duties } = file;
+pub fn fleet_file(out: &mut String, file: &FleetFile) {
+    let FleetFile { fleet, listen, advertise, zone, key_file, seeds, timing, duties } = file;
     let all: [(&str, &dyn Debug); 11] = [
         ("fleet", fleet),
         ("listen", listen),
@@ -189,25 +189,29 @@
         ("zone", zone),
         ("key file", key_file),
         ("seeds", seeds),
-        ("probe", &timing.probe),
-        ("answer", &timing.answer),
-        ("suspicion", &timing.suspicion),
-        ("contact", &timing.contact),
-        ("forget", &timing.forget),
+        ("probe", &timing.probe_interval),
+        ("answer", &timing.probe_timeout),
+        ("suspicion", &timing.suspicion_timeout),
+        ("contact", &timing.reconnect_interval),
+        ("forget", &timing.forget_after),
     ];
     all.into_iter().for_each(|(key, value)| put(out, key, value));
     let Some(duties) = duties else { return writeln!(out, "duties: none").unwrap() };
     let all: [(&str, &dyn Debug); 6] = [
         ("duties state", &duties.state),
         ("duties voters", &duties.voters),
-        ("duties lease", &duties.lease),
-        ("duties election", &duties.election),
+        ("duties lease", &duties.lease_duration),
+        ("duties election", &duties.election_timeout),
         ("duties lists", &duties.lists),
         ("duties roll", &duties.roll),
     ];
     all.into_iter().for_each(|(key, value)| put(out, key, value));
     for call in &duties.scheduled_calls {
-        writeln!(out, "duties call: {:?} at {:?} {:?} every {:?}", call.name, call.at, call.path, call.every)
-            .unwrap();
+        writeln!(
+            out,
+            "duties call: {:?} at {:?} {:?} every {:?}",
+            call.name, call.address, call.path, call.interval
+        )
+        .unwrap();
     }
 }
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -237,7 +237,7 @@
         [[duties.errand]]\nname = \"stamp\"\nat = \"127.0.0.1:9100\"\npath = \"/stamp\"\nevery_ms = 1000\n";
     for text in [include_str!("../../deploy/fleet.toml"), &format!("{FLEET}{duties}")] {
         writeln!(all, "== fleet file").unwrap();
-        rendering::fleet_file(&mut all, &membership::file::File::parse(text).unwrap());
+        rendering::fleet_file(&mut all, &membership::file::FleetFile::parse(text).unwrap());
     }
     check("settings.txt", &all);
 }
