--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -133,14 +133,14 @@
     /// Counts the end of an attempt, by its outcome.
     pub fn count_outcome(&self, outcome: Outcome) {
         match outcome {
-            Outcome::Ok => &self.ok,
+            Outcome::Success => &self.ok,
             Outcome::Error => &self.error,
-            Outcome::Full => &self.full,
+            Outcome::Rejected => &self.full,
             Outcome::Timeout => &self.timeout,
             Outcome::ConnectFailed => &self.connect_failed,
-            Outcome::Reset => &self.reset,
+            Outcome::ConnectionLost => &self.reset,
             Outcome::Cancelled => &self.cancelled,
-            Outcome::Moot => &self.not_sent,
+            Outcome::NotSent => &self.not_sent,
         }
         .add();
     }
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -5,8 +5,8 @@
 use crate::invariants::Invariant;
 use bytes::Bytes;
 use dispatch_policy::api::{
-    Action, Ending, Event, LoadReport, Outcome, Request, RequestId, Semantics, Settings, SettingsError, Time,
-    Trace, WorkerEntry, WorkerId,
+    Action, AttemptEnd, Endpoint, Event, Idempotency, InvalidSettings, LoadReport, Micros, Notice, Outcome,
+    Request, RequestId, Settings, WorkerId,
 };
 use dispatch_policy::Policy;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -100,7 +100,7 @@
     Progress(Tag, f64),
     Ended(Tag, Outcome, Option<LoadReport>, Bytes),
     EndedBlameless(Tag, Outcome),
-    List(Vec<WorkerEntry>, bool),
+    List(Vec<Endpoint>, bool),
     ListFailed,
     Settings(Box<Settings>, Vec<Option<usize>>),
     Peer(u32, Vec<u8>),
@@ -182,7 +182,7 @@
     }
 
     /// News of the workers: all of them, or the changed lines.
-    pub fn list(&self, entries: Vec<WorkerEntry>, full: bool) {
+    pub fn list(&self, entries: Vec<Endpoint>, full: bool) {
         self.put(Input::List(entries, full));
     }
 
@@ -225,7 +225,7 @@
 /// Unix time at the start plus monotonic time since: it never runs backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix_us: Time,
+    unix_us: Micros,
     start: Instant,
 }
 
@@ -233,35 +233,38 @@
     /// Starts from the wall clock as it is now.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_us: unix.as_micros() as Time, start: Instant::now() }
+        Clock { unix_us: unix.as_micros() as Micros, start: Instant::now() }
     }
 
     /// The time, in microseconds.
-    pub fn now(&self) -> Time {
-        self.unix_us + self.start.elapsed().as_micros() as Time
+    pub fn now(&self) -> Micros {
+        self.unix_us + self.start.elapsed().as_micros() as Micros
     }
 }
 
 /// How a request's class may be repeated, as it was when the request came in.
 #[derive(Clone, Copy)]
 struct RepeatRules {
-    semantics: Semantics,
+    idempotency: Idempotency,
     window: Duration,
 }
 
 impl RepeatRules {
     fn of(settings: &Settings, class: usize) -> RepeatRules {
         let class = &settings.classes[class.min(settings.classes.len() - 1)];
-        RepeatRules { semantics: class.semantics, window: Duration::from_micros(class.repeat_window_us) }
+        RepeatRules {
+            idempotency: class.idempotency,
+            window: Duration::from_micros(class.deduplication_window_us),
+        }
     }
 
     /// Whether a request may be sent now whose first attempt that may have run was sent at this time.
     fn allow(&self, may_have_run: Option<Instant>) -> bool {
         let Some(first) = may_have_run else { return true };
-        match self.semantics {
-            Semantics::Safe => true,
-            Semantics::Keyed(_) => first.elapsed() < self.window,
-            Semantics::Unsafe => false,
+        match self.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey(_) => first.elapsed() < self.window,
+            Idempotency::NotIdempotent => false,
         }
     }
 }
@@ -294,7 +297,7 @@
     table: HashMap<RequestId, Entry<F>>,
     events: VecDeque<Event>,
     counters: Arc<Counters>,
-    overdrafts: u64, // of the module, as counted so far
+    slow_start_overdrafts: u64, // of the module, as counted so far
 }
 
 impl<F: Front> Dispatcher<F> {
@@ -304,11 +307,21 @@
         seed: u64,
         front: F,
         counters: Arc<Counters>,
-    ) -> Result<Self, SettingsError> {
+    ) -> Result<Self, InvalidSettings> {
         let clock = Clock::start();
         let policy = Policy::new(settings.clone(), seed, clock.now())?;
         let (due, table, events) = Default::default();
-        Ok(Dispatcher { policy, settings, front, clock, due, table, events, counters, overdrafts: 0 })
+        Ok(Dispatcher {
+            policy,
+            settings,
+            front,
+            clock,
+            due,
+            table,
+            events,
+            counters,
+            slow_start_overdrafts: 0,
+        })
     }
 
     /// Runs until every handle is dropped.
@@ -342,7 +355,7 @@
             }
             self.due.pop_first();
             match due {
-                Due::Timer => self.tell(Event::Timer),
+                Due::Timer => self.tell(Event::TimerExpired),
                 Due::Deadline(id) => self.deadline(id),
             }
         }
@@ -352,7 +365,7 @@
         match input {
             Input::Accept(request, job) => {
                 self.counters.taken.add();
-                let until = Instant::now() + Duration::from_micros(request.left_us);
+                let until = Instant::now() + Duration::from_micros(request.time_left_us);
                 let entry = Entry {
                     job: Some(job),
                     until,
@@ -365,7 +378,7 @@
                 };
                 self.table.insert(request.id, entry);
                 self.due.insert((until, Due::Deadline(request.id)));
-                self.tell(Event::Accept(request));
+                self.tell(Event::RequestReceived(request));
                 if let Some(job) = self.table.get(&request.id).and_then(|e| e.job.as_ref()) {
                     self.front.taken(job);
                 }
@@ -380,13 +393,13 @@
                     if let Some(Some(attempt)) = &entry.out {
                         self.front.abandon(attempt);
                     }
-                    self.tell(Event::ClientLeft { id });
+                    self.tell(Event::ClientDisconnected { id });
                     self.tidy(id);
                 }
             }
             Input::Taken(tag) if self.is_out(tag) => {
                 self.counters.acknowledged.add();
-                self.tell(Event::Taken { id: tag.id, attempt: tag.attempt })
+                self.tell(Event::Acknowledged { id: tag.id, attempt: tag.attempt })
             }
             Input::Started(tag) if self.is_out(tag) => {
                 if let Some(last) = self.table.get_mut(&tag.id).and_then(|e| e.last.as_mut()) {
@@ -401,11 +414,11 @@
             Input::Ended(tag, outcome, report, result) => self.ended(tag, outcome, report, result, false),
             Input::EndedBlameless(tag, outcome) => self.ended(tag, outcome, None, Bytes::new(), true),
             Input::List(entries, full) => {
-                self.tell(if full { Event::FullList(entries) } else { Event::ListChanges(entries) });
+                self.tell(if full { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
             }
-            Input::ListFailed => self.tell(Event::ListFailed),
+            Input::ListFailed => self.tell(Event::EndpointWatchFailed),
             Input::Peer(from, bytes) => self.tell(Event::PeerMessage { from, bytes }),
-            Input::Probed(worker, ok, report) => self.tell(Event::Probed { worker, ok, report }),
+            Input::Probed(worker, ok, report) => self.tell(Event::ProbeEnded { worker, ok, report }),
             Input::Adopt(request, job, sent) => self.adopt(request, job, sent),
             Input::Lift(done) => {
                 self.lift();
@@ -414,7 +427,7 @@
             Input::Moved(tag) => self.moved(tag),
             Input::Settings(settings, continues) => {
                 self.settings = (*settings).clone();
-                self.tell(Event::Settings { settings, continues });
+                self.tell(Event::SettingsChanged { settings, continues });
             }
         }
     }
@@ -423,7 +436,7 @@
         self.counters.transferred_in.add();
         self.counters.in_flight.set(self.counters.in_flight.get() + 1);
         let (id, started) = (request.id, sent.started);
-        let ago = |at: Instant| at.elapsed().as_micros() as Time;
+        let ago = |at: Instant| at.elapsed().as_micros() as Micros;
         let tag = Tag { id, attempt: 0 };
         let out = Some(Some(self.front.send(tag, &job, sent.worker, sent.until)));
         let (until, most) = (sent.until, self.settings.max_attempts);
@@ -433,7 +446,7 @@
         self.table.insert(id, entry);
         self.due.insert((until, Due::Deadline(id)));
         let (sent_us, started_us) = (ago(sent.at), started.map(ago));
-        self.tell(Event::Adopted { request, worker: sent.worker, sent_us, started_us });
+        self.tell(Event::RequestAdopted { request, worker: sent.worker, sent_us, started_us });
     }
 
     fn lift(&mut self) {
@@ -455,9 +468,16 @@
             self.front.stop(hold, Outcome::Cancelled);
         }
         // The module hears that it is over here; nobody is told.
-        self.tell(Event::ClientLeft { id: tag.id });
+        self.tell(Event::ClientDisconnected { id: tag.id });
         let (id, attempt, outcome) = (tag.id, tag.attempt, Outcome::Cancelled);
-        self.tell(Event::Ended(Ending { id, attempt, outcome, last: true, kept: false, report: None }));
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            request_done: true,
+            not_attributable: false,
+            report: None,
+        }));
     }
 
     fn is_out(&self, tag: Tag) -> bool {
@@ -480,18 +500,25 @@
         log::debug!(request = tag.id, attempt = tag.attempt, outcome:?, blameless; "an attempt has ended");
         let Some(entry) = self.table.get_mut(&tag.id) else { return };
         entry.out = None;
-        if !outcome.proves_unrun() {
+        if !outcome.proves_not_executed() {
             entry.may_have_run = entry.may_have_run.or(entry.last.map(|sent| sent.at));
         }
         self.counters.in_flight.set(self.counters.in_flight.get() - 1);
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             if let Some(job) = entry.job.take() {
                 self.counters.served.add();
                 self.front.answer(job, Answer::Served(result));
             }
         }
         let (id, attempt, last) = (tag.id, tag.attempt, entry.job.is_none());
-        self.tell(Event::Ended(Ending { id, attempt, outcome, last, kept: blameless, report }));
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            request_done: last,
+            not_attributable: blameless,
+            report,
+        }));
         self.tidy(id);
     }
 
@@ -510,7 +537,7 @@
                     log::error!("request {id} was held to its deadline");
                     self.counters.failed.add();
                     self.front.answer(job, Answer::Failed);
-                    self.tell(Event::ClientLeft { id });
+                    self.tell(Event::ClientDisconnected { id });
                 }
                 self.tidy(id);
             }
@@ -541,17 +568,17 @@
                 self.act(action);
             }
         }
-        let overdrafts = self.policy.overdrafts();
-        if overdrafts > self.overdrafts {
-            self.overdrafts = overdrafts;
-            self.counters.violations.add(Invariant::ColdBudget, overdrafts);
+        let slow_start_overdrafts = self.policy.slow_start_overdrafts();
+        if slow_start_overdrafts > self.slow_start_overdrafts {
+            self.slow_start_overdrafts = slow_start_overdrafts;
+            self.counters.violations.add(Invariant::ColdBudget, slow_start_overdrafts);
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
             Action::Send { id, worker } => self.send(id, worker),
-            Action::Refuse { id, retry_after_us } => {
+            Action::Reject { id, retry_after_us } => {
                 log::debug!(request = id; "refused");
                 if let Some(job) = self.finish(id) {
                     self.counters.refused.add();
@@ -571,19 +598,19 @@
                     self.front.stop(hold, Outcome::Cancelled);
                 }
             }
-            Action::Timer { after_us } => {
+            Action::SetTimer { after_us } => {
                 let at = Instant::now() + Duration::from_micros(after_us);
                 self.due.insert((at, Due::Timer));
             }
-            Action::Watch => self.front.watch(),
-            Action::Release { worker } => self.front.release(worker),
-            Action::Trace(trace) => say(&trace),
-            Action::Tell { to, bytes } => self.front.tell(to, &bytes),
+            Action::WatchEndpoints => self.front.watch(),
+            Action::CloseIdleConnections { worker } => self.front.release(worker),
+            Action::Notify(trace) => say(&trace),
+            Action::SendPeerMessage { to, bytes } => self.front.tell(to, &bytes),
             Action::Probe { worker } => {
                 self.counters.probes.add();
                 // Guards jobs that wait for the answer: a front that can't ask is no answer.
                 if !self.front.probe(worker) {
-                    self.events.push_back(Event::Probed { worker, ok: false, report: None });
+                    self.events.push_back(Event::ProbeEnded { worker, ok: false, report: None });
                 }
             }
         }
@@ -632,7 +659,7 @@
         if let Some(entry) = self.table.get_mut(&id) {
             entry.job = None;
             self.counters.client_left.add();
-            self.events.push_back(Event::ClientLeft { id });
+            self.events.push_back(Event::ClientDisconnected { id });
             self.moot(id);
             self.tidy(id);
         }
@@ -644,20 +671,31 @@
         let Some(entry) = self.table.get_mut(&id).filter(|e| e.out.is_none()) else { return };
         let (attempt, last) = (entry.sent, entry.job.is_none());
         entry.sent += 1;
-        let ending = Ending { id, attempt, outcome: Outcome::Moot, last, kept: false, report: None };
-        self.events.push_back(Event::Ended(ending));
+        let ending = AttemptEnd {
+            id,
+            attempt,
+            outcome: Outcome::NotSent,
+            request_done: last,
+            not_attributable: false,
+            report: None,
+        };
+        self.events.push_back(Event::AttemptEnded(ending));
     }
 }
 
-fn say(trace: &Trace) {
+fn say(trace: &Notice) {
     match trace {
-        Trace::GaveUp(id, reason) => log::debug!(request = id, reason:?; "given up"),
-        Trace::Silent(w) => log::warn!("worker {:016x} is silent: no new jobs but a trickle", w.0),
-        Trace::Erring(w) => log::warn!("worker {:016x} fails jobs: no new jobs but a trickle", w.0),
-        Trace::Trusted(w) => log::info!("worker {:016x} is trusted again", w.0),
-        Trace::Throttled(u, offered) => {
+        Notice::RequestGivenUp { request: id, reason } => log::debug!(request = id, reason:?; "given up"),
+        Notice::WorkerUnresponsive { worker: w } => {
+            log::warn!("worker {:016x} is silent: no new jobs but a trickle", w.0)
+        }
+        Notice::WorkerFailing { worker: w } => {
+            log::warn!("worker {:016x} fails jobs: no new jobs but a trickle", w.0)
+        }
+        Notice::WorkerRecovered { worker: w } => log::info!("worker {:016x} is trusted again", w.0),
+        Notice::Throttling { admitted_per_s: u, offered_per_s: offered } => {
             log::info!("throttling: {u:.1} jobs/s admitted of {offered:.1} offered")
         }
-        Trace::ListFailed => log::warn!("worker list not to be had: asking again"),
+        Notice::EndpointListUnavailable => log::warn!("worker list not to be had: asking again"),
     }
 }
--- a/node/src/faktory/config.rs
+++ b/node/src/faktory/config.rs
@@ -53,7 +53,7 @@
         let config: FaktoryConfig =
             toml::from_str(text).map_err(|error| ConfigError::Syntax(Box::new(error)))?;
         let (settings, _) = read_settings(&config.settings).map_err(ConfigError::Settings)?;
-        if settings.cancelling {
+        if settings.can_cancel {
             return Err(ConfigError::Cancelling);
         }
         if config.connections == 0 {
--- a/node/src/faktory/leases/assignment.rs
+++ b/node/src/faktory/leases/assignment.rs
@@ -42,7 +42,7 @@
         let (Some(job), Some(worker)) = (job, worker) else {
             // Guards against jobs for a worker that drains or has gone, and for one that lost the lease of this very job:
             // its late ACK could not be told from that of the new attempt.
-            self.dispatcher.ended(attempt, Outcome::Full, None, Bytes::new());
+            self.dispatcher.ended(attempt, Outcome::Rejected, None, Bytes::new());
             return false;
         };
         job.attempt = Attempt::Offered(worker_id.clone(), attempt);
@@ -79,7 +79,7 @@
     pub fn cancel(&mut self, number: JobNumber, attempt: Tag, outcome: Outcome) {
         let Some(job) = self.jobs.get(&number) else { return };
         if job.is_offered(attempt) {
-            self.end_attempt(number, Outcome::Full);
+            self.end_attempt(number, Outcome::Rejected);
         } else if job.is_leased(attempt) {
             self.end_attempt(number, outcome);
         }
@@ -88,7 +88,7 @@
     /// Ends an offer that no `FETCH` has met in time.
     pub fn expire_offer(&mut self, number: JobNumber, attempt: Tag) {
         if self.jobs.get(&number).is_some_and(|job| job.is_offered(attempt)) {
-            self.end_attempt(number, Outcome::Full);
+            self.end_attempt(number, Outcome::Rejected);
         }
     }
 
@@ -97,7 +97,7 @@
         let Some(job) = self.jobs.get_mut(&delivery.job) else { return };
         if job.is_leased(delivery.attempt) {
             job.may_have_run &= !unsent || delivery.attempt.attempt > 0;
-            self.end_attempt(delivery.job, if unsent { Outcome::Full } else { Outcome::Reset });
+            self.end_attempt(delivery.job, if unsent { Outcome::Rejected } else { Outcome::ConnectionLost });
         }
     }
 
@@ -120,8 +120,8 @@
     /// Ends the offers to a worker and, if it has gone, its leases.
     pub(super) fn release(&mut self, worker_id: &str, gone: bool) {
         let outcome = |job: &Job| match &job.attempt {
-            Attempt::Offered(worker, _) if worker == worker_id => Some(Outcome::Full),
-            Attempt::Leased(worker, _) if worker == worker_id && gone => Some(Outcome::Reset),
+            Attempt::Offered(worker, _) if worker == worker_id => Some(Outcome::Rejected),
+            Attempt::Leased(worker, _) if worker == worker_id && gone => Some(Outcome::ConnectionLost),
             _ => None,
         };
         let ends = self.jobs.iter().filter_map(|(number, job)| Some((*number, outcome(job)?)));
@@ -140,7 +140,7 @@
                 (worker_id, attempt)
             }
         };
-        if outcome == Outcome::Reset {
+        if outcome == Outcome::ConnectionLost {
             job.lost_by.insert(worker_id.clone());
         }
         if let Some(worker) = self.workers.get_mut(&worker_id) {
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -144,8 +144,9 @@
         let longest = self.limits[class].deadline;
         let deadline =
             deadline_s.map_or(longest, |s| longest.min(Duration::from_secs_f64(s.min(DEADLINE_MAX_S))));
-        let left_us = deadline.as_micros() as u64;
-        let request = Request { class, tenant, left_us, hint_us: cost_hint_us, ..Request::default() };
+        let time_left_us = deadline.as_micros() as u64;
+        let request =
+            Request { class, tenant, time_left_us, work_hint_us: cost_hint_us, ..Request::default() };
         self.dispatcher.accept(request, number);
     }
 
--- a/node/src/faktory/leases/workers.rs
+++ b/node/src/faktory/leases/workers.rs
@@ -4,7 +4,7 @@
 use super::job::JobNumber;
 use super::LeaseTable;
 use crate::dispatcher::number_of;
-use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -129,7 +129,7 @@
     fn announce(&self, worker_id: &str, availability: Availability) {
         // A worker asks for each job itself, so it can't be overloaded by a push and needs no slow start.
         let worker = WorkerId(number_of(worker_id));
-        let entry = WorkerEntry { worker, kind: 0, zone: 0, cell: 0, availability, scale: 1.0, since: 0 };
+        let entry = Endpoint { worker, kind: 0, zone: 0, cell: 0, availability, weight: 1.0, started_at: 0 };
         self.dispatcher.list(vec![entry], false);
     }
 }
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -13,7 +13,7 @@
 use crate::platform::socket::Socket;
 use crate::transient::outlast;
 use crate::START_WAIT;
-use dispatch_policy::api::{Settings, SettingsError};
+use dispatch_policy::api::{InvalidSettings, Settings};
 use serde_json::json;
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -51,7 +51,7 @@
     Settings(String),
     /// The dispatcher rejects the settings.
     #[error("settings: {0}")]
-    InvalidSettings(#[source] SettingsError),
+    InvalidSettings(#[source] InvalidSettings),
     /// The dispatcher has ended, so that no job can be decided on.
     #[error("the core has ended")]
     DispatcherEnded,
@@ -140,7 +140,7 @@
     ) -> Result<Server, Error> {
         let (settings, names) = read_settings(&config.settings).map_err(Error::Settings)?;
         // A job may wait so long for a FETCH of the worker that it was assigned to.
-        let settings = Settings { lag_us: OFFER_TIMEOUT.as_micros() as u64, ..settings };
+        let settings = Settings { max_send_delay_us: OFFER_TIMEOUT.as_micros() as u64, ..settings };
         let limits = class_limits(&settings);
         let longest_deadline = limits.iter().map(|class| class.deadline).max().unwrap_or_default();
         let (handle, inbox) = queue();
@@ -213,7 +213,7 @@
 fn class_limits(settings: &Settings) -> Vec<ClassLimits> {
     let limits = settings.classes.iter().map(|class| ClassLimits {
         deadline: Duration::from_micros(class.deadline_us),
-        duplicate_window: Duration::from_micros(class.repeat_window_us),
+        duplicate_window: Duration::from_micros(class.deduplication_window_us),
     });
     limits.collect()
 }
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -183,7 +183,7 @@
         };
         match command {
             WorkerCommand::Fetch(_) => Reply::Nil, // it waits in `fetch`
-            WorkerCommand::Ack(jid) => self.finish(worker_id, &jid, Outcome::Ok),
+            WorkerCommand::Ack(jid) => self.finish(worker_id, &jid, Outcome::Success),
             WorkerCommand::Fail(jid) => self.finish(worker_id, &jid, Outcome::Error),
             WorkerCommand::Beat(beat) => self.record_heartbeat(worker_id, &beat),
         }
--- a/node/src/fleet.rs
+++ b/node/src/fleet.rs
@@ -161,7 +161,7 @@
     let socket = datagrams(at).map_err(|e| format!("cannot listen on {at} (fleet): {e}"))?;
     let (commands, command_queue) = mpsc::channel(QUEUE);
     let (rate_sender, rates) = mpsc::channel(QUEUE);
-    let planned = links.planned.borrow().settings.siblings;
+    let planned = links.planned.borrow().settings.dispatchers;
     let initial = FleetSize { siblings: planned, ordinal: 0, senders: planned, names: Vec::new() };
     let (fleet_size_sender, fleet_size) = watch::channel(initial);
     let (message_sender, messages) = mpsc::channel(QUEUE);
@@ -368,7 +368,7 @@
                 differs
             });
         }
-        let planned = self.links.planned.borrow().settings.siblings;
+        let planned = self.links.planned.borrow().settings.dispatchers;
         let size = self.machine.fleet_size(self.now(), planned);
         self.fleet_size.send_if_modified(|old| {
             let differs = *old != size;
--- a/node/src/list.rs
+++ b/node/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::number_of;
 use crate::names::Names;
-use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -82,9 +82,9 @@
     }
 
     /// The line as the module takes it.
-    pub fn entry(&self, names: &Names) -> WorkerEntry {
+    pub fn entry(&self, names: &Names) -> Endpoint {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|i| i as u8);
-        WorkerEntry {
+        Endpoint {
             worker: WorkerId(number_of(&self.id)),
             kind: place(&names.kinds, &self.flavor).unwrap_or(0),
             zone: place(&names.zones, &self.locality).unwrap_or(u8::MAX),
@@ -94,8 +94,8 @@
                 Phase::Terminating => Availability::Draining,
                 Phase::Terminated => Availability::Gone,
             },
-            scale: self.size,
-            since: self.up_since_ms * 1000,
+            weight: self.size,
+            started_at: self.up_since_ms * 1000,
         }
     }
 }
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -1,7 +1,7 @@
 //! The settings as the module takes them, and the names and figures that the wires need beside them.
 
 use dispatch_policy::api::Settings;
-use dispatch_policy::settings::{self, Field, Pairs};
+use dispatch_policy::settings::{self, KeyValues, ReportField};
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     /// The kinds of machine.
     pub kinds: Vec<String>,
     /// The values of a load report, by name.
-    pub report: Vec<(String, Field)>,
+    pub report: Vec<(String, ReportField)>,
     /// The time for a connection to come up.
     pub connect_timeout: Duration,
     /// The time after which workers close idle connections.
@@ -53,7 +53,7 @@
 pub fn read_settings(value: &Value) -> Result<(Settings, Names), String> {
     let mut text = String::new();
     flatten("", value, &mut text);
-    let pairs = Pairs::new(&text);
+    let pairs = KeyValues::new(&text);
     let (settings, fields) = settings::read(&pairs)?;
     // Names as they were written, not as the flat text has them: they are compared with what comes on wires, and a
     // space or a comma in one is its own.
@@ -64,7 +64,7 @@
         (0..n).map(name).collect()
     };
     let keyed = |c: &dispatch_policy::api::ClassSettings| {
-        matches!(c.semantics, dispatch_policy::api::Semantics::Keyed(_))
+        matches!(c.idempotency, dispatch_policy::api::Idempotency::WithKey(_))
     };
     let report = value.get("Stats").and_then(|stats| stats.get("Fields")).and_then(Value::as_array);
     let report = report.into_iter().flatten().map(name);
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -192,7 +192,7 @@
         match connection.sender.send_request(http_request).await {
             // 'It never ran' may have been said of the job before: nothing is certain of this one.
             Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
-                AttemptEnd::blameless(Outcome::Reset)
+                AttemptEnd::blameless(Outcome::ConnectionLost)
             }
             Ok(response) => self.read_response(request, response).await,
             Err(error) => self.send_failed(request, connection, is_adopted, &error),
@@ -208,7 +208,7 @@
             // An attempt of another process may have run.
             Some(adopted) => {
                 let connection = self.pool.adopt(adopted, request.body.len()).await;
-                connection.ok_or(AttemptEnd::without_answer(Outcome::Reset))
+                connection.ok_or(AttemptEnd::without_answer(Outcome::ConnectionLost))
             }
             None => self.pool.connect(request.worker).await.map_err(|error| match error {
                 ConnectError::LocalResources => AttemptEnd::blameless(Outcome::ConnectFailed),
@@ -263,8 +263,8 @@
             // Some of the request surely is still here: it has not run.
             (false, _) => AttemptEnd::without_answer(Outcome::ConnectFailed),
             // Idle connections break unseen: a kept one without a word on this job says nothing about the worker.
-            (true, true) => AttemptEnd::blameless(Outcome::Reset),
-            (true, false) => AttemptEnd::without_answer(Outcome::Reset),
+            (true, true) => AttemptEnd::blameless(Outcome::ConnectionLost),
+            (true, false) => AttemptEnd::without_answer(Outcome::ConnectionLost),
         }
     }
 
@@ -276,7 +276,7 @@
         }
         let has_not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
         let outcome = match head.status {
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => Outcome::Rejected,
             _ => Outcome::Error,
         };
         AttemptEnd {
@@ -297,7 +297,7 @@
                         log::warn!(event = "worker_update_too_long", request = id, attempt, limit = LINE_MAX;
                             "worker update without an end: the attempt counts as broken");
                     }
-                    return AttemptEnd::without_answer(Outcome::Reset);
+                    return AttemptEnd::without_answer(Outcome::ConnectionLost);
                 }
             };
             let update = fields::parse_update(&line, request.id.value.as_bytes(), &self.names.borrow());
@@ -310,14 +310,14 @@
                     self.handle.progress(request.tag, done);
                     continue;
                 }
-                Some(WorkerUpdate::Done(result, report)) => (Outcome::Ok, report, result),
+                Some(WorkerUpdate::Done(result, report)) => (Outcome::Success, report, result),
                 Some(WorkerUpdate::Failed(report)) => (Outcome::Error, report, Bytes::new()),
-                Some(WorkerUpdate::Returned(report)) => (Outcome::Full, report, Bytes::new()),
-                Some(WorkerUpdate::Lost(report)) => (Outcome::Reset, report, Bytes::new()),
+                Some(WorkerUpdate::Returned(report)) => (Outcome::Rejected, report, Bytes::new()),
+                Some(WorkerUpdate::Lost(report)) => (Outcome::ConnectionLost, report, Bytes::new()),
                 None => {
                     log::warn!(event = "worker_update_malformed", request = id, attempt;
                         "malformed worker update: the attempt counts as broken");
-                    return AttemptEnd::without_answer(Outcome::Reset);
+                    return AttemptEnd::without_answer(Outcome::ConnectionLost);
                 }
             };
             let unread = Some(UnreadAnswer { body: lines.body, limit: 0 });
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -105,7 +105,7 @@
             return None;
         }
         let text = |value: &hyper::header::HeaderValue| value.to_str().ok().map(String::from);
-        let Request { hint_us, retry, slots, memory, .. } = job.fields;
+        let Request { work_hint_us: hint_us, is_retry: retry, slots, memory, .. } = job.fields;
         let moving = Moving {
             class: names.classes.get(job.fields.class)?.clone(),
             tenant: names.tenants.get(job.fields.tenant).cloned().unwrap_or_default(),
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -34,7 +34,7 @@
 use crate::retune::Tuning;
 use crate::upgrade::Before;
 use bytes::Bytes;
-use dispatch_policy::api::{Request, SettingsError};
+use dispatch_policy::api::{InvalidSettings, Request};
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
 use in_flight_ids::InFlightId;
@@ -61,7 +61,7 @@
     },
     /// The decision module does not accept the settings.
     #[error("settings: {0}")]
-    Settings(#[source] SettingsError),
+    Settings(#[source] InvalidSettings),
     /// The dispatcher's task has ended: without it the node could stay up and decide nothing.
     #[error("the core has ended: {0:?}")]
     DispatcherEnded(Result<(), JoinError>),
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -115,8 +115,8 @@
         let id = head.headers.get("x-request-id").ok_or(InvalidRequest::MissingId)?.clone();
         let id = self.budget.in_flight_ids.open(id).ok_or(InvalidRequest::IdInFlight)?;
         if adopted.is_none() {
-            fields.left_us = self.time_left_us(fields.left_us, connection, &names);
-            if fields.left_us == 0 {
+            fields.time_left_us = self.time_left_us(fields.time_left_us, connection, &names);
+            if fields.time_left_us == 0 {
                 return Err(ShedReason::DeadlinePassed.into());
             }
         }
@@ -136,7 +136,7 @@
             Some(sent) => self.handle.adopt(fields, job, sent),
             None => self.handle.accept(fields, job),
         };
-        log_accepted(number, id, fields.left_us, sent.is_some());
+        log_accepted(number, id, fields.time_left_us, sent.is_some());
         let client = WaitingClient {
             handle: &self.handle,
             id: number,
@@ -160,8 +160,8 @@
 }
 
 /// Logs a request. The reference to its id ends here: it is in flight for as long as the job and its attempts are.
-fn log_accepted(request: RequestId, id: Arc<InFlightId>, left_us: u64, adopted: bool) {
-    log::debug!(event = "request_accepted", request, wire_id:? = id.value, left_us, adopted; "request accepted");
+fn log_accepted(request: RequestId, id: Arc<InFlightId>, time_left_us: u64, adopted: bool) {
+    log::debug!(event = "request_accepted", request, wire_id:? = id.value, time_left_us, adopted; "request accepted");
 }
 
 /// A request whose path, method and stated length are accepted.
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -62,14 +62,14 @@
 /// The settings with what this wire adds (a worker answers 200 once it has accepted a job, and its connection may take as
 /// long as the settings allow to come up) and with what the membership tells.
 pub fn platform_settings(settings: Settings, names: &Names, cluster_size: Option<&FleetSize>) -> Settings {
-    let lag_us = names.connect_timeout.as_micros() as u64;
-    let settings = Settings { tells_taken: true, lag_us, ..settings };
+    let max_send_delay_us = names.connect_timeout.as_micros() as u64;
+    let settings = Settings { acknowledges: true, max_send_delay_us, ..settings };
     match cluster_size.filter(|size| !size.names.is_empty()) {
         Some(size) => Settings {
-            siblings: size.siblings,
+            dispatchers: size.siblings,
             ordinal: size.ordinal,
-            most_senders: size.senders,
-            order: number_of(&size.names.join("\n")),
+            max_senders: size.senders,
+            membership_epoch: number_of(&size.names.join("\n")),
             ..settings
         },
         None => settings,
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -124,7 +124,9 @@
         if let Some(gossip) = self.membership_gossip() {
             return Ok(Some(RatePublisher::Membership(gossip)));
         }
-        let Some(address) = self.peer_address.filter(|_| self.settings.peers) else { return Ok(None) };
+        let Some(address) = self.peer_address.filter(|_| self.settings.peer_messages) else {
+            return Ok(None);
+        };
         let peers = std::mem::take(&mut self.peer_addresses);
         let socket = PeerSocket::bind(address, peers, self.names.clone(), self.counters.clone());
         let socket = socket.map_err(|source| Error::BindPeerSocket { address, source })?;
@@ -166,8 +168,8 @@
             pool: self.budget.pool.clone(),
             names: self.names.clone(),
             counters: self.counters.clone(),
-            siblings: self.settings.siblings,
-            is_shared_service: self.settings.list_asked,
+            siblings: self.settings.dispatchers,
+            is_shared_service: self.settings.polls_endpoints,
             seed: self.seed,
             latest_list: self.budget.latest_list.clone(),
         };
--- a/node/src/retune.rs
+++ b/node/src/retune.rs
@@ -23,7 +23,7 @@
             settings: Settings {
                 classes: self.settings.classes.clone(),
                 tenants: self.settings.tenants.clone(),
-                retired: Vec::new(),
+                retired_classes: Vec::new(),
                 ..newer.settings.clone()
             },
             names: Names {
@@ -47,8 +47,9 @@
         let mut offered = Vec::new();
         for (i, class) in newer.settings.classes.iter().enumerate() {
             let name = &newer.names.classes[i];
-            let kind = class.kind.map(|k| renumbered(k, &newer.names.kinds, &new.names.kinds));
-            let class = ClassSettings { kind, ..class.clone() };
+            let required_kind =
+                class.required_kind.map(|k| renumbered(k, &newer.names.kinds, &new.names.kinds));
+            let class = ClassSettings { required_kind, ..class.clone() };
             let same = |j: &usize| new.names.classes[*j] == *name && new.settings.classes[*j] == class;
             let number = (0..new.settings.classes.len()).find(same).unwrap_or_else(|| {
                 // Its jobs run about as long as those of the class that had the name before.
@@ -60,8 +61,9 @@
             });
             offered.push(number);
         }
-        new.settings.retired = (0..new.settings.classes.len()).filter(|n| !offered.contains(n)).collect();
-        new.names.retired = new.settings.retired.clone();
+        new.settings.retired_classes =
+            (0..new.settings.classes.len()).filter(|n| !offered.contains(n)).collect();
+        new.names.retired = new.settings.retired_classes.clone();
         let none = TenantSettings { quota_per_s: 0.0, share: 0.0 };
         new.settings.tenants.fill(none);
         for (i, name) in newer.names.tenants.iter().enumerate() {
@@ -110,23 +112,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use dispatch_policy::api::{Group, Semantics};
+    use dispatch_policy::api::{Idempotency, KeyScope};
     use quickcheck::{Gen, QuickCheck};
     use serde_json::json;
     use std::collections::BTreeMap;
 
     /// Settings that offer these classes: a name and which of three effects.
     fn tuning(classes: &BTreeMap<u8, u8>, zones: [&str; 2]) -> Tuning {
-        let effects = [Semantics::Safe, Semantics::Keyed(Group::All), Semantics::Unsafe];
+        let effects =
+            [Idempotency::Idempotent, Idempotency::WithKey(KeyScope::Fleet), Idempotency::NotIdempotent];
         let class = |effect: &u8| ClassSettings {
-            aim_us: 1,
-            stretch: 0.0,
+            objective_us: 1,
+            objective_per_work: 0.0,
             deadline_us: 1 + u64::from(*effect),
-            worth: 1.0,
-            late_worth: 0.0,
-            semantics: effects[usize::from(*effect)],
-            repeat_window_us: 0,
-            kind: None,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: effects[usize::from(*effect)],
+            deduplication_window_us: 0,
+            required_kind: None,
         };
         let settings = Settings {
             classes: classes.values().map(class).collect(),
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use common::{checker, holds, settings};
-use dispatch_policy::api::{Availability, Outcome, Request, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, Endpoint, Outcome, Request, WorkerId};
 use molevale::counters::Counters;
 use molevale::dispatcher::{queue, Answer, Dispatcher, Front, Handle, Tag};
 use molevale::names::read_settings;
@@ -69,7 +69,7 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         use Outcome::*;
-        let ends = [Ok, Ok, Ok, Error, Full, Reset, ConnectFailed];
+        let ends = [Success, Success, Success, Error, Rejected, ConnectionLost, ConnectFailed];
         match u8::arbitrary(g) % 10 {
             0..=3 => Step::Accept(bool::arbitrary(g)),
             4..=6 => Step::End(u8::arbitrary(g), *g.choose(&ends).unwrap()),
@@ -81,8 +81,8 @@
     }
 }
 
-fn line(worker: u64, availability: Availability) -> WorkerEntry {
-    WorkerEntry { worker: WorkerId(worker), kind: 0, zone: 0, cell: 0, availability, scale: 1.0, since: 0 }
+fn line(worker: u64, availability: Availability) -> Endpoint {
+    Endpoint { worker: WorkerId(worker), kind: 0, zone: 0, cell: 0, availability, weight: 1.0, started_at: 0 }
 }
 
 /// Lets the core take what is in its queue and ends what it told to stop, as a front does.
@@ -96,7 +96,7 @@
         for (job, why) in stopped {
             let (tag, _) = notes.lock().unwrap().out.remove(&job).unwrap();
             core.ended(tag, why, None, Bytes::new());
-            core.ended(tag, Outcome::Ok, None, Bytes::new()); // a second outcome counts for nothing
+            core.ended(tag, Outcome::Success, None, Bytes::new()); // a second outcome counts for nothing
         }
     }
 }
@@ -114,7 +114,7 @@
         match step {
             Step::Accept(lodge) => {
                 let class = usize::from(lodge);
-                let request = Request { class, left_us: 5_000_000, ..Request::default() };
+                let request = Request { class, time_left_us: 5_000_000, ..Request::default() };
                 jobs.push(core.accept(request, jobs.len() as u64));
             }
             Step::End(n, outcome) => {
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -30,7 +30,7 @@
     let (_, mut again) = leases.fetch("one", &queues);
     leases.offer(attempt(1), number, worker("one"));
     assert!(again.try_recv().is_err(), "the same worker");
-    assert!(leases.finish("one", "job-00001", Outcome::Ok).is_err(), "its late ACK");
+    assert!(leases.finish("one", "job-00001", Outcome::Success).is_err(), "its late ACK");
     leases.session_opened("two");
     let (_, mut other) = leases.fetch("two", &queues);
     leases.offer(attempt(2), number, worker("two"));
--- a/node/tests/golden/rendering.rs
+++ b/node/tests/golden/rendering.rs
@@ -1,8 +1,10 @@
 //! Settings as text whose keys are this file's own: it stays where an item of the code has another name. All fields are
 //! taken apart one by one, so that none is left out.
 
-use dispatch_policy::api::{Allowance, ClassSettings, Group, Rules, Semantics, Settings, TenantSettings};
-use dispatch_policy::settings::Field;
+use dispatch_policy::api::{
+    ClassSettings, Idempotency, KeyScope, RetryBudget, Rules, Settings, TenantSettings,
+};
+use dispatch_policy::settings::ReportField;
 use membership::file::File;
 use molevale::names::Names;
 use std::fmt::{Debug, Write};
@@ -11,28 +13,28 @@
     writeln!(out, "{key} = {value:?}").unwrap();
 }
 
-fn semantics(semantics: Semantics) -> &'static str {
-    match semantics {
-        Semantics::Safe => "safe",
-        Semantics::Keyed(Group::All) => "keyed, all",
-        Semantics::Keyed(Group::Zone) => "keyed, zone",
-        Semantics::Keyed(Group::Cell) => "keyed, cell",
-        Semantics::Unsafe => "unsafe",
+fn idempotency(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::WithKey(KeyScope::Fleet) => "keyed, all",
+        Idempotency::WithKey(KeyScope::Zone) => "keyed, zone",
+        Idempotency::WithKey(KeyScope::Cell) => "keyed, cell",
+        Idempotency::NotIdempotent => "unsafe",
     }
 }
 
 fn class(out: &mut String, n: usize, class: &ClassSettings) {
     let ClassSettings {
-        aim_us,
-        stretch,
+        objective_us: aim_us,
+        objective_per_work: stretch,
         deadline_us,
-        worth,
-        late_worth,
-        semantics: effect,
-        repeat_window_us,
-        kind,
+        priority_weight: worth,
+        late_weight: late_worth,
+        idempotency: effect,
+        deduplication_window_us: repeat_window_us,
+        required_kind: kind,
     } = class;
-    let effect = semantics(*effect);
+    let effect = idempotency(*effect);
     writeln!(
         out,
         "class {n}: aim {aim_us:?} stretch {stretch:?} deadline {deadline_us:?} worth {worth:?} late {late_worth:?} \
@@ -42,8 +44,15 @@
 }
 
 fn rules(out: &mut String, rules: &Rules) {
-    let Rules { ask_every_us, cold_share, warm_up_us, fall_multiple, fall_us, allowance, soft_removal } =
-        rules;
+    let Rules {
+        poll_interval_us: ask_every_us,
+        cold_capacity_ratio: cold_share,
+        warm_up_us,
+        overload_multiple: fall_multiple,
+        overload_window_us: fall_us,
+        retry_budget: allowance,
+        soft_removal,
+    } = rules;
     put(out, "rules ask every us", ask_every_us);
     put(out, "rules cold share", cold_share);
     put(out, "rules warm up us", warm_up_us);
@@ -51,7 +60,7 @@
     put(out, "rules fall us", fall_us);
     put(out, "rules soft removal", soft_removal);
     match allowance {
-        Some(Allowance { spare, ratio, span_us }) => {
+        Some(RetryBudget { min_retries: spare, ratio, window_us: span_us }) => {
             writeln!(out, "rules allowance: spare {spare:?} ratio {ratio:?} span us {span_us:?}").unwrap();
         }
         None => writeln!(out, "rules allowance: none").unwrap(),
@@ -62,36 +71,36 @@
 pub fn settings(out: &mut String, settings: &Settings) {
     let Settings {
         classes,
-        retired,
+        retired_classes: retired,
         tenants,
-        siblings,
+        dispatchers: siblings,
         ordinal,
-        most_senders,
-        order,
+        max_senders: most_senders,
+        membership_epoch: order,
         zone,
         max_attempts,
-        cancelling,
-        peers,
+        can_cancel: cancelling,
+        peer_messages: peers,
         max_retry_after_us,
-        unmarked_repeats,
-        probes,
-        reports_free,
-        list_asked,
+        unmarked_retries: unmarked_repeats,
+        can_probe: probes,
+        reports_free_slots: reports_free,
+        polls_endpoints: list_asked,
         live_weights,
-        tells_taken,
-        tells_start,
-        progress_us,
+        acknowledges: tells_taken,
+        reports_start: tells_start,
+        progress_interval_us: progress_us,
         cross_zone_price,
         peer_price,
         handshake_price,
         origin_price,
-        conn_idle_us,
-        tail_weight,
-        tail_slack,
+        idle_timeout_us: conn_idle_us,
+        late_penalty_weight: tail_weight,
+        accepted_late_ratio: tail_slack,
         worst_class_weight,
-        over_share_worth,
-        resolution_us,
-        lag_us,
+        over_quota_weight: over_share_worth,
+        clock_resolution_us: resolution_us,
+        max_send_delay_us: lag_us,
         rules: figures,
     } = settings;
     classes.iter().enumerate().for_each(|(n, c)| class(out, n, c));
@@ -133,13 +142,13 @@
     rules(out, figures);
 }
 
-fn field(field: Field) -> &'static str {
+fn field(field: ReportField) -> &'static str {
     match field {
-        Field::FreeSlots => "free slots",
-        Field::FreeMemory => "free memory",
-        Field::Queue => "queue",
-        Field::InFlight => "in flight",
-        Field::Other => "other",
+        ReportField::FreeSlots => "free slots",
+        ReportField::FreeMemory => "free memory",
+        ReportField::Queue => "queue",
+        ReportField::InFlight => "in flight",
+        ReportField::Other => "other",
     }
 }
 
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -109,7 +109,7 @@
         _ => seen.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").await,
     }
     let c = node.counters.clone();
-    let all = [(&c.error, Outcome::Error), (&c.full, Outcome::Full), (&c.reset, Outcome::Reset)];
+    let all = [(&c.error, Outcome::Error), (&c.full, Outcome::Rejected), (&c.reset, Outcome::ConnectionLost)];
     loop {
         if let Some((_, outcome)) = all.iter().find(|(count, _)| count.get() > 0) {
             assert_eq!(c.error.get() + c.full.get() + c.reset.get(), 1, "one outcome for each attempt");
@@ -125,13 +125,13 @@
         ("failed", Outcome::Error),
         ("500", Outcome::Error),
         ("503", Outcome::Error),
-        ("returned", Outcome::Full),
-        ("not run", Outcome::Full),
-        ("lost", Outcome::Reset),
-        ("closed", Outcome::Reset),
-        ("another's line", Outcome::Reset),
-        ("no line", Outcome::Reset),
-        ("no last line", Outcome::Reset),
+        ("returned", Outcome::Rejected),
+        ("not run", Outcome::Rejected),
+        ("lost", Outcome::ConnectionLost),
+        ("closed", Outcome::ConnectionLost),
+        ("another's line", Outcome::ConnectionLost),
+        ("no line", Outcome::ConnectionLost),
+        ("no last line", Outcome::ConnectionLost),
     ] {
         assert_eq!(outcome(case).await, want, "{case}");
     }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -4,22 +4,22 @@
 
 use codec::{Batch, Record, Reply, HEADER};
 use dispatch_policy::api::{
-    Action, Availability, Ending, Event, LoadReport, Outcome, Request, Trace, WorkerEntry, WorkerId,
+    Action, AttemptEnd, Availability, Endpoint, Event, LoadReport, Notice, Outcome, Request, WorkerId,
 };
-use dispatch_policy::settings::{self, Field};
+use dispatch_policy::settings::{self, ReportField};
 use dispatch_policy::Policy;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
 struct Instance {
     policy: Policy,
-    fields: Vec<Field>,
+    fields: Vec<ReportField>,
 }
 
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<u8, Vec<WorkerEntry>>,
+    lists: BTreeMap<u8, Vec<Endpoint>>,
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -63,19 +63,19 @@
 
 fn outcome(code: u16) -> Result<Outcome, String> {
     Ok(match code {
-        100 => Outcome::Ok,
+        100 => Outcome::Success,
         301 => Outcome::Error,
-        302 => Outcome::Full,
+        302 => Outcome::Rejected,
         303 => Outcome::Timeout,
         304 => Outcome::ConnectFailed,
-        305 => Outcome::Reset,
+        305 => Outcome::ConnectionLost,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         _ => return Err(format!("outcome {code} is not known")),
     })
 }
 
-fn report(r: Record, at: usize, fields: &[Field]) -> Result<Option<LoadReport>, String> {
+fn report(r: Record, at: usize, fields: &[ReportField]) -> Result<Option<LoadReport>, String> {
     let n = usize::from(r.u8(at)?);
     let mut report = LoadReport::default();
     for (i, field) in fields.iter().enumerate().take(n.min(4)) {
@@ -84,8 +84,8 @@
     Ok(if n == 0 { None } else { Some(report) })
 }
 
-fn entry(r: Record) -> Result<WorkerEntry, String> {
-    Ok(WorkerEntry {
+fn entry(r: Record) -> Result<Endpoint, String> {
+    Ok(Endpoint {
         kind: r.u8(0)?,
         zone: r.u8(1)?,
         cell: u32::from(r.u16(2)?),
@@ -95,9 +95,9 @@
             2 => Availability::Draining,
             v => return Err(format!("availability {v} is not known")),
         },
-        scale: f64::from(r.f32(5)?),
+        weight: f64::from(r.f32(5)?),
         worker: WorkerId(r.runner(9)?),
-        since: r.u64(15)?,
+        started_at: r.u64(15)?,
     })
 }
 
@@ -121,31 +121,31 @@
         let instance = self.instances.get_mut(&i).ok_or_else(|| format!("instance {i} is not known"))?;
         let id = || r.u32(5).map(u64::from);
         let event = match code {
-            0 => Event::Timer,
-            1 => Event::Ended(Ending {
+            0 => Event::TimerExpired,
+            1 => Event::AttemptEnded(AttemptEnd {
                 id: id()?,
                 attempt: u32::from(r.u16(9)?),
                 outcome: outcome(r.u16(17)?)?,
-                last: r.u8(23)? != 0,
-                kept: false, // its wire doesn't tell
+                request_done: r.u8(23)? != 0,
+                not_attributable: false, // its wire doesn't tell
                 report: report(r, 28, &instance.fields)?,
             }),
             2 => {
                 let flags = r.u16(37)?;
                 let hint = r.u32(25)?;
-                Event::Accept(Request {
+                Event::RequestReceived(Request {
                     id: id()?,
                     class: usize::from(r.u16(9)?),
                     tenant: usize::from(r.u16(11)?),
-                    left_us: u64::from(r.u32(21)?),
-                    hint_us: if flags & 1 != 0 && hint > 0 { Some(u64::from(hint)) } else { None },
-                    retry: flags & 2 != 0,
-                    key: r.u64(13)?,
+                    time_left_us: u64::from(r.u32(21)?),
+                    work_hint_us: if flags & 1 != 0 && hint > 0 { Some(u64::from(hint)) } else { None },
+                    is_retry: flags & 2 != 0,
+                    affinity_key: r.u64(13)?,
                     slots: f64::from(r.f32(29)?),
                     memory: f64::from(r.f32(33)?),
                 })
             }
-            4 => Event::Probed {
+            4 => Event::ProbeEnded {
                 worker: WorkerId(r.runner(5)?),
                 ok: r.u16(11)? == 100,
                 report: report(r, 17, &instance.fields)?,
@@ -154,7 +154,7 @@
                 from: r.u32(5)?,
                 bytes: batch.tail(r.u32(9)?, r.u32(13)? as usize)?.to_vec(),
             },
-            6 => Event::StreamStarted { id: id()?, attempt: u32::from(r.u16(19)?) },
+            6 => Event::ResponseStreaming { id: id()?, attempt: u32::from(r.u16(19)?) },
             7 => {
                 let (id, attempt) = (id()?, u32::from(r.u16(9)?));
                 match r.u8(17)? {
@@ -172,13 +172,13 @@
                 let list =
                     || self.lists.get(&table).cloned().ok_or_else(|| format!("list {table} is not known"));
                 match r.u8(9)? {
-                    0 => Event::ListChanges(list()?),
-                    1 | 2 => Event::FullList(list()?),
-                    3 => Event::ListFailed,
+                    0 => Event::EndpointChanges(list()?),
+                    1 | 2 => Event::EndpointList(list()?),
+                    3 => Event::EndpointWatchFailed,
                     v => return Err(format!("list news of kind {v} is not known")),
                 }
             }
-            11 => Event::ClientLeft { id: id()? },
+            11 => Event::ClientDisconnected { id: id()? },
             v => return Err(format!("event code {v} is not known")),
         };
         instance.policy.handle(batch.now, &event, &mut self.actions);
@@ -194,14 +194,20 @@
     format!("{a}.{b}.{c}.{d}:{}", u16::from_be_bytes([p, q]))
 }
 
-fn words(trace: &Trace) -> String {
+fn words(trace: &Notice) -> String {
     match trace {
-        Trace::Silent(w) => format!("worker {} is silent: no new jobs but a trickle", name(*w)),
-        Trace::Erring(w) => format!("worker {} fails jobs: no new jobs but a trickle", name(*w)),
-        Trace::Trusted(w) => format!("worker {} is trusted again", name(*w)),
-        Trace::Throttled(u, offered) => format!("throttling: {u:.1} jobs/s admitted of {offered:.1} offered"),
-        Trace::GaveUp(id, reason) => format!("request {id} is given up: {reason:?}"),
-        Trace::ListFailed => "worker list not to be had: asking again".to_string(),
+        Notice::WorkerUnresponsive { worker: w } => {
+            format!("worker {} is silent: no new jobs but a trickle", name(*w))
+        }
+        Notice::WorkerFailing { worker: w } => {
+            format!("worker {} fails jobs: no new jobs but a trickle", name(*w))
+        }
+        Notice::WorkerRecovered { worker: w } => format!("worker {} is trusted again", name(*w)),
+        Notice::Throttling { admitted_per_s: u, offered_per_s: offered } => {
+            format!("throttling: {u:.1} jobs/s admitted of {offered:.1} offered")
+        }
+        Notice::RequestGivenUp { request: id, reason } => format!("request {id} is given up: {reason:?}"),
+        Notice::EndpointListUnavailable => "worker list not to be had: asking again".to_string(),
     }
 }
 
@@ -211,21 +217,21 @@
         Action::Send { id, worker } => {
             reply.push(0, i, &[&short(*id), &worker.0.to_be_bytes()[2..], &[0; 4]])
         }
-        Action::Refuse { id, retry_after_us } => reply.push(1, i, &[&short(*id), &short(*retry_after_us)]),
+        Action::Reject { id, retry_after_us } => reply.push(1, i, &[&short(*id), &short(*retry_after_us)]),
         Action::Fail { id } => reply.push(2, i, &[&short(*id)]),
         Action::Cancel { id, attempt } => {
             reply.push(3, i, &[&short(*id), &(*attempt as u16).to_be_bytes()]);
         }
-        Action::Timer { after_us } => reply.push(4, i, &[&short(*after_us), &0u64.to_be_bytes()]),
+        Action::SetTimer { after_us } => reply.push(4, i, &[&short(*after_us), &0u64.to_be_bytes()]),
         Action::Probe { worker } => reply.push(5, i, &[&worker.0.to_be_bytes()[2..]]),
-        Action::Watch => reply.push(10, i, &[&[1]]),
-        Action::Release { worker } => reply.push(6, i, &[&worker.0.to_be_bytes()[2..]]),
-        Action::Tell { to, bytes } => {
+        Action::WatchEndpoints => reply.push(10, i, &[&[1]]),
+        Action::CloseIdleConnections { worker } => reply.push(6, i, &[&worker.0.to_be_bytes()[2..]]),
+        Action::SendPeerMessage { to, bytes } => {
             let at = reply.tail(bytes);
             reply.push(7, i, &[&to.to_be_bytes(), &at]);
         }
-        Action::Trace(Trace::GaveUp(..)) => {} // one for each: more than a report holds
-        Action::Trace(trace) => {
+        Action::Notify(Notice::RequestGivenUp { .. }) => {} // one for each: more than a report holds
+        Action::Notify(trace) => {
             let at = reply.tail(words(trace).as_bytes());
             reply.push(8, i, &[&at]);
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,42 +9,42 @@
 //! use dispatch_policy::Policy;
 //!
 //! let class = ClassSettings {
-//!     aim_us: 250_000,
-//!     stretch: 1.75,
+//!     objective_us: 250_000,
+//!     objective_per_work: 1.75,
 //!     deadline_us: 5_000_000,
-//!     worth: 1.0,
-//!     late_worth: 0.0,
-//!     semantics: Semantics::Safe,
-//!     repeat_window_us: 0,
-//!     kind: None,
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
+//!     idempotency: Idempotency::Idempotent,
+//!     deduplication_window_us: 0,
+//!     required_kind: None,
 //! };
-//! let settings = Settings { classes: vec![class], siblings: 1, max_attempts: 3, ..Settings::default() };
+//! let settings = Settings { classes: vec![class], dispatchers: 1, max_attempts: 3, ..Settings::default() };
 //! let mut policy = Policy::new(settings, 42, 0)?;
 //! let mut actions = Vec::new();
 //!
-//! let worker = WorkerEntry {
+//! let worker = Endpoint {
 //!     worker: WorkerId(7),
 //!     kind: 0,
 //!     zone: 0,
 //!     cell: 0,
 //!     availability: Availability::Ready,
-//!     scale: 1.0,
-//!     since: 0,
+//!     weight: 1.0,
+//!     started_at: 0,
 //! };
-//! policy.handle(0, &Event::FullList(vec![worker]), &mut actions);
+//! policy.handle(0, &Event::EndpointList(vec![worker]), &mut actions);
 //! actions.clear();
 //!
-//! let request = Request { id: 1, left_us: 5_000_000, ..Request::default() };
-//! policy.handle(1_000, &Event::Accept(request), &mut actions);
+//! let request = Request { id: 1, time_left_us: 5_000_000, ..Request::default() };
+//! policy.handle(1_000, &Event::RequestReceived(request), &mut actions);
 //! assert!(actions.contains(&Action::Send { id: 1, worker: WorkerId(7) }));
 //!
 //! // When the worker answers, tell the module; `last` says that the client has its answer.
-//! let ending = Ending { id: 1, attempt: 0, outcome: Outcome::Ok, last: true, kept: false, report: None };
-//! policy.handle(301_000, &Event::Ended(ending), &mut actions);
-//! # Ok::<(), SettingsError>(())
+//! let ending = AttemptEnd { id: 1, attempt: 0, outcome: Outcome::Success, request_done: true, not_attributable: false, report: None };
+//! policy.handle(301_000, &Event::AttemptEnded(ending), &mut actions);
+//! # Ok::<(), InvalidSettings>(())
 //! ```
 //!
-//! An embedder sets the timers that [`api::Action::Timer`] asks for, gives each attempt the time that the
+//! An embedder sets the timers that [`api::Action::SetTimer`] asks for, gives each attempt the time that the
 //! client has left as its limit, and reports an attempt that reaches it as [`api::Outcome::Timeout`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,11 +11,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 
-const SECOND: Time = 1_000_000;
-const POLL: Time = 20_000; // us between looks for room while jobs wait: well under a job's time, cheap in CPU
-const ANSWER_MARGIN: Time = 30_000; // us before the client leaves in which a held job gets its answer
-const RETRY_SOON: Time = 10_000; // us; the wait advised where a late answer earns nothing
-const AHEAD: Time = 300_000; // us; a class's head start for each doubling of its worth for a worker's time
+const SECOND: Micros = 1_000_000;
+const POLL: Micros = 20_000; // us between looks for room while jobs wait: well under a job's time, cheap
+const ANSWER_MARGIN: Micros = 30_000; // us before the client leaves in which a held job gets its answer
+const RETRY_SOON: Micros = 10_000; // us; the wait advised where a late answer earns nothing
+const AHEAD: Micros = 300_000; // us; a class's head start for each doubling of its worth for a worker's time
 const TAIL_DUE: f64 = 0.4; // part of the aim, its stretch aside
 const BURST_S: f64 = 4.0; // s for which an unused allotment keeps: short bursts are within a share
 const PRESSURE: f64 = 0.35; // part of attempts without room above which jobs past their share wait
@@ -27,14 +27,14 @@
 const CAP_MAX: f64 = 64.0;
 const CAP_UP: f64 = 0.25; // jobs that a prompt start at the cap adds
 const CAP_DOWN: f64 = 0.8; // part that a late start or a 'full' leaves
-const PROMPT: Time = 25_000; // us; a start within this, or a tenth of a usual job, met no queue
-const WORD: Time = 250_000; // us; where a worker gives word that it took a job, it has by then
+const PROMPT: Micros = 25_000; // us; a start within this, or a tenth of a usual job, met no queue
+const WORD: Micros = 250_000; // us; where a worker gives word that it took a job, it has by then
 const RUN_SILENCE: u64 = 5; // usual job times without any sign of the worker's life that make silence
 const LONG: f64 = 8.0; // usual times: the first guess at a run time that one in 50 exceeds, and its gain
 const LONG_GAIN: f64 = 0.004;
 const KEPT_GAIN: f64 = 0.05; // a class's part of jobs served is over about 20, and can be told so far apart
 const APART: f64 = 0.3; // part of attempts without room that a class or tenant has more of than all there
-const TRIAL: Time = 300_000; // us before a doubted worker's trial; doubles with each doubt
+const TRIAL: Micros = 300_000; // us before a doubted worker's trial; doubles with each doubt
 const DOUBT_MAX: u32 = 4; // doublings at most
 const CROWD_PAUSE: f64 = 5.0; // doublings of the pause after 'full' where it never has room
 const ALL: usize = 32; // workers up to which all are looked at for a job; beyond, a seeded sample ...
@@ -48,7 +48,7 @@
 const SUSPECTS_MAX: usize = 4096; // keys, classes and tenants remembered at most, 3 * MUTE each
 const KEY_WAIT: f64 = 1.0; // fetches that a job would pay rather than wait its whole slack
 const ROOM_RISK: f64 = 0.3; // part of a job that may lack room where it is sent at once
-const FRESH: Time = 80_000; // us for which a report of free slots counts
+const FRESH: Micros = 80_000; // us for which a report of free slots counts
 const STALE: f64 = 0.4; // part of reports that only repeat the last above which asking is no use
 const AT_ONCE: usize = 6; // workers probed at once
 const PROBES_A_JOB: f64 = 10.0; // probes that a job may cost; ten times as many are saved up
@@ -60,7 +60,7 @@
 const USUAL_USE: f64 = 0.75; // part of its quota that a tenant within its share sends
 const TELL_PRICE: f64 = 0.001; // part of the worth that telling siblings may cost
 const TELL_MAX: u32 = 16; // siblings told in a second at most
-const MUTE: Time = 10 * SECOND; // for which a class stays away from a worker that left it unanswered
+const MUTE: Micros = 10 * SECOND; // for which a class stays away from a worker that left it unanswered
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
@@ -79,23 +79,23 @@
     key: u64,
     work: f64,
     need: f64, // us; slots, or memory in its units if that is more
-    admitted: Time,
-    deadline: Time,
-    due: Time,   // due: the last moment to send it and be in time
-    ahead: Time, // its class's head start while it waits
+    admitted: Micros,
+    deadline: Micros,
+    due: Micros,   // due: the last moment to send it and be in time
+    ahead: Micros, // its class's head start while it waits
     late: bool,
     in_share: bool,
     streaming: bool,
     counted: bool, // counted: it has entered w
     sent: u32,
     most: u32,
-    attempt: Attempt,               // attempts so far, at most, and the last one
-    may_run: Option<(usize, Time)>, // who may have run it first; the window's end
+    attempt: Attempt,                 // attempts so far, at most, and the last one
+    may_run: Option<(usize, Micros)>, // who may have run it first; the window's end
 }
 
 impl Job {
     /// The part of the time it can wait that is gone.
-    fn waited(&self, now: Time) -> f64 {
+    fn waited(&self, now: Micros) -> f64 {
         (now - self.admitted) as f64 / self.due.saturating_sub(self.admitted).max(1) as f64
     }
 }
@@ -103,9 +103,9 @@
 #[derive(Clone, Copy, Default)]
 struct Attempt {
     worker: usize,
-    sent: Time,
-    started: Time,
-    progressed: Time,
+    sent: Micros,
+    started: Micros,
+    progressed: Micros,
     cancelled: bool,
     taken: bool,   // its worker gave word of it
     lost: bool,    // it is given up: it holds no place any more
@@ -121,8 +121,8 @@
     scale: f64,
     ready: bool,
     listed: bool,
-    told_since: Time,
-    since: Time, // its start as told, and by our own clock
+    told_since: Micros,
+    since: Micros, // its start as told, and by our own clock
     held: f64,
     overdue: u32,
     cap: f64,
@@ -130,23 +130,23 @@
     slow: f64,
     crowd: f64, // run times over the usual; had no room
     free: f64,
-    free_at: Time, // free slots as reported, less what we sent since
+    free_at: Micros, // free slots as reported, less what we sent since
     told: LoadReport,
     told_held: f64,   // the last report, and what we held then
     cold_sends: Used, // while it is cold: our jobs in the newest slot
-    used_at: Time,
-    life: Time,
-    broke_at: Time, // our last use, its last sign of life and break
+    used_at: Micros,
+    life: Micros,
+    broke_at: Micros, // our last use, its last sign of life and break
     silent: bool,
     doubt: u32, // what we hold against it
-    trial_at: Time,
-    pause_until: Time, // when a doubted one gets a trial; pauses after 'full'
+    trial_at: Micros,
+    pause_until: Micros, // when a doubted one gets a trial; pauses after 'full'
 }
 
 impl Worker {
     /// Guards against lists that call live workers gone: where only draining binds, one goes on that shows
     /// life, and others get trials. May hurt: jobs go to workers that are gone until they fail there.
-    fn unlist(&mut self, soft: bool, now: Time) {
+    fn unlist(&mut self, soft: bool, now: Micros) {
         self.listed = false;
         self.ready &= soft;
         if self.ready && now > self.life + 2 * SECOND {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn trial(&self) -> Time {
+    fn trial(&self) -> Micros {
         if self.listed {
             TRIAL << self.doubt.min(DOUBT_MAX)
         } else {
@@ -169,10 +169,10 @@
     fails: u32,
     place: usize,
     places: u32,
-    failed_at: Time, // failures in a row, the last worker, of how many
-    served_at: Time,
-    trial_at: Time,
-    wait: Time, // the next trial, and the wait after it
+    failed_at: Micros, // failures in a row, the last worker, of how many
+    served_at: Micros,
+    trial_at: Micros,
+    wait: Micros, // the next trial, and the wait after it
 }
 
 #[derive(Default)]
@@ -190,7 +190,7 @@
     usual: f64,
     long: f64,
     samples: f64,
-    longest: Time, // run times, the median first; clients wait so long
+    longest: Micros, // run times, the median first; clients wait so long
     kept: f64,
     regulator: Regulator,
     u: f64,
@@ -208,18 +208,18 @@
     Check { id: RequestId, attempt: u32 },
 }
 
-type Rank = (u8, Time, RequestId); // band and lateness, time, id
+type Rank = (u8, Micros, RequestId); // band and lateness, time, id
 
 /// The decisions of one dispatcher.
 #[derive(Default)]
 pub struct Policy {
     set: Settings,
     rng: Rng,
-    now: Time,
-    started_at: Time,
-    born: Time,
+    now: Micros,
+    started_at: Micros,
+    born: Micros,
     started: bool,
-    traced_at: Time,
+    traced_at: Micros,
     jobs: BTreeMap<RequestId, Job>,
     waiting: BTreeSet<Rank>, // admitted and not sent
     tenants: Vec<Tenant>,
@@ -234,14 +234,14 @@
     most_scale: f64,                        // those ready; their sizes' sum; its peak
     open: Vec<usize>,                       // those with room now, where keys count
     suspects: BTreeMap<(u8, u64), Suspect>, // by key, class, tenant
-    judged: BTreeMap<(usize, (u8, u64)), (Time, f64)>, // worker and mark: kept away until; had no room
+    judged: BTreeMap<(usize, (u8, u64)), (Micros, f64)>, // worker and mark: kept away until; had no room
     lately: Vec<usize>,                     // those we hear from, or have a connection to
     agenda: Agenda<Due>,
     poll_set: bool,
     u: f64,
     u_max: f64,
     tokens: f64,
-    filled_at: Time, // the throttle, jobs a second
+    filled_at: Micros, // the throttle, jobs a second
     offered: f64,
     recent: f64,
     served: f64,
@@ -257,13 +257,13 @@
     further: Recent, // requests and further attempts, while they count
     probes: f64,
     probing: u32,
-    peers: BTreeMap<u32, (Time, Vec<f64>)>,
-    overdrafts: u64, // jobs to cold workers beyond this dispatcher's part of their budget: a fault
+    peers: BTreeMap<u32, (Micros, Vec<f64>)>,
+    slow_start_overdrafts: u64, // jobs to cold workers beyond this dispatcher's part of their budget: a fault
 }
 
 impl Policy {
     /// A dispatcher that knows its settings and nothing else.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Policy, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Policy, InvalidSettings> {
         settings.validate()?;
         let mut policy = Policy {
             rng: Rng(seed),
@@ -291,12 +291,12 @@
         }
         for (i, c) in settings.classes.iter().enumerate().skip(self.classes.len()) {
             let like = continues.get(i).copied().flatten().and_then(|j| self.classes.get(j));
-            let first = c.aim_us.max(10_000) as f64;
+            let first = c.objective_us.max(10_000) as f64;
             let (usual, long) = like.map_or((first, LONG * first), |c| (c.usual, c.long));
             self.classes.push(Class { usual, long, u: 1.0, kept: 1.0, ..Class::default() });
         }
         self.tenants.resize_with(tenants.max(1), || Tenant { tokens: 1.0, ..Tenant::default() });
-        if settings.order != self.set.order {
+        if settings.membership_epoch != self.set.membership_epoch {
             self.peers.clear();
         } // their numbers mean other nodes now
         self.set = settings;
@@ -305,47 +305,50 @@
 
     /// The classes that are offered, by number.
     fn offered(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.classes.len()).filter(|i| !self.set.retired.contains(i))
+        (0..self.classes.len()).filter(|i| !self.set.retired_classes.contains(i))
     }
 
     /// Jobs sent to cold workers beyond this dispatcher's part of their budget: none, where all is well.
-    pub fn overdrafts(&self) -> u64 {
-        self.overdrafts
+    pub fn slow_start_overdrafts(&self) -> u64 {
+        self.slow_start_overdrafts
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Time, event: &Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.started, true) && self.set.list_asked {
-            out.push(Action::Watch);
+        if !std::mem::replace(&mut self.started, true) && self.set.polls_endpoints {
+            out.push(Action::WatchEndpoints);
         }
         match event {
-            Event::Accept(request) => self.accept(request, out),
-            Event::Adopted { request, worker, sent_us, started_us } => {
+            Event::RequestReceived(request) => self.accept(request, out),
+            Event::RequestAdopted { request, worker, sent_us, started_us } => {
                 self.adopt(request, *worker, *sent_us, *started_us, out)
             }
-            Event::StreamStarted { id, attempt: a } => self.live(*id, *a).map_or((), |j| j.streaming = true),
-            Event::Taken { id, attempt } => self.taken_there(*id, *attempt, out),
+            Event::ResponseStreaming { id, attempt: a } => {
+                self.live(*id, *a).map_or((), |j| j.streaming = true)
+            }
+            Event::Acknowledged { id, attempt } => self.taken_there(*id, *attempt, out),
             Event::Started { id, attempt } => self.news(*id, *attempt, true, out),
             Event::Progress { id, attempt, .. } => self.news(*id, *attempt, false, out),
-            Event::Ended(ending) => self.ended(ending, out),
-            Event::ClientLeft { id } => self.client_left(*id, out),
-            Event::Settings { settings, continues } => self.configure((**settings).clone(), continues),
-            Event::FullList(entries) => self.list(entries, true),
-            Event::ListChanges(entries) => self.list(entries, false),
-            Event::ListFailed => self.list_failed(out),
-            Event::Timer if !self.agenda.rings(self.now) => return, // an earlier one overtook it
-            Event::Timer => self.timer(out),
-            Event::Probed { worker, ok, report } => self.probed(*worker, *ok, *report),
+            Event::AttemptEnded(ending) => self.ended(ending, out),
+            Event::ClientDisconnected { id } => self.client_left(*id, out),
+            Event::SettingsChanged { settings, continues } => self.configure((**settings).clone(), continues),
+            Event::EndpointList(entries) => self.list(entries, true),
+            Event::EndpointChanges(entries) => self.list(entries, false),
+            Event::EndpointWatchFailed => self.list_failed(out),
+            Event::TimerExpired if !self.agenda.rings(self.now) => return, // an earlier one overtook it
+            Event::TimerExpired => self.timer(out),
+            Event::ProbeEnded { worker, ok, report } => self.probed(*worker, *ok, *report),
             Event::PeerMessage { from, bytes } => self.peer(*from, bytes),
         }
-        let told = matches!(event, Event::Taken { .. } | Event::Started { .. } | Event::Progress { .. });
+        let told =
+            matches!(event, Event::Acknowledged { .. } | Event::Started { .. } | Event::Progress { .. });
         if !told && !matches!(event, Event::PeerMessage { .. }) {
             self.admit();
             self.bind(out);
         }
         if let Some(after_us) = self.agenda.timer(self.now) {
-            out.push(Action::Timer { after_us });
+            out.push(Action::SetTimer { after_us });
         }
     }
 
@@ -353,28 +356,33 @@
         let class = r.class.min(self.classes.len() - 1);
         let tenant = r.tenant.min(self.tenants.len() - 1);
         let c = &self.set.classes[class];
-        let work = r.hint_us.map_or(self.classes[class].usual, |h| h as f64);
+        let work = r.work_hint_us.map_or(self.classes[class].usual, |h| h as f64);
         self.work += KEPT_GAIN * (work / SECOND as f64 - self.work);
         // Usual times are of workers of all speeds; the stretch counts work at speed 1: trust half.
-        let slack = (c.aim_us as f64 + (c.stretch - 1.0) * work * 0.5).max(c.aim_us as f64 / 4.0);
+        let slack = (c.objective_us as f64 + (c.objective_per_work - 1.0) * work * 0.5)
+            .max(c.objective_us as f64 / 4.0);
         // Where late jobs spoil others' worth, a job that waits is refused surely inside its aim.
-        let slack = if self.set.tail_weight > 0.0 { slack.min(TAIL_DUE * c.aim_us as f64) } else { slack };
-        let deadline = self.now + r.left_us.saturating_sub(ANSWER_MARGIN);
+        let slack = if self.set.late_penalty_weight > 0.0 {
+            slack.min(TAIL_DUE * c.objective_us as f64)
+        } else {
+            slack
+        };
+        let deadline = self.now + r.time_left_us.saturating_sub(ANSWER_MARGIN);
         // A client that waits less long than others did has tried before: part of the aim is gone.
         let longest = &mut self.classes[class].longest;
-        *longest = r.left_us.max(*longest);
-        let spent = *longest - r.left_us;
-        let again = self.set.unmarked_repeats && spent >= RETRY_SOON / 2;
+        *longest = r.time_left_us.max(*longest);
+        let spent = *longest - r.time_left_us;
+        let again = self.set.unmarked_retries && spent >= RETRY_SOON / 2;
         let slack = if again { (slack - spent as f64).max(0.0) } else { slack };
         // A repeat has spent its aim already: it is worth what a late answer is worth, if anything.
-        let (late, worthless) = (r.retry && c.late_worth > 0.0, r.retry && c.late_worth <= 0.0);
-        let due = self.now + if late { r.left_us } else { slack as Time };
+        let (late, worthless) = (r.is_retry && c.late_weight > 0.0, r.is_retry && c.late_weight <= 0.0);
+        let due = self.now + if late { r.time_left_us } else { slack as Micros };
         let need = f64::min(r.slots.max(r.memory).max(1.0), CAP_MAX); // 1 for what is no number
         self.taken.add(self.now);
         let job = Job {
             class,
             tenant,
-            key: r.key,
+            key: r.affinity_key,
             work,
             need,
             admitted: self.now,
@@ -387,7 +395,7 @@
         };
         self.jobs.insert(r.id, job);
         if self.barred(&job) {
-            return self.give_up(r.id, Reason::Barred, out);
+            return self.give_up(r.id, Reason::Quarantined, out);
         }
         self.agenda.add(job.due, Due::Job { id: r.id });
         let t = &mut self.tenants[tenant];
@@ -404,7 +412,14 @@
     }
 
     /// A job that runs already: it holds its place at its worker, and its times are those it had.
-    fn adopt(&mut self, r: &Request, id: WorkerId, sent: Time, started: Option<Time>, out: &mut Vec<Action>) {
+    fn adopt(
+        &mut self,
+        r: &Request,
+        id: WorkerId,
+        sent: Micros,
+        started: Option<Micros>,
+        out: &mut Vec<Action>,
+    ) {
         self.accept(r, out);
         let (now, new) = (self.now, self.workers.len());
         let w = *self.index.entry(id).or_insert(new);
@@ -424,10 +439,10 @@
         self.plan(self.patience(r.id), Due::Check { id: r.id, attempt: 0 });
     }
 
-    fn ahead(&self, class: usize) -> Time {
-        let dense = |i: usize| self.set.classes[i].worth.max(1e-3) / self.classes[i].usual.max(1.0);
+    fn ahead(&self, class: usize) -> Micros {
+        let dense = |i: usize| self.set.classes[i].priority_weight.max(1e-3) / self.classes[i].usual.max(1.0);
         let least = self.offered().map(dense).fold(f64::INFINITY, f64::min);
-        ((dense(class) / least).log2() * AHEAD as f64) as Time
+        ((dense(class) / least).log2() * AHEAD as f64) as Micros
     }
 
     /// Allotments first, then the rest of u evenly among tenants that wait; what one leaves, others use.
@@ -489,7 +504,7 @@
         while let Some(&key) = self.waiting.range(from(after)).next().filter(|_| misses < most) {
             after = key;
             if self.jobs[&key.2].sent > 0 && !self.may_try_again(1.0) {
-                self.give_up(key.2, Reason::Ration, out);
+                self.give_up(key.2, Reason::RetryBudgetExhausted, out);
                 continue;
             }
             match self.pick(self.jobs[&key.2]).filter(|&w| self.known(w)) {
@@ -508,7 +523,7 @@
     }
 
     fn pick(&mut self, job: Job) -> Option<usize> {
-        if self.set.tells_start && !self.set.live_weights && !self.window.has_room(job.need) {
+        if self.set.reports_start && !self.set.live_weights && !self.window.has_room(job.need) {
             return None;
         }
         let scored = self.candidates(&job).into_iter().filter_map(|i| self.score(&job, i).map(|s| (s, i)));
@@ -520,13 +535,13 @@
         if self.set.origin_price > 0.0 {
             return self.open.clone();
         }
-        let bound = self.set.classes[job.class].semantics == Semantics::Keyed(Group::Cell);
+        let bound = self.set.classes[job.class].idempotency == Idempotency::WithKey(KeyScope::Cell);
         let mates = bound && job.may_run.is_some(); // few: a sample would miss them
         if self.workers.len() <= ALL || mates || self.shared() {
             return (0..self.workers.len()).collect();
         }
         let (now, workers) = (self.now, &self.workers);
-        let keep = if self.set.handshake_price > 0.0 { self.set.conn_idle_us } else { 0 };
+        let keep = if self.set.handshake_price > 0.0 { self.set.idle_timeout_us } else { 0 };
         self.lately.retain(|&i| now < workers[i].used_at + keep || now < workers[i].free_at + FRESH);
         let mut some = self.lately.clone();
         let mut rng = self.rng.below(u64::MAX);
@@ -543,11 +558,11 @@
     /// How little a worker suits a job; none where it may not or can't take it.
     fn score(&self, job: &Job, i: usize) -> Option<f64> {
         let (c, w) = (&self.set.classes[job.class], &self.workers[i]);
-        if !w.ready || c.kind.is_some_and(|k| k != w.kind) || !self.may_repeat_on(job, i) {
+        if !w.ready || c.required_kind.is_some_and(|k| k != w.kind) || !self.may_repeat_on(job, i) {
             return None;
         }
         let zone = if w.zone == self.set.zone { 0.0 } else { self.set.cross_zone_price * PRICE_LOAD };
-        let open = w.used_at > 0 && self.now < w.used_at + self.set.conn_idle_us; // costs nothing
+        let open = w.used_at > 0 && self.now < w.used_at + self.set.idle_timeout_us; // costs nothing
         let link = if open { 0.0 } else { self.set.handshake_price * PRICE_LOAD };
         let chance = unit(self.rng.0 ^ w.id.0) * 0.02;
         let kept_away = |mark| self.judged.get(&(i, mark)).is_some_and(|p| self.now < p.0);
@@ -581,7 +596,7 @@
     /// A worker's run times over the usual, and how often it has room; in a large fleet its kind stands in.
     fn usually(&self, w: &Worker) -> (f64, f64) {
         let kind = &self.kinds[w.kind as usize];
-        let many = self.workers.len() > ALL && self.set.reports_free && !self.set.tells_start;
+        let many = self.workers.len() > ALL && self.set.reports_free_slots && !self.set.reports_start;
         if many {
             (kind.0, kind.2.max(0.1))
         } else {
@@ -591,7 +606,7 @@
 
     /// Where workers report free slots, may be probed and don't tell starts, a job asks before it is sent.
     fn asks(&self) -> bool {
-        self.set.probes && self.set.reports_free && !self.set.tells_start && self.stale < STALE
+        self.set.can_probe && self.set.reports_free_slots && !self.set.reports_start && self.stale < STALE
     }
 
     fn known(&self, w: usize) -> bool {
@@ -616,19 +631,23 @@
     fn may_repeat_on(&self, job: &Job, worker: usize) -> bool {
         let Some((first, until)) = job.may_run else { return true };
         let (a, b) = (&self.workers[first], &self.workers[worker]);
-        match self.set.classes[job.class].semantics {
-            Semantics::Safe => true,
-            Semantics::Unsafe => false,
-            Semantics::Keyed(_) if self.now + self.set.lag_us + 2 * self.set.resolution_us >= until => false,
-            Semantics::Keyed(Group::All) => true,
-            Semantics::Keyed(Group::Zone) => a.zone == b.zone,
-            Semantics::Keyed(Group::Cell) => a.cell == b.cell,
+        match self.set.classes[job.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::WithKey(_)
+                if self.now + self.set.max_send_delay_us + 2 * self.set.clock_resolution_us >= until =>
+            {
+                false
+            }
+            Idempotency::WithKey(KeyScope::Fleet) => true,
+            Idempotency::WithKey(KeyScope::Zone) => a.zone == b.zone,
+            Idempotency::WithKey(KeyScope::Cell) => a.cell == b.cell,
         }
     }
 
     /// How full a worker would be with one more of our jobs; none where it has no room for this one.
     fn load(&self, w: &Worker, job: &Job) -> Option<f64> {
-        let waits = w.overdue > 0 && !w.silent && self.set.tells_start;
+        let waits = w.overdue > 0 && !w.silent && self.set.reports_start;
         let warmth = self.warmth(w);
         let cold = warmth < 1.0 && !self.may_start_on(w, job);
         if waits || self.now < w.pause_until || cold {
@@ -636,8 +655,9 @@
         }
         if w.silent || w.doubt > 0 {
             // Recovery by a trickle: one job at a time, and one that may be repeated if it is lost.
-            let none_safe = self.offered().all(|i| self.set.classes[i].semantics != Semantics::Safe);
-            let repeatable = self.set.classes[job.class].semantics == Semantics::Safe || none_safe;
+            let none_safe =
+                self.offered().all(|i| self.set.classes[i].idempotency != Idempotency::Idempotent);
+            let repeatable = self.set.classes[job.class].idempotency == Idempotency::Idempotent || none_safe;
             let load = if self.shared() { 1.0 / w.scale.max(0.1) } else { 0.0 }; // else trials come first
             return Some(load).filter(|_| repeatable && w.held < 0.5 && self.now >= w.trial_at);
         }
@@ -677,12 +697,12 @@
     }
 
     /// How much seldomer each tries a doubted worker, for all siblings do.
-    fn seldom(&self) -> Time {
-        (Time::from(self.set.senders()) / ALL as Time).max(1)
+    fn seldom(&self) -> Micros {
+        (Micros::from(self.set.senders()) / ALL as Micros).max(1)
     }
 
     fn estimates(&self) -> bool {
-        self.set.reports_free && !self.set.tells_start && !self.asks()
+        self.set.reports_free_slots && !self.set.reports_start && !self.asks()
     }
 
     fn warmth(&self, w: &Worker) -> f64 {
@@ -705,7 +725,7 @@
         let is_cold = self.warmth(&self.workers[w]) < 1.0;
         let may_start = |job| self.may_start_on(&self.workers[w], job);
         let overdraws = is_cold && !self.jobs.get(&key.2).is_some_and(may_start);
-        self.overdrafts += u64::from(overdraws);
+        self.slow_start_overdrafts += u64::from(overdraws);
         let Some(job) = self.jobs.get_mut(&key.2) else { return };
         let worker = &mut self.workers[w];
         let doubts = worker.silent || worker.doubt > 0;
@@ -715,7 +735,8 @@
         self.window.sent(job.need);
         if self.set.live_weights && self.set.senders() > ALL as u32 {
             let (c, speed) = (&self.set.classes[job.class], self.weights.speed(worker.kind as usize));
-            let latest = c.aim_us + ((c.stretch - 1.0 / speed.max(0.1)).max(0.0) * job.work) as Time;
+            let latest = c.objective_us
+                + ((c.objective_per_work - 1.0 / speed.max(0.1)).max(0.0) * job.work) as Micros;
             job.due = (job.admitted + latest).min(job.deadline);
         }
         if doubts {
@@ -737,28 +758,28 @@
     }
 
     /// How long a worker may show nothing of this job before it counts as silent.
-    fn patience(&self, id: RequestId) -> Time {
+    fn patience(&self, id: RequestId) -> Micros {
         let job = &self.jobs[&id];
         if self.wordless(&job.attempt) {
             return WORD;
         }
-        if self.set.tells_start && job.attempt.started == 0 {
+        if self.set.reports_start && job.attempt.started == 0 {
             // First it counts as waiting there, then, after a usual job's time or once it is late, as lost.
             // Where that is too late all the same, haste helps nobody: after a long job's time.
             let (c, a) = (&self.classes[job.class], &job.attempt);
-            let (usual, long) = (c.usual as Time, c.usual.max(c.long) as Time);
+            let (usual, long) = (c.usual as Micros, c.usual.max(c.long) as Micros);
             let wait = if a.sent + usual < job.due { usual } else { long };
             let wait = if self.busy(a.worker) { job.due.saturating_sub(a.sent) } else { wait };
             return PROMPT.max(usual / 10) + if a.overdue { wait } else { 0 };
         }
-        match self.set.progress_us {
-            0 => self.classes[job.class].usual as Time * RUN_SILENCE,
-            p => (p + p / 2).max(if self.estimates() { self.classes[job.class].long as Time } else { 0 }),
+        match self.set.progress_interval_us {
+            0 => self.classes[job.class].usual as Micros * RUN_SILENCE,
+            p => (p + p / 2).max(if self.estimates() { self.classes[job.class].long as Micros } else { 0 }),
         }
     }
 
     fn wordless(&self, a: &Attempt) -> bool {
-        self.set.tells_taken && !a.taken && a.started == 0
+        self.set.acknowledges && !a.taken && a.started == 0
     }
 
     /// Guards against hung and frozen workers: no start, no progress, no outcome, and no other life either.
@@ -775,7 +796,7 @@
         }
         // Guards against connections that fell silent: that says nothing of the worker's queue or classes.
         let wordless = self.wordless(&a);
-        if !wordless && self.set.tells_start && a.started == 0 && !a.overdue {
+        if !wordless && self.set.reports_start && a.started == 0 && !a.overdue {
             // Guards against queues that siblings fill: nothing more goes there until this one starts.
             self.workers[a.worker].overdue += 1;
             self.learn_room(a.worker, false);
@@ -787,7 +808,7 @@
         }
         let alone = self.workers[a.worker].life > seen;
         let waits = self.busy(a.worker) && a.started == 0 && !wordless; // siblings' jobs are before it
-        let over = self.set.tells_start && !waits && (!alone || seen + 2 * patience <= self.now);
+        let over = self.set.reports_start && !waits && (!alone || seen + 2 * patience <= self.now);
         if wordless {
             self.lose(id);
         } else if over {
@@ -796,7 +817,7 @@
         if !alone && !waits && !self.workers[a.worker].silent {
             let w = &mut self.workers[a.worker];
             (w.silent, w.trial_at) = (true, self.now + TRIAL);
-            self.trace(Trace::Silent(self.workers[a.worker].id), out);
+            self.trace(Notice::WorkerUnresponsive { worker: self.workers[a.worker].id }, out);
         }
         if (self.now - job_admitted) as f64 > LATE_W * self.aim(class) {
             self.count(id, LATE_W);
@@ -804,9 +825,9 @@
         // A job that may be repeated is called off and sent elsewhere while that still helps.
         let job = self.jobs[&id];
         let lost = self.workers[a.worker].silent || job.attempt.lost || waits || self.estimates();
-        let may = self.set.cancelling && self.set.classes[class].semantics != Semantics::Unsafe;
+        let may = self.set.can_cancel && self.set.classes[class].idempotency != Idempotency::NotIdempotent;
         let again = may && lost && job.sent < job.most && self.may_try_again(1.0);
-        let until = a.sent + self.set.classes[class].repeat_window_us;
+        let until = a.sent + self.set.classes[class].deduplication_window_us;
         let there = Job { may_run: job.may_run.or(Some((a.worker, until))), ..job };
         if again && (wordless || waits || self.pick(there).is_some()) {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -873,7 +894,7 @@
             (worker.doubt, worker.trial_at) = (worker.doubt - 1, self.now);
         }
         if held_against && worker.doubt == 0 {
-            self.trace(Trace::Trusted(self.workers[w].id), out);
+            self.trace(Notice::WorkerRecovered { worker: self.workers[w].id }, out);
         }
     }
 
@@ -900,8 +921,8 @@
     fn turned_away(&mut self, job: &Job, out: &mut Vec<Action>) {
         let (w, usual) = (job.attempt.worker, self.classes[job.class].usual);
         self.alive(w, false, out);
-        let wait = self.now + self.rng.below((usual / 8.0) as Time);
-        let pause = |crowd: f64| wait + (usual / 8.0 * (crowd * CROWD_PAUSE).exp2()) as Time;
+        let wait = self.now + self.rng.below((usual / 8.0) as Micros);
+        let pause = |crowd: f64| wait + (usual / 8.0 * (crowd * CROWD_PAUSE).exp2()) as Micros;
         let mut theirs = false;
         for mark in marks(job).filter(|m| m.0 > 0) {
             let pair = self.judged.entry((w, mark)).or_default();
@@ -976,7 +997,7 @@
         let (seldom, worker) = (self.seldom(), &mut self.workers[w]);
         worker.doubt = (worker.doubt + 2).min(DOUBT_MAX);
         worker.trial_at = self.now + (worker.trial() * seldom).min(MUTE);
-        self.trace(Trace::Erring(self.workers[w].id), out);
+        self.trace(Notice::WorkerFailing { worker: self.workers[w].id }, out);
     }
 
     /// Guards against taking one broken connection for a worker that is down: the first since the worker's
@@ -999,7 +1020,7 @@
     }
 
     fn reported(&mut self, w: usize, report: Option<LoadReport>) {
-        let Some(told @ LoadReport { free_slots: Some(free), queue, .. }) = report else { return };
+        let Some(told @ LoadReport { free_slots: Some(free), queued: queue, .. }) = report else { return };
         let queue = queue.unwrap_or(0.0).max(0.0);
         let free = free.min(told.free_memory.unwrap_or(free));
         let last = &mut self.workers[w];
@@ -1007,7 +1028,7 @@
         if moved && self.now < last.free_at + 4 * FRESH {
             self.stale += CROWD_GAIN / 2.0 * (f64::from(u8::from(last.told == told)) - self.stale);
         }
-        self.crowding(w, if told.queue.is_some() { queue < 0.5 } else { free >= 0.5 });
+        self.crowding(w, if told.queued.is_some() { queue < 0.5 } else { free >= 0.5 });
         if !self.lately.contains(&w) {
             self.lately.push(w);
         }
@@ -1021,7 +1042,7 @@
         self.mean_cap += PRESSURE_GAIN * (room - self.mean_cap);
     }
 
-    fn ended(&mut self, e: &Ending, out: &mut Vec<Action>) {
+    fn ended(&mut self, e: &AttemptEnd, out: &mut Vec<Action>) {
         let (id, outcome) = (e.id, e.outcome);
         let Some(job) = self.live(id, e.attempt) else { return };
         let (job, a, class) = (*job, job.attempt, job.class);
@@ -1034,32 +1055,32 @@
         // Guards against tables filled by many dispatchers' idle connections, where new ones cost nothing.
         let many = self.set.handshake_price <= 0.0 && self.set.senders() > ALL as u32;
         if last.held < 0.5 && many {
-            out.push(Action::Release { worker: last.id });
+            out.push(Action::CloseIdleConnections { worker: last.id });
         }
-        let failed = matches!(outcome, Outcome::Error | Outcome::Reset) && !e.kept;
-        let guilty = failed && self.blame(&job, outcome == Outcome::Reset);
+        let failed = matches!(outcome, Outcome::Error | Outcome::ConnectionLost) && !e.not_attributable;
+        let guilty = failed && self.blame(&job, outcome == Outcome::ConnectionLost);
         match outcome {
-            Outcome::Ok => self.served(&job, e.report, out),
-            Outcome::Full => self.turned_away(&job, out),
+            Outcome::Success => self.served(&job, e.report, out),
+            Outcome::Rejected => self.turned_away(&job, out),
             // A connection that breaks after the work was done is no quick failure: it draws no jobs.
-            Outcome::Reset if (self.now - a.sent) as f64 > 0.5 * usual => self.alive(w, false, out),
+            Outcome::ConnectionLost if (self.now - a.sent) as f64 > 0.5 * usual => self.alive(w, false, out),
             Outcome::Error if guilty => {}
-            Outcome::Reset | Outcome::ConnectFailed if e.kept => {}
-            Outcome::Reset => self.broke(w, out),
+            Outcome::ConnectionLost | Outcome::ConnectFailed if e.not_attributable => {}
+            Outcome::ConnectionLost => self.broke(w, out),
             Outcome::Error | Outcome::ConnectFailed => self.doubt(w, out),
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
         if job.stage == Stage::Done {
             self.jobs.remove(&id);
             return;
         }
-        if e.last || outcome == Outcome::Ok {
+        if e.request_done || outcome == Outcome::Success {
             let w = (self.now - self.jobs[&id].admitted) as f64 / self.aim(class);
             self.count(id, w.min(LATE_W));
             self.jobs.remove(&id);
             return;
         }
-        if !outcome.proves_unrun() {
+        if !outcome.proves_not_executed() {
             self.count(id, LATE_W);
         }
         self.again(id, outcome, out);
@@ -1089,7 +1110,7 @@
         let kind = &mut self.kinds[worker.kind as usize];
         kind.1 += 1.0; // the first guess counts for a job
         kind.0 += (1.0 / (kind.1 + 1.0)).max(0.03) * (ratio - kind.0);
-        if self.set.tells_start {
+        if self.set.reports_start {
             return;
         }
         let told = report.is_some_and(|r| r.free_slots.is_some());
@@ -1103,23 +1124,24 @@
     /// What becomes of a request whose attempt failed.
     fn again(&mut self, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if !outcome.proves_unrun() && job.may_run.is_none() {
-            let window = self.set.classes[job.class].repeat_window_us;
+        if !outcome.proves_not_executed() && job.may_run.is_none() {
+            let window = self.set.classes[job.class].deduplication_window_us;
             job.may_run = Some((job.attempt.worker, job.attempt.sent + window));
         }
         let job = self.jobs[&id];
-        let left = job.sent < job.most && outcome != Outcome::Moot && self.now < job.deadline;
-        let once = job.may_run.is_some() && self.set.classes[job.class].semantics == Semantics::Unsafe;
+        let left = job.sent < job.most && outcome != Outcome::NotSent && self.now < job.deadline;
+        let once =
+            job.may_run.is_some() && self.set.classes[job.class].idempotency == Idempotency::NotIdempotent;
         // Who was turned away unseen can be refused to come back as a new request: lost work goes first.
         let part = if job.may_run.is_none() { 0.5 } else { 1.0 };
         let reason = if !left {
-            Some(Reason::NoAttemptLeft)
+            Some(Reason::AttemptsExhausted)
         } else if once {
-            Some(Reason::MayHaveRun)
+            Some(Reason::MayHaveExecuted)
         } else if self.barred(&job) {
-            Some(Reason::Barred)
+            Some(Reason::Quarantined)
         } else if !self.may_try_again(part) {
-            Some(Reason::Ration)
+            Some(Reason::RetryBudgetExhausted)
         } else if self.now >= job.due && !self.may_be_late(id) {
             Some(Reason::TooLate)
         } else {
@@ -1136,9 +1158,9 @@
 
     /// Whether the ration of further attempts (or a part of it) leaves one more; edges count against us.
     fn may_try_again(&mut self, part: f64) -> bool {
-        let Some(ration) = self.set.rules.allowance else { return true };
-        let (from, slack) = (self.now.saturating_sub(ration.span_us), self.set.resolution_us);
-        let allowed = ration.spare + ration.ratio * self.taken.since(from + slack + 1) as f64;
+        let Some(ration) = self.set.rules.retry_budget else { return true };
+        let (from, slack) = (self.now.saturating_sub(ration.window_us), self.set.clock_resolution_us);
+        let allowed = ration.min_retries + ration.ratio * self.taken.since(from + slack + 1) as f64;
         self.further.since(from.saturating_sub(slack)) as f64 + 1.0 <= allowed * part
     }
 
@@ -1154,8 +1176,8 @@
     fn may_be_late(&mut self, id: RequestId) -> bool {
         let runs = if self.estimates() { 2 } else { 1 };
         let Some(job) = self.jobs.get_mut(&id) else { return false };
-        let last = job.deadline.saturating_sub(runs * self.classes[job.class].usual as Time);
-        if job.late || self.set.classes[job.class].late_worth <= 0.0 || self.now >= last {
+        let last = job.deadline.saturating_sub(runs * self.classes[job.class].usual as Micros);
+        if job.late || self.set.classes[job.class].late_weight <= 0.0 || self.now >= last {
             return false;
         }
         let waits = self.waiting.remove(&rank(job, id));
@@ -1173,13 +1195,13 @@
         }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.waiting.remove(&rank(&job, id));
-        out.push(Action::Trace(Trace::GaveUp(id, reason)));
+        out.push(Action::Notify(Notice::RequestGivenUp { request: id, reason }));
         self.classes[job.class].kept *= 1.0 - KEPT_GAIN;
         let c = &self.set.classes[job.class];
-        let any = matches!(c.semantics, Semantics::Safe | Semantics::Keyed(Group::All));
+        let any = matches!(c.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::Fleet));
         // Where late answers earn nothing, a wait can only make the repeat end later, past its aim.
-        let wait = if c.late_worth > 0.0 { Time::MAX } else { RETRY_SOON };
-        let refuse = Action::Refuse { id, retry_after_us: self.set.max_retry_after_us.min(wait) };
+        let wait = if c.late_weight > 0.0 { Micros::MAX } else { RETRY_SOON };
+        let refuse = Action::Reject { id, retry_after_us: self.set.max_retry_after_us.min(wait) };
         out.push(if any || job.may_run.is_none() { refuse } else { Action::Fail { id } });
     }
 
@@ -1191,13 +1213,13 @@
             return;
         }
         job.stage = Stage::Done;
-        let off = self.set.cancelling && !job.attempt.cancelled && !job.streaming;
+        let off = self.set.can_cancel && !job.attempt.cancelled && !job.streaming;
         if off {
             out.push(Action::Cancel { id, attempt: job.sent - 1 });
         }
     }
 
-    fn list(&mut self, entries: &[WorkerEntry], full: bool) {
+    fn list(&mut self, entries: &[Endpoint], full: bool) {
         let (soft, now, shared) = (self.set.rules.soft_removal, self.now, self.shared());
         let earliest = self.lists.earliest_start();
         self.lists.record(now);
@@ -1212,9 +1234,9 @@
                 self.workers.push(Worker::default());
             }
             let w = &mut self.workers[i];
-            if e.since > w.told_since || fresh {
+            if e.started_at > w.told_since || fresh {
                 // A restart knows nothing of what we learned.
-                let (id, kind, zone, cell, told_since) = (e.worker, e.kind, e.zone, e.cell, e.since);
+                let (id, kind, zone, cell, told_since) = (e.worker, e.kind, e.zone, e.cell, e.started_at);
                 let since = local_start(told_since, now, earliest);
                 let own = Worker { held: w.held, overdue: w.overdue, ..Worker::default() };
                 *w = Worker { id, kind, zone, cell, told_since, since, cap: CAP_START, slow: 1.0, ..own };
@@ -1224,7 +1246,7 @@
                 Availability::Draining => w.ready = false,
                 Availability::Gone => w.unlist(soft, now),
             }
-            w.scale = if e.scale.is_finite() && e.scale > 0.0 { e.scale } else { 1.0 };
+            w.scale = if e.weight.is_finite() && e.weight > 0.0 { e.weight } else { 1.0 };
             let seen = self.set.live_weights.then(|| self.weights.learn(e.kind as usize, w.scale));
             if let Some((all, size)) = seen {
                 (w.scale, w.there) = (size, if shared { all } else { 0.0 });
@@ -1245,10 +1267,10 @@
 
     /// Guards against a list that grows stale unseen: a failed call is made again until one holds.
     fn list_failed(&mut self, out: &mut Vec<Action>) {
-        let wait = (self.set.rules.ask_every_us / 20).clamp(SECOND / 10, SECOND);
+        let wait = (self.set.rules.poll_interval_us / 20).clamp(SECOND / 10, SECOND);
         let after = wait / 2 + self.rng.below(wait);
         self.plan(after, Due::Watch);
-        self.trace(Trace::ListFailed, out);
+        self.trace(Notice::EndpointListUnavailable, out);
     }
 
     fn step(&mut self, out: &mut Vec<Action>) {
@@ -1286,7 +1308,7 @@
         }
         self.u = (u * self.u_max).max(floor);
         if self.u < 0.7 * self.offered {
-            self.trace(Trace::Throttled(self.u, self.offered), out);
+            self.trace(Notice::Throttling { admitted_per_s: self.u, offered_per_s: self.offered }, out);
         }
     }
 
@@ -1300,12 +1322,12 @@
         let with_quota = self.set.tenants.iter().zip(&self.tenants).filter(|(s, _)| s.quota_per_s > 0.0);
         let mut parts: Vec<f64> = with_quota.map(|(s, t)| t.rate / s.quota_per_s).collect();
         parts.sort_by(f64::total_cmp);
-        let (even, young) = (1.0 / f64::from(self.set.siblings.max(1)), self.now - self.born < 3 * SECOND);
+        let (even, young) = (1.0 / f64::from(self.set.dispatchers.max(1)), self.now - self.born < 3 * SECOND);
         let middle = if parts.is_empty() || young { even } else { parts[parts.len() / 2] / USUAL_USE };
         self.peers.retain(|_, p| self.now - p.0 < 2 * MUTE);
         for (i, (s, t)) in self.set.tenants.iter().zip(&mut self.tenants).enumerate() {
             let heard: f64 = self.peers.values().filter_map(|p| p.1.get(i)).sum();
-            let others = heard / self.peers.len().max(1) as f64 * f64::from(self.set.siblings.max(1) - 1);
+            let others = heard / self.peers.len().max(1) as f64 * f64::from(self.set.dispatchers.max(1) - 1);
             let told = t.rate / (t.rate + others).max(1e-9);
             let part = if self.peers.is_empty() || young { middle.clamp(even, 1.0) } else { told };
             t.allotment = QUOTA_SLACK * s.quota_per_s * part;
@@ -1315,8 +1337,8 @@
     /// Tells a few siblings the tenants' rates here, two bytes each, in 64ths of a job a second. All tell as
     /// many, so that the sample is fair.
     fn tell(&mut self, out: &mut Vec<Action>) {
-        let (n, bytes) = (self.set.siblings, pack(self.tenants.iter().map(|t| t.rate)));
-        if !self.set.peers || n < 2 || self.set.tenants.is_empty() {
+        let (n, bytes) = (self.set.dispatchers, pack(self.tenants.iter().map(|t| t.rate)));
+        if !self.set.peer_messages || n < 2 || self.set.tenants.is_empty() {
             return;
         }
         let mean = self.set.tenants.iter().map(|t| t.quota_per_s).sum::<f64>() / f64::from(n);
@@ -1325,12 +1347,12 @@
         let first = if few < n - 1 { self.rng.below(u64::from(n - 1)) as u32 } else { 0 };
         for step in 0..few.min(n - 1) {
             let to = (self.set.ordinal + 1 + (first + step) % (n - 1)) % n;
-            out.push(Action::Tell { to, bytes: bytes.clone() });
+            out.push(Action::SendPeerMessage { to, bytes: bytes.clone() });
         }
     }
 
     fn peer(&mut self, from: u32, bytes: &[u8]) {
-        if from >= self.set.siblings || bytes.len() != 2 * self.tenants.len().min(128) {
+        if from >= self.set.dispatchers || bytes.len() != 2 * self.tenants.len().min(128) {
             return;
         }
         self.peers.insert(from, (self.now, unpack(bytes)));
@@ -1338,7 +1360,7 @@
 
     fn aim(&self, class: usize) -> f64 {
         let c = &self.set.classes[class];
-        (c.aim_us as f64 + c.stretch * self.classes[class].usual).max(1.0)
+        (c.objective_us as f64 + c.objective_per_work * self.classes[class].usual).max(1.0)
     }
 
     fn count(&mut self, id: RequestId, w: f64) {
@@ -1352,23 +1374,23 @@
             match due {
                 Due::Step => self.step(out),
                 Due::Poll => self.poll_set = false,
-                Due::Watch => out.push(Action::Watch),
+                Due::Watch => out.push(Action::WatchEndpoints),
                 Due::Job { id } => self.due(id, out),
                 Due::Check { id, attempt } => self.check(id, attempt, out),
             }
         }
     }
 
-    fn plan(&mut self, after: Time, due: Due) {
+    fn plan(&mut self, after: Micros, due: Due) {
         self.agenda.add(self.now + after, due);
     }
 
-    fn trace(&mut self, trace: Trace, out: &mut Vec<Action>) {
+    fn trace(&mut self, trace: Notice, out: &mut Vec<Action>) {
         if self.now < self.traced_at + SECOND && self.traced_at > 0 {
             return;
         }
         self.traced_at = self.now;
-        out.push(Action::Trace(trace));
+        out.push(Action::Notify(trace));
     }
 }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits what all dispatchers together send to a worker that has just started.
 //!
 //! A worker that has just started can do only a part of its work, and falls over when it is sent more than a
-//! multiple of that within a span ([`Rules::fall_multiple`], [`Rules::fall_us`]). Dispatchers share no state, so
+//! multiple of that within a span ([`Rules::overload_multiple`], [`Rules::overload_window_us`]). Dispatchers share no state, so
 //! the budget is divided by time: the worker's age is cut into slots, and each slot belongs to as many dispatchers
 //! as the budget of that slot allows jobs. Which ones follows from the worker's id, the slot's number and the
 //! dispatcher's ordinal alone, so all of them agree without a message.
@@ -15,13 +15,13 @@
 //! - Where dispatchers disagree on their number or on the worker's capacity, their slots fall at random: the sum
 //!   then varies as a Poisson count of the same mean.
 
-use crate::api::{Rules, Settings, Time, WorkerId};
+use crate::api::{Micros, Rules, Settings, WorkerId};
 use crate::support::{mix, unit};
 
 /// Slots in the span in which a worker may fall over. A span that begins within a slot touches one more.
-const SLOTS_IN_SPAN: Time = 3;
+const SLOTS_IN_SPAN: Micros = 3;
 /// The shortest slot, in microseconds: for rules without a span.
-const SHORTEST_SLOT: Time = 50_000;
+const SHORTEST_SLOT: Micros = 50_000;
 /// The least work that a mean job is taken to be, in seconds.
 const SHORTEST_WORK: f64 = 0.001;
 /// The part of the rule's budget that is used while the worker can do nothing yet ...
@@ -42,12 +42,12 @@
     /// How many there are.
     pub count: u32,
     /// When it started, in microseconds of the clock that workers' starts are told in.
-    pub started: Time,
+    pub started: Micros,
 }
 
 impl Sender {
     /// This dispatcher, as its settings number it.
-    pub fn of(settings: &Settings, started: Time) -> Sender {
+    pub fn of(settings: &Settings, started: Micros) -> Sender {
         Sender { ordinal: settings.ordinal, count: settings.senders(), started }
     }
 }
@@ -87,7 +87,7 @@
     /// The worker.
     pub worker: WorkerId,
     /// When it started, in microseconds; 0 for long ago.
-    pub at: Time,
+    pub at: Micros,
     /// Jobs a second that it can do once it is warm.
     pub capacity: f64,
 }
@@ -100,17 +100,17 @@
 }
 
 /// The part of its capacity that a worker surely has that started at `at`, from the rules' least share up to 1.
-pub fn warmth(rules: &Rules, at: Time, now: Time) -> f64 {
+pub fn warmth(rules: &Rules, at: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(at);
     if at == 0 || age >= rules.warm_up_us {
         return 1.0;
     }
     let grown = age as f64 / rules.warm_up_us as f64;
-    rules.cold_share + (1.0 - rules.cold_share).max(0.0) * grown
+    rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio).max(0.0) * grown
 }
 
 /// Whether this dispatcher may send the worker one more job now, whose work is `size` times that of a mean job.
-pub fn may_send(rules: &Rules, sender: Sender, start: Start, used: Used, now: Time, size: f64) -> bool {
+pub fn may_send(rules: &Rules, sender: Sender, start: Start, used: Used, now: Micros, size: f64) -> bool {
     if warmth(rules, start.at, now) >= 1.0 {
         return true;
     }
@@ -125,27 +125,27 @@
 
 impl Used {
     /// Counts a job that was sent to the worker.
-    pub fn record(self, rules: &Rules, started: Time, now: Time) -> Used {
+    pub fn record(self, rules: &Rules, started: Micros, now: Micros) -> Used {
         let slot = slot_at(rules, started, now);
         let before = if self.slot == slot { self.jobs } else { 0 };
         Used { slot, jobs: before + 1 }
     }
 }
 
-fn slot_length(rules: &Rules) -> Time {
-    (rules.fall_us / SLOTS_IN_SPAN).max(SHORTEST_SLOT)
+fn slot_length(rules: &Rules) -> Micros {
+    (rules.overload_window_us / SLOTS_IN_SPAN).max(SHORTEST_SLOT)
 }
 
 /// The number of the slot, counted from the worker's start. The first slots of two workers that start at once begin
 /// at once; which dispatchers own them differs.
-fn slot_at(rules: &Rules, started: Time, now: Time) -> u64 {
+fn slot_at(rules: &Rules, started: Micros, now: Micros) -> u64 {
     now.saturating_sub(started) / slot_length(rules)
 }
 
 /// What the rule allows the worker within a time, as jobs of mean work. The warmth at the slot's beginning counts.
-fn allowed(rules: &Rules, start: Start, slot: u64, time: Time) -> f64 {
+fn allowed(rules: &Rules, start: Start, slot: u64, time: Micros) -> f64 {
     let seconds = time as f64 / 1_000_000.0;
-    rules.fall_multiple * start.capacity * slot_warmth(rules, start, slot) * seconds
+    rules.overload_multiple * start.capacity * slot_warmth(rules, start, slot) * seconds
 }
 
 fn slot_warmth(rules: &Rules, start: Start, slot: u64) -> f64 {
@@ -160,7 +160,7 @@
 
 /// The largest job that may be sent, over the mean job's work. A mean job always may.
 fn largest_job(rules: &Rules, start: Start, slot: u64) -> f64 {
-    let span = allowed(rules, start, slot, rules.fall_us);
+    let span = allowed(rules, start, slot, rules.overload_window_us);
     let falls_at = span + 2.0 * span.sqrt() + 2.0;
     (LARGEST_JOB * falls_at).max(1.0)
 }
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -5,35 +5,35 @@
 //! has seen itself bounds the start: it lies in the past, and where a worker begins to stand in the list, not long before
 //! the last list that lacked it.
 
-use crate::api::Time;
+use crate::api::Micros;
 
 /// By how much a list may be late, in microseconds.
-const LIST_LATENESS: Time = 4_000_000;
+const LIST_LATENESS: Micros = 4_000_000;
 
 /// What is known of the lists so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListHistory {
     lists: u32,
-    last: Time,
+    last: Micros,
 }
 
 impl ListHistory {
     /// Takes note of a list, or of an answer without changes.
-    pub fn record(&mut self, now: Time) {
+    pub fn record(&mut self, now: Micros) {
         self.lists = self.lists.saturating_add(1);
         self.last = now;
     }
 
     /// Before which a worker can't have started that the last list lacked. `None` where nothing is known: the first list
     /// may be an old one, and what the next one adds may have been there for long.
-    pub fn earliest_start(&self) -> Option<Time> {
+    pub fn earliest_start(&self) -> Option<Micros> {
         (self.lists >= 2).then(|| self.last.saturating_sub(LIST_LATENESS))
     }
 }
 
 /// When a worker started that is told to have started at `told` (0 for long ago). `earliest` is known of one that the
 /// last list lacked.
-pub fn local_start(told: Time, now: Time, earliest: Option<Time>) -> Time {
+pub fn local_start(told: Micros, now: Micros, earliest: Option<Micros>) -> Micros {
     if told == 0 {
         return 0;
     }
--- a/src/support.rs
+++ b/src/support.rs
@@ -1,7 +1,7 @@
 //! Arithmetic and bookkeeping that decide nothing: seeded numbers, least squares, the agenda of timers, a
 //! count over a sliding span, rates as bytes.
 
-use crate::api::Time;
+use crate::api::Micros;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -31,33 +31,33 @@
 
 /// What is to be done when, the earliest first, and the timer that is set for it.
 pub struct Agenda<T> {
-    heap: BinaryHeap<Reverse<(Time, T)>>,
-    timer_at: Time,
+    heap: BinaryHeap<Reverse<(Micros, T)>>,
+    timer_at: Micros,
 }
 
 impl<T: Ord> Default for Agenda<T> {
     fn default() -> Self {
-        Agenda { heap: BinaryHeap::new(), timer_at: Time::MAX }
+        Agenda { heap: BinaryHeap::new(), timer_at: Micros::MAX }
     }
 }
 
 impl<T: Ord> Agenda<T> {
     /// Adds an entry.
-    pub fn add(&mut self, at: Time, what: T) {
+    pub fn add(&mut self, at: Micros, what: T) {
         self.heap.push(Reverse((at, what)));
     }
 
     /// Whether the timer that is set has come due; one that was overtaken has not.
-    pub fn rings(&mut self, now: Time) -> bool {
+    pub fn rings(&mut self, now: Micros) -> bool {
         let rings = now >= self.timer_at;
         if rings {
-            self.timer_at = Time::MAX;
+            self.timer_at = Micros::MAX;
         }
         rings
     }
 
     /// The next entry that is due.
-    pub fn next(&mut self, now: Time) -> Option<T> {
+    pub fn next(&mut self, now: Micros) -> Option<T> {
         if self.heap.peek().is_none_or(|Reverse((at, _))| *at > now) {
             return None;
         }
@@ -65,7 +65,7 @@
     }
 
     /// The time until the next entry, if no timer is set for it; then it counts as set.
-    pub fn timer(&mut self, now: Time) -> Option<Time> {
+    pub fn timer(&mut self, now: Micros) -> Option<Micros> {
         let at = self.heap.peek().map(|Reverse((at, _))| *at).filter(|at| *at < self.timer_at)?;
         self.timer_at = at;
         Some(at.saturating_sub(now))
@@ -119,16 +119,16 @@
 
 /// Moments within a span that ends now.
 #[derive(Default)]
-pub struct Recent(VecDeque<Time>);
+pub struct Recent(VecDeque<Micros>);
 
 impl Recent {
     /// Adds this moment.
-    pub fn add(&mut self, now: Time) {
+    pub fn add(&mut self, now: Micros) {
         self.0.push_back(now);
     }
 
     /// How many lie at or after this moment; earlier ones are forgotten.
-    pub fn since(&mut self, from: Time) -> usize {
+    pub fn since(&mut self, from: Micros) -> usize {
         while self.0.front().is_some_and(|&at| at < from) {
             self.0.pop_front();
         }
--- a/testbed/src/scale/dispatcher.rs
+++ b/testbed/src/scale/dispatcher.rs
@@ -8,8 +8,8 @@
 use super::sealer::Sealer;
 use crate::allocation::Memory;
 use dispatch_policy::api::{
-    Action, ClassSettings, Ending, Event, Outcome, Request, RequestId, Rules, Semantics, Settings,
-    TenantSettings, Time,
+    Action, AttemptEnd, ClassSettings, Event, Idempotency, Micros, Outcome, Request, RequestId, Rules,
+    Settings, TenantSettings,
 };
 use dispatch_policy::Policy;
 use rand::rngs::SmallRng;
@@ -17,14 +17,14 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-const SECOND: Time = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// Between a decision to send and the worker's word that the job has started.
-const START_DELAY: Time = 5_000;
+const START_DELAY: Micros = 5_000;
 /// Between two versions of the list.
-const LIST_PERIOD: Time = SECOND;
+const LIST_PERIOD: Micros = SECOND;
 /// Before the client of a job gives up, in mean run times.
 const DEADLINE_RUNS: f64 = 20.0;
-/// The price of telling a sibling, as a part of a job's worth: so low that as many are told as the module ever tells.
+/// The price of telling a sibling, as a part of a job's priority_weight: so low that as many are told as the module ever tells.
 const PEER_PRICE: f64 = 1e-6;
 /// Quotas are this multiple of what comes.
 const QUOTA_MARGIN: f64 = 1.25;
@@ -129,8 +129,8 @@
     load: &'a Load,
     policy: Policy,
     rng: SmallRng,
-    now: Time,
-    due: BTreeMap<(Time, u64), Due>,
+    now: Micros,
+    due: BTreeMap<(Micros, u64), Due>,
     order: u64,
     next_request: RequestId,
     /// The number of the last attempt of each open request.
@@ -164,7 +164,7 @@
 
     /// Runs to the end of the load, and measures the state by dropping it.
     fn report(mut self, limits: &Limits) -> Result<Report, NotRun> {
-        let end = self.load.length.as_micros() as Time;
+        let end = self.load.length.as_micros() as Micros;
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
             let due = entry.remove();
@@ -181,7 +181,7 @@
         report
     }
 
-    fn put(&mut self, after: Time, due: Due) {
+    fn put(&mut self, after: Micros, due: Due) {
         self.order += 1;
         self.due.insert((self.now + after, self.order), due);
     }
@@ -190,9 +190,9 @@
         match due {
             Due::Arrival => self.arrival(),
             Due::List => self.list_renewed(),
-            Due::Timer => self.tell(&Event::Timer),
+            Due::Timer => self.tell(&Event::TimerExpired),
             Due::Starts(id, attempt) => self.starts(id, attempt),
-            Due::Ends(id, attempt) => self.ends(id, attempt, Outcome::Ok),
+            Due::Ends(id, attempt) => self.ends(id, attempt, Outcome::Success),
         }
     }
 
@@ -200,17 +200,17 @@
         let rate = self.load.starts / self.load.nodes as f64;
         let uniform: f64 = self.rng.random();
         let gap = -(1.0 - uniform).ln() / rate;
-        self.put((gap * SECOND as f64) as Time + 1, Due::Arrival);
+        self.put((gap * SECOND as f64) as Micros + 1, Due::Arrival);
         self.next_request += 1;
         let job = self.load.job.as_micros() as f64;
         let request = Request {
             id: self.next_request,
             tenant: self.rng.random_range(0..self.load.tenants),
-            left_us: (DEADLINE_RUNS * job) as Time,
+            time_left_us: (DEADLINE_RUNS * job) as Micros,
             slots: 1.0,
             ..Request::default()
         };
-        self.tell(&Event::Accept(request));
+        self.tell(&Event::RequestReceived(request));
     }
 
     fn list_renewed(&mut self) {
@@ -224,7 +224,8 @@
         let (list, time) = timed(|| {
             let list = ListBody::from_json(&body).expect("it was written just now");
             let entries = list.entries();
-            let event = if list.complete { Event::FullList(entries) } else { Event::ListChanges(entries) };
+            let event =
+                if list.complete { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) };
             policy.handle(now, &event, &mut actions);
             list
         });
@@ -237,7 +238,7 @@
 
     fn starts(&mut self, id: RequestId, attempt: u32) {
         if self.attempts.get(&id) == Some(&attempt) {
-            self.tell(&Event::Taken { id, attempt });
+            self.tell(&Event::Acknowledged { id, attempt });
             self.tell(&Event::Started { id, attempt });
         }
     }
@@ -246,12 +247,13 @@
         if self.attempts.get(&id) != Some(&attempt) {
             return;
         }
-        let last = outcome == Outcome::Ok;
+        let last = outcome == Outcome::Success;
         if last {
             self.attempts.remove(&id);
         }
-        let ending = Ending { id, attempt, outcome, last, kept: false, report: None };
-        self.tell(&Event::Ended(ending));
+        let ending =
+            AttemptEnd { id, attempt, outcome, request_done: last, not_attributable: false, report: None };
+        self.tell(&Event::AttemptEnded(ending));
     }
 
     fn tell(&mut self, event: &Event) {
@@ -266,13 +268,16 @@
         for action in actions {
             match action {
                 Action::Send { id, .. } => self.send(id),
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.attempts.remove(&id);
                 }
                 Action::Cancel { id, attempt } => self.ends(id, attempt, Outcome::Cancelled),
-                Action::Timer { after_us } => self.put(after_us, Due::Timer),
-                Action::Tell { bytes, .. } => self.told(bytes),
-                Action::Probe { .. } | Action::Watch | Action::Release { .. } | Action::Trace(_) => {}
+                Action::SetTimer { after_us } => self.put(after_us, Due::Timer),
+                Action::SendPeerMessage { bytes, .. } => self.told(bytes),
+                Action::Probe { .. }
+                | Action::WatchEndpoints
+                | Action::CloseIdleConnections { .. }
+                | Action::Notify(_) => {}
             }
         }
     }
@@ -283,7 +288,7 @@
         self.attempts.insert(id, attempt);
         let job = self.load.job.as_micros() as f64 * self.rng.random_range(0.5..1.5);
         self.put(START_DELAY, Due::Starts(id, attempt));
-        self.put(START_DELAY + job as Time, Due::Ends(id, attempt));
+        self.put(START_DELAY + job as Micros, Due::Ends(id, attempt));
     }
 
     /// All nodes tell as many others as this one does, so as many messages come in.
@@ -295,40 +300,40 @@
 }
 
 fn settings(load: &Load, ordinal: usize) -> Settings {
-    let job = load.job.as_micros() as Time;
+    let job = load.job.as_micros() as Micros;
     let class = ClassSettings {
-        aim_us: job,
-        stretch: 2.0,
-        deadline_us: (DEADLINE_RUNS * job as f64) as Time,
-        worth: 1.0,
-        late_worth: 0.5,
-        semantics: Semantics::Safe,
-        repeat_window_us: 0,
-        kind: None,
+        objective_us: job,
+        objective_per_work: 2.0,
+        deadline_us: (DEADLINE_RUNS * job as f64) as Micros,
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        idempotency: Idempotency::Idempotent,
+        deduplication_window_us: 0,
+        required_kind: None,
     };
     let quota_per_s = QUOTA_MARGIN * load.starts / load.tenants as f64;
     let tenant = TenantSettings { quota_per_s, share: 1.0 / load.tenants as f64 };
     Settings {
         classes: vec![class],
         tenants: vec![tenant; load.tenants],
-        siblings: load.nodes as u32,
+        dispatchers: load.nodes as u32,
         ordinal: ordinal as u32,
         zone: (ordinal % load.zones) as u8,
         max_attempts: 3,
-        cancelling: true,
-        peers: true,
+        can_cancel: true,
+        peer_messages: true,
         peer_price: PEER_PRICE,
         live_weights: true,
-        tells_taken: true,
-        tells_start: true,
-        over_share_worth: 0.2,
-        resolution_us: 1000,
+        acknowledges: true,
+        reports_start: true,
+        over_quota_weight: 0.2,
+        clock_resolution_us: 1000,
         rules: Rules {
-            ask_every_us: 10 * SECOND,
-            cold_share: 0.2,
+            poll_interval_us: 10 * SECOND,
+            cold_capacity_ratio: 0.2,
             warm_up_us: 20 * SECOND,
-            fall_multiple: 3.0,
-            fall_us: SECOND,
+            overload_multiple: 3.0,
+            overload_window_us: SECOND,
             ..Rules::default()
         },
         ..Settings::default()
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -1,7 +1,7 @@
 //! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
 
 use ::coordination::Entry;
-use dispatch_policy::api::{Availability, WorkerEntry, WorkerId};
+use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use rand::rngs::SmallRng;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
     }
 
     /// The lines as the decision module takes them.
-    pub fn entries(&self) -> Vec<WorkerEntry> {
+    pub fn entries(&self) -> Vec<Endpoint> {
         self.members.iter().map(Member::entry).collect()
     }
 }
@@ -87,15 +87,15 @@
         Entry { key: self.id.clone(), removed: false, bytes }
     }
 
-    fn entry(&self) -> WorkerEntry {
-        WorkerEntry {
+    fn entry(&self) -> Endpoint {
+        Endpoint {
             worker: WorkerId(membership::hash(&self.id)),
             kind: 0,
             zone: zone_number(&self.locality),
             cell: self.cell,
             availability: Availability::Ready,
-            scale: self.size,
-            since: self.up_since_ms * 1000,
+            weight: self.size,
+            started_at: self.up_since_ms * 1000,
         }
     }
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The time from a decision to its arrival at a worker, and back.
-const WAY: Time = MS;
+const WAY: Micros = MS;
 /// Between two steps of the discovery service.
-const LIST_PERIOD: Time = 700 * MS;
+const LIST_PERIOD: Micros = 700 * MS;
 /// Between two faults of workers.
-const FAULT_PERIOD: Time = 900 * MS;
+const FAULT_PERIOD: Micros = 900 * MS;
 /// Requests with this key fail at every worker; ones with the next break their connection.
 const BAD_KEY: u64 = 5;
 
@@ -40,7 +40,7 @@
 }
 
 struct Machine {
-    entry: WorkerEntry,
+    entry: Endpoint,
     cores: usize,
     /// Work done in a microsecond, in 16ths.
     speed: u64,
@@ -56,8 +56,8 @@
 struct Job {
     class: usize,
     key: u64,
-    work: Time,
-    deadline: Time,
+    work: Micros,
+    deadline: Micros,
     /// The last attempt, and where it is while it is out.
     attempt: u32,
     at: Option<usize>,
@@ -89,8 +89,8 @@
     set: Settings,
     policy: Policy,
     rng: Rng,
-    now: Time,
-    steps: BTreeMap<(Time, u64), Step>,
+    now: Micros,
+    steps: BTreeMap<(Micros, u64), Step>,
     planned: u64,
     machines: Vec<Machine>,
     jobs: BTreeMap<RequestId, Job>,
@@ -113,14 +113,14 @@
             fleet.now = fleet.now.max(at);
             fleet.step(step);
         }
-        let faults = fleet.policy.overdrafts();
+        let faults = fleet.policy.slow_start_overdrafts();
         assert_eq!(faults, 0, "jobs beyond the budget of a cold worker");
         fleet.recorded
     }
 
     fn start(&mut self) {
         let list = self.list();
-        self.tell(Event::FullList(list));
+        self.tell(Event::EndpointList(list));
         for _ in 0..3 {
             let worker = self.machines[self.rng.below(self.plan.workers) as usize].entry.worker;
             self.adopt(worker);
@@ -137,7 +137,7 @@
         }
     }
 
-    fn plan(&mut self, after: Time, step: Step) {
+    fn plan(&mut self, after: Micros, step: Step) {
         self.planned += 1;
         self.steps.insert((self.now + after, self.planned), step);
     }
@@ -164,25 +164,25 @@
                 let attempt = job.attempt - 1;
                 self.plan(WAY, Step::Reaches(*id, attempt, at));
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 let job = self.jobs.get_mut(id).expect("a known request");
                 assert!(!std::mem::replace(&mut job.answered, true), "a second answer");
             }
             Action::Cancel { id, attempt } => self.plan(WAY, Step::CallOff(*id, *attempt)),
-            Action::Timer { after_us } => self.plan(*after_us, Step::Timer),
+            Action::SetTimer { after_us } => self.plan(*after_us, Step::Timer),
             Action::Probe { worker } => {
                 let at = self.index(*worker);
                 self.plan(2 * WAY, Step::Probe(at));
             }
-            Action::Watch => self.plan(300 * MS, Step::Watch),
-            Action::Release { .. } | Action::Tell { .. } | Action::Trace(_) => {}
+            Action::WatchEndpoints => self.plan(300 * MS, Step::Watch),
+            Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } | Action::Notify(_) => {}
         }
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrival => self.arrival(),
-            Step::Timer => self.tell(Event::Timer),
+            Step::Timer => self.tell(Event::TimerExpired),
             Step::Reaches(id, attempt, at) => self.reaches(id, attempt, at),
             Step::Note(id, attempt) => self.note(id, attempt),
             Step::Done(id, attempt, at) => self.done(id, attempt, at),
@@ -199,24 +199,24 @@
         }
     }
 
-    fn request(&mut self) -> (Request, Time) {
+    fn request(&mut self) -> (Request, Micros) {
         let classes = self.set.classes.len() as u64;
         let mut class = self.rng.below(classes) as usize;
-        if self.set.retired.contains(&class) {
+        if self.set.retired_classes.contains(&class) {
             class = classes as usize - 1;
         }
         let c = &self.set.classes[class];
-        let (deadline, usual) = (c.deadline_us, c.aim_us.min(400 * MS) / 2);
+        let (deadline, usual) = (c.deadline_us, c.objective_us.min(400 * MS) / 2);
         let work = (20 * MS).max(usual / 4 + self.rng.below(usual * 3 / 2));
         let again = self.rng.below(12) == 0;
         let request = Request {
             id: self.next,
             class,
             tenant: self.rng.below(1 + self.set.tenants.len() as u64) as usize,
-            left_us: deadline - if again && self.set.unmarked_repeats { 60 * MS } else { 0 },
-            hint_us: (self.rng.below(2) == 0).then_some(work),
-            retry: again && !self.set.unmarked_repeats,
-            key: self.rng.below(3).min(1) * self.rng.below(30),
+            time_left_us: deadline - if again && self.set.unmarked_retries { 60 * MS } else { 0 },
+            work_hint_us: (self.rng.below(2) == 0).then_some(work),
+            is_retry: again && !self.set.unmarked_retries,
+            affinity_key: self.rng.below(3).min(1) * self.rng.below(30),
             slots: self.rng.below(5) as f64 / 2.0,
             memory: if self.rng.below(9) == 0 { 2.5 } else { 0.0 },
         };
@@ -224,14 +224,14 @@
         (request, work)
     }
 
-    fn enter(&mut self, request: &Request, work: Time, attempt: u32, at: Option<usize>) {
-        let Request { id, class, key, left_us, .. } = *request;
-        let deadline = self.now + left_us;
+    fn enter(&mut self, request: &Request, work: Micros, attempt: u32, at: Option<usize>) {
+        let Request { id, class, affinity_key: key, time_left_us, .. } = *request;
+        let deadline = self.now + time_left_us;
         let job = Job { class, key, work, deadline, attempt, at, answered: false };
         self.jobs.insert(id, job);
-        self.plan(left_us, Step::Deadline(id));
+        self.plan(time_left_us, Step::Deadline(id));
         if self.rng.below(40) == 0 {
-            let after = self.rng.below(left_us);
+            let after = self.rng.below(time_left_us);
             self.plan(after, Step::Leaves(id));
         }
     }
@@ -243,7 +243,7 @@
         self.plan(after, Step::Arrival);
         let (request, work) = self.request();
         self.enter(&request, work, 0, None);
-        self.tell(Event::Accept(request));
+        self.tell(Event::RequestReceived(request));
     }
 
     fn adopt(&mut self, worker: WorkerId) {
@@ -252,7 +252,7 @@
         self.enter(&request, work, 1, at);
         let sent_us = self.rng.below(300 * MS);
         let started_us = (self.rng.below(2) == 0).then_some(sent_us / 2);
-        self.tell(Event::Adopted { request, worker, sent_us, started_us });
+        self.tell(Event::RequestAdopted { request, worker, sent_us, started_us });
         if let Some(at) = at {
             self.machines[at].running.push((request.id, 0));
             self.plan(work, Step::Done(request.id, 0, at));
@@ -267,13 +267,20 @@
     fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, kept: bool) {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| j.attempt == attempt + 1) else { return };
         let Some(at) = job.at.take() else { return };
-        job.answered |= outcome == Outcome::Ok;
+        job.answered |= outcome == Outcome::Success;
         let last = job.answered;
-        let report = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error)
+        let report = matches!(outcome, Outcome::Success | Outcome::Rejected | Outcome::Error)
             .then(|| self.report(at))
             .filter(|_| self.plan.reports);
         self.remove(at, id);
-        self.tell(Event::Ended(Ending { id, attempt, outcome, last, kept, report }));
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            request_done: last,
+            not_attributable: kept,
+            report,
+        }));
         self.fill(at);
     }
 
@@ -289,7 +296,7 @@
         LoadReport {
             free_slots: Some(free),
             free_memory: Some(free + 0.25),
-            queue: (at != 0 && at != 3).then_some(m.queue.len() as f64),
+            queued: (at != 0 && at != 3).then_some(m.queue.len() as f64),
             in_flight: Some((held + m.queue.len()) as f64),
         }
     }
@@ -300,20 +307,20 @@
         }
         let luck = self.rng.below(150);
         match self.machines[at].health {
-            _ if luck == 0 => return self.end(id, attempt, Outcome::Moot, false),
-            _ if luck == 1 => return self.end(id, attempt, Outcome::Reset, true),
+            _ if luck == 0 => return self.end(id, attempt, Outcome::NotSent, false),
+            _ if luck == 1 => return self.end(id, attempt, Outcome::ConnectionLost, true),
             _ if luck == 2 => return self.end(id, attempt, Outcome::ConnectFailed, true),
             Health::Hung => return,
             Health::Refuses => return self.end(id, attempt, Outcome::ConnectFailed, false),
             Health::Fails => return self.end(id, attempt, Outcome::Error, false),
-            Health::TurnsAway => return self.end(id, attempt, Outcome::Full, false),
+            Health::TurnsAway => return self.end(id, attempt, Outcome::Rejected, false),
             Health::Well => {}
         }
         if self.machines[at].queue.len() > 2 * self.machines[at].cores {
-            return self.end(id, attempt, Outcome::Full, false);
+            return self.end(id, attempt, Outcome::Rejected, false);
         }
         if self.plan.acknowledges && luck > 5 {
-            self.tell(Event::Taken { id, attempt });
+            self.tell(Event::Acknowledged { id, attempt });
         }
         self.machines[at].queue.push_back((id, attempt));
         self.fill(at);
@@ -331,11 +338,11 @@
             self.machines[at].running.push((id, attempt));
             let run = self.jobs[&id].work * 16 / self.machines[at].speed;
             self.plan(run, Step::Done(id, attempt, at));
-            if self.set.tells_start {
+            if self.set.reports_start {
                 self.tell(Event::Started { id, attempt });
             }
-            if self.set.progress_us > 0 {
-                self.plan(self.set.progress_us, Step::Note(id, attempt));
+            if self.set.progress_interval_us > 0 {
+                self.plan(self.set.progress_interval_us, Step::Note(id, attempt));
             }
         }
     }
@@ -345,7 +352,7 @@
         let runs = self.machines[at].running.contains(&(id, attempt));
         if runs && self.machines[at].health == Health::Well {
             self.tell(Event::Progress { id, attempt, done: 0.5 });
-            self.plan(self.set.progress_us, Step::Note(id, attempt));
+            self.plan(self.set.progress_interval_us, Step::Note(id, attempt));
         }
     }
 
@@ -358,15 +365,15 @@
         }
         let luck = self.rng.below(80);
         if luck == 0 {
-            self.tell(Event::StreamStarted { id, attempt });
+            self.tell(Event::ResponseStreaming { id, attempt });
             return self.plan(600 * MS, Step::Done(id, attempt, at));
         }
         let outcome = match self.jobs[&id].key {
             BAD_KEY => Outcome::Error,
-            key if key == BAD_KEY + 1 => Outcome::Reset,
+            key if key == BAD_KEY + 1 => Outcome::ConnectionLost,
             _ if luck == 1 => Outcome::Error,
-            _ if luck == 2 => Outcome::Reset,
-            _ => Outcome::Ok,
+            _ if luck == 2 => Outcome::ConnectionLost,
+            _ => Outcome::Success,
         };
         self.end(id, attempt, outcome, false);
     }
@@ -383,7 +390,7 @@
     fn leaves(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.answered) else { return };
         job.answered = true;
-        self.tell(Event::ClientLeft { id });
+        self.tell(Event::ClientDisconnected { id });
     }
 
     fn call_off(&mut self, id: RequestId, attempt: u32) {
@@ -396,22 +403,22 @@
         let ok = matches!(self.machines[at].health, Health::Well | Health::TurnsAway);
         let report = ok.then(|| self.report(at));
         let worker = self.machines[at].entry.worker;
-        self.tell(Event::Probed { worker, ok, report });
+        self.tell(Event::ProbeEnded { worker, ok, report });
     }
 
     /// The list as it stands, with live weights where the settings have them.
-    fn list(&mut self) -> Vec<WorkerEntry> {
+    fn list(&mut self) -> Vec<Endpoint> {
         let live = self.set.live_weights;
-        let siblings = u64::from(self.set.siblings);
+        let dispatchers = u64::from(self.set.dispatchers);
         for m in &mut self.machines {
-            m.others = if siblings > 1 {
+            m.others = if dispatchers > 1 {
                 (self.rng.below(m.cores as u64 + 1) * self.rng.below(2)) as usize
             } else {
                 0
             };
             let held = m.others + m.running.len() + m.queue.len();
             let weight = m.size / (1.0 + held as f64 / m.cores as f64);
-            m.entry.scale = if live { (weight * 100.0).round() / 100.0 } else { m.size };
+            m.entry.weight = if live { (weight * 100.0).round() / 100.0 } else { m.size };
         }
         self.machines.iter().map(|m| m.entry.clone()).collect()
     }
@@ -423,7 +430,7 @@
         let entry = &mut self.machines[at].entry;
         let restarts = entry.availability == Availability::Gone || kind == 0;
         match kind {
-            _ if restarts => (entry.since, entry.availability) = (now - 50 * MS, Availability::Ready),
+            _ if restarts => (entry.started_at, entry.availability) = (now - 50 * MS, Availability::Ready),
             1 | 2 => entry.availability = Availability::Draining,
             3 => entry.availability = Availability::Gone,
             _ => entry.availability = Availability::Ready,
@@ -431,27 +438,27 @@
         if restarts {
             self.machines[at].health = Health::Well;
             let lost: Vec<_> = self.machines[at].running.drain(..).collect();
-            lost.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Outcome::Reset, false));
+            lost.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Outcome::ConnectionLost, false));
         }
         let list = self.list();
         if self.rng.below(6) == 0 {
-            return self.tell(Event::ListFailed);
+            return self.tell(Event::EndpointWatchFailed);
         }
         match self.rng.below(4) {
-            0 => self.tell(Event::FullList(list)),
-            1 => self.tell(Event::ListChanges(vec![list[at].clone()])),
-            2 => self.tell(Event::FullList(list.into_iter().filter(|e| e.worker.0 % 11 != 3).collect())),
-            _ => self.tell(Event::ListChanges(list)),
+            0 => self.tell(Event::EndpointList(list)),
+            1 => self.tell(Event::EndpointChanges(vec![list[at].clone()])),
+            2 => self.tell(Event::EndpointList(list.into_iter().filter(|e| e.worker.0 % 11 != 3).collect())),
+            _ => self.tell(Event::EndpointChanges(list)),
         }
         (0..self.machines.len()).for_each(|at| self.fill(at));
     }
 
     fn watch(&mut self) {
         if self.rng.below(3) == 0 {
-            return self.tell(Event::ListFailed);
+            return self.tell(Event::EndpointWatchFailed);
         }
         let list = self.list();
-        self.tell(Event::FullList(list));
+        self.tell(Event::EndpointList(list));
     }
 
     fn fault(&mut self) {
@@ -470,10 +477,10 @@
 
     fn peer(&mut self) {
         self.plan(S / 2, Step::Peer);
-        if !self.set.peers {
+        if !self.set.peer_messages {
             return;
         }
-        let from = self.rng.below(u64::from(self.set.siblings) + 1) as u32;
+        let from = self.rng.below(u64::from(self.set.dispatchers) + 1) as u32;
         let bytes = (0..2 * self.set.tenants.len()).map(|i| (i % 2 * self.rng.below(256) as usize) as u8);
         let bytes = bytes.collect();
         self.tell(Event::PeerMessage { from, bytes });
@@ -482,18 +489,22 @@
     /// Another order of the dispatchers, one more of them, and the first class under other rules.
     fn new_settings(&mut self) {
         self.plan(4 * S, Step::NewSettings);
-        self.set.order += 1;
-        self.set.siblings += 1;
-        self.set.most_senders = self.set.siblings + 1;
+        self.set.membership_epoch += 1;
+        self.set.dispatchers += 1;
+        self.set.max_senders = self.set.dispatchers + 1;
         let mut continues = vec![None; self.set.classes.len()];
-        if self.set.retired.is_empty() {
-            let first = ClassSettings { worth: 3.0, stretch: 1.0, ..self.set.classes[0].clone() };
+        if self.set.retired_classes.is_empty() {
+            let first = ClassSettings {
+                priority_weight: 3.0,
+                objective_per_work: 1.0,
+                ..self.set.classes[0].clone()
+            };
             self.set.classes.push(first);
-            self.set.retired.push(0);
+            self.set.retired_classes.push(0);
             continues.push(Some(0));
         }
         let settings = Box::new(self.set.clone());
-        self.tell(Event::Settings { settings, continues });
+        self.tell(Event::SettingsChanged { settings, continues });
     }
 }
 
@@ -504,7 +515,7 @@
     let size = [1.6, 4.0, 7.2][kind as usize];
     let since = if rng.below(5) == 0 { S / 2 } else { 0 };
     let mut entry = worker(i + 1, (i % zones) as u8, (i % 5) as u32);
-    (entry.kind, entry.scale, entry.since) = (kind as u8, size, since);
+    (entry.kind, entry.weight, entry.started_at) = (kind as u8, size, since);
     let (running, queue) = Default::default();
     Machine { entry, cores, speed, size, others: 0, running, queue, health: Health::Well }
 }
--- a/tests/common/recording.rs
+++ b/tests/common/recording.rs
@@ -7,11 +7,11 @@
 
 /// The actions of each event, in order.
 #[derive(Default)]
-pub struct Recording(Vec<(Time, Vec<Action>)>);
+pub struct Recording(Vec<(Micros, Vec<Action>)>);
 
 impl Recording {
     /// Adds what an event at this time led to.
-    pub fn add(&mut self, now: Time, actions: Vec<Action>) {
+    pub fn add(&mut self, now: Micros, actions: Vec<Action>) {
         self.0.push((now, actions));
     }
 
@@ -27,7 +27,7 @@
 
     /// One digest for every [`BLOCK`] events, the last block may be shorter.
     pub fn digests(&self) -> Vec<u64> {
-        let digest = |block: &[(Time, Vec<Action>)]| {
+        let digest = |block: &[(Micros, Vec<Action>)]| {
             let mut bytes = Vec::new();
             for (now, actions) in block {
                 put(&mut bytes, &[*now, actions.len() as u64]);
@@ -41,7 +41,7 @@
     /// The actions of a block, one line for each event that led to any.
     pub fn text(&self, block: usize) -> String {
         let events = self.0.iter().enumerate().skip(block * BLOCK).take(BLOCK);
-        let line = |(i, (now, actions)): (usize, &(Time, Vec<Action>))| {
+        let line = |(i, (now, actions)): (usize, &(Micros, Vec<Action>))| {
             (!actions.is_empty()).then(|| format!("  event {i} at {now} us: {actions:?}\n"))
         };
         events.filter_map(line).collect()
@@ -56,34 +56,36 @@
 pub fn encode(action: &Action, bytes: &mut Vec<u8>) {
     match action {
         Action::Send { id, worker } => put(bytes, &[0, *id, worker.0]),
-        Action::Refuse { id, retry_after_us } => put(bytes, &[1, *id, *retry_after_us]),
+        Action::Reject { id, retry_after_us } => put(bytes, &[1, *id, *retry_after_us]),
         Action::Fail { id } => put(bytes, &[2, *id]),
         Action::Cancel { id, attempt } => put(bytes, &[3, *id, u64::from(*attempt)]),
-        Action::Timer { after_us } => put(bytes, &[4, *after_us]),
+        Action::SetTimer { after_us } => put(bytes, &[4, *after_us]),
         Action::Probe { worker } => put(bytes, &[5, worker.0]),
-        Action::Watch => put(bytes, &[6]),
-        Action::Release { worker } => put(bytes, &[7, worker.0]),
-        Action::Tell { to, bytes: message } => {
+        Action::WatchEndpoints => put(bytes, &[6]),
+        Action::CloseIdleConnections { worker } => put(bytes, &[7, worker.0]),
+        Action::SendPeerMessage { to, bytes: message } => {
             put(bytes, &[8, u64::from(*to), message.len() as u64]);
             bytes.extend(message);
         }
-        Action::Trace(Trace::GaveUp(id, reason)) => put(bytes, &[9, 0, *id, reason_code(*reason)]),
-        Action::Trace(Trace::Silent(worker)) => put(bytes, &[9, 1, worker.0]),
-        Action::Trace(Trace::Erring(worker)) => put(bytes, &[9, 2, worker.0]),
-        Action::Trace(Trace::Trusted(worker)) => put(bytes, &[9, 3, worker.0]),
-        Action::Trace(Trace::Throttled(admitted, offered)) => {
+        Action::Notify(Notice::RequestGivenUp { request: id, reason }) => {
+            put(bytes, &[9, 0, *id, reason_code(*reason)])
+        }
+        Action::Notify(Notice::WorkerUnresponsive { worker }) => put(bytes, &[9, 1, worker.0]),
+        Action::Notify(Notice::WorkerFailing { worker }) => put(bytes, &[9, 2, worker.0]),
+        Action::Notify(Notice::WorkerRecovered { worker }) => put(bytes, &[9, 3, worker.0]),
+        Action::Notify(Notice::Throttling { admitted_per_s: admitted, offered_per_s: offered }) => {
             put(bytes, &[9, 4, admitted.to_bits(), offered.to_bits()]);
         }
-        Action::Trace(Trace::ListFailed) => put(bytes, &[9, 5]),
+        Action::Notify(Notice::EndpointListUnavailable) => put(bytes, &[9, 5]),
     }
 }
 
 fn reason_code(reason: Reason) -> u64 {
     match reason {
-        Reason::Barred => 0,
-        Reason::NoAttemptLeft => 1,
-        Reason::MayHaveRun => 2,
-        Reason::Ration => 3,
+        Reason::Quarantined => 0,
+        Reason::AttemptsExhausted => 1,
+        Reason::MayHaveExecuted => 2,
+        Reason::RetryBudgetExhausted => 3,
         Reason::TooLate => 4,
     }
 }
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -83,18 +83,20 @@
             fleet("probed-workers", "", plan(seed, 60, 90), as_it_is),
             fleet("large-fleet", "", Plan { acknowledges: true, ..plan(seed, 80, 60) }, as_it_is),
             fleet("charged-fetches", "", plan(seed, 40, 60), as_it_is),
-            fleet("pushed-list-live-weights", "-many-siblings", plan(seed, 70, 40), |set| set.siblings = 40),
+            fleet("pushed-list-live-weights", "-many-siblings", plan(seed, 70, 40), |set| {
+                set.dispatchers = 40
+            }),
             fleet("polled-list", "-acknowledged", Plan { acknowledges: true, ..plan(seed, 48, 60) }, |set| {
-                set.tells_taken = true;
-                set.lag_us = 20 * MS;
+                set.acknowledges = true;
+                set.max_send_delay_us = 20 * MS;
             }),
             fleet("tile-press", "-closed-connections", plan(seed, 50, 120), |set| {
-                (set.handshake_price, set.siblings, set.max_attempts) = (0.0, 60, 3);
+                (set.handshake_price, set.dispatchers, set.max_attempts) = (0.0, 60, 3);
             }),
             fleet("pushed-list-live-weights", "-overload", plan(seed, 12, 150), as_it_is),
             fleet("tile-press", "-overload", plan(seed, 12, 300), as_it_is),
             fleet("probed-workers", "-not-probed", plan(seed, 20, 500), |set| {
-                (set.probes, set.siblings, set.peer_price) = (false, 30, 0.05);
+                (set.can_probe, set.dispatchers, set.peer_price) = (false, 30, 0.05);
             }),
         ]);
     }
@@ -156,12 +158,12 @@
     for stream in drawn_streams().into_iter().chain(fleet_streams()) {
         for action in stream.recorded.actions() {
             let kind = match action {
-                Action::Trace(trace) => format!("{trace:?}"),
+                Action::Notify(trace) => format!("{trace:?}"),
                 other => format!("{other:?}"),
             };
             let kind: String = kind.chars().take_while(char::is_ascii_alphanumeric).collect();
             *counts.entry(kind).or_insert(0) += 1;
-            if let Action::Trace(Trace::GaveUp(_, reason)) = action {
+            if let Action::Notify(Notice::RequestGivenUp { request: _, reason }) = action {
                 *counts.entry(format!("{reason:?}")).or_insert(0) += 1;
             }
         }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,12 +1,12 @@
 //! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in emulated time.
 
-use dispatch_policy::api::{Rules, Settings, TenantSettings, Time, WorkerId};
+use dispatch_policy::api::{Micros, Rules, Settings, TenantSettings, WorkerId};
 use dispatch_policy::slow_start::{may_send, warmth, Fleet, Sender, Start, Used};
 use rand_free::Sequence;
 
-const MS: Time = 1_000;
-const S: Time = 1_000_000;
-const STEP: Time = 20 * MS;
+const MS: Micros = 1_000;
+const S: Micros = 1_000_000;
+const STEP: Micros = 20 * MS;
 const SENDERS: [u32; 8] = [1, 5, 20, 32, 33, 100, 350, 1024];
 const WORKERS: u64 = 6;
 
@@ -24,20 +24,26 @@
 }
 
 fn rules() -> Rules {
-    Rules { cold_share: 0.13, warm_up_us: 24 * S, fall_multiple: 3.0, fall_us: 3 * S, ..Rules::default() }
+    Rules {
+        cold_capacity_ratio: 0.13,
+        warm_up_us: 24 * S,
+        overload_multiple: 3.0,
+        overload_window_us: 3 * S,
+        ..Rules::default()
+    }
 }
 
 /// Traffic: the chance that a dispatcher wants to send to a worker within a step, at a time after the start.
-type Traffic = fn(sender: u32, age: Time) -> f64;
+type Traffic = fn(sender: u32, age: Micros) -> f64;
 
 /// How a fleet behaves beside its traffic.
 #[derive(Clone, Copy)]
 struct Behaviour {
     traffic: Traffic,
     /// Dispatchers hear of the start at any time within this.
-    told_within: Time,
+    told_within: Micros,
     /// Every second dispatcher restarts then and forgets what it sent.
-    restart_at: Option<Time>,
+    restart_at: Option<Micros>,
     /// Each dispatcher's guess at the capacity is off by up to this part.
     guess_error: f64,
 }
@@ -49,15 +55,15 @@
 }
 
 /// When a worker was sent jobs of mean work, in microseconds after its start.
-fn sends(count: u32, worker: u64, capacity: f64, behaviour: Behaviour) -> Vec<Time> {
+fn sends(count: u32, worker: u64, capacity: f64, behaviour: Behaviour) -> Vec<Micros> {
     let rules = rules();
     let started = 1_000 * S;
     let mut random = Sequence(worker * 7919 + u64::from(count));
-    let mut senders: Vec<(Sender, Start, Used, Time)> = (0..count)
+    let mut senders: Vec<(Sender, Start, Used, Micros)> = (0..count)
         .map(|ordinal| {
             let guess = capacity * (1.0 + behaviour.guess_error * (2.0 * random.part() - 1.0));
             let start = Start { worker: WorkerId(worker), at: started, capacity: guess };
-            let told = (random.part() * behaviour.told_within as f64) as Time;
+            let told = (random.part() * behaviour.told_within as f64) as Micros;
             (Sender { ordinal, count, started: 0 }, start, Used::default(), told)
         })
         .collect();
@@ -79,26 +85,28 @@
 }
 
 /// The most that came within any fall time, over what leaves the worker standing.
-fn worst(sent: &[Time], capacity: f64) -> f64 {
+fn worst(sent: &[Micros], capacity: f64) -> f64 {
     let rules = rules();
-    let within = |end: Time| sent.iter().filter(|&&at| at <= end && at + rules.fall_us > end).count() as f64;
-    let allowed = |end: Time| {
-        let seconds = rules.fall_us as f64 / S as f64;
-        let mean = rules.fall_multiple * capacity * warmth(&rules, S, S + end) * seconds;
+    let within = |end: Micros| {
+        sent.iter().filter(|&&at| at <= end && at + rules.overload_window_us > end).count() as f64
+    };
+    let allowed = |end: Micros| {
+        let seconds = rules.overload_window_us as f64 / S as f64;
+        let mean = rules.overload_multiple * capacity * warmth(&rules, S, S + end) * seconds;
         mean + 2.0 * mean.sqrt() + 2.0
     };
     sent.iter().map(|&end| within(end) / allowed(end)).fold(0.0, f64::max)
 }
 
-fn always(_: u32, _: Time) -> f64 {
+fn always(_: u32, _: Micros) -> f64 {
     1.0
 }
 
-fn thin(_: u32, _: Time) -> f64 {
+fn thin(_: u32, _: Micros) -> f64 {
     0.02
 }
 
-fn uneven(sender: u32, _: Time) -> f64 {
+fn uneven(sender: u32, _: Micros) -> f64 {
     if sender.is_multiple_of(10) {
         0.5
     } else {
@@ -106,7 +114,7 @@
     }
 }
 
-fn after_silence(_: u32, age: Time) -> f64 {
+fn after_silence(_: u32, age: Micros) -> f64 {
     if age < 12 * S {
         0.0
     } else {
@@ -143,8 +151,8 @@
 fn the_budget_is_used_by_one_dispatcher_and_by_a_thousand() {
     let rules = rules();
     let capacity = 3.0;
-    let mean_warmth = (rules.cold_share + 1.0) / 2.0;
-    let allowed = rules.fall_multiple * capacity * mean_warmth * rules.warm_up_us as f64 / S as f64;
+    let mean_warmth = (rules.cold_capacity_ratio + 1.0) / 2.0;
+    let allowed = rules.overload_multiple * capacity * mean_warmth * rules.warm_up_us as f64 / S as f64;
     for count in SENDERS {
         let sent = sends(count, 1, capacity, Behaviour::of(always)).len() as f64;
         assert!((0.5..0.75).contains(&(sent / allowed)), "{count} dispatchers: {sent} of {allowed}");
@@ -154,7 +162,7 @@
 /// Guards against credit that is saved up: the first span after a silence gets no more than it does without one.
 #[test]
 fn a_slot_that_is_not_used_lapses() {
-    let first = |sent: &[Time]| sent.iter().filter(|&&at| (12 * S..15 * S).contains(&at)).count();
+    let first = |sent: &[Micros]| sent.iter().filter(|&&at| (12 * S..15 * S).contains(&at)).count();
     for count in SENDERS {
         let steady = first(&sends(count, 3, 5.0, Behaviour::of(always)));
         let silent = first(&sends(count, 3, 5.0, Behaviour::of(after_silence)));
@@ -167,7 +175,7 @@
 fn a_dispatcher_that_restarts_waits_for_its_next_slot() {
     let rules = rules();
     let start = Start { worker: WorkerId(1), at: 10 * S, capacity: 20.0 };
-    let now = start.at + rules.fall_us / 3 + 500 * MS; // in the middle of the second slot
+    let now = start.at + rules.overload_window_us / 3 + 500 * MS; // in the middle of the second slot
     let sender = |started| Sender { ordinal: 0, count: 1, started };
     assert!(may_send(&rules, sender(0), start, Used::default(), now, 1.0));
     assert!(!may_send(&rules, sender(now - MS), start, Used::default(), now, 1.0));
@@ -215,9 +223,9 @@
 fn quotas_tell_what_a_worker_can_do() {
     let fleet = Fleet { served: 0.0, work: 1.0, size: 8.0 };
     let tenants = vec![TenantSettings { quota_per_s: 20.0, share: 0.5 }; 2];
-    let settings = Settings { tenants, siblings: 300, ..Settings::default() };
+    let settings = Settings { tenants, dispatchers: 300, ..Settings::default() };
     assert_eq!(fleet.capacity(&settings, 2.0), 10.0);
-    let without = Settings { siblings: 300, ..Settings::default() };
+    let without = Settings { dispatchers: 300, ..Settings::default() };
     assert_eq!(fleet.capacity(&without, 2.0), 0.0);
     assert_eq!(Fleet { served: 0.1, ..fleet }.capacity(&without, 2.0), 7.5, "each of 300 serves as much");
     let live = Settings { live_weights: true, ..without };
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -5,13 +5,13 @@
 use common::{class, settings, worker, Desk, MS, S};
 use dispatch_policy::api::*;
 
-const HOUR: Time = 3_600 * S;
+const HOUR: Micros = 3_600 * S;
 /// The time now, as the machines that tell of starts have it.
-const NOW: Time = 100 * HOUR;
+const NOW: Micros = 100 * HOUR;
 
 fn cold_settings() -> Settings {
     let tenants = vec![TenantSettings { quota_per_s: 40.0, share: 1.0 }];
-    Settings { tenants, ..settings(vec![class(Semantics::Safe)]) }
+    Settings { tenants, ..settings(vec![class(Idempotency::Idempotent)]) }
 }
 
 /// A dispatcher whose clock is off by so much, and which has had two lists of a warm worker.
@@ -20,15 +20,15 @@
     desk.now = NOW.checked_add_signed(ahead).unwrap();
     for _ in 0..3 {
         desk.pass(S);
-        desk.tell(Event::ListChanges(vec![]));
+        desk.tell(Event::EndpointChanges(vec![]));
     }
     desk
 }
 
 /// The list's change that puts this worker into the first one's place.
-fn successor(since: Time) -> Event {
-    let first = WorkerEntry { availability: Availability::Draining, ..worker(1, 0, 0) };
-    Event::ListChanges(vec![first, WorkerEntry { since, ..worker(2, 0, 0) }])
+fn successor(since: Micros) -> Event {
+    let first = Endpoint { availability: Availability::Draining, ..worker(1, 0, 0) };
+    Event::EndpointChanges(vec![first, Endpoint { started_at: since, ..worker(2, 0, 0) }])
 }
 
 /// How many jobs go out of 80 that are offered within two seconds.
@@ -39,7 +39,7 @@
             let Action::Send { id, .. } = action else { continue };
             count += 1;
             desk.tell(Event::Started { id, attempt: 0 });
-            desk.ended(id, 0, Outcome::Ok);
+            desk.ended(id, 0, Outcome::Success);
         }
     }
     count
@@ -69,7 +69,7 @@
         desk.tell(successor(started));
         for _ in 0..25 {
             desk.pass(S);
-            desk.tell(Event::ListChanges(vec![]));
+            desk.tell(Event::EndpointChanges(vec![]));
         }
         jobs_sent(&mut desk, 1)
     };
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -53,12 +53,12 @@
 /// Guards against workers that many dispatchers fill many times over: each one's cap at a worker is a job at least.
 #[test]
 fn one_of_many_dispatchers_has_few_jobs_out_where_no_list_tells_of_load() {
-    let jobs_out = |siblings: u32, live_weights: bool| {
-        let set = Settings { siblings, live_weights, ..settings(vec![class(Semantics::Safe)]) };
+    let jobs_out = |dispatchers: u32, live_weights: bool| {
+        let set = Settings { dispatchers, live_weights, ..settings(vec![class(Idempotency::Idempotent)]) };
         let mut desk = Desk::new(set, (0..60).map(|i| worker(i + 1, 0, 0)).collect());
         let mut jobs_out = 0;
         for id in 1..=60 {
-            let mut actions = desk.tell(Event::Accept(request(id)));
+            let mut actions = desk.tell(Event::RequestReceived(request(id)));
             actions.extend(desk.pass(2 * MS));
             jobs_out += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
         }
@@ -70,5 +70,5 @@
 }
 
 fn request(id: RequestId) -> Request {
-    Request { id, left_us: 5 * S, ..Request::default() }
+    Request { id, time_left_us: 5 * S, ..Request::default() }
 }
