--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -54,7 +54,7 @@
     let mut text = String::new();
     flatten("", value, &mut text);
     let pairs = KeyValues::new(&text);
-    let (settings, fields) = settings::read(&pairs)?;
+    let (settings, fields) = settings::read(&pairs).map_err(|e| e.to_string())?;
     // Names as they were written, not as the flat text has them: they are compared with what comes on wires, and a
     // space or a comma in one is its own.
     let list = |key: &str| value.get(key).and_then(Value::as_array).into_iter().flatten().map(name).collect();
@@ -77,6 +77,9 @@
             return Err(format!("settings: each of {what} needs a Name of its own"));
         }
     }
+    let span = |path: &str, absent_us| {
+        pairs.span(path, absent_us).map(Duration::from_micros).map_err(|e| e.to_string())
+    };
     let names = Names {
         continues: vec![None; classes.len()],
         classes,
@@ -87,9 +90,9 @@
         zones: list("Azs"),
         kinds: list("HostTypes"),
         report: report.zip(fields).collect(),
-        connect_timeout: Duration::from_micros(pairs.span("Limits.ConnectTimeoutUs", 1_000_000)?),
-        conn_idle: Duration::from_micros(pairs.span("Limits.ConnIdleUs", 60_000_000)?),
-        drain_grace: Duration::from_micros(pairs.span("Invariants.DrainGraceUs", 500_000)?),
+        connect_timeout: span("Limits.ConnectTimeoutUs", 1_000_000)?,
+        conn_idle: span("Limits.ConnIdleUs", 60_000_000)?,
+        drain_grace: span("Invariants.DrainGraceUs", 500_000)?,
         longest: Duration::from_micros(settings.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0)),
     };
     Ok((settings, names))
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -199,7 +199,7 @@
     let mut report = LoadReport::default();
     for (name, field) in &names.report {
         if let Some(value) = value(name) {
-            field.put(&mut report, value);
+            field.set(&mut report, value);
         }
     }
     report
--- a/node/tests/golden/rendering.rs
+++ b/node/tests/golden/rendering.rs
@@ -146,7 +146,7 @@
     match field {
         ReportField::FreeSlots => "free slots",
         ReportField::FreeMemory => "free memory",
-        ReportField::Queue => "queue",
+        ReportField::Queued => "queue",
         ReportField::InFlight => "in flight",
         ReportField::Other => "other",
     }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -79,7 +79,7 @@
     let n = usize::from(r.u8(at)?);
     let mut report = LoadReport::default();
     for (i, field) in fields.iter().enumerate().take(n.min(4)) {
-        field.put(&mut report, f64::from(r.f32(at + 1 + 4 * i)?));
+        field.set(&mut report, f64::from(r.f32(at + 1 + 4 * i)?));
     }
     Ok(if n == 0 { None } else { Some(report) })
 }
@@ -113,7 +113,7 @@
         if code == 10 {
             let text = batch.tail(r.u32(13)?, r.u32(17)? as usize)?;
             let text = std::str::from_utf8(text).map_err(|_| "settings: not text".to_string())?;
-            let (settings, fields) = settings::parse(text)?;
+            let (settings, fields) = settings::parse(text).map_err(|e| e.to_string())?;
             let policy = Policy::new(settings, r.u64(5)?, batch.now).map_err(|e| format!("settings: {e}"))?;
             self.instances.insert(i, Instance { policy, fields });
             return Ok(());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -50,13 +50,17 @@
 #![warn(missing_docs)]
 
 pub mod api;
+pub mod least_squares;
+pub mod live_weights;
 pub mod policy;
 pub mod regulator;
+pub mod rng;
 pub mod settings;
+pub mod sliding_count;
 pub mod slow_start;
 pub mod start_time;
-mod support;
-mod weights;
+pub mod table;
+pub mod timer_queue;
 pub mod window;
 
 pub use policy::Policy;
--- /dev/null
+++ b/src/live_weights.rs
@@ -0,0 +1,66 @@
+//! What live weights of the endpoint list say about workers.
+//!
+//! A live weight is a worker's size divided by one more than the requests that each of its cores holds. All dispatchers
+//! see the same weights, so they count the requests of all of them.
+
+use crate::table::{KindId, Table};
+
+/// A weight that is lower than an idle worker's by less than this part counts as an idle one's.
+const NOISE: f64 = 0.03;
+/// The most cores that a worker is taken to have.
+const MAX_CORES: f64 = 64.0;
+
+/// A kind of worker: all of one kind have the same size.
+#[derive(Clone, Copy)]
+struct Kind {
+    /// Weight of a worker that holds nothing: the largest seen.
+    size: f64,
+    /// One over its cores, which is what a request adds; 0 where none was seen yet.
+    step: f64,
+}
+
+/// What a live weight says about its worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Seen {
+    /// Requests that it holds, from all dispatchers.
+    pub in_flight: f64,
+    /// Its size.
+    pub size: f64,
+}
+
+/// Sizes and cores of the kinds of worker, learned from the weights seen.
+#[derive(Default)]
+pub struct LiveWeights(Table<KindId, Kind>);
+
+impl LiveWeights {
+    /// Takes a worker's weight into account.
+    pub fn learn(&mut self, kind: KindId, weight: f64) -> Seen {
+        self.0.grow_to(kind, || Kind { size: 0.0, step: 0.0 });
+        let kind = &mut self.0[kind];
+        if weight > kind.size * (1.0 + NOISE) {
+            *kind = Kind { size: weight, step: 0.0 };
+        }
+        let per_core = kind.size / weight - 1.0;
+        if per_core <= NOISE {
+            return Seen { in_flight: 0.0, size: kind.size };
+        }
+        if kind.step == 0.0 || per_core < kind.step {
+            kind.step = per_core.max(1.0 / MAX_CORES);
+        }
+        Seen { in_flight: per_core / kind.step, size: kind.size }
+    }
+
+    /// The cores of a worker of this kind; as many as its size where none was seen that held anything.
+    pub fn cores(&self, kind: KindId) -> f64 {
+        match self.0.get(kind) {
+            Some(kind) if kind.step > 0.0 => 1.0 / kind.step,
+            Some(kind) => kind.size.max(1.0),
+            None => 1.0,
+        }
+    }
+
+    /// The speed of a core of this kind; 1 where unknown.
+    pub fn speed(&self, kind: KindId) -> f64 {
+        self.0.get(kind).filter(|kind| kind.step > 0.0).map_or(1.0, |kind| kind.size * kind.step)
+    }
+}
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,11 +2,14 @@
 //! accepted -> tenant queue -> admitted (rate u, by band) -> waits for a worker with room -> sent -> ended.
 
 use crate::api::*;
+use crate::live_weights::{LiveWeights, Seen};
 use crate::regulator::Regulator;
+use crate::rng::{mix, unit, Rng};
+use crate::sliding_count::SlidingCount;
 use crate::slow_start::{self, Fleet, Sender, Start, Used};
 use crate::start_time::{local_start, ListHistory};
-use crate::support::{mix, pack, unit, unpack, Agenda, Recent, Rng};
-use crate::weights::Weights;
+use crate::table::{KindId, RowId};
+use crate::timer_queue::TimerQueue;
 use crate::window::Window;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -236,7 +239,7 @@
     suspects: BTreeMap<(u8, u64), Suspect>, // by key, class, tenant
     judged: BTreeMap<(usize, (u8, u64)), (Micros, f64)>, // worker and mark: kept away until; had no room
     lately: Vec<usize>,                     // those we hear from, or have a connection to
-    agenda: Agenda<Due>,
+    agenda: TimerQueue<Due>,
     poll_set: bool,
     u: f64,
     u_max: f64,
@@ -248,13 +251,13 @@
     served_now: f64,
     pressure: f64,
     kinds: Vec<(f64, f64, f64)>, // run times of a kind over the usual, of how many jobs; part with room
-    weights: Weights,
+    weights: LiveWeights,
     work: f64, // what live weights tell of kinds; s at speed 1 that a job takes
     mean_cap: f64,
     window: Window, // slots for our jobs at a worker, over all; our jobs at all of them
     stale: f64,     // the part of reports that repeat the one just before though our jobs there changed
-    taken: Recent,
-    further: Recent, // requests and further attempts, while they count
+    taken: SlidingCount,
+    further: SlidingCount, // requests and further attempts, while they count
     probes: f64,
     probing: u32,
     peers: BTreeMap<u32, (Micros, Vec<f64>)>,
@@ -266,7 +269,7 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Policy, InvalidSettings> {
         settings.validate()?;
         let mut policy = Policy {
-            rng: Rng(seed),
+            rng: Rng::new(seed),
             now,
             u: f64::INFINITY,
             tokens: 1.0,
@@ -336,7 +339,7 @@
             Event::EndpointList(entries) => self.list(entries, true),
             Event::EndpointChanges(entries) => self.list(entries, false),
             Event::EndpointWatchFailed => self.list_failed(out),
-            Event::TimerExpired if !self.agenda.rings(self.now) => return, // an earlier one overtook it
+            Event::TimerExpired if !self.agenda.expired(self.now) => return, // an earlier one overtook it
             Event::TimerExpired => self.timer(out),
             Event::ProbeEnded { worker, ok, report } => self.probed(*worker, *ok, *report),
             Event::PeerMessage { from, bytes } => self.peer(*from, bytes),
@@ -347,7 +350,7 @@
             self.admit();
             self.bind(out);
         }
-        if let Some(after_us) = self.agenda.timer(self.now) {
+        if let Some(after_us) = self.agenda.timer_to_set(self.now) {
             out.push(Action::SetTimer { after_us });
         }
     }
@@ -564,14 +567,14 @@
         let zone = if w.zone == self.set.zone { 0.0 } else { self.set.cross_zone_price * PRICE_LOAD };
         let open = w.used_at > 0 && self.now < w.used_at + self.set.idle_timeout_us; // costs nothing
         let link = if open { 0.0 } else { self.set.handshake_price * PRICE_LOAD };
-        let chance = unit(self.rng.0 ^ w.id.0) * 0.02;
+        let chance = unit(self.rng.state() ^ w.id.0) * 0.02;
         let kept_away = |mark| self.judged.get(&(i, mark)).is_some_and(|p| self.now < p.0);
         if marks(job).any(kept_away) {
             return None;
         }
         if self.shared() {
             // By lot, for all see the same weights: the best of them would be flooded.
-            let lot = -unit(self.rng.0 ^ w.id.0 ^ self.now).ln() * (LOT_PRICE * (zone + link)).exp();
+            let lot = -unit(self.rng.state() ^ w.id.0 ^ self.now).ln() * (LOT_PRICE * (zone + link)).exp();
             return self.load(w, job).map(|load| lot * load * load);
         }
         let load = self.load(w, job)? + if self.estimates() { 0.0 } else { w.crowd + f64::from(w.overdue) };
@@ -669,7 +672,7 @@
         }
         if self.shared() {
             // Where the worst-served class counts, the better served leave it the full workers.
-            let cores = self.weights.cores(w.kind as usize) * warmth;
+            let cores = self.weights.cores(KindId::new(w.kind as usize)) * warmth;
             let worse = |i: usize| self.classes[i].kept + KEPT_GAIN < self.classes[job.class].kept;
             let yields = self.set.worst_class_weight > 0.0 && self.offered().any(worse);
             let size = if warmth < 1.0 { w.scale / SLOT_LOAD } else { w.scale }; // the slot is ours alone
@@ -693,7 +696,8 @@
 
     /// Whether the list tells that siblings' jobs fill a worker: then a job waits there for a reason.
     fn busy(&self, i: usize) -> bool {
-        self.shared() && self.workers[i].there >= self.weights.cores(self.workers[i].kind as usize)
+        self.shared()
+            && self.workers[i].there >= self.weights.cores(KindId::new(self.workers[i].kind as usize))
     }
 
     /// How much seldomer each tries a doubted worker, for all siblings do.
@@ -734,7 +738,8 @@
         worker.there += job.need; // the next list counts it
         self.window.sent(job.need);
         if self.set.live_weights && self.set.senders() > ALL as u32 {
-            let (c, speed) = (&self.set.classes[job.class], self.weights.speed(worker.kind as usize));
+            let (c, speed) =
+                (&self.set.classes[job.class], self.weights.speed(KindId::new(worker.kind as usize)));
             let latest = c.objective_us
                 + ((c.objective_per_work - 1.0 / speed.max(0.1)).max(0.0) * job.work) as Micros;
             job.due = (job.admitted + latest).min(job.deadline);
@@ -1247,8 +1252,9 @@
                 Availability::Gone => w.unlist(soft, now),
             }
             w.scale = if e.weight.is_finite() && e.weight > 0.0 { e.weight } else { 1.0 };
-            let seen = self.set.live_weights.then(|| self.weights.learn(e.kind as usize, w.scale));
-            if let Some((all, size)) = seen {
+            let seen =
+                self.set.live_weights.then(|| self.weights.learn(KindId::new(e.kind as usize), w.scale));
+            if let Some(Seen { in_flight: all, size }) = seen {
                 (w.scale, w.there) = (size, if shared { all } else { 0.0 });
             }
         }
@@ -1370,7 +1376,7 @@
     }
 
     fn timer(&mut self, out: &mut Vec<Action>) {
-        while let Some(due) = self.agenda.next(self.now) {
+        while let Some(due) = self.agenda.pop_due(self.now) {
             match due {
                 Due::Step => self.step(out),
                 Due::Poll => self.poll_set = false,
@@ -1404,3 +1410,13 @@
 fn rank(job: &Job, id: RequestId) -> Rank {
     (u8::from(!job.in_share) * 2 + u8::from(job.late), job.due.saturating_sub(job.ahead), id)
 }
+
+/// Rates as two bytes each, in 64ths; 128 at most.
+fn pack(rates: impl Iterator<Item = f64>) -> Vec<u8> {
+    rates.take(128).flat_map(|r| ((r * 64.0).min(65535.0) as u16).to_be_bytes()).collect()
+}
+
+/// The reverse of `pack`.
+fn unpack(bytes: &[u8]) -> Vec<f64> {
+    bytes.chunks_exact(2).map(|b| f64::from(u16::from_be_bytes([b[0], b[1]])) / 64.0).collect()
+}
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -16,7 +16,7 @@
 //!   then varies as a Poisson count of the same mean.
 
 use crate::api::{Micros, Rules, Settings, WorkerId};
-use crate::support::{mix, unit};
+use crate::rng::{mix, unit};
 
 /// Slots in the span in which a worker may fall over. A span that begins within a slot touches one more.
 const SLOTS_IN_SPAN: Micros = 3;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -8,7 +8,7 @@
 /// Characters of a line.
 const WIDTH_MAX: usize = 110;
 /// Files that are still longer, with the lines that they may have.
-const LONGER: [(&str, usize); 2] = [("api.rs", 560), ("policy.rs", 1500)];
+const LONGER: [(&str, usize); 1] = [("policy.rs", 1500)];
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
--- /dev/null
+++ b/tests/timer_queue.rs
@@ -0,0 +1,18 @@
+//! The queue of timers.
+
+use dispatch_policy::timer_queue::TimerQueue;
+
+#[test]
+fn entries_come_in_order_and_not_before_their_time() {
+    let mut queue = TimerQueue::default();
+    queue.add(30, 'b');
+    assert_eq!(queue.timer_to_set(10), Some(20));
+    queue.add(20, 'a');
+    assert_eq!(queue.timer_to_set(10), Some(10));
+    assert_eq!(queue.timer_to_set(10), None, "it is set");
+    assert!(!queue.expired(19));
+    assert_eq!(queue.pop_due(19), None);
+    assert!(queue.expired(20));
+    assert_eq!((queue.pop_due(20), queue.pop_due(20)), (Some('a'), None));
+    assert_eq!(queue.pop_due(30), Some('b'), "an entry not due is kept");
+}
