--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -71,7 +71,7 @@
     log::info!(event = "membership_started", fleet = file.fleet, listen:% = address, advertise:% = file.advertise,
         process = start.process_id; "membership started");
     let machine = Machine::new(machine_config(&dependencies), start, Duration::ZERO);
-    let planned = dependencies.planned.borrow().settings.siblings;
+    let planned = dependencies.planned.borrow().settings.dispatchers;
     let initial = FleetSize { siblings: planned, ordinal: 0, senders: planned, names: Vec::new() };
     let (commands, command_queue) = mpsc::channel(QUEUE_LENGTH);
     let (rates, received_rates) = mpsc::channel(QUEUE_LENGTH);
--- a/node/src/membership/task.rs
+++ b/node/src/membership/task.rs
@@ -183,7 +183,7 @@
         if !self.outputs.peers.is_closed() {
             replace_if_changed(&self.outputs.peers, self.machine.peers());
         }
-        let planned = self.dependencies.planned.borrow().settings.siblings;
+        let planned = self.dependencies.planned.borrow().settings.dispatchers;
         let size = self.machine.fleet_size(self.now(), planned);
         if replace_if_changed(&self.outputs.fleet_size, size) {
             log_fleet_size(&self.outputs.fleet_size.borrow());
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -130,10 +130,10 @@
         id: 0,
         class,
         tenant,
-        left_us: headers.time_left_us()?,
-        hint_us: non_negative(headers.text("x-cost-hint")).filter(|h| *h > 0.0).map(|h| h as u64),
-        retry: headers.text("x-retry") == "1",
-        key: affinity_key(query),
+        time_left_us: headers.time_left_us()?,
+        work_hint_us: non_negative(headers.text("x-cost-hint")).filter(|h| *h > 0.0).map(|h| h as u64),
+        is_retry: headers.text("x-retry") == "1",
+        affinity_key: affinity_key(query),
         slots: headers.extra("slots"),
         memory: headers.extra("memory"),
     })
@@ -199,7 +199,7 @@
     let mut report = LoadReport::default();
     for (name, field) in &names.report {
         if let Some(value) = value(name) {
-            field.put(&mut report, value);
+            field.set(&mut report, value);
         }
     }
     report
