--- a/coordination/src/voter.rs
+++ b/coordination/src/voter.rs
@@ -76,7 +76,7 @@
             config,
             identity,
             eligibility: Eligibility::default(),
-            raft: RaftInstance::NotStarted(log),
+            raft: RaftInstance::NotStarted(Box::new(log)),
             table: LeaseTable::default(),
             applied_index: 0,
             voter_added_at: 0,
--- a/coordination/src/voter/raft_driver.rs
+++ b/coordination/src/voter/raft_driver.rs
@@ -28,7 +28,7 @@
 /// Raft node of a voter.
 pub(super) enum RaftInstance {
     /// The voter belongs to no cluster yet; this is the log of its store.
-    NotStarted(RaftLog),
+    NotStarted(Box<RaftLog>),
     /// The node runs.
     Running(Box<RawNode<RaftLog>>),
     /// The store failed or is a stale copy.
@@ -53,7 +53,7 @@
     /// Takes the log of a node that was not started.
     fn take_log(&mut self) -> Option<RaftLog> {
         match std::mem::replace(self, RaftInstance::Stopped) {
-            RaftInstance::NotStarted(log) => Some(log),
+            RaftInstance::NotStarted(log) => Some(*log),
             other => {
                 *self = other;
                 None
