--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -92,18 +92,26 @@
             Fleet::Show { address, json } => {
                 membership::show(address, json).await.map_err(|error| error.to_string())
             }
-            Fleet::Duties { address, json } => coordination::print_status(address, json).await,
+            Fleet::Duties { address, json } => {
+                coordination::print_status(address, json).await.map_err(|e| e.to_string())
+            }
             Fleet::Roll { address, stop: true, .. } => {
-                coordination::send_command(address, "/fleet/roll/stop").await
+                coordination::send_command(address, "/fleet/roll/stop").await.map_err(|e| e.to_string())
             }
             Fleet::Roll { address, away, .. } => {
-                coordination::send_command(address, &format!("/fleet/roll?away={away}")).await
+                coordination::send_command(address, &format!("/fleet/roll?away={away}"))
+                    .await
+                    .map_err(|e| e.to_string())
             }
             Fleet::Voter(Voter::Add { address, name, at }) => {
-                coordination::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}")).await
+                coordination::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}"))
+                    .await
+                    .map_err(|e| e.to_string())
             }
             Fleet::Voter(Voter::Remove { address, name }) => {
-                coordination::send_command(address, &format!("/fleet/voter/remove?name={name}")).await
+                coordination::send_command(address, &format!("/fleet/voter/remove?name={name}"))
+                    .await
+                    .map_err(|e| e.to_string())
             }
         }
     }
--- /dev/null
+++ b/node/src/coordination/candidacy.rs
@@ -0,0 +1,72 @@
+//! Candidacy: which leases this node requests. It is only a matter of load, never of right.
+
+use super::clock::boottime;
+use super::rolling_restart::LEASE as RESTART_LEASE;
+use super::scheduled_call;
+use super::task::Task;
+use ::membership::{name_hash, Peer};
+use std::time::Duration;
+
+/// Nodes that request one lease, drawn the same way everywhere. If all nodes did, the load of the voters would grow with the
+/// fleet.
+const CANDIDATES: usize = 3;
+
+/// Nodes that may hold a lease.
+enum Scope {
+    Fleet,
+    Zone,
+}
+
+impl Task {
+    /// Name of the lease to follow discovery for this node's zone.
+    pub(super) fn list_lease(&self) -> String {
+        format!("lists/{}", self.dependencies.zone)
+    }
+
+    /// Requests the leases that this node is a candidate for, and releases the others.
+    pub(super) fn update_candidacy(&mut self, peers: &[Peer]) {
+        let now = boottime();
+        let process_id = self.dependencies.fleet.process_id();
+        let is_own = |peer: &Peer| peer.name == self.dependencies.name && peer.process_id == process_id;
+        let is_serving = self.phase.up() && peers.iter().any(is_own);
+        let all: Vec<&Peer> = peers.iter().collect();
+        let zone: Vec<&Peer> = peers.iter().filter(|peer| peer.zone == self.dependencies.zone).collect();
+        if let Some(list_delivery) = &mut self.dependencies.list_delivery {
+            list_delivery.set_peers(&zone);
+        }
+        for (lease, scope) in self.leases(now) {
+            let peers = match scope {
+                Scope::Fleet => &all,
+                Scope::Zone => &zone,
+            };
+            // The holder keeps its lease: a growing fleet is no reason for a hand-over.
+            let is_holder = self.client.may_act(now, &lease).is_some();
+            if is_serving && (self.is_candidate(&lease, peers) || is_holder) {
+                self.client.acquire(now, &lease);
+            } else {
+                self.client.release(now, &lease);
+            }
+        }
+    }
+
+    /// All leases, with the nodes that may hold each.
+    fn leases(&self, now: Duration) -> Vec<(String, Scope)> {
+        let settings = &self.dependencies.settings;
+        let calls = settings.scheduled_calls.iter().map(scheduled_call::lease_of);
+        let mut leases: Vec<(String, Scope)> = calls.map(|lease| (lease, Scope::Fleet)).collect();
+        let list_delivery = self.dependencies.list_delivery.as_ref();
+        if list_delivery.is_some_and(|lists| !lists.discovery_failed_recently(now)) {
+            leases.push((self.list_lease(), Scope::Zone));
+        }
+        if settings.roll {
+            leases.push((RESTART_LEASE.to_string(), Scope::Fleet));
+        }
+        leases
+    }
+
+    fn is_candidate(&self, lease: &str, peers: &[&Peer]) -> bool {
+        let rank = |name: &str| name_hash(&format!("{lease}\n{name}"));
+        let own_rank = rank(&self.dependencies.name);
+        peers.iter().filter(|peer| rank(&peer.name) < own_rank).count() < CANDIDATES
+    }
+}
--- /dev/null
+++ b/node/src/coordination/clock.rs
@@ -0,0 +1,10 @@
+//! Clock of leases.
+
+use rustix::time::{clock_gettime, ClockId};
+use std::time::Duration;
+
+/// Returns the time on a clock that goes on while the machine sleeps.
+pub(super) fn boottime() -> Duration {
+    let time = clock_gettime(ClockId::Boottime);
+    Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
+}
--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -1,6 +1,10 @@
-//! Between the zone's list and who follows discovery here: lines of the list are brought in the form that discovery has.
+//! Delivery of lists between the zone's broadcast and the watch of discovery at this node: entries are members in the JSON
+//! that discovery sends.
 
-use super::ListBroadcastStatus;
+use super::clock::boottime;
+use super::message::NodeMessage;
+use super::status::ListBroadcastStatus;
+use super::task::Task;
 use crate::list::{ListBody, Member};
 use crate::platform::ListSharing;
 use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
@@ -11,176 +15,200 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Lists that wait at most; one more is made up for by a later one.
-const QUEUE: usize = 64;
-/// A holder whose discovery gives no answer for so long gives the duty back ...
-const FAILING: Duration = Duration::from_millis(1500);
-/// ... and does not ask for it again before this is over.
-const FAILED: Duration = Duration::from_secs(15);
-
-/// The duties' side of a zone's list.
-pub struct Lists {
-    spread: ListBroadcast,
-    asks: watch::Sender<bool>,
-    feed: mpsc::Sender<ListBody>,
-    /// What discovery tells; the task takes it.
-    pub told: Option<mpsc::Receiver<ListBody>>,
-    down: Arc<AtomicBool>,
-    down_since: Option<Duration>,
+/// Length of the queues of lists. A list that is dropped is made up for by a later one.
+const LIST_QUEUE: usize = 64;
+/// Time without an answer of discovery after which the holder releases the lease ...
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1500);
+/// ... and time for which it does not request the lease again.
+const FAILURE_PAUSE: Duration = Duration::from_secs(15);
+
+/// Address of the discovery service, which may change.
+type DiscoveryAddress = watch::Receiver<Option<SocketAddr>>;
+
+/// Coordination's side of list sharing.
+pub struct ListDelivery {
+    broadcast: ListBroadcast,
+    /// Whether discovery is watched from here.
+    watches: watch::Sender<bool>,
+    /// Lists of the holder, for the watch.
+    deliver: mpsc::Sender<ListBody>,
+    /// Lists that discovery told here; the task takes the receiver.
+    published: Option<mpsc::Receiver<ListBody>>,
+    /// Set by the watch while discovery can't be reached.
+    unreachable: Arc<AtomicBool>,
+    unreachable_since: Option<Duration>,
     failed_at: Option<Duration>,
-    place: watch::Receiver<Option<SocketAddr>>,
+    discovery: DiscoveryAddress,
 }
 
-/// The next list that discovery tells; none comes where that is not shared.
-pub async fn next(told: &mut Option<mpsc::Receiver<ListBody>>) -> Option<ListBody> {
-    match told {
-        Some(told) => told.recv().await,
+/// Returns the next list that discovery tells; never if lists are not shared.
+pub(super) async fn next_published(published: &mut Option<mpsc::Receiver<ListBody>>) -> Option<ListBody> {
+    match published {
+        Some(published) => published.recv().await,
         None => std::future::pending().await,
     }
 }
 
-fn source(place: &watch::Receiver<Option<SocketAddr>>) -> u64 {
-    place.borrow().map_or(0, |at| name_hash(&at.to_string()))
+/// Identifies the discovery service.
+fn source(discovery: &DiscoveryAddress) -> u64 {
+    discovery.borrow().map_or(0, |address| name_hash(&address.to_string()))
 }
 
-impl Lists {
-    /// Both sides, where lists are shared.
-    pub fn pair(
-        on: bool,
-        place: watch::Receiver<Option<SocketAddr>>,
-    ) -> (Option<Lists>, Option<ListSharing>) {
-        if !on {
+impl ListDelivery {
+    /// Returns both sides of list sharing, if it is enabled.
+    pub fn pair(enabled: bool, discovery: DiscoveryAddress) -> (Option<ListDelivery>, Option<ListSharing>) {
+        if !enabled {
             return (None, None);
         }
-        let (asks, follow_asks) = watch::channel(true);
-        let ((feed, fed), (tell, told)) = (mpsc::channel(QUEUE), mpsc::channel(QUEUE));
-        let down = Arc::new(AtomicBool::new(false));
-        let lists = Lists {
-            spread: ListBroadcast::new("", source(&place)),
-            asks,
-            feed,
-            told: Some(told),
-            down: down.clone(),
-            down_since: None,
+        let (watches, watches_here) = watch::channel(true);
+        let (deliver, received) = mpsc::channel(LIST_QUEUE);
+        let (publish, published) = mpsc::channel(LIST_QUEUE);
+        let unreachable = Arc::new(AtomicBool::new(false));
+        let delivery = ListDelivery {
+            broadcast: ListBroadcast::new("", source(&discovery)),
+            watches,
+            deliver,
+            published: Some(published),
+            unreachable: unreachable.clone(),
+            unreachable_since: None,
             failed_at: None,
-            place,
+            discovery,
         };
-        (
-            Some(lists),
-            Some(ListSharing { watches: follow_asks, received: fed, publish: tell, unreachable: down }),
-        )
+        (Some(delivery), Some(ListSharing { watches: watches_here, received, publish, unreachable }))
     }
 
-    /// The node's name, before anything else.
-    pub fn named(&mut self, name: &str) {
-        self.spread = ListBroadcast::new(name, source(&self.place));
+    /// Sets the name of the node. Called before anything else.
+    pub(super) fn set_name(&mut self, name: &str) {
+        self.broadcast = ListBroadcast::new(name, source(&self.discovery));
     }
 
-    /// The zone's nodes.
-    pub fn peers(&mut self, peers: &[&Peer]) {
-        self.spread.set_peers(peers.iter().map(|p| (p.name.clone(), p.address)).collect());
+    /// Sets the nodes of the zone.
+    pub(super) fn set_peers(&mut self, peers: &[&Peer]) {
+        self.broadcast.set_peers(peers.iter().map(|peer| (peer.name.clone(), peer.address)).collect());
     }
 
-    /// When [`Lists::tick`] is due.
-    pub fn due(&self) -> Duration {
-        self.spread.next_tick()
+    /// Takes the receiver of what discovery tells.
+    pub(super) fn take_published(&mut self) -> Option<mpsc::Receiver<ListBody>> {
+        self.published.take()
     }
 
-    /// See [`Spread::tick`].
-    pub fn tick(&mut self, now: Duration, holds: bool) {
-        self.spread.tick(now, holds);
+    pub(super) fn next_tick(&self) -> Duration {
+        self.broadcast.next_tick()
     }
 
-    /// See [`Spread::hold`].
-    pub fn hold(&mut self, now: Duration, token: u64) {
-        self.spread.lease_acquired(now, token);
+    pub(super) fn tick(&mut self, now: Duration, may_act: bool) {
+        self.broadcast.tick(now, may_act);
     }
 
-    /// See [`Spread::release`].
-    pub fn release(&mut self, now: Duration) {
-        self.spread.lease_lost(now);
+    pub(super) fn lease_acquired(&mut self, now: Duration, token: u64) {
+        self.broadcast.lease_acquired(now, token);
     }
 
-    /// See [`Spread::hear`].
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, message: BroadcastMessage) {
-        self.moved();
-        self.spread.receive(now, from, message);
+    pub(super) fn lease_lost(&mut self, now: Duration) {
+        self.broadcast.lease_lost(now);
     }
 
-    /// Discovery told this node.
-    pub fn told(&mut self, now: Duration, list: &ListBody, holds: bool) {
-        self.moved();
-        let line = |m: &Member| {
-            let bytes = serde_json::to_vec(m).ok()?;
-            Some(Entry { key: m.id().to_string(), removed: m.is_gone(), bytes })
+    pub(super) fn receive(&mut self, now: Duration, from: SocketAddr, message: BroadcastMessage) {
+        self.update_source();
+        self.broadcast.receive(now, from, message);
+    }
+
+    /// Publishes a list that discovery told this node.
+    pub(super) fn publish(&mut self, now: Duration, list: &ListBody, may_act: bool) {
+        self.update_source();
+        let entry = |member: &Member| {
+            let bytes = serde_json::to_vec(member).ok()?;
+            Some(Entry { key: member.id().to_string(), removed: member.is_gone(), bytes })
         };
-        let lines = list.members.iter().filter_map(line).collect();
-        let change = ListDelta { version: list.revision, complete: list.complete, entries: lines };
-        self.spread.publish(now, &change, holds);
+        let entries = list.members.iter().filter_map(entry).collect();
+        let delta = ListDelta { version: list.revision, complete: list.complete, entries };
+        self.broadcast.publish(now, &delta, may_act);
     }
 
-    fn moved(&mut self) {
-        if self.place.has_changed().unwrap_or(false) {
-            self.place.mark_unchanged();
-            self.spread.set_source(source(&self.place));
+    fn update_source(&mut self) {
+        if self.discovery.has_changed().unwrap_or(false) {
+            self.discovery.mark_unchanged();
+            self.broadcast.set_source(source(&self.discovery));
         }
     }
 
-    /// Whether the duty is to be given back, for discovery gives no answer here.
-    pub fn failing(&mut self, now: Duration) -> bool {
-        if !self.down.load(Ordering::Relaxed) || !self.spread.polls_discovery() {
-            self.down_since = None;
+    /// Returns whether the lease is to be released, because discovery has not answered here for a while.
+    fn discovery_fails(&mut self, now: Duration) -> bool {
+        if !self.unreachable.load(Ordering::Relaxed) || !self.broadcast.polls_discovery() {
+            self.unreachable_since = None;
             return false;
         }
-        let since = *self.down_since.get_or_insert(now);
-        let failing = now.saturating_sub(since) >= FAILING;
-        if failing {
+        let since = *self.unreachable_since.get_or_insert(now);
+        let fails = now.saturating_sub(since) >= DISCOVERY_TIMEOUT;
+        if fails {
             self.failed_at = Some(now);
         }
-        failing
+        fails
     }
 
-    /// Whether it was so a while ago: others are to have the duty.
-    pub fn failed(&self, now: Duration) -> bool {
-        self.failed_at.is_some_and(|at| now.saturating_sub(at) < FAILED)
+    /// Returns whether discovery failed here a short while ago, so that other nodes should hold the lease.
+    pub(super) fn discovery_failed_recently(&self, now: Duration) -> bool {
+        self.failed_at.is_some_and(|at| now.saturating_sub(at) < FAILURE_PAUSE)
     }
 
-    /// What is to be seen of it.
-    pub fn shown(&self) -> ListBroadcastStatus {
+    pub(super) fn status(&self) -> ListBroadcastStatus {
         ListBroadcastStatus {
-            polls_discovery: self.spread.polls_discovery(),
-            version: self.spread.version(),
-            metrics: self.spread.metrics(),
+            polls_discovery: self.broadcast.polls_discovery(),
+            version: self.broadcast.version(),
+            metrics: self.broadcast.metrics(),
         }
     }
 
-    /// Carries out what is to be done here; the words to be brought to others.
-    pub fn carry_out(&mut self) -> Vec<(SocketAddr, BroadcastMessage)> {
-        let mut words = Vec::new();
-        while let Some(step) = self.spread.next_action() {
-            match step {
-                BroadcastAction::Send { to, message } => words.push((to, message)),
-                BroadcastAction::PollDiscovery(asks) => {
-                    log::debug!("duties: discovery is {}asked from here", if asks { "" } else { "not " });
-                    self.asks.send_replace(asks);
-                }
-                BroadcastAction::Apply(change) => {
-                    let members: Vec<Member> =
-                        change.entries.iter().filter_map(|l| serde_json::from_slice(&l.bytes).ok()).collect();
-                    if members.len() < change.entries.len() {
-                        log::warn!(
-                            "duties: {} lines of a list can't be read",
-                            change.entries.len() - members.len()
-                        );
-                    }
-                    let list = ListBody { revision: change.version, complete: change.complete, members };
-                    if self.feed.try_send(list).is_err() {
-                        // Who feeds the core is behind: it has to hear all of it from discovery.
-                        self.asks.send_replace(true);
-                    }
+    /// Carries out the broadcast's actions at this node; returns the messages to other nodes.
+    fn carry_out(&mut self) -> Vec<(SocketAddr, BroadcastMessage)> {
+        let mut messages = Vec::new();
+        while let Some(action) = self.broadcast.next_action() {
+            match action {
+                BroadcastAction::Send { to, message } => messages.push((to, message)),
+                BroadcastAction::PollDiscovery(polls) => {
+                    log::debug!(event = "discovery_polling", enabled = polls; "discovery polling changed");
+                    self.watches.send_replace(polls);
                 }
+                BroadcastAction::Apply(delta) => self.deliver(&delta),
             }
         }
-        words
+        messages
+    }
+
+    /// Delivers a list of the holder to the watch.
+    fn deliver(&self, delta: &ListDelta) {
+        let members: Vec<Member> =
+            delta.entries.iter().filter_map(|entry| serde_json::from_slice(&entry.bytes).ok()).collect();
+        let unreadable = delta.entries.len() - members.len();
+        if unreadable > 0 {
+            log::warn!(event = "list_entries_unreadable", count = unreadable; "list entries can't be decoded");
+        }
+        let list = ListBody { revision: delta.version, complete: delta.complete, members };
+        if self.deliver.try_send(list).is_err() {
+            // The watch is behind: it has to hear all of it from discovery.
+            self.watches.send_replace(true);
+        }
+    }
+}
+
+impl Task {
+    /// Returns whether this node may send as the holder. To be called right before each message to the zone.
+    pub(super) fn may_publish_lists(&self) -> bool {
+        self.client.may_act(boottime(), &self.list_lease()).is_some()
+    }
+
+    /// Works on the lists, and sends the messages that result.
+    pub(super) fn with_lists(&mut self, work: impl FnOnce(&mut ListDelivery)) {
+        let Some(lists) = &mut self.dependencies.list_delivery else { return };
+        work(lists);
+        for (to, message) in lists.carry_out() {
+            self.send(to, &NodeMessage::Lists(message));
+        }
+        let lists = self.dependencies.list_delivery.as_mut();
+        if lists.is_some_and(|lists| lists.discovery_fails(boottime())) {
+            // Discovery does not answer here, and may answer another node.
+            let lease = self.list_lease();
+            self.client.release(boottime(), &lease);
+        }
     }
 }
--- a/node/src/coordination/rolling_restart.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -1,206 +1,263 @@
-//! The roll on this node's side: it goes when the holder says so; and where the duty is held here, it carries on the roll.
+//! Rolling restart at this node: its holder drives the restart, and each node drains and ends when the holder tells it to.
 
+use super::clock::boottime;
+use super::message::{NodeMessage, RestartMessage, RestartRequest};
+use super::task::Task;
 use crate::phase::Phases;
 use ::coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
-use membership::Peer;
-use serde::{Deserialize, Serialize};
+use ::membership::Peer;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The duty's name.
-pub const DUTY: &str = "roll";
-/// Between two looks at how the roll goes.
-const LOOK: Duration = Duration::from_millis(250);
-/// Between two questions how the jobs go, and how many nodes are asked each time.
-const ASK: Duration = Duration::from_secs(1);
-const ASKED: usize = 8;
-/// For clients to leave a node that drains, before it is ended.
-const DRAIN: Duration = Duration::from_secs(1);
-
-/// What an operator wants.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum RestartRequest {
-    /// A roll, with a number of its own; nodes of one zone that may be away at once.
-    Begin {
-        /// When it was asked for, in Unix time in milliseconds.
-        id: u64,
-        /// So many.
-        away: u8,
-    },
-    /// No more of it.
-    Stop,
+/// Name of the lease.
+pub(super) const LEASE: &str = "roll";
+/// Interval between passes of the holder over the fleet.
+const PASS_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between queries for the counters of jobs, and the number of nodes that are asked each time.
+const HEALTH_QUERY_INTERVAL: Duration = Duration::from_secs(1);
+const NODES_PER_QUERY: usize = 8;
+/// Time for clients to leave a node that drains, before it ends.
+const DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Most processes whose counters are kept.
+const PROCESSES_MAX: usize = 4096;
+
+/// Message to a node, which lacks the token that is valid when it is sent.
+enum Outgoing {
+    Restart { to: SocketAddr, process_id: u64 },
+    HealthQuery { to: SocketAddr },
+}
+
+/// Jobs that failed and ended at a process, by its own counters.
+#[derive(Clone, Copy)]
+struct JobCounts {
+    failed: u64,
+    ended: u64,
 }
 
-/// What nodes tell each other of a roll.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum RestartMessage {
-    /// To the holder.
-    Requested(RestartRequest),
-    /// This process is to drain and end.
-    Restart {
-        /// The holder's token.
-        token: u64,
-        /// The process.
-        process_id: u64,
-    },
-    /// How do the jobs go?
-    HealthQuery {
-        /// The holder's token.
-        token: u64,
-    },
-    /// So.
-    HealthReport {
-        /// The process.
-        process_id: u64,
-        /// Jobs that failed since its start.
-        failed: u64,
-        /// Jobs that ended since its start.
-        ended: u64,
-    },
+/// Counters at the first and at the last report of a process.
+struct JobReports {
+    first: JobCounts,
+    last: JobCounts,
 }
 
-/// What this node has to do with rolls.
+/// Part of this node in rolling restarts.
 #[derive(Default)]
-pub struct Hand {
-    /// Guards this node against a holder that is none any more.
-    pub fence: FencingGuard,
-    roll: Option<RollingRestart>,
-    next: Duration,
-    ask_at: Duration,
-    turn: usize,
-    save: Option<RestartProgress>,
-    words: VecDeque<(SocketAddr, Option<u64>)>,
-    /// Of each process: failed and ended at the first word of it, and at the last.
-    health: BTreeMap<u64, [(u64, u64); 2]>,
-    going: bool,
+pub(super) struct RestartDriver {
+    /// Protects this node from an earlier holder.
+    guard: FencingGuard,
+    /// The restart, while this node holds the lease.
+    restart: Option<RollingRestart>,
+    next_pass: Duration,
+    next_health_query: Duration,
+    /// Position of the next node that is asked for its counters.
+    query_position: usize,
+    /// Progress that is not saved yet.
+    unsaved: Option<RestartProgress>,
+    outgoing: VecDeque<Outgoing>,
+    /// Reports by process id.
+    reports: BTreeMap<u64, JobReports>,
+    /// This process drains and ends.
+    is_ending: bool,
 }
 
 fn members(peers: &[Peer]) -> Vec<Member> {
-    let member = |p: &Peer| Member {
-        name: p.name.clone(),
-        zone: p.zone.clone(),
-        address: p.address,
-        process_id: p.process_id,
+    let member = |peer: &Peer| Member {
+        name: peer.name.clone(),
+        zone: peer.zone.clone(),
+        address: peer.address,
+        process_id: peer.process_id,
     };
     peers.iter().map(member).collect()
 }
 
-impl Hand {
-    /// The duty is this node's: it goes on with what the last holder left.
-    pub fn take(&mut self, own: &str, left: &[u8]) {
-        self.roll =
-            postcard::from_bytes::<RestartProgress>(left).ok().map(|p| RollingRestart::resume(own, p));
-        self.health.clear();
-        self.words.clear();
-        self.next = Duration::ZERO;
+impl RestartDriver {
+    /// Resumes the restart that the last holder saved.
+    pub(super) fn lease_acquired(&mut self, own_name: &str, saved: &[u8]) {
+        let progress = postcard::from_bytes::<RestartProgress>(saved).ok();
+        self.restart = progress.map(|progress| RollingRestart::resume(own_name, progress));
+        self.reports.clear();
+        self.outgoing.clear();
+        self.next_pass = Duration::ZERO;
     }
 
-    /// It is no more.
-    pub fn lose(&mut self) {
-        (self.roll, self.save) = (None, None);
-        self.words.clear();
+    pub(super) fn lease_lost(&mut self) {
+        self.restart = None;
+        self.unsaved = None;
+        self.outgoing.clear();
     }
 
-    /// An operator's word, to the holder.
-    pub fn wanted(&mut self, own: &str, wanted: RestartRequest, peers: &[Peer]) {
-        let running = self.roll.as_ref().is_some_and(|r| r.progress().outcome.is_none());
-        match wanted {
-            RestartRequest::Begin { id, away } if !running => {
-                log::info!(event = "roll_begins", id = id, away = away; "duties: a roll begins, {} nodes", peers.len());
-                self.health.clear();
-                self.roll = Some(RollingRestart::start(own, id, away, &members(peers)));
+    /// Handles an operator's request, at the holder.
+    fn request(&mut self, own_name: &str, request: RestartRequest, peers: &[Peer]) {
+        let in_progress = self.restart.as_ref().is_some_and(|r| r.progress().outcome.is_none());
+        match request {
+            RestartRequest::Begin { id, away } if !in_progress => {
+                log::info!(event = "rolling_restart_started", id = id, max_unavailable = away, nodes = peers.len();
+                    "rolling restart started");
+                self.reports.clear();
+                self.restart = Some(RollingRestart::start(own_name, id, away, &members(peers)));
             }
-            RestartRequest::Begin { .. } => log::warn!("duties: a roll is under way; it goes on"),
+            RestartRequest::Begin { .. } => log::warn!(event = "rolling_restart_in_progress";
+                "rolling restart requested while one is in progress: it goes on"),
             RestartRequest::Stop => {
-                if let Some(roll) = &mut self.roll {
-                    roll.stop(RestartOutcome::Cancelled);
+                if let Some(restart) = &mut self.restart {
+                    restart.stop(RestartOutcome::Cancelled);
                 }
             }
         }
-        self.next = Duration::ZERO;
+        self.next_pass = Duration::ZERO;
     }
 
-    /// When there is something to do.
-    pub fn due(&self) -> Duration {
-        match &self.roll {
-            Some(roll) if roll.progress().outcome.is_none() || self.save.is_some() => self.next,
+    pub(super) fn next_tick(&self) -> Duration {
+        let is_active = |r: &RollingRestart| r.progress().outcome.is_none() || self.unsaved.is_some();
+        match &self.restart {
+            Some(restart) if is_active(restart) => self.next_pass,
             _ => Duration::MAX,
         }
     }
 
-    /// Goes on, where the duty may be acted on.
-    pub fn look(&mut self, now: Duration, peers: &[Peer], may: bool) {
-        self.next = now + LOOK;
-        let Some(roll) = self.roll.as_mut().filter(|_| may) else { return };
-        roll.advance(now, &members(peers));
-        self.words.clear();
-        while let Some(next) = roll.next_step() {
-            match next {
+    /// Continues the restart, if the lease is valid.
+    fn advance(&mut self, now: Duration, peers: &[Peer], may_act: bool) {
+        self.next_pass = now + PASS_INTERVAL;
+        let Some(restart) = self.restart.as_mut().filter(|_| may_act) else { return };
+        restart.advance(now, &members(peers));
+        self.outgoing.clear();
+        while let Some(step) = restart.next_step() {
+            match step {
                 RestartStep::SaveProgress(progress) => {
-                    let (done, total) = (progress.completed, progress.total);
-                    match &progress.outcome {
-                        Some(end) => log::info!(event = "roll_ended", end:? = end, done = done;
-                            "duties: the roll ended, {done} of {total}: {end}"),
-                        None => log::info!(event = "roll", done = done, total = total;
-                            "duties: the roll is at {done} of {total}, under way: {:?}", progress.in_progress),
-                    }
-                    self.save = Some(progress);
+                    log_progress(&progress);
+                    self.unsaved = Some(progress);
                 }
                 RestartStep::Restart { address, process_id, .. } => {
-                    self.words.push_back((address, Some(process_id)))
+                    self.outgoing.push_back(Outgoing::Restart { to: address, process_id });
                 }
             }
         }
-        if now >= self.ask_at && !peers.is_empty() {
-            self.ask_at = now + ASK;
-            for i in 0..ASKED.min(peers.len()) {
-                self.words.push_back((peers[(self.turn + i) % peers.len()].address, None));
-            }
-            self.turn = (self.turn + ASKED) % peers.len();
+        if now >= self.next_health_query && !peers.is_empty() {
+            self.next_health_query = now + HEALTH_QUERY_INTERVAL;
+            self.query_health(peers);
         }
     }
 
-    /// What is to be left for the next holder, if that has changed.
-    pub fn left(&mut self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(&self.save.take()?).ok()
+    fn query_health(&mut self, peers: &[Peer]) {
+        for i in 0..NODES_PER_QUERY.min(peers.len()) {
+            let to = peers[(self.query_position + i) % peers.len()].address;
+            self.outgoing.push_back(Outgoing::HealthQuery { to });
+        }
+        self.query_position = (self.query_position + NODES_PER_QUERY) % peers.len();
     }
 
-    /// The next word to be brought, once its token is known.
-    pub fn word(&mut self) -> Option<(SocketAddr, impl FnOnce(u64) -> RestartMessage + use<>)> {
-        let (to, boot) = self.words.pop_front()?;
-        Some((to, move |token| match boot {
-            Some(boot) => RestartMessage::Restart { token, process_id: boot },
-            None => RestartMessage::HealthQuery { token },
-        }))
+    /// Takes the progress that is to be saved for the next holder.
+    fn take_unsaved(&mut self) -> Option<Vec<u8>> {
+        postcard::to_stdvec(&self.unsaved.take()?).ok()
     }
 
-    /// How the jobs of a process went so far.
-    pub fn health(&mut self, boot: u64, failed: u64, ended: u64) {
-        if self.health.len() < 4096 || self.health.contains_key(&boot) {
-            self.health.entry(boot).or_insert([(failed, ended); 2])[1] = (failed, ended);
+    /// Records the counters of a process.
+    fn record_report(&mut self, process_id: u64, counts: JobCounts) {
+        if self.reports.len() < PROCESSES_MAX || self.reports.contains_key(&process_id) {
+            let reports =
+                self.reports.entry(process_id).or_insert(JobReports { first: counts, last: counts });
+            reports.last = counts;
         }
-        let sum = |of: fn(&(u64, u64)) -> u64| {
-            self.health.values().map(|[first, last]| of(last).saturating_sub(of(first))).sum::<u64>()
+        let sum = |count: fn(&JobCounts) -> u64| {
+            self.reports.values().map(|r| count(&r.last).saturating_sub(count(&r.first))).sum::<u64>()
         };
-        let (failed, ended) = (sum(|h| h.0), sum(|h| h.1));
-        if let Some(roll) = &mut self.roll {
-            roll.record_jobs(failed, ended);
+        let (failed, ended) = (sum(|counts| counts.failed), sum(|counts| counts.ended));
+        if let Some(restart) = &mut self.restart {
+            restart.record_jobs(failed, ended);
         }
     }
 
-    /// This process was told to go: it drains, and ends as at SIGTERM. Whoever runs it starts it anew.
-    pub fn go(&mut self, phases: &Phases) {
-        if std::mem::replace(&mut self.going, true) {
+    /// Drains and ends this process, as at SIGTERM. Its supervisor starts it again.
+    fn end_process(&mut self, phases: &Phases) {
+        if std::mem::replace(&mut self.is_ending, true) {
             return;
         }
-        log::info!(event = "roll_goes"; "duties: the roll has come to this node: it drains and ends");
+        log::info!(event = "rolling_restart_reached_node"; "rolling restart reached this node: it drains and ends");
         let phases = phases.clone();
         phases.drain();
         tokio::spawn(async move {
-            sleep(DRAIN).await;
+            sleep(DRAIN_TIME).await;
             phases.stop().await;
         });
     }
 }
+
+fn log_progress(progress: &RestartProgress) {
+    let (completed, total) = (progress.completed, progress.total);
+    match &progress.outcome {
+        Some(outcome) => {
+            log::info!(event = "rolling_restart_ended", outcome:% = outcome, completed = completed, total = total;
+                "rolling restart ended");
+        }
+        None => {
+            log::info!(event = "rolling_restart_progress", completed = completed, total = total,
+                in_progress:? = progress.in_progress; "rolling restart continues");
+        }
+    }
+}
+
+impl Task {
+    /// Continues the rolling restart.
+    pub(super) fn drive_restart(&mut self, now: Duration) {
+        let peers = self.dependencies.fleet.peers().borrow().clone();
+        let is_valid = self.client.may_act(now, LEASE).is_some();
+        self.restart.advance(now, &peers, is_valid && !self.client.is_saving_state(LEASE));
+        if let Some(progress) = self.restart.take_unsaved() {
+            self.client.save_state(now, LEASE, progress);
+        }
+        // Progress is saved for the next holder before any node is told to restart.
+        if self.client.is_saving_state(LEASE) {
+            return;
+        }
+        while let Some(outgoing) = self.restart.outgoing.pop_front() {
+            // The lease is checked anew before each message.
+            let Some(token) = self.client.may_act(boottime(), LEASE) else { break };
+            let (to, message) = match outgoing {
+                Outgoing::Restart { to, process_id } => (to, RestartMessage::Restart { token, process_id }),
+                Outgoing::HealthQuery { to } => (to, RestartMessage::HealthQuery { token }),
+            };
+            self.send(to, &NodeMessage::RollingRestart(message));
+        }
+    }
+
+    pub(super) fn receive_restart_message(&mut self, from: SocketAddr, message: RestartMessage) {
+        match message {
+            RestartMessage::Requested(request) => {
+                if self.client.may_act(boottime(), LEASE).is_some() {
+                    let peers = self.dependencies.fleet.peers().borrow().clone();
+                    self.restart.request(&self.dependencies.name, request, &peers);
+                }
+            }
+            RestartMessage::Restart { token, process_id } => self.receive_restart(token, process_id),
+            RestartMessage::HealthQuery { token } => {
+                if self.restart.guard.check(LEASE, token).is_ok() {
+                    let report = self.health_report();
+                    self.send(from, &NodeMessage::RollingRestart(report));
+                }
+            }
+            RestartMessage::HealthReport { process_id, failed, ended } => {
+                self.restart.record_report(process_id, JobCounts { failed, ended });
+            }
+        }
+    }
+
+    fn receive_restart(&mut self, token: u64, process_id: u64) {
+        match self.restart.guard.check(LEASE, token) {
+            Ok(()) if process_id == self.dependencies.fleet.process_id() => {
+                self.restart.end_process(&self.dependencies.phases);
+            }
+            Ok(()) => {}
+            Err(error) => log::warn!(event = "act_rejected", lease = LEASE, token = token, error:% = error;
+                "request to restart rejected: a later holder has been seen"),
+        }
+    }
+
+    fn health_report(&self) -> RestartMessage {
+        let counters = &self.dependencies.counters;
+        let failed = counters.failed.get();
+        let ended = counters.served.get() + counters.refused.get() + failed;
+        RestartMessage::HealthReport { process_id: self.dependencies.fleet.process_id(), failed, ended }
+    }
+}
--- a/node/src/coordination/scheduled_call.rs
+++ b/node/src/coordination/scheduled_call.rs
@@ -1,51 +1,128 @@
-//! One call of an errand: the token goes along, and whoever is called refuses one that is lower than it has seen.
+//! Scheduled calls: the holder of a call's lease makes it for the whole fleet. The token goes with each call, and the
+//! receiver rejects one that is lower than it has seen.
 
+use super::clock::boottime;
+use super::task::{Completion, Task};
+use ::membership::file::ScheduledCall;
 use http_body_util::Empty;
 use hyper::body::Bytes;
 use hyper::client::conn::http1::handshake;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use membership::file::ScheduledCall;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// For one call.
-const WAIT: Duration = Duration::from_secs(5);
+/// Time limit of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Least time until a call that is due is made.
+const CALL_DELAY: Duration = Duration::from_millis(10);
 
-/// How a call ended.
-pub enum Outcome {
+/// Outcome of a call.
+pub(super) enum CallOutcome {
     /// It was answered with 2xx.
     Done,
     /// It was answered with 409 or 412: a later holder has been seen.
-    Refused,
-    /// Anything else.
-    Failed(String),
+    Rejected,
+    /// It failed.
+    Failed(CallError),
 }
 
-/// Makes the call.
-pub async fn run(call: &ScheduledCall, duty: &str, token: u64, node: &str) -> Outcome {
-    match timeout(WAIT, post(call, duty, token, node)).await {
-        Ok(Ok(status)) if status.is_success() => Outcome::Done,
-        Ok(Ok(StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED)) => Outcome::Refused,
-        Ok(Ok(status)) => Outcome::Failed(status.to_string()),
-        Ok(Err(e)) => Outcome::Failed(e),
-        Err(_) => Outcome::Failed(format!("no answer in {WAIT:?}")),
+/// Why a call failed.
+#[derive(Debug, Error)]
+pub(super) enum CallError {
+    #[error(transparent)]
+    Connect(#[from] std::io::Error),
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    #[error(transparent)]
+    Exchange(#[from] hyper::Error),
+    #[error("{0}")]
+    Status(StatusCode),
+    #[error("no answer in {CALL_TIMEOUT:?}")]
+    Timeout,
+}
+
+/// Schedule of a call while its lease is held here.
+pub(super) struct CallState {
+    pub(super) next_call: Duration,
+    pub(super) in_flight: bool,
+}
+
+/// Name of a call's lease.
+pub(super) fn lease_of(call: &ScheduledCall) -> String {
+    format!("errand/{}", call.name)
+}
+
+async fn run(call: &ScheduledCall, lease: &str, token: u64, node: &str) -> CallOutcome {
+    match timeout(CALL_TIMEOUT, post(call, lease, token, node)).await {
+        Ok(Ok(status)) if status.is_success() => CallOutcome::Done,
+        Ok(Ok(StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED)) => CallOutcome::Rejected,
+        Ok(Ok(status)) => CallOutcome::Failed(CallError::Status(status)),
+        Ok(Err(error)) => CallOutcome::Failed(error),
+        Err(_) => CallOutcome::Failed(CallError::Timeout),
     }
 }
 
-async fn post(call: &ScheduledCall, duty: &str, token: u64, node: &str) -> Result<StatusCode, String> {
-    let socket = TcpStream::connect(call.address).await.map_err(|e| e.to_string())?;
-    let (mut sender, connection) = handshake(TokioIo::new(socket)).await.map_err(|e| e.to_string())?;
+async fn post(call: &ScheduledCall, lease: &str, token: u64, node: &str) -> Result<StatusCode, CallError> {
+    let socket = TcpStream::connect(call.address).await?;
+    let (mut sender, connection) = handshake(TokioIo::new(socket)).await?;
     tokio::spawn(connection);
     let request = Request::post(&call.path)
         .header(HOST, call.address.to_string())
-        .header("X-Duty", duty)
+        .header("X-Duty", lease)
         .header("X-Token", token)
         .header("X-Node", node)
         .header("Content-Length", 0)
-        .body(Empty::<Bytes>::new());
-    let answer = sender.send_request(request.map_err(|e| e.to_string())?).await;
-    Ok(answer.map_err(|e| e.to_string())?.status())
+        .body(Empty::<Bytes>::new())?;
+    Ok(sender.send_request(request).await?.status())
+}
+
+impl Task {
+    /// Time of the next call whose lease is valid here.
+    pub(super) fn next_call(&self, now: Duration) -> Duration {
+        let is_held = |lease: &str| self.client.may_act(now, lease).is_some();
+        let waiting = self.calls.iter().filter(|(lease, call)| !call.in_flight && is_held(lease));
+        let next = waiting.map(|(_, call)| call.next_call).min();
+        next.map_or(Duration::MAX, |at| at.max(now + CALL_DELAY))
+    }
+
+    /// Makes the calls that are due. The lease is checked right before each.
+    pub(super) fn make_calls(&mut self, now: Duration) {
+        for call in &self.dependencies.settings.scheduled_calls {
+            let lease = lease_of(call);
+            let state = self.calls.get_mut(&lease).filter(|call| !call.in_flight && now >= call.next_call);
+            let Some(state) = state else { continue };
+            let Some(token) = self.client.may_act(boottime(), &lease) else { continue };
+            state.next_call = now + call.interval;
+            state.in_flight = true;
+            let (call, node) = (call.clone(), self.dependencies.name.clone());
+            let completions = self.completions.clone();
+            tokio::spawn(async move {
+                let outcome = run(&call, &lease, token, &node).await;
+                // Fails once the task has ended.
+                let _ = completions.send(Completion::CallDone { lease, token, outcome }).await;
+            });
+        }
+    }
+
+    pub(super) fn call_done(&mut self, lease: &str, token: u64, outcome: CallOutcome) {
+        if let Some(state) = self.calls.get_mut(lease) {
+            state.in_flight = false;
+        }
+        match outcome {
+            CallOutcome::Done => {}
+            CallOutcome::Rejected => {
+                self.rejected_acts += 1;
+                log::warn!(event = "act_rejected", lease = lease, token = token;
+                    "scheduled call rejected: a later holder has been seen");
+            }
+            CallOutcome::Failed(error) => {
+                log::warn!(event = "act_failed", lease = lease, token = token, error:% = error;
+                    "scheduled call failed");
+            }
+        }
+    }
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -116,19 +116,19 @@
         let duties = match (&fleet, &config, duties_file) {
             (Some(fleet), Some(config), Some((file, folder, fleet_name, zone, own))) => {
                 let (name, fleet, phase) = (config.name.clone(), fleet.clone(), phases.follow());
-                let (lists, theirs) = coordination::Lists::pair(file.lists, reload.discovery());
+                let (lists, theirs) = coordination::ListDelivery::pair(file.lists, reload.discovery());
                 shared = theirs;
                 let (phases, counters) = (phases.clone(), counters[0].clone());
                 Some(coordination::start(coordination::Dependencies {
                     name,
                     fleet_name,
                     zone,
-                    own,
-                    file,
+                    address: own,
+                    settings: file,
                     folder,
                     fleet,
                     phase,
-                    lists,
+                    list_delivery: lists,
                     phases,
                     counters,
                 }))
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -148,7 +148,7 @@
             Ok(holder) => {
                 say(StatusCode::OK, &format!("{holder} was told; 'fleet duties' shows how it goes"))
             }
-            Err(why) => say(StatusCode::SERVICE_UNAVAILABLE, &why),
+            Err(error) => say(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
         }
     }
 
--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -176,7 +176,7 @@
     stage.yard.node(holder).stop();
     let token = stage.acts_after(token).await;
     stage.yard.node(holder).go_on();
-    stage.until("it says so", async || stage.yard.log(holder).contains("\"event\":\"duty_lost\"")).await;
+    stage.until("it says so", async || stage.yard.log(holder).contains("\"event\":\"lease_lost\"")).await;
     sleep(S).await;
     assert_eq!(stage.last().1, token, "it does not act on");
     stage.right();
@@ -266,7 +266,7 @@
     std::fs::write(&file, &old).unwrap();
     stage.yard.start_node(2).unwrap();
     stage.until("it is noticed", async || stage.standing(2).await.as_deref() == Some("older")).await;
-    assert!(stage.yard.log(2).contains("\"event\":\"folder_older\""));
+    assert!(stage.yard.log(2).contains("\"event\":\"voter_store_stale_copy\""));
     // Emptied: without a seat. Given up and taken in again.
     stage.yard.kill(2);
     std::fs::remove_dir_all(stage.yard.state(2)).unwrap();
@@ -292,7 +292,9 @@
     stage.yard.kill(2);
     std::fs::write(&file, b"not a store").unwrap();
     stage.yard.start_node(2).unwrap();
-    stage.until("it says so", async || stage.yard.log(2).contains("\"event\":\"duties_store_bad\"")).await;
+    stage
+        .until("it says so", async || stage.yard.log(2).contains("\"event\":\"voter_store_unusable\""))
+        .await;
     stage
         .until("it serves", async || call(stage.yard.listen(2), "GET", "/up").await.map(|a| a.0) == Some(200))
         .await;
