--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -14,7 +14,7 @@
 use dispatch_policy::api::{LoadReport, Outcome, WorkerId};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
+use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use std::sync::atomic::Ordering;
@@ -69,9 +69,10 @@
         headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         for (name, value) in [
             (HOST, connection.address.to_string()),
-            ("x-deadline".parse().expect("a name"), format!("{left:.3}")),
+            (HeaderName::from_static("x-deadline"), format!("{left:.3}")),
         ] {
-            headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
+            let value = HeaderValue::try_from(value).expect("addresses and numbers are plain ASCII");
+            headers.insert(name, value);
         }
         request
     }
