--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -1,11 +1,8 @@
 //! The program, started on settings made like each of the deployments in `deploy/sites`: every class of every tenant is
 //! served, over real sockets.
 
-mod common;
-
-use common::deployments::{settings, sites};
 use serde_json::{json, Value};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use testbed::discovery::Discovery;
 use testbed::process::{call, Process};
@@ -15,77 +12,222 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
+/// Time for a node to serve.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A deployment's file.
+struct Site {
+    name: String,
+    file: toml::Value,
+}
+
+/// A number; of a range, its first one.
+fn number(value: &toml::Value) -> f64 {
+    let value = value.as_array().map_or(value, |range| &range[0]);
+    value.as_float().or(value.as_integer().map(|i| i as f64)).unwrap()
+}
+
+/// Microseconds of some milliseconds.
+fn us(ms: f64) -> u64 {
+    (ms * 1000.0) as u64
+}
+
+impl Site {
+    fn all() -> Vec<Site> {
+        let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/sites");
+        let mut folders: Vec<_> = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path()).collect();
+        folders.sort();
+        folders.into_iter().map(Site::read).collect()
+    }
+
+    fn read(folder: PathBuf) -> Site {
+        let name = folder.file_name().unwrap().to_str().unwrap().to_string();
+        let text = std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap();
+        Site { name, file: text.parse::<toml::Table>().unwrap().into() }
+    }
+
+    /// What stands at a path of keys with dots between them.
+    fn at(&self, path: &str) -> Option<&toml::Value> {
+        path.split('.').try_fold(&self.file, |value, key| value.get(key))
+    }
+
+    fn number(&self, path: &str) -> f64 {
+        self.at(path).map_or(0.0, number)
+    }
+
+    fn flag(&self, path: &str) -> bool {
+        self.at(path).and_then(|v| v.as_bool()).unwrap_or(false)
+    }
+
+    fn list(&self, path: &str) -> &[toml::Value] {
+        self.at(path).and_then(|v| v.as_array()).map_or(&[], Vec::as_slice)
+    }
+
+    /// The settings that a node of this deployment is given.
+    fn settings(&self) -> Value {
+        let tier = &self.list("tier")[0];
+        let kinds = tier["kind"].as_array().unwrap().iter();
+        json!({
+            "Azs": self.list("net.zones").iter().map(|z| z.as_str().unwrap()).collect::<Vec<_>>(),
+            "HostTypes": kinds.map(|kind| kind["name"].as_str().unwrap()).collect::<Vec<_>>(),
+            "Siblings": self.number("scale.balancers").max(3.0) as u64,
+            "ResolutionUs": us(self.number("day.tick_ms")), "Discovery": "push",
+            "Weights": tier["weights"].as_str(),
+            "OverShareWorth": self.at("load.over_share_worth").map_or(1.0, number),
+            "Stats": {"Fields": report_fields(tier), "Source": tier["report"]["how"].as_str()},
+            "FamilyInfo": self.family(), "Limits": self.limits(tier),
+            "Invariants": {"DrainGraceUs": us(self.number("rules.drain_grace_ms")),
+                "FallMultiple": self.number("rules.fall_multiple"), "FallUs": us(self.number("rules.fall_ms")),
+                "ColdShare": 0.2, "WarmUpUs": 10_000_000},
+            "ClientHabits": {"MarksRetry": self.flag("clients.marks_retry")},
+            "Prices": {"CrossZone": self.number("prices.cross_zone"), "Handshake": self.number("prices.handshake")},
+            "Parties": self.list("tenant").iter().map(tenant).collect::<Vec<_>>(),
+            "Profiles": self.list("class").iter().map(class).collect::<Vec<_>>(),
+        })
+    }
+
+    fn family(&self) -> Value {
+        let stretches: Vec<f64> = self.list("fam.class").iter().map(|j| number(&j["stretch"])).collect();
+        json!({"TellsStart": self.flag("fam.tells_start"), "ProgressUs": (self.number("fam.progress_s") * 1e6) as u64,
+            "ReportX0": "free_slots", "ReportX1": "free_memory", "ClassStretch": stretches,
+            "ClassKind": vec![-1; self.list("class").len()]})
+    }
+
+    fn limits(&self, tier: &toml::Value) -> Value {
+        json!({"MaxAttempts": self.number("allow.max_attempts") as u64, "Cancelling": self.flag("allow.cancel"),
+            "RetryAfter": self.flag("allow.retry_after"),
+            "MaxRetryAfterUs": us(self.number("clients.max_retry_after_ms")),
+            "MayDuplicate": self.flag("allow.second_copies"), "Peers": self.flag("allow.peers"),
+            "Probes": self.flag("allow.probes"), "ConnectTimeoutUs": us(number(&tier["conn"]["connect_timeout_ms"])),
+            "ConnIdleUs": (number(&tier["conn"]["idle_s"]) * 1e6) as u64})
+    }
+}
+
+/// The fields of load reports, by the names that the settings give them.
+fn report_fields(tier: &toml::Value) -> Vec<String> {
+    let field = |name: &str| match name {
+        "queue" => "depth".to_string(),
+        "inflight" => "concurrent".to_string(),
+        "util" => "load_share".to_string(),
+        other => other.to_string(),
+    };
+    tier["report"]["fields"].as_array().unwrap().iter().map(|f| field(f.as_str().unwrap())).collect()
+}
+
+fn tenant(tenant: &toml::Value) -> Value {
+    let share = number(&tenant["share"]);
+    json!({"Name": tenant["name"].as_str(), "Share": share, "QuotaPerS": 400.0 * share})
+}
+
+fn class(class: &toml::Value) -> Value {
+    let text = |key: &str| class.get(key).and_then(|v| v.as_str()).unwrap_or("all");
+    json!({"Name": text("name"), "AimUs": us(number(&class["aim_ms"])),
+        "DeadlineUs": us(number(&class["deadline_ms"])), "Worth": number(&class["worth"]),
+        "LateWorth": number(&class["late_worth"]), "Semantics": text("effect"), "Group": text("group"),
+        "RepeatWindowUs": class.get("window_ms").map_or(0, |w| us(number(w))), "Stream": false})
+}
+
 /// What is not plain in a path, as `%` and two digits.
 fn in_path(name: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     name.bytes().map(|b| if plain(b) { (b as char).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
-#[tokio::test]
-async fn the_program_serves_every_class_of_every_deployment() {
-    let sites = sites();
-    assert!(sites.len() >= 3);
-    for (n, (name, site)) in sites.into_iter().enumerate() {
+/// A node of a deployment as a process, with a worker that does all jobs.
+struct Node {
+    process: Process,
+    worker: Worker,
+    /// Address for clients.
+    address: String,
+    settings: Value,
+    folder: PathBuf,
+    _discovery: Discovery,
+}
+
+impl Node {
+    /// Starts the `n`-th deployment's node, with few descriptors, as the least deployment has them.
+    async fn start(n: usize, site: &Site) -> Node {
         let pid = std::process::id();
         let own = format!("127.{}.{}.{}", 80 + n, pid / 256 % 256, pid % 256);
-        let settings = settings(&site);
+        let settings = site.settings();
         let worker = Worker::start("127.0.0.1:0".parse().unwrap(), Kind::default(), false).await.unwrap();
         let mut line = wire::line("s-1", worker.address, "in_service", 0);
         line["locality"] = settings["Azs"][0].clone();
         line["flavor"] = settings["HostTypes"][0].clone();
         let discovery = Discovery::start("127.0.0.1:0".parse().unwrap(), vec![line.clone()]).await.unwrap();
-        // Few descriptors, as the least deployment has them.
-        let config = json!({"name": "n1", "listen": format!("{own}:8443"), "management": format!("{own}:9000"),
+        let address = format!("{own}:8443");
+        let config = json!({"name": "n1", "listen": address, "management": format!("{own}:9000"),
             "discovery": discovery.address.to_string(), "seed": "7", "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128},
             "known": {"revision": 1, "complete": true, "members": [line]}});
-        let folder = std::env::temp_dir().join(format!("molevale-site-{pid}-{name}"));
+        let folder = std::env::temp_dir().join(format!("molevale-site-{pid}-{}", site.name));
         let program = Path::new(env!("CARGO_BIN_EXE_molevale"));
-        let mut node = Process::start(program, &folder, &config, &[]).unwrap();
-        let up = async {
-            while call(node.management, "GET", "/healthcheck").await.is_none_or(|(status, _)| status != 200) {
-                sleep(Duration::from_millis(20)).await;
-            }
-        };
-        timeout(Duration::from_secs(20), up).await.expect("it serves");
-        let of =
-            |key: &str| -> Vec<Value> { config["settings"][key].as_array().cloned().unwrap_or_default() };
-        let mut tenants: Vec<String> =
-            of("Parties").iter().map(|p| p["Name"].as_str().unwrap().to_string()).collect();
-        if tenants.is_empty() {
-            tenants.push(String::new());
+        let process = Process::start(program, &folder, &config, &[]).unwrap();
+        let node = Node { process, worker, address, settings, folder, _discovery: discovery };
+        timeout(START_TIMEOUT, node.serves()).await.expect("it serves");
+        node
+    }
+
+    /// Returns once it serves.
+    async fn serves(&self) {
+        let at = self.process.management;
+        while call(at, "GET", "/healthcheck").await.is_none_or(|(status, _)| status != 200) {
+            sleep(Duration::from_millis(20)).await;
+        }
+    }
+
+    fn list(&self, key: &str) -> Vec<Value> {
+        self.settings[key].as_array().cloned().unwrap_or_default()
+    }
+
+    /// Names of the tenants; one empty name where there are none.
+    fn tenants(&self) -> Vec<String> {
+        let parties = self.list("Parties");
+        if parties.is_empty() {
+            return vec![String::new()];
         }
-        let mut served = 0;
-        for (c, class) in of("Profiles").iter().enumerate() {
-            for (t, tenant) in tenants.iter().enumerate() {
-                let (class_name, deadline) =
-                    (class["Name"].as_str().unwrap(), class["DeadlineUs"].as_f64().unwrap() / 1e6);
-                let key = (class["Semantics"] == "keyed").then_some("k1");
-                let text =
-                    wire::job(class_name, &format!("{c:08x}{t:08x}"), tenant, key, deadline, None, "1000");
-                let text = text.replacen(
-                    &format!("POST /{class_name}"),
-                    &format!("POST /{}", in_path(class_name)),
-                    1,
-                );
-                let mut stream = BufReader::new(TcpStream::connect(format!("{own}:8443")).await.unwrap());
-                stream.get_mut().write_all(text.as_bytes()).await.unwrap();
-                let answer =
-                    timeout(Duration::from_secs(10), wire::head(&mut stream)).await.expect("an answer");
-                let head = answer.expect("an answer");
-                let mut body = vec![0; wire::length(&head)];
-                stream.read_exact(&mut body).await.unwrap();
-                let body = String::from_utf8_lossy(&body).to_string();
-                assert_eq!(
-                    (wire::status(&head), body.as_str()),
-                    (Some(200), "ok"),
-                    "{name}: {class_name} of {tenant}"
-                );
+        parties.iter().map(|party| party["Name"].as_str().unwrap().to_string()).collect()
+    }
+
+    /// Has a job of a class done; returns the answer's status and body.
+    async fn serve(&self, class: &Value, id: &str, tenant: &str) -> (Option<u16>, String) {
+        let name = class["Name"].as_str().unwrap();
+        let deadline = class["DeadlineUs"].as_f64().unwrap() / 1e6;
+        let key = (class["Semantics"] == "keyed").then_some("k1");
+        let text = wire::job(name, id, tenant, key, deadline, None, "1000");
+        let text = text.replacen(&format!("POST /{name}"), &format!("POST /{}", in_path(name)), 1);
+        let mut stream = BufReader::new(TcpStream::connect(&self.address).await.unwrap());
+        stream.get_mut().write_all(text.as_bytes()).await.unwrap();
+        let answer = timeout(ANSWER_TIMEOUT, wire::head(&mut stream)).await.expect("an answer");
+        let head = answer.expect("an answer");
+        let mut body = vec![0; wire::length(&head)];
+        stream.read_exact(&mut body).await.unwrap();
+        (wire::status(&head), String::from_utf8_lossy(&body).to_string())
+    }
+
+    fn end(mut self) {
+        self.process.kill();
+        std::fs::remove_dir_all(self.folder).unwrap();
+    }
+}
+
+#[tokio::test]
+async fn the_program_serves_every_class_of_every_deployment() {
+    let sites = Site::all();
+    assert!(sites.len() >= 3);
+    for (n, site) in sites.iter().enumerate() {
+        let node = Node::start(n, site).await;
+        let (mut served, name) = (0, &site.name);
+        for (c, class) in node.list("Profiles").iter().enumerate() {
+            for (t, tenant) in node.tenants().iter().enumerate() {
+                let answer = node.serve(class, &format!("{c:08x}{t:08x}"), tenant).await;
+                assert_eq!(answer, (Some(200), "ok".to_string()), "{name}: {} of {tenant}", class["Name"]);
                 served += 1;
             }
         }
-        assert_eq!(worker.seen().done, served, "{name}");
-        node.kill();
-        std::fs::remove_dir_all(folder).unwrap();
+        assert_eq!(node.worker.seen().done, served, "{name}");
+        node.end();
     }
 }
