--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -228,8 +228,8 @@
     };
     let operator: Value = toml::from_str(include_str!("../../deploy/faktory.toml")).unwrap();
     read("faktory.toml", &operator["settings"]);
-    for (name, site) in deployments::sites() {
-        read(&name, &deployments::settings(&site));
+    for site in deployments::Site::all() {
+        read(&site.name, &site.settings());
     }
     read("of the tests", &common::settings(true, 1_000_000));
     let duties = "[duties]\nstate = \"state\"\nvoters = [{ name = \"n1\", at = \"127.0.0.1:1\" }, \
