--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -24,6 +24,8 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::JoinHandle;
 
+/// A health check on the platform's front.
+pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// Real time after which a test that still waits is held to hang; all of them take a second.
 const HUNG: Duration = Duration::from_secs(60);
 
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{one, request, stop, stopping, until, Client, Platform, Worker};
+use common::{one, request, stop, stopping, until, Client, Platform, Worker, UP};
 use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
@@ -15,7 +15,6 @@
 use tokio::time::advance;
 
 const ID: &str = "9b1f03aa5c7e2d41";
-const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// Virtual time between two looks.
 const STEP: Duration = Duration::from_millis(20);
 
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -1,6 +1,9 @@
 //! Limits of the platform's frontend: slots for clients, the budget of descriptors and memory that two processes share,
 //! and the backoff of calls to discovery.
 
+mod common;
+
+use common::{request, Client, Platform, Worker, UP};
 use molevale::config::Limits;
 use molevale::dispatcher::queue;
 use molevale::names::Names;
@@ -11,10 +14,11 @@
     ResourceBudget, DESCRIPTORS_MIN, FIXED_DESCRIPTORS, REJECTION_SLOTS,
 };
 use molevale::upgrade::{Held, Holder};
+use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::time::{timeout, Instant};
+use tokio::time::{advance, timeout, Instant};
 
 /// Protects true requests in a crowd: who says nothing goes before who writes, and of those that write the one that has
 /// paused for longest.
@@ -111,3 +115,98 @@
     backoff.reset();
     assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer ends it");
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_client_beyond_the_descriptor_budget_is_refused_at_once() {
+    let worker = Worker::start().await;
+    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
+    let mut clients = Vec::new();
+    for n in 0..4 {
+        let mut client = Client::connect(&node).await;
+        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
+        clients.push(client);
+    }
+    while node.counters.taken.get() < 4 {
+        tokio::task::yield_now().await;
+    }
+    let mut beyond = Client::connect(&node).await;
+    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    assert_eq!(got.status, 503);
+    assert!(got.head.to_lowercase().contains("retry-after"));
+    assert!(beyond.answer().await.is_none(), "and closed");
+    assert_eq!((node.counters.rejected_early.get(), node.counters.taken.get()), (1, 4));
+    // Room that is given up serves again.
+    clients.clear();
+    while node.counters.client_left.get() < 4 {
+        tokio::task::yield_now().await;
+    }
+    assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
+}
+
+/// Protects the memory limit from many large bodies at once, also unfinished ones.
+#[tokio::test(start_paused = true)]
+async fn a_body_beyond_the_memory_budget_is_refused_and_small_requests_are_served() {
+    let worker = Worker::start().await;
+    let node = Platform::within(vec![worker.line("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
+    let body = "x".repeat(64 * 1024);
+    let mut large = Vec::new();
+    for n in 0..4 {
+        let mut client = Client::connect(&node).await;
+        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
+        large.push(client);
+    }
+    while node.counters.taken.get() < 4 {
+        tokio::task::yield_now().await;
+    }
+    let mut beyond = Client::connect(&node).await;
+    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    assert_eq!((got.status, node.counters.taken.get()), (503, 4));
+    assert!(got.head.to_lowercase().contains("retry-after"));
+    let mut small = Client::connect(&node).await;
+    small.tell(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
+    while node.counters.taken.get() < 5 {
+        tokio::task::yield_now().await;
+    }
+    // Room that is given up serves again.
+    large.clear();
+    while node.counters.client_left.get() < 4 {
+        tokio::task::yield_now().await;
+    }
+    let mut again = Client::connect(&node).await;
+    again.tell(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
+    while node.counters.taken.get() < 6 {
+        tokio::task::yield_now().await;
+    }
+}
+
+/// Protects usual clients from connections that hold every descriptor and say nothing, or nothing more: a
+/// newcomer takes the place of one that asked for nothing, then of the one between requests for longest.
+#[tokio::test(start_paused = true)]
+async fn an_idle_connection_is_evicted_for_a_new_one_and_a_busy_one_is_not() {
+    let worker = Worker::start().await;
+    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 4 for clients
+    let mut busy = Client::connect(&node).await;
+    busy.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
+    let mut seen = worker.take().await;
+    seen.begin().await;
+    let mut served = Vec::new();
+    for _ in 0..2 {
+        let mut client = Client::connect(&node).await;
+        assert_eq!(client.ask(UP).await.status, 200);
+        served.push(client);
+    }
+    let mut silent = Client::connect(&node).await;
+    while node.counters.accepted.get() < 4 || node.counters.acknowledged.get() < 1 {
+        tokio::task::yield_now().await;
+    }
+    advance(Duration::from_millis(300)).await;
+    for gone in [&mut silent, &mut served[0]] {
+        let mut new = Client::connect(&node).await;
+        assert_eq!(new.ask(UP).await.status, 200);
+        assert!(gone.answer().await.is_none(), "closed");
+        *gone = new;
+    }
+    assert_eq!(served[1].ask(UP).await.status, 200);
+    seen.say(json!({"state": "done", "result": "r"})).await;
+    assert_eq!(busy.answer().await.unwrap().body, "r");
+}
--- a/node/tests/peers.rs
+++ b/node/tests/peers.rs
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nodes_tell_each_other_and_only_what_a_known_one_says_anew_counts() {
+async fn only_new_datagrams_of_known_nodes_are_accepted() {
     let (node, own, other, worker) = first_of_two(true).await;
     let told = first_told(&other).await;
     assert!(told.len() <= 256 && node.counters.gossip_sent.get() >= 1);
@@ -92,7 +92,7 @@
 
 /// A node whose clock was set back, and which has started anew, is heard again after a while: its times are all older.
 #[tokio::test(start_paused = true)]
-async fn a_node_whose_clock_was_set_back_is_heard_again() {
+async fn a_node_whose_clock_was_set_back_is_accepted_again() {
     let (node, own, other, _worker) = first_of_two(true).await;
     let told = first_told(&other).await;
     let sent_at = |ms: u32| [&told[..5], &ms.to_be_bytes(), &told[9..]].concat();
@@ -113,7 +113,7 @@
 
 /// Nobody there, or more than is read in a second: jobs go on.
 #[tokio::test(start_paused = true)]
-async fn a_flood_and_a_node_that_is_gone_hold_no_job_up() {
+async fn a_flood_of_datagrams_and_a_dead_node_hold_no_job_up() {
     let (node, own, other, worker) = first_of_two(true).await;
     let own = own.local_addr().unwrap();
     for _ in 0..200 {
@@ -131,7 +131,7 @@
 
 /// Where the settings bar it, nothing is said, and nothing is listened for.
 #[tokio::test(start_paused = true)]
-async fn nodes_are_silent_where_the_settings_bar_talk() {
+async fn no_datagrams_are_sent_or_read_where_the_settings_forbid_them() {
     let (node, own, other, _worker) = first_of_two(false).await;
     for _ in 0..250 {
         advance(Duration::from_millis(20)).await;
--- a/node/tests/probes.rs
+++ b/node/tests/probes.rs
@@ -24,7 +24,7 @@
 
 /// A worker that says that it has room gets the job, on the connection that it was asked on.
 #[tokio::test(start_paused = true)]
-async fn a_worker_that_tells_room_gets_the_job() {
+async fn a_worker_that_reports_free_slots_gets_the_job() {
     for body in [
         json!({"x0": 2, "depth": 0}).to_string(),
         json!({"load": {"x0": 2}}).to_string(),
@@ -55,7 +55,7 @@
 /// One that hangs, turns the probe away, answers what is no report, breaks off, or is not there holds no job up: another
 /// gets it, and each probe has its one outcome.
 #[tokio::test(start_paused = true)]
-async fn a_probe_that_fails_is_an_outcome() {
+async fn a_failed_probe_is_an_outcome_and_holds_no_job_up() {
     for case in ["hangs", "503", "404", "strange", "endless", "breaks", "gone"] {
         let (bad, good) = (Worker::start().await, Worker::start().await);
         let list = vec![bad.line("s-1", "in_service")];
@@ -107,7 +107,7 @@
 /// A worker that is asked, tells room and turns the job away all the same: 'never ran' is said of the job, for nothing but the
 /// question was on its connection before. Also what may not be repeated goes out again.
 #[tokio::test(start_paused = true)]
-async fn a_job_turned_away_right_after_the_question_goes_out_again() {
+async fn a_job_rejected_right_after_its_probe_is_retried() {
     let (full, free) = (Worker::start().await, Worker::start().await);
     let mut settings = asking(true);
     settings["Profiles"][0]["Semantics"] = "unsafe".into();
@@ -129,7 +129,7 @@
 
 /// Where the settings bar them there are none.
 #[tokio::test(start_paused = true)]
-async fn nobody_is_asked_where_the_settings_bar_it() {
+async fn no_worker_is_probed_where_the_settings_forbid_it() {
     let worker = Worker::start().await;
     let node = Platform::under(asking(false), vec![worker.line("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -4,7 +4,7 @@
 use testbed::soak::{run, Options};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn overlapping_troubles_break_no_rule() {
+async fn overlapping_faults_break_no_rule() {
     let options = Options {
         binary: env!("CARGO_BIN_EXE_molevale").into(),
         nodes: 10,
