--- a/node/tests/endpoint_watch.rs
+++ b/node/tests/endpoint_watch.rs
@@ -1,5 +1,6 @@
 //! The watch of discovery's endpoint list: drains, malformed lists, rejected calls, and a discovery that moves. Time stands
 //! still but where a test advances it.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -3,6 +3,7 @@
 //!
 //! What varies from run to run (date, port, the rest of a deadline, a clock) is replaced by a mark. To write the files
 //! anew, run with `GOLDEN_WRITE=1`; a change of them is a change of the protocol.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -1,5 +1,6 @@
 //! Limits of the platform's frontend: slots for clients, the budget of descriptors and memory that two processes share,
 //! and the backoff of calls to discovery.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/peers.rs
+++ b/node/tests/peers.rs
@@ -1,5 +1,6 @@
 //! The platform's own messages between nodes, where its settings allow them: datagrams on real sockets, which are lost,
 //! late, doubled, forged, too long or of another version.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -1,5 +1,6 @@
 //! The platform's front on loopback, with stand-ins for clients, workers and discovery. Time stands
 //! still but where a test advances it: each step follows on what a socket or a counter shows.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/probes.rs
+++ b/node/tests/probes.rs
@@ -1,4 +1,5 @@
 //! Probes, where the settings allow them: asked for by the module; a late, wrong or missing answer is an outcome.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -1,5 +1,6 @@
 //! A node that is told to stop or to drain: what it has accepted is answered, what still comes is served, and idle
 //! connections are closed. Time stands still but where a test advances it.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -1,5 +1,6 @@
 //! The program, started on settings made like each of the deployments in `deploy/sites`: every class of every tenant is
 //! served, over real sockets.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,4 +1,5 @@
 //! A short soak: real processes, overlapping troubles, every rule judged. `testbed soak` runs longer ones with more seeds.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use std::time::Duration;
 use testbed::soak::{run, Options};
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -1,5 +1,6 @@
 //! Streams of the platform's frontend: boundaries of clients' messages and their time limits, the count of what was
 //! written to a worker, and sockets that move to another process.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use molevale::platform::counted_writes::{CountingStream, RequestProgress, SharedProgress};
 use molevale::platform::framing::{Framing, MessageBoundaries};
