--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,10 +1,11 @@
 //! A short soak: real processes, overlapping troubles, every rule judged. `testbed soak` runs longer ones with more seeds.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use std::time::Duration;
 use testbed::soak::{run, Options};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn overlapping_troubles_break_no_rule() {
+async fn overlapping_faults_break_no_rule() {
     let options = Options {
         binary: env!("CARGO_BIN_EXE_molevale").into(),
         nodes: 10,
