--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod discovery;
 pub mod disk;
 pub mod emulated;
+pub mod emulated_network;
 pub mod history_check;
 pub mod lists;
 pub mod load;
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -13,6 +13,7 @@
 pub mod limits;
 pub mod list;
 pub mod membership;
+mod network;
 pub mod page;
 pub mod plan;
 mod processor;
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -70,20 +70,51 @@
 const SHARED: &str = "a watch of one node of each zone, `lists = true`";
 const WATCHES: &str = "a watch of each node, without `lists`";
 
-const fn row(
+/// The figures of one role on one axis.
+#[derive(Clone, Copy)]
+struct Series {
     axis: Axis,
     role: Role,
-    condition: Condition,
-    quantity: Quantity,
-    budget: Budget,
     mechanism: &'static str,
-) -> Requirement {
-    Requirement { axis, role, condition, quantity, budget, in_node_sum: false, mechanism }
 }
 
-/// The same, as a part of what each dispatching node spends.
-const fn part(requirement: Requirement) -> Requirement {
-    Requirement { in_node_sum: true, ..requirement }
+impl Series {
+    /// Rows of these figures, each held against the usual budget of its quantity.
+    fn rows(self, condition: Condition, quantities: &[Quantity]) -> Vec<Requirement> {
+        let Series { axis, role, mechanism } = self;
+        let row = |quantity: &Quantity| Requirement {
+            axis,
+            role,
+            condition,
+            quantity: *quantity,
+            budget: usual_budget(*quantity),
+            in_node_sum: false,
+            mechanism,
+        };
+        quantities.iter().map(row).collect()
+    }
+}
+
+/// What a quantity is held against where the operators gave a bound for it.
+fn usual_budget(quantity: Quantity) -> Budget {
+    match quantity {
+        Quantity::StateBytes | Quantity::ListStateBytes => Budget::Memory,
+        Quantity::ProcessorShare => Budget::Processor,
+        Quantity::BytesOut => Budget::TrafficOut,
+        Quantity::BytesIn | Quantity::ExchangeBytesIn | Quantity::ListBytes => Budget::TrafficIn,
+        Quantity::InForceMs => Budget::InForce,
+        _ => Budget::None,
+    }
+}
+
+/// The same rows, as parts of what each dispatching node spends.
+fn in_node_sum(rows: Vec<Requirement>) -> Vec<Requirement> {
+    rows.into_iter().map(|row| Requirement { in_node_sum: true, ..row }).collect()
+}
+
+/// The same rows, for which the operators gave no bound.
+fn without_bound(rows: Vec<Requirement>) -> Vec<Requirement> {
+    rows.into_iter().map(|row| Requirement { budget: Budget::None, ..row }).collect()
 }
 
 /// All rows.
@@ -93,75 +124,61 @@
 
 fn member() -> Vec<Requirement> {
     use Condition::*;
-    let member =
-        |condition, quantity, budget| row(Axis::Nodes, Role::Member, condition, quantity, budget, VIEW);
-    vec![
-        part(member(Calm, Quantity::StateBytes, Budget::Memory)),
-        part(member(Calm, Quantity::ProcessorShare, Budget::Processor)),
-        part(member(Calm, Quantity::BytesOut, Budget::TrafficOut)),
-        part(member(Calm, Quantity::BytesIn, Budget::TrafficIn)),
-        member(PhaseChange, Quantity::BytesOut, Budget::TrafficOut),
-        member(PhaseChange, Quantity::InForceMs, Budget::InForce),
-        member(Crashes, Quantity::BytesOut, Budget::TrafficOut),
-        member(Crashes, Quantity::InForceMs, Budget::InForce),
-        member(ZoneLost, Quantity::BytesOut, Budget::TrafficOut),
-        member(ZoneLost, Quantity::InForceMs, Budget::InForce),
-        member(ZoneReturns, Quantity::BytesOut, Budget::TrafficOut),
-        member(ZoneReturns, Quantity::InForceMs, Budget::InForce),
-        member(ZoneReturns, Quantity::ExchangeBytesIn, Budget::TrafficIn),
-        member(ZoneLost, Quantity::ProcessorShare, Budget::Processor),
-        member(ZoneReturns, Quantity::ProcessorShare, Budget::Processor),
+    use Quantity::*;
+    let member = Series { axis: Axis::Nodes, role: Role::Member, mechanism: VIEW };
+    [
+        in_node_sum(member.rows(Calm, &[StateBytes, ProcessorShare, BytesOut, BytesIn])),
+        member.rows(PhaseChange, &[BytesOut, InForceMs]),
+        member.rows(Crashes, &[BytesOut, InForceMs]),
+        member.rows(ZoneLost, &[BytesOut, InForceMs]),
+        member.rows(ZoneReturns, &[BytesOut, InForceMs, ExchangeBytesIn]),
+        member.rows(ZoneLost, &[ProcessorShare]),
+        member.rows(ZoneReturns, &[ProcessorShare]),
     ]
+    .concat()
 }
 
 fn dispatcher() -> Vec<Requirement> {
-    use Condition::LiveWeights;
-    let on = |axis, quantity, budget| row(axis, Role::Dispatcher, LiveWeights, quantity, budget, DECISION);
-    let rates =
-        |quantity, budget| row(Axis::Tenants, Role::RateTeller, Condition::Calm, quantity, budget, RATES);
-    vec![
-        on(Axis::Workers, Quantity::StateBytes, Budget::Memory),
-        on(Axis::Workers, Quantity::ProcessorShare, Budget::Processor),
-        on(Axis::Workers, Quantity::JobProcessorUs, Budget::None),
-        on(Axis::Tenants, Quantity::StateBytes, Budget::Memory),
-        on(Axis::Starts, Quantity::StateBytes, Budget::Memory),
-        on(Axis::Starts, Quantity::ProcessorShare, Budget::Processor),
-        part(on(Axis::Together, Quantity::StateBytes, Budget::Memory)),
-        part(on(Axis::Together, Quantity::ProcessorShare, Budget::Processor)),
-        part(rates(Quantity::BytesOut, Budget::TrafficOut)),
-        part(rates(Quantity::BytesIn, Budget::TrafficIn)),
+    use Condition::{Calm, LiveWeights};
+    use Quantity::*;
+    let dispatcher = |axis| Series { axis, role: Role::Dispatcher, mechanism: DECISION };
+    let rates = Series { axis: Axis::Tenants, role: Role::RateTeller, mechanism: RATES };
+    [
+        dispatcher(Axis::Workers).rows(LiveWeights, &[StateBytes, ProcessorShare, JobProcessorUs]),
+        dispatcher(Axis::Tenants).rows(LiveWeights, &[StateBytes]),
+        dispatcher(Axis::Starts).rows(LiveWeights, &[StateBytes, ProcessorShare]),
+        in_node_sum(dispatcher(Axis::Together).rows(LiveWeights, &[StateBytes, ProcessorShare])),
+        in_node_sum(rates.rows(Calm, &[BytesOut, BytesIn])),
     ]
+    .concat()
 }
 
 fn lists() -> Vec<Requirement> {
     use Condition::LiveWeights;
-    let node = |quantity, budget| row(Axis::Workers, Role::Dispatcher, LiveWeights, quantity, budget, LIST);
-    let relay = |axis, quantity, budget| row(axis, Role::ListRelay, LiveWeights, quantity, budget, TREE);
-    vec![
-        part(node(Quantity::ListBytes, Budget::TrafficIn)),
-        part(node(Quantity::ListStateBytes, Budget::Memory)),
-        relay(Axis::Zones, Quantity::BytesOut, Budget::TrafficOut),
-        relay(Axis::Zones, Quantity::InForceMs, Budget::InForce),
-        relay(Axis::Together, Quantity::BytesOut, Budget::TrafficOut),
-        relay(Axis::Together, Quantity::BytesIn, Budget::TrafficIn),
-        relay(Axis::Together, Quantity::ProcessorShare, Budget::Processor),
-        relay(Axis::Together, Quantity::InForceMs, Budget::InForce),
-        relay(Axis::Together, Quantity::StateBytes, Budget::Memory),
-        row(Axis::Workers, Role::Discovery, LiveWeights, Quantity::BytesOut, Budget::None, WATCHES),
-        row(Axis::Together, Role::SharedDiscovery, LiveWeights, Quantity::BytesOut, Budget::None, SHARED),
+    use Quantity::*;
+    let node = Series { axis: Axis::Workers, role: Role::Dispatcher, mechanism: LIST };
+    let relay = |axis| Series { axis, role: Role::ListRelay, mechanism: TREE };
+    let polled_by_all = Series { axis: Axis::Workers, role: Role::Discovery, mechanism: WATCHES };
+    let polled_by_one = Series { axis: Axis::Together, role: Role::SharedDiscovery, mechanism: SHARED };
+    let relay_together = [BytesOut, BytesIn, ProcessorShare, InForceMs, StateBytes];
+    [
+        in_node_sum(node.rows(LiveWeights, &[ListBytes, ListStateBytes])),
+        relay(Axis::Zones).rows(LiveWeights, &[BytesOut, InForceMs]),
+        relay(Axis::Together).rows(LiveWeights, &relay_together),
+        without_bound(polled_by_all.rows(LiveWeights, &[BytesOut])),
+        without_bound(polled_by_one.rows(LiveWeights, &[BytesOut])),
     ]
+    .concat()
 }
 
 fn voters() -> Vec<Requirement> {
     use Condition::{Calm, Crashes};
-    let voter =
-        |condition, quantity, budget| row(Axis::Zones, Role::Voter, condition, quantity, budget, VOTES);
-    vec![
-        voter(Calm, Quantity::StateBytes, Budget::Memory),
-        voter(Calm, Quantity::ProcessorShare, Budget::Processor),
-        voter(Calm, Quantity::BytesOut, Budget::TrafficOut),
-        voter(Calm, Quantity::BytesIn, Budget::TrafficIn),
-        voter(Crashes, Quantity::BytesOut, Budget::TrafficOut),
-        voter(Crashes, Quantity::InForceMs, Budget::None),
+    use Quantity::*;
+    let voter = Series { axis: Axis::Zones, role: Role::Voter, mechanism: VOTES };
+    [
+        voter.rows(Calm, &[StateBytes, ProcessorShare, BytesOut, BytesIn]),
+        voter.rows(Crashes, &[BytesOut]),
+        without_bound(voter.rows(Crashes, &[InForceMs])),
     ]
+    .concat()
 }
--- a/testbed/src/scale/sealer.rs
+++ b/testbed/src/scale/sealer.rs
@@ -22,7 +22,7 @@
 /// Two nodes that have met.
 pub struct Sealer {
     world: World,
-    words: HashMap<usize, Sealed>,
+    message_sizes: HashMap<usize, Sealed>,
 }
 
 impl Sealer {
@@ -30,7 +30,7 @@
     pub fn new() -> Sealer {
         let mut world = World::started(Spec { nodes: 2, ..Spec::default() });
         world.run(MEET);
-        Sealer { world, words: HashMap::new() }
+        Sealer { world, message_sizes: HashMap::new() }
     }
 
     /// A message with the rates of so many tenants. The membership machine leaves out those beyond `membership::RATES_MAX`.
@@ -39,14 +39,14 @@
         self.sent_by(|machine, now| machine.send_rates(now, &name(1), rates))
     }
 
-    /// A word of another subsystem of so many bytes.
-    pub fn word(&mut self, length: usize) -> Sealed {
-        if let Some(sealed) = self.words.get(&length) {
+    /// A message of another subsystem of so many bytes.
+    pub fn message(&mut self, length: usize) -> Sealed {
+        if let Some(sealed) = self.message_sizes.get(&length) {
             return *sealed;
         }
         let bytes = vec![0; length];
         let sealed = self.sent_by(|machine, now| machine.send_message(now, address(1), &bytes));
-        self.words.insert(length, sealed);
+        self.message_sizes.insert(length, sealed);
         sealed
     }
 
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -1,40 +1,39 @@
-//! Voters and the nodes that ask them for duties, in emulated time: each zone has a duty of its own, as the one to follow
-//! discovery is, and some nodes that want it.
+//! Voters and their lease clients in emulated time: each zone has one lease, as the one to follow discovery is, and some
+//! nodes that seek it.
 
 use super::limits::{Limits, NotRun};
+use super::network::{traffic_rates, EmulatedNetwork, TrafficCount};
 use super::processor::timed;
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
-use super::sealer::Sealer;
 use crate::disk::MemDisk;
+use crate::emulated_network::{node_address, EventQueue};
 use ::coordination::{
     Client, ClientAction, Holder, Message, Store, Timing, Voter, VoterAction, VoterConfig, VoterMember,
     VoterState,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use std::collections::{BTreeMap, HashMap};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Voters, of which a majority grants duties.
+/// Voters, of which a majority grants leases.
 const VOTERS: usize = 5;
-/// Nodes of each zone that ask for its duty.
-const SEEKERS: usize = 3;
-/// The least and the most time that a word is on its way, in microseconds.
-const WIRE_US: std::ops::Range<u64> = 500..10_000;
-/// For one write of a voter's store.
-const WRITE: Duration = Duration::from_millis(3);
-/// A word's tag, which says of which subsystem it is, in bytes.
-const TAG: usize = 1;
-/// Until all duties are held.
-const HELD_MAX: Duration = Duration::from_secs(120);
-/// Before traffic is counted.
+/// Nodes of each zone that seek its lease.
+const CLIENTS_PER_ZONE: usize = 3;
+/// Duration of one write of a voter's store.
+const STORE_WRITE: Duration = Duration::from_millis(3);
+/// Time within which all leases must be held.
+const ALL_HELD_MAX: Duration = Duration::from_secs(120);
+/// Emulated time before traffic is counted.
 const WARM_UP: Duration = Duration::from_secs(30);
-/// For which traffic is counted.
-const CALM: Duration = Duration::from_secs(60);
-/// Between two looks at who holds what.
-const LOOK: Duration = Duration::from_millis(10);
+/// Emulated time for which traffic is counted.
+const COUNTED: Duration = Duration::from_secs(60);
+/// Interval between two looks at who holds which lease.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Wall clock at the start, in Unix milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
+/// Second byte of the processes' addresses.
+const NETWORK: u8 = 5;
 
 /// The conditions that [`measure`] records.
 pub const CONDITIONS: [Condition; 2] = [Condition::Calm, Condition::Crashes];
@@ -56,14 +55,14 @@
 }
 
 fn measure_all(spec: &Spec, limits: &Limits, recorder: &mut Recorder) -> Result<(), NotRun> {
-    let mut assembly = Assembly::started(spec);
-    assembly.until_held(limits)?;
-    assembly.run(WARM_UP, limits)?;
-    assembly.reset_counts();
-    assembly.run(CALM, limits)?;
-    let mut calm = assembly.figures(CALM);
-    let crash = assembly.crash(limits)?;
-    let state = assembly.state(limits);
+    let mut group = VotingGroup::started(spec);
+    group.run_until_all_held(limits)?;
+    group.run(WARM_UP, limits)?;
+    group.reset_counts();
+    group.run(COUNTED, limits)?;
+    let mut calm = group.figures(COUNTED);
+    let crash = group.crash(limits)?;
+    let state = group.voter_state(limits);
     calm.extend(state.map(|state| (Quantity::StateBytes, state)));
     recorder.measured(Role::Voter, Condition::Calm, calm);
     recorder.measured(Role::Voter, Condition::Crashes, crash);
@@ -72,292 +71,276 @@
 
 enum Event {
     Message { from: usize, to: usize, message: Message },
-    Written { voter: usize, number: u64 },
-    Wake(usize),
+    WriteDone { voter: usize, number: u64 },
+    Tick(usize),
 }
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    messages_out: u64,
-    messages_in: u64,
-    bytes_out: u64,
-    bytes_in: u64,
-    processor: Duration,
-}
-
-/// What a process is.
-enum Part {
+/// State machine of a process.
+enum Machine {
     Voter(Box<Voter>, Store),
-    Seeker(Client),
+    Client(Client),
 }
 
 struct Process {
     /// `None` once it has crashed.
-    part: Option<Part>,
-    wake: Option<Duration>,
-    count: Count,
+    machine: Option<Machine>,
+    next_tick: Option<Duration>,
+    traffic: TrafficCount,
+    processor: Duration,
 }
 
-/// Voters first, then the seekers of each zone.
-struct Assembly {
+/// All voters, then the clients of each zone, with the network between them.
+struct VotingGroup {
     zones: usize,
-    now: Duration,
-    queue: BTreeMap<(Duration, u64), Event>,
-    order: u64,
-    rng: SmallRng,
-    sealer: Sealer,
+    queue: EventQueue<Event>,
+    network: EmulatedNetwork,
     processes: Vec<Process>,
-    by_address: HashMap<SocketAddr, usize>,
 }
 
-fn address(i: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 5, (i / 250) as u8, (i % 250 + 1) as u8), 7946))
+fn address(process: usize) -> SocketAddr {
+    node_address(NETWORK, process)
 }
 
-fn name(i: usize) -> String {
-    format!("n{i:04}")
+fn name(process: usize) -> String {
+    format!("n{process:04}")
 }
 
-fn duty(zone: usize) -> String {
+fn lease_name(zone: usize) -> String {
     format!("lists/zone-{zone:02}")
 }
 
-fn seats() -> Vec<VoterMember> {
+fn members() -> Vec<VoterMember> {
     (0..VOTERS).map(|i| VoterMember { name: name(i), address: address(i) }).collect()
 }
 
-fn voter(i: usize, rng: &mut SmallRng) -> Part {
+fn voter(i: usize, rng: &mut SmallRng) -> Machine {
     let opened = Store::open(MemDisk::new(), "emulated", &name(i), rng.random(), rng.random());
     let (store, disk) = opened.expect("an empty disk in memory can be opened");
-    let seat = VoterMember { name: name(i), address: address(i) };
+    let member = VoterMember { name: name(i), address: address(i) };
     let (process_id, seed) = (rng.random(), rng.random());
-    let setup = VoterConfig {
-        member: seat,
-        founders: seats(),
+    let config = VoterConfig {
+        member,
+        founders: members(),
         timing: Timing::default(),
         process_id,
         seed,
         unix_ms: UNIX_MS,
     };
-    Part::Voter(Box::new(Voter::new(setup, disk, Duration::ZERO)), store)
+    Machine::Voter(Box::new(Voter::new(config, disk, Duration::ZERO)), store)
 }
 
-fn seeker(i: usize, rng: &mut SmallRng) -> Part {
+fn client(i: usize, rng: &mut SmallRng) -> Machine {
     let holder = Holder { name: name(i), process_id: rng.random() };
-    let voters = seats().iter().map(|seat| seat.address).collect();
+    let voters = members().iter().map(|member| member.address).collect();
     let mut client = Client::new(holder, Timing::default(), voters);
-    client.acquire(Duration::ZERO, &duty((i - VOTERS) / SEEKERS));
-    Part::Seeker(client)
+    client.acquire(Duration::ZERO, &lease_name((i - VOTERS) / CLIENTS_PER_ZONE));
+    Machine::Client(client)
+}
+
+impl Process {
+    fn new(machine: Machine) -> Process {
+        Process {
+            machine: Some(machine),
+            next_tick: None,
+            traffic: TrafficCount::default(),
+            processor: Duration::ZERO,
+        }
+    }
 }
 
-impl Assembly {
-    fn started(spec: &Spec) -> Assembly {
+impl VotingGroup {
+    fn started(spec: &Spec) -> VotingGroup {
         let mut rng = SmallRng::seed_from_u64(spec.seed);
-        let total = VOTERS + SEEKERS * spec.zones;
-        let parts: Vec<Part> =
-            (0..total).map(|i| if i < VOTERS { voter(i, &mut rng) } else { seeker(i, &mut rng) }).collect();
-        let process = |part| Process { part: Some(part), wake: None, count: Count::default() };
-        let mut assembly = Assembly {
+        let total = VOTERS + CLIENTS_PER_ZONE * spec.zones;
+        let machine = |i| if i < VOTERS { voter(i, &mut rng) } else { client(i, &mut rng) };
+        let processes = (0..total).map(machine).map(Process::new).collect();
+        let mut group = VotingGroup {
             zones: spec.zones,
-            now: Duration::ZERO,
-            queue: BTreeMap::new(),
-            order: 0,
-            rng,
-            sealer: Sealer::new(),
-            processes: parts.into_iter().map(process).collect(),
-            by_address: (0..total).map(|i| (address(i), i)).collect(),
+            queue: EventQueue::default(),
+            network: EmulatedNetwork::new((0..total).map(address), rng),
+            processes,
         };
-        (0..total).for_each(|i| assembly.after(i));
-        assembly
+        (0..total).for_each(|i| group.carry_out_actions(i));
+        group
     }
 
     fn run(&mut self, span: Duration, limits: &Limits) -> Result<(), NotRun> {
-        let end = self.now + span;
-        while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= end) {
-            self.now = entry.key().0;
-            match entry.remove() {
+        let end = self.queue.now() + span;
+        while let Some(event) = self.queue.next_until(end) {
+            match event {
                 Event::Message { from, to, message } => self.deliver(from, to, message),
-                Event::Written { voter, number } => self.written(voter, number),
-                Event::Wake(i) => self.wake(i),
+                Event::WriteDone { voter, number } => self.write_done(voter, number),
+                Event::Tick(i) => self.tick(i),
             }
             limits.check()?;
         }
-        self.now = end;
         Ok(())
     }
 
-    fn put(&mut self, after: Duration, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
-    }
-
-    /// Lets a process do something, and carries out what it wants done then.
-    fn with(&mut self, i: usize, work: impl FnOnce(&mut Part, Duration)) {
-        let now = self.now;
+    /// Lets a process handle one input, counts its processor time and carries out its actions.
+    fn with_machine(&mut self, i: usize, handle: impl FnOnce(&mut Machine, Duration)) {
+        let now = self.queue.now();
         let process = &mut self.processes[i];
-        let Some(part) = &mut process.part else { return };
-        let ((), time) = timed(|| work(part, now));
-        process.count.processor += time;
-        self.after(i);
+        let Some(machine) = &mut process.machine else { return };
+        let ((), time) = timed(|| handle(machine, now));
+        process.processor += time;
+        self.carry_out_actions(i);
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
-        self.with(to, |part, now| match (part, message) {
-            (Part::Seeker(client), Message::Response(answer)) => client.receive(now, address(from), answer),
-            (Part::Voter(voter, _), message) => voter.receive(now, address(from), message),
+        self.with_machine(to, |machine, now| match (machine, message) {
+            (Machine::Client(client), Message::Response(response)) => {
+                client.receive(now, address(from), response)
+            }
+            (Machine::Voter(voter, _), message) => voter.receive(now, address(from), message),
             _ => {}
         });
     }
 
-    fn written(&mut self, voter: usize, number: u64) {
-        self.with(voter, |part, now| {
-            if let Part::Voter(voter, _) = part {
+    fn write_done(&mut self, voter: usize, number: u64) {
+        self.with_machine(voter, |machine, now| {
+            if let Machine::Voter(voter, _) = machine {
                 voter.persisted(now, number, Ok(()));
             }
         });
     }
 
-    fn wake(&mut self, i: usize) {
-        if self.processes[i].wake != Some(self.now) {
+    fn tick(&mut self, i: usize) {
+        if self.processes[i].next_tick != Some(self.queue.now()) {
             return;
         }
-        self.processes[i].wake = None;
-        self.with(i, |part, now| match part {
-            Part::Voter(voter, _) => voter.tick(now),
-            Part::Seeker(client) => client.tick(now),
+        self.processes[i].next_tick = None;
+        self.with_machine(i, |machine, now| match machine {
+            Machine::Voter(voter, _) => voter.tick(now),
+            Machine::Client(client) => client.tick(now),
         });
     }
 
-    fn after(&mut self, i: usize) {
-        let Some(mut part) = self.processes[i].part.take() else { return };
-        let due = match &mut part {
-            Part::Voter(voter, store) => {
-                self.carry_out(i, voter, store);
+    fn carry_out_actions(&mut self, i: usize) {
+        let Some(mut machine) = self.processes[i].machine.take() else { return };
+        let due = match &mut machine {
+            Machine::Voter(voter, store) => {
+                self.carry_out_voter_actions(i, voter, store);
                 voter.next_tick()
             }
-            Part::Seeker(client) => {
-                while let Some(errand) = client.next_action() {
-                    if let ClientAction::Send { to, request } = errand {
+            Machine::Client(client) => {
+                while let Some(action) = client.next_action() {
+                    if let ClientAction::Send { to, request } = action {
                         self.send(i, to, Message::Request(request));
                     }
                 }
                 client.next_tick()
             }
         };
-        self.processes[i].part = Some(part);
-        self.plan(i, due);
+        self.processes[i].machine = Some(machine);
+        self.schedule_tick(i, due);
     }
 
-    fn carry_out(&mut self, i: usize, voter: &mut Voter, store: &Store) {
+    fn carry_out_voter_actions(&mut self, i: usize, voter: &mut Voter, store: &Store) {
         while let Some(action) = voter.next_action() {
             match action {
                 VoterAction::Send { to, message } => self.send(i, to, message),
                 VoterAction::Write(batch) => {
                     store.write(&batch).expect("a disk in memory takes every write");
-                    self.put(WRITE, Event::Written { voter: i, number: batch.number });
+                    let done = Event::WriteDone { voter: i, number: batch.number };
+                    self.queue.schedule(STORE_WRITE, done);
                 }
                 VoterAction::Report(_) => {}
             }
         }
     }
 
-    fn plan(&mut self, i: usize, due: Duration) {
-        let at = due.max(self.now);
-        if due < Duration::MAX && self.processes[i].wake.is_none_or(|wake| at < wake || wake < self.now) {
-            self.processes[i].wake = Some(at);
-            let after = at - self.now;
-            self.put(after, Event::Wake(i));
+    fn schedule_tick(&mut self, i: usize, due: Duration) {
+        let now = self.queue.now();
+        let at = due.max(now);
+        let is_earlier = self.processes[i].next_tick.is_none_or(|planned| at < planned || planned < now);
+        if due < Duration::MAX && is_earlier {
+            self.processes[i].next_tick = Some(at);
+            self.queue.schedule(at - now, Event::Tick(i));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
-        let Some(to) = self.by_address.get(&to).copied() else { return };
-        let length = postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len()) + TAG;
-        let sealed = self.sealer.word(length);
-        let sender = &mut self.processes[from].count;
-        sender.messages_out += sealed.datagrams;
-        sender.bytes_out += sealed.bytes;
-        let receiver = &mut self.processes[to].count;
-        receiver.messages_in += sealed.datagrams;
-        receiver.bytes_in += sealed.bytes;
-        let wire = Duration::from_micros(self.rng.random_range(WIRE_US));
-        self.put(wire, Event::Message { from, to, message });
+        let Some(to) = self.network.process_at(to) else { return };
+        let size = self.network.sealed_size(&message);
+        self.processes[from].traffic.record_sent(size);
+        self.processes[to].traffic.record_received(size);
+        let delay = self.network.draw_delay();
+        self.queue.schedule(delay, Event::Message { from, to, message });
     }
 
-    /// Which process may act on a zone's duty now.
-    fn holder(&self, zone: usize) -> Option<usize> {
-        let first = VOTERS + zone * SEEKERS;
-        let holds = |i: &usize| match &self.processes[*i].part {
-            Some(Part::Seeker(client)) => client.may_act(self.now, &duty(zone)).is_some(),
+    /// The process that holds a zone's lease now.
+    fn lease_holder(&self, zone: usize) -> Option<usize> {
+        let first = VOTERS + zone * CLIENTS_PER_ZONE;
+        let holds = |i: &usize| match &self.processes[*i].machine {
+            Some(Machine::Client(client)) => client.may_act(self.queue.now(), &lease_name(zone)).is_some(),
             _ => false,
         };
-        (first..first + SEEKERS).find(holds)
+        (first..first + CLIENTS_PER_ZONE).find(holds)
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |i: &usize| match &self.processes[*i].part {
-            Some(Part::Voter(voter, _)) => voter.state() == VoterState::Leader,
+        let leads = |i: &usize| match &self.processes[*i].machine {
+            Some(Machine::Voter(voter, _)) => voter.state() == VoterState::Leader,
             _ => false,
         };
         (0..VOTERS).find(leads)
     }
 
-    /// Runs until all duties are held; when each was held first, from now on, in milliseconds.
-    fn until_held(&mut self, limits: &Limits) -> Result<Vec<f64>, NotRun> {
-        let start = self.now;
-        let mut held: Vec<Option<f64>> = vec![None; self.zones];
-        while held.iter().any(Option::is_none) {
-            if self.now - start > HELD_MAX {
-                let reached = held.iter().flatten().count();
-                return Err(NotRun::NotInForce { reached, of: self.zones, after_s: HELD_MAX.as_secs() });
+    /// Runs until all leases are held; returns when each was held first, from now on, in milliseconds.
+    fn run_until_all_held(&mut self, limits: &Limits) -> Result<Vec<f64>, NotRun> {
+        let start = self.queue.now();
+        let mut held_at: Vec<Option<f64>> = vec![None; self.zones];
+        while held_at.iter().any(Option::is_none) {
+            if self.queue.now() - start > ALL_HELD_MAX {
+                let reached = held_at.iter().flatten().count();
+                return Err(NotRun::NotInForce { reached, of: self.zones, after_s: ALL_HELD_MAX.as_secs() });
             }
-            self.run(LOOK, limits)?;
-            let passed = (self.now - start).as_secs_f64() * 1e3;
-            for (zone, held) in held.iter_mut().enumerate().filter(|(_, held)| held.is_none()) {
-                *held = self.holder(zone).map(|_| passed);
+            self.run(POLL_INTERVAL, limits)?;
+            let passed = (self.queue.now() - start).as_secs_f64() * 1e3;
+            for (zone, held_at) in held_at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
+                *held_at = self.lease_holder(zone).map(|_| passed);
             }
         }
-        Ok(held.into_iter().flatten().collect())
+        Ok(held_at.into_iter().flatten().collect())
     }
 
-    /// The leader and all holders crash at once.
+    /// Crashes the leader and all lease holders at once.
     fn crash(&mut self, limits: &Limits) -> Result<Figures, NotRun> {
-        let holders: Vec<usize> = (0..self.zones).filter_map(|zone| self.holder(zone)).collect();
+        let holders: Vec<usize> = (0..self.zones).filter_map(|zone| self.lease_holder(zone)).collect();
         let crashed: Vec<usize> = holders.into_iter().chain(self.leader()).collect();
-        crashed.into_iter().for_each(|i| self.processes[i].part = None);
+        crashed.into_iter().for_each(|i| self.processes[i].machine = None);
         self.reset_counts();
-        let start = self.now;
-        let delays = self.until_held(limits)?;
-        let mut figures = self.figures(self.now - start);
+        let start = self.queue.now();
+        let delays = self.run_until_all_held(limits)?;
+        let mut figures = self.figures(self.queue.now() - start);
         figures.extend(Value::of(delays).map(|delays| (Quantity::InForceMs, delays)));
         Ok(figures)
     }
 
     fn reset_counts(&mut self) {
-        self.processes.iter_mut().for_each(|process| process.count = Count::default());
+        for process in &mut self.processes {
+            (process.traffic, process.processor) = (TrafficCount::default(), Duration::ZERO);
+        }
     }
 
-    /// What the voters that run have sent and received a second, and their processor time.
+    /// Traffic and processor time of the voters that run.
     fn figures(&self, span: Duration) -> Figures {
-        let seconds = span.as_secs_f64();
-        let running = || self.processes.iter().take(VOTERS).filter(|process| process.part.is_some());
-        let rate = |of: fn(&Count) -> f64| Value::of(running().map(|p| of(&p.count) / seconds).collect());
-        let rates = [
-            (Quantity::MessagesOut, rate(|c| c.messages_out as f64)),
-            (Quantity::MessagesIn, rate(|c| c.messages_in as f64)),
-            (Quantity::BytesOut, rate(|c| c.bytes_out as f64)),
-            (Quantity::BytesIn, rate(|c| c.bytes_in as f64)),
-            (Quantity::ProcessorShare, rate(|c| c.processor.as_secs_f64())),
-        ];
-        rates.into_iter().filter_map(|(quantity, value)| Some((quantity, value?))).collect()
+        let running = || self.processes.iter().take(VOTERS).filter(|process| process.machine.is_some());
+        let traffic: Vec<TrafficCount> = running().map(|process| process.traffic).collect();
+        let mut figures = traffic_rates(&traffic, span);
+        let shares = running().map(|process| process.processor.as_secs_f64() / span.as_secs_f64());
+        let shares = Value::of(shares.collect());
+        figures.extend(shares.map(|share| (Quantity::ProcessorShare, share)));
+        figures
     }
 
-    /// The state of each voter that runs, without its store.
-    fn state(mut self, limits: &Limits) -> Option<Value> {
+    /// Heap memory of each voter that runs, without its store.
+    fn voter_state(mut self, limits: &Limits) -> Option<Value> {
         let memory = limits.memory();
         let mut freed = Vec::new();
         for process in self.processes.iter_mut().take(VOTERS) {
-            if let Some(Part::Voter(voter, _store)) = process.part.take() {
+            if let Some(Machine::Voter(voter, _store)) = process.machine.take() {
                 freed.push(memory.freed_by(|| drop(voter)) as f64);
             }
         }
