--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,24 +1,24 @@
-//! A short soak: real processes, overlapping troubles, every rule judged. `testbed soak` runs longer ones with more seeds.
+//! A short soak: real processes, overlapping faults, every rule judged. `testbed soak` runs longer ones with more seeds.
 
 use std::time::Duration;
 use testbed::soak::{run, Options};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn overlapping_troubles_break_no_rule() {
+async fn overlapping_faults_break_no_rule() {
     let options = Options {
         binary: env!("CARGO_BIN_EXE_molevale").into(),
         nodes: 10,
         workers: 6,
-        span: Duration::from_secs(10),
-        quiet: Duration::from_secs(1),
-        requests: 80.0,
-        troubles: 3.0,
+        load_duration: Duration::from_secs(10),
+        fault_free: Duration::from_secs(1),
+        requests_per_second: 80.0,
+        faults_per_second: 3.0,
         seed: 31,
         verbose: false,
     };
     let report = run(options).await.unwrap();
     assert!(report.requests > 300 && report.attempts > 300, "{report}");
-    assert!(report.violations.is_empty(), "{report}\nlogs: {}", report.folder.display());
+    assert!(report.violations.is_empty(), "{report}\nlogs: {}", report.log_folder.display());
     let met = report.injected.values().filter(|count| **count > 0).count();
     assert!(met >= 3, "too few of the faults met a call: {report}");
 }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -131,16 +131,14 @@
         }
         Command::Scale(arguments) => scale::run(&arguments, &ALLOCATOR).map_err(|e| e.to_string()),
         Command::Soak { node, seed, times, nodes, workers, seconds, quiet, requests, troubles, verbose } => {
-            let span = std::time::Duration::from_secs_f64(seconds);
-            let quiet = std::time::Duration::from_secs_f64(quiet);
             let options = soak::Options {
                 binary: node,
                 nodes,
                 workers,
-                span,
-                quiet,
-                requests,
-                troubles,
+                load_duration: std::time::Duration::from_secs_f64(seconds),
+                fault_free: std::time::Duration::from_secs_f64(quiet),
+                requests_per_second: requests,
+                faults_per_second: troubles,
                 seed,
                 verbose,
             };
@@ -211,7 +209,7 @@
         let report = soak::run(soak::Options { seed, ..options.clone() }).await.map_err(|e| e.to_string())?;
         println!("seed {seed}: {} violations; {report}", report.violations.len());
         if !report.violations.is_empty() {
-            println!("    logs in {}", report.folder.display());
+            println!("    logs in {}", report.log_folder.display());
             broken += 1;
         }
     }
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -18,15 +18,15 @@
 type Stream = BufReader<TcpStream>;
 
 /// Beyond a request's deadline, before its client gives up on an answer: more than an answer may be late.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
 /// After a close, for a reset to follow that tells that the request was not read.
 const RESET_WAIT: Duration = Duration::from_millis(120);
-/// Bad clients are owed an answer or a close within this time ...
-const OWED: Duration = Duration::from_secs(3);
+/// Time within which a client that stalls is due an answer or a close ...
+const CLOSE_DUE: Duration = Duration::from_secs(3);
 /// ... and this much more, for the machine's own delays.
-const OWED_SLACK: Duration = Duration::from_millis(500);
+const CLOSE_SLACK: Duration = Duration::from_millis(500);
 /// The part of requests whose body is long.
-const LONG_BODIES: f64 = 0.08;
+const LONG_BODY_SHARE: f64 = 0.08;
 /// Connections that are kept to each node.
 const KEPT_MAX: usize = 24;
 
@@ -58,24 +58,24 @@
     }
 }
 
-/// How a client behaves.
+/// Behavior of a client.
 #[derive(Clone, Copy, Debug)]
-enum Habit {
+enum ClientBehavior {
     Plain,
     /// It writes in pieces.
     Slow,
     /// It leaves this long after its request; with a reset, or with bytes behind its request.
-    Leaves {
+    Disconnects {
         after: Duration,
         reset: bool,
         trailing: bool,
     },
     /// It stops in the middle of its request and stays.
-    Stops {
+    Stalls {
         in_head: bool,
     },
     /// It waits this long only.
-    Hasty(Duration),
+    Impatient(Duration),
 }
 
 /// The clients of a run.
@@ -109,7 +109,7 @@
 
     async fn call(self: Arc<Self>, mut random: SmallRng) {
         let class = draw_class(&mut random);
-        let habit = draw_habit(&mut random);
+        let behavior = draw_behavior(&mut random);
         // A node that ends gets requests on connections that it leaves open, and no new ones.
         let first = random.random_range(0..self.targets.len());
         let (mut chosen, mut stream) = (None, None);
@@ -126,19 +126,20 @@
         let Some(node) = chosen else { return };
         let id = format!("soak-{}", self.numbers.fetch_add(1, Ordering::Relaxed));
         let work = MEAN_WORK.mul_f64(random.random_range(0.3..1.7));
-        let deadline = match habit {
-            Habit::Hasty(deadline) => deadline,
+        let deadline = match behavior {
+            ClientBehavior::Impatient(deadline) => deadline,
             _ => class.deadline,
         };
         let key = (class.name == "lodge").then(|| format!("key-{id}"));
         let us = work.as_micros() as u64;
         // Some bodies are longer than what goes out in one call.
-        let padding = if random.random_bool(LONG_BODIES) { random.random_range(20_000..60_000) } else { 0 };
+        let padding =
+            if random.random_bool(LONG_BODY_SHARE) { random.random_range(20_000..60_000) } else { 0 };
         let body = format!("{us}{}", " ".repeat(padding));
         let text = job(class.name, &id, "sava", key.as_deref(), deadline.as_secs_f64(), Some(us), &body);
         // Requests that share a subject are held back together where some of them fail.
         let text = text.replacen("user=00ff", &format!("user={:x}", random.random::<u32>()), 1);
-        let attempt = Attempt { clients: &self, node, class, id: &id, deadline, habit, text: &text };
+        let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
         let kept = stream.is_some();
         let end = attempt.run(stream, &mut random).await;
         if kept && end == RequestEnd::Crossed && self.targets[node].accepts.load(Ordering::Relaxed) {
@@ -158,17 +159,21 @@
     &CLASSES[0]
 }
 
-fn draw_habit(random: &mut SmallRng) -> Habit {
+fn draw_behavior(random: &mut SmallRng) -> ClientBehavior {
     let ms = Duration::from_millis;
     match random.random_range(0..100) {
         0..10 => {
             let after = ms(random.random_range(0..400));
-            Habit::Leaves { after, reset: random.random_bool(0.3), trailing: random.random_bool(0.3) }
+            ClientBehavior::Disconnects {
+                after,
+                reset: random.random_bool(0.3),
+                trailing: random.random_bool(0.3),
+            }
         }
-        10..14 => Habit::Slow,
-        14..17 => Habit::Stops { in_head: random.random_bool(0.5) },
-        17..21 => Habit::Hasty(ms(random.random_range(2..80))),
-        _ => Habit::Plain,
+        10..14 => ClientBehavior::Slow,
+        14..17 => ClientBehavior::Stalls { in_head: random.random_bool(0.5) },
+        17..21 => ClientBehavior::Impatient(ms(random.random_range(2..80))),
+        _ => ClientBehavior::Plain,
     }
 }
 
@@ -178,7 +183,7 @@
     class: &'static Class,
     id: &'a str,
     deadline: Duration,
-    habit: Habit,
+    behavior: ClientBehavior,
     text: &'a str,
 }
 
@@ -234,11 +239,12 @@
         let recorder = &self.clients.recorder;
         let kept = recorder.history().requests[place].kept;
         let refused = if kept { RequestEnd::Crossed } else { RequestEnd::Broken };
-        if let Habit::Stops { in_head } = self.habit {
+        if let ClientBehavior::Stalls { in_head } = self.behavior {
             self.stop_halfway(stream, in_head).await;
             return None;
         }
-        let pieces = if matches!(self.habit, Habit::Slow) { random.random_range(2..6) } else { 1 };
+        let pieces =
+            if matches!(self.behavior, ClientBehavior::Slow) { random.random_range(2..6) } else { 1 };
         for piece in self.text.as_bytes().chunks(self.text.len().div_ceil(pieces)) {
             if stream.write_all(piece).await.is_err() {
                 // It was not written whole: the node has not taken it.
@@ -250,8 +256,8 @@
         }
         let written = recorder.now();
         recorder.history().requests[place].written = Some(written);
-        let limit = self.deadline + PATIENCE;
-        if let Habit::Leaves { after, reset, trailing } = self.habit {
+        let limit = self.deadline + ANSWER_GRACE;
+        if let ClientBehavior::Disconnects { after, reset, trailing } = self.behavior {
             if trailing && stream.write_all(b"POST /check HT").await.is_err() {
                 return Some((refused, false));
             }
@@ -291,7 +297,7 @@
         (RequestEnd::Answered { status, genuine }, stays)
     }
 
-    /// Stops in the middle and stays: an answer or a close is owed.
+    /// Stalls in the middle and stays: an answer or a close is owed.
     async fn stop_halfway(&self, stream: &mut Stream, in_head: bool) {
         let text = self.text.as_bytes();
         let most = if in_head { 40 } else { text.len() - 1 };
@@ -299,7 +305,7 @@
             return;
         }
         let (stopped, mut byte) = (Instant::now(), [0; 1]);
-        if timeout(OWED + OWED_SLACK, stream.read(&mut byte)).await.is_err() {
+        if timeout(CLOSE_DUE + CLOSE_SLACK, stream.read(&mut byte)).await.is_err() {
             self.clients.recorder.history().ignored.push((self.node, stopped.elapsed()));
         }
     }
--- a/testbed/src/soak/discovery.rs
+++ b/testbed/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery: an agent for each node, fed from one list, each with troubles of its own.
+//! Stand-ins for discovery: an agent for each node, fed from one list, each with faults of its own.
 
 use crate::wire::head;
 use serde_json::{json, Value};
--- /dev/null
+++ b/testbed/src/soak/driver/mod.rs
@@ -0,0 +1,208 @@
+//! Driver of one soak run: starts the processes and stand-ins, plays load and faults, and has the history judged.
+//!
+//! [`Driver`] owns all of it and runs on one task. [`processes`] starts, ends and watches the nodes' processes, [`execution`]
+//! carries the schedule out, [`endpoints`] replaces workers and tells discovery, [`report`] collects the outcome.
+
+mod endpoints;
+mod execution;
+mod processes;
+mod report;
+
+pub use report::Report;
+
+use super::client::{Clients, Target};
+use super::discovery::{Agent, List};
+use super::history::{Recorder, Time};
+use super::schedule::{draw, Shape};
+use super::shim::{self, Control, Fault};
+use crate::cluster::{free_block, Block};
+use endpoints::Worker;
+use execution::Action;
+use processes::{Node, ProcessReady};
+use std::collections::BTreeSet;
+use std::io;
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, sleep_until, Instant};
+
+/// Time that the nodes have to start before the first fault.
+const START_TIME: Duration = Duration::from_secs(1);
+/// Interval between two looks at processes and schedule.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for requests that are open at the end of the load.
+const DRAIN_TIME: Duration = Duration::from_secs(5);
+/// After the load, so many times [`DRAIN_TIME`] until a run ends although faults are still being undone.
+const DRAIN_TIMES_MAX: u32 = 3;
+/// Interval at which the stand-ins' own delay is measured.
+const LAG_PROBE_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay of a timer that is usual and does not count.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
+/// What the seed of the load differs by from that of the faults.
+const LOAD_SEED: u64 = 0x10ad;
+
+/// Parameters of a soak run.
+#[derive(Clone, Debug)]
+pub struct Options {
+    /// The program.
+    pub binary: PathBuf,
+    /// Number of nodes; each is one process, two during an upgrade.
+    pub nodes: usize,
+    /// Number of workers.
+    pub workers: usize,
+    /// Duration of the load.
+    pub load_duration: Duration,
+    /// Time from the start on without faults: a second at least, for the nodes to start.
+    pub fault_free: Duration,
+    /// Requests a second, over all nodes.
+    pub requests_per_second: f64,
+    /// Faults that begin in a second.
+    pub faults_per_second: f64,
+    /// Seed of all that is drawn.
+    pub seed: u64,
+    /// Whether the schedule is printed.
+    pub verbose: bool,
+}
+
+/// State of a run.
+struct Driver {
+    options: Options,
+    recorder: Recorder,
+    folder: PathBuf,
+    shim_library: PathBuf,
+    block: Block,
+    _block_lock: TcpListener,
+    nodes: Vec<Node>,
+    targets: Vec<Arc<Target>>,
+    workers: Vec<Worker>,
+    list: List,
+    /// The list as it was when the run began: every other process starts from this one.
+    initial_list: List,
+    /// Processes that were started so far.
+    starts: u16,
+    agenda: Vec<(Time, Action)>,
+    ready_sender: mpsc::UnboundedSender<ProcessReady>,
+    ready_receiver: mpsc::UnboundedReceiver<ProcessReady>,
+    /// System-call faults that the schedule has turned on.
+    injected: BTreeSet<Fault>,
+}
+
+/// Number of the next run in this process.
+static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
+
+/// Runs one seed.
+///
+/// # Errors
+/// Where the stand-ins or processes can't be started, or a file of the run can't be read or written. What the program does
+/// wrong is in the report.
+pub async fn run(options: Options) -> io::Result<Report> {
+    let shape = Shape {
+        nodes: options.nodes,
+        workers: options.workers,
+        load_duration: options.load_duration,
+        fault_free: options.fault_free.max(START_TIME),
+        per_second: options.faults_per_second,
+    };
+    let planned = draw(&shape, options.seed);
+    let mut driver = Driver::prepare(options).await?;
+    if driver.options.verbose {
+        planned.iter().for_each(|planned| println!("  {planned}"));
+    }
+    driver.agenda = planned.into_iter().map(|planned| (planned.at, Action::Begin(planned))).collect();
+    driver.run().await
+}
+
+impl Driver {
+    /// Starts workers and discovery; the nodes are not started yet.
+    async fn prepare(options: Options) -> io::Result<Driver> {
+        let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
+        let (block, _block_lock) =
+            free_block(std::process::id().wrapping_mul(101).wrapping_add(number * 7907))?;
+        let folder = std::env::temp_dir().join(format!("soak-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&folder)?;
+        let shim_library = shim::build(&folder)?;
+        let target = |i| Arc::new(Target::new(block.address(i, shim::CLIENT_PORT)));
+        let targets = (0..options.nodes).map(target).collect();
+        let (ready_sender, ready_receiver) = mpsc::unbounded_channel();
+        let mut driver = Driver {
+            recorder: Recorder::default(),
+            folder,
+            shim_library,
+            block,
+            _block_lock,
+            nodes: Vec::new(),
+            targets,
+            workers: Vec::new(),
+            list: List { revision: 1, entries: Vec::new() },
+            initial_list: List::default(),
+            starts: 0,
+            agenda: Vec::new(),
+            ready_sender,
+            ready_receiver,
+            injected: BTreeSet::new(),
+            options,
+        };
+        for _ in 0..driver.options.workers {
+            driver.add_worker(false)?;
+        }
+        driver.initial_list = driver.list.clone();
+        for i in 0..driver.options.nodes {
+            let node = driver.prepare_node(i).await?;
+            driver.nodes.push(node);
+        }
+        Ok(driver)
+    }
+
+    async fn prepare_node(&self, i: usize) -> io::Result<Node> {
+        let addresses = [8500, 8501].map(|port| self.block.address(100 + i, port));
+        let control = Control::create(self.folder.join(format!("control-{i}")))?;
+        let agent = Agent::start(addresses, Arc::new(self.list.clone())).await?;
+        Ok(Node::new(control, agent))
+    }
+
+    async fn run(mut self) -> io::Result<Report> {
+        let lag_probe = tokio::spawn(measure_lag(self.recorder.clone()));
+        for i in 0..self.options.nodes {
+            self.start_node(i)?;
+        }
+        let clients = Clients::new(self.recorder.clone(), self.targets.clone());
+        let Options { requests_per_second, load_duration, seed, .. } = self.options;
+        let mut load = tokio::spawn(clients.play(requests_per_second, load_duration, seed ^ LOAD_SEED));
+        let mut load_ended = false;
+        loop {
+            self.watch_processes()?;
+            self.carry_out_due_actions()?;
+            if !load_ended && load.is_finished() {
+                let _ = (&mut load).await; // a panic of a client shows as a request without an answer
+                load_ended = true;
+            }
+            if load_ended && self.is_over() {
+                break;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+        lag_probe.abort();
+        self.finish().await
+    }
+
+    /// Whether the time for open requests is over, and all faults are undone or had time enough.
+    fn is_over(&self) -> bool {
+        let (now, load_duration) = (self.recorder.now(), self.options.load_duration);
+        let settled = self.agenda.is_empty() && self.nodes.iter().all(Node::has_no_planned_end);
+        now > load_duration + DRAIN_TIME && (settled || now > load_duration + DRAIN_TIMES_MAX * DRAIN_TIME)
+    }
+}
+
+/// Records by how much the stand-ins' own timers are late.
+async fn measure_lag(recorder: Recorder) {
+    loop {
+        let due = Instant::now() + LAG_PROBE_INTERVAL;
+        sleep_until(due).await;
+        let late = due.elapsed().saturating_sub(TIMER_RESOLUTION);
+        let mut history = recorder.history();
+        history.stand_in_lag = history.stand_in_lag.max(late);
+    }
+}
--- /dev/null
+++ b/testbed/src/soak/driver/processes.rs
@@ -0,0 +1,313 @@
+//! Lifecycle of the nodes' processes: start, readiness, takeover, reload, signals and end.
+
+use super::super::discovery::{Agent, AgentMode};
+use super::super::history::{ProcessRecord, Recorder, Time};
+use super::super::settings;
+use super::super::shim::Control;
+use super::{Driver, POLL_INTERVAL};
+use crate::process::{call, Process};
+use rustix::process::Signal;
+use serde_json::{json, Value};
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// Time after SIGTERM before SIGKILL at the earliest: the longest deadline and 0.7 s.
+pub(super) const KILL_AFTER: Duration = Duration::from_millis(2_500 + 700);
+/// Time from the end of a process until the next one is started.
+const RESTART_AFTER: Duration = Duration::from_millis(200);
+/// Time that a process has to answer whether it is ready.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Attempts that the settings allow for a request: a reload changes from one to the other.
+const MAX_ATTEMPTS: [usize; 2] = [3, 2];
+
+/// A node under test: its processes, what is injected into them and where they hear of workers.
+pub(super) struct Node {
+    /// The process that was started last.
+    pub(super) process: Option<Process>,
+    /// Place of that process in the history.
+    pub(super) record: usize,
+    /// Processes that were taken over from.
+    pub(super) predecessors: Vec<Predecessor>,
+    /// What is injected into its system calls.
+    pub(super) control: Control,
+    /// Its discovery.
+    pub(super) agent: Agent,
+    /// Which of the agent's two addresses the node is configured with.
+    pub(super) agent_address: usize,
+    max_attempts: usize,
+    cancelling: bool,
+    /// When the node was last told to use the agent's other address.
+    pub(super) discovery_moved_at: Option<Time>,
+    /// Until when a change may be missed by a call that fell silent or failed.
+    pub(super) discovery_unsure_until: Time,
+    /// When the process is to be killed.
+    pub(super) kill_at: Option<Time>,
+    /// When the next process is to be started.
+    start_at: Option<Time>,
+    /// Workers whose withdrawal counts once discovery is reached again.
+    pub(super) pending_withdrawals: Vec<usize>,
+}
+
+/// A process that another one has taken over from.
+pub(super) struct Predecessor {
+    process: Process,
+    record: usize,
+    /// When it is to be killed; `None` until it was told to end.
+    kill_at: Option<Time>,
+}
+
+/// Message that a process has become ready.
+pub(super) struct ProcessReady {
+    record: usize,
+    at: Time,
+}
+
+impl Node {
+    /// A node without a process.
+    pub(super) fn new(control: Control, agent: Agent) -> Node {
+        Node {
+            process: None,
+            record: 0,
+            predecessors: Vec::new(),
+            control,
+            agent,
+            agent_address: 0,
+            max_attempts: MAX_ATTEMPTS[0],
+            cancelling: true,
+            discovery_moved_at: None,
+            discovery_unsure_until: Time::ZERO,
+            kill_at: None,
+            start_at: None,
+            pending_withdrawals: Vec::new(),
+        }
+    }
+
+    /// Whether its process is neither to be killed nor to be started.
+    pub(super) fn has_no_planned_end(&self) -> bool {
+        self.kill_at.is_none() && self.start_at.is_none()
+    }
+
+    /// Changes what a reload of its settings changes.
+    fn alternate_settings(&mut self) {
+        let [usual, other] = MAX_ATTEMPTS;
+        self.max_attempts = if self.max_attempts == usual { other } else { usual };
+        self.cancelling = !self.cancelling;
+    }
+}
+
+impl Driver {
+    /// Configuration of a node's next process.
+    fn config(&self, i: usize) -> Value {
+        let (node, options) = (&self.nodes[i], &self.options);
+        let settings =
+            settings::settings(i, options.nodes, options.workers, node.max_attempts, node.cancelling);
+        let known = if self.starts.is_multiple_of(2) { &self.list } else { &self.initial_list };
+        json!({"name": format!("n{i:02}"), "listen": self.targets[i].address.to_string(),
+            "discovery": node.agent.addresses[node.agent_address].to_string(),
+            "management": self.block.address(i, 9000 + self.starts).to_string(),
+            "seed": format!("{:x}", options.seed.wrapping_mul(31).wrapping_add(u64::from(self.starts))),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
+            "known": {"revision": known.revision, "complete": true, "members": known.members()},
+            "settings": settings})
+    }
+
+    /// Starts a node's next process; one that runs becomes its predecessor.
+    pub(super) fn start_node(&mut self, i: usize) -> io::Result<()> {
+        self.starts += 1;
+        let config = self.config(i);
+        let folder = self.folder.join(format!("n{i:02}"));
+        let control: &Path = &self.nodes[i].control.path;
+        let variables = [("LD_PRELOAD", self.shim_library.as_path()), ("SOAK_CONTROL", control)];
+        let process = Process::start_with(&self.options.binary, &folder, &config, &[], &variables)?;
+        let record = self.record_start(i);
+        self.report_when_ready(record, process.management);
+        let node = &mut self.nodes[i];
+        if let Some(old) = node.process.replace(process) {
+            node.predecessors.push(Predecessor { process: old, record: node.record, kill_at: None });
+        }
+        (node.record, node.start_at, node.kill_at) = (record, None, None);
+        Ok(())
+    }
+
+    /// Adds a process that was started just now to the history; returns its place.
+    fn record_start(&self, node: usize) -> usize {
+        let started = self.recorder.now();
+        // What the agent has counts from a process's first moment on, if the agent can be asked.
+        let list_from = (self.nodes[node].agent.mode() == AgentMode::Prompt).then_some(started);
+        let mut history = self.recorder.history();
+        history.processes.push(ProcessRecord {
+            node,
+            started,
+            ready: None,
+            list_from,
+            terminated: None,
+            ended: None,
+            killed: false,
+            code: None,
+        });
+        history.processes.len() - 1
+    }
+
+    fn report_when_ready(&self, record: usize, management: SocketAddr) {
+        let (recorder, sender) = (self.recorder.clone(), self.ready_sender.clone());
+        tokio::spawn(async move {
+            while !is_ready(management).await {
+                sleep(POLL_INTERVAL).await;
+            }
+            let _ = sender.send(ProcessReady { record, at: recorder.now() }); // nobody listens once the run is over
+        });
+    }
+
+    /// Handles what the processes did by themselves: became ready, or ended.
+    pub(super) fn watch_processes(&mut self) -> io::Result<()> {
+        let now = self.recorder.now();
+        while let Ok(ready) = self.ready_receiver.try_recv() {
+            self.process_ready(ready, now);
+        }
+        for i in 0..self.nodes.len() {
+            let node = &mut self.nodes[i];
+            node.predecessors.retain_mut(|predecessor| {
+                let Predecessor { process, record, kill_at } = predecessor;
+                !has_ended(&self.recorder, process, *record, *kill_at, now)
+            });
+            let Some(process) = &mut node.process else {
+                if node.start_at.is_some_and(|at| now >= at) {
+                    self.start_node(i)?;
+                }
+                continue;
+            };
+            if has_ended(&self.recorder, process, node.record, node.kill_at, now) {
+                (node.process, node.kill_at) = (None, None);
+                node.start_at = Some(now + RESTART_AFTER);
+                self.targets[i].accepts.store(false, Ordering::Relaxed);
+            }
+        }
+        Ok(())
+    }
+
+    /// Sends clients to a process that is ready, and tells the ones before to end.
+    fn process_ready(&mut self, ready: ProcessReady, now: Time) {
+        let node = {
+            let mut history = self.recorder.history();
+            let record = &mut history.processes[ready.record];
+            record.ready = Some(ready.at);
+            record.node
+        };
+        if self.nodes[node].record == ready.record {
+            self.targets[node].accepts.store(true, Ordering::Relaxed);
+        }
+        let predecessors = self.nodes[node].predecessors.iter_mut();
+        for predecessor in predecessors.filter(|predecessor| predecessor.kill_at.is_none()) {
+            predecessor.kill_at = Some(now + KILL_AFTER);
+            predecessor.process.signal(Signal::TERM);
+            self.recorder.history().processes[predecessor.record].terminated = Some(now);
+        }
+    }
+
+    /// Whether a node has one process, which is ready and was not told to end.
+    pub(super) fn is_steady(&self, i: usize) -> bool {
+        let node = &self.nodes[i];
+        let history = self.recorder.history();
+        let ready = history.processes.get(node.record).is_some_and(|process| process.ready.is_some());
+        ready && node.process.is_some() && node.predecessors.is_empty() && node.kill_at.is_none()
+    }
+
+    /// Tells a node to end; it is killed when its time is over.
+    pub(super) fn terminate(&mut self, i: usize, now: Time) {
+        self.signal(i, Signal::TERM);
+        self.nodes[i].kill_at = Some(now + KILL_AFTER);
+        let record = self.nodes[i].record;
+        self.recorder.history().processes[record].terminated = Some(now);
+    }
+
+    /// Kills a process that takes over; its predecessor serves on, unless it was told to end by then.
+    pub(super) fn kill_successor(&mut self, i: usize, record: usize) {
+        let node = &mut self.nodes[i];
+        let serves_on = node.predecessors.last().is_some_and(|predecessor| predecessor.kill_at.is_none());
+        if node.record != record || !serves_on {
+            return;
+        }
+        if let (Some(mut successor), Some(predecessor)) = (node.process.take(), node.predecessors.pop()) {
+            kill(&self.recorder, &mut successor, record);
+            (node.process, node.record) = (Some(predecessor.process), predecessor.record);
+        }
+    }
+
+    /// Continues a stopped process, also one that was taken over from meanwhile.
+    pub(super) fn resume(&mut self, i: usize, record: usize) {
+        let node = &mut self.nodes[i];
+        let current = node.process.as_mut().filter(|_| node.record == record);
+        let predecessor = node.predecessors.iter_mut().find(|predecessor| predecessor.record == record);
+        if let Some(process) = current.or(predecessor.map(|predecessor| &mut predecessor.process)) {
+            process.signal(Signal::CONT);
+        }
+    }
+
+    /// Sends a signal to a node's process, if it has one.
+    pub(super) fn signal(&mut self, node: usize, signal: Signal) {
+        if let Some(process) = &mut self.nodes[node].process {
+            process.signal(signal);
+        }
+    }
+
+    /// Has a node read a configuration in which its discovery, or its settings, are others.
+    pub(super) fn reload(&mut self, i: usize, moves_discovery: bool, now: Time) -> io::Result<()> {
+        let node = &mut self.nodes[i];
+        if moves_discovery {
+            node.agent_address = 1 - node.agent_address;
+            node.discovery_moved_at = Some(now);
+        } else {
+            node.alternate_settings();
+        }
+        let mut config = self.config(i);
+        let Some(process) = &mut self.nodes[i].process else { return Ok(()) };
+        config["management"] = process.management.to_string().into();
+        process.reload(&config)
+    }
+}
+
+/// Whether a process has ended by itself, or its time is over and it was killed; records its end.
+fn has_ended(
+    recorder: &Recorder,
+    process: &mut Process,
+    record: usize,
+    kill_at: Option<Time>,
+    now: Time,
+) -> bool {
+    if let Some(status) = process.ended() {
+        let record = &mut recorder.history().processes[record];
+        (record.ended, record.code) = (Some(now), status.code());
+        return true;
+    }
+    let is_due = kill_at.is_some_and(|at| now >= at);
+    if is_due {
+        kill(recorder, process, record);
+    }
+    is_due
+}
+
+/// Records a process as killed, then kills it.
+fn kill(recorder: &Recorder, process: &mut Process, record: usize) {
+    {
+        let record = &mut recorder.history().processes[record];
+        (record.ended, record.killed) = (Some(recorder.now()), true);
+    }
+    process.kill();
+}
+
+/// Sends a node's clients away for this time; a process that has ended meanwhile is not reached.
+pub(super) async fn drain_clients(management: SocketAddr, span: Duration) {
+    call(management, "POST", "/healthcheck/fail").await;
+    sleep(span).await;
+    call(management, "POST", "/healthcheck/ok").await;
+}
+
+/// Whether the process at this management address serves.
+async fn is_ready(management: SocketAddr) -> bool {
+    let health = call(management, "GET", "/healthcheck");
+    timeout(READINESS_TIMEOUT, health).await.ok().flatten().is_some_and(|(status, _)| status == 200)
+}
--- /dev/null
+++ b/testbed/src/soak/driver/report.rs
@@ -0,0 +1,114 @@
+//! Outcome of a run: broken rules, what the processes logged, and how much was tried.
+
+use super::super::history::RequestEnd;
+use super::super::oracle::{judge, Limits, Violation};
+use super::super::settings::REPEAT_WINDOW;
+use super::super::shim::Fault;
+use super::Driver;
+use rustix::process::Signal;
+use std::collections::BTreeMap;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Time that the processes have to log their counters on SIGUSR1.
+const COUNTERS_LOGGED: Duration = Duration::from_millis(300);
+
+/// Outcome of a run.
+#[derive(Debug)]
+pub struct Report {
+    /// Broken rules.
+    pub violations: Vec<Violation>,
+    /// Requests that clients began.
+    pub requests: usize,
+    /// Attempts that workers saw.
+    pub attempts: usize,
+    /// Answers by status.
+    pub answers: BTreeMap<u16, usize>,
+    /// How often each fault was injected, of those that were to be. Of one that never met a call the run shows nothing.
+    pub injected: BTreeMap<Fault, u64>,
+    /// The longest that the stand-ins themselves were held up.
+    pub stand_in_lag: Duration,
+    /// Where the processes' logs lie, if rules were broken.
+    pub log_folder: PathBuf,
+}
+
+impl fmt::Display for Report {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Report { requests, attempts, answers, injected, stand_in_lag, .. } = self;
+        write!(
+            f,
+            "{requests} requests, {attempts} attempts, answers {answers:?}, own lag {stand_in_lag:.0?}; injected"
+        )?;
+        for (fault, count) in injected {
+            write!(f, " {fault:?}={count}")?;
+        }
+        for violation in &self.violations {
+            write!(f, "\n    {violation}")?;
+        }
+        Ok(())
+    }
+}
+
+impl Driver {
+    /// Ends all processes and judges the run. The folder is removed where no rule was broken.
+    pub(super) async fn finish(mut self) -> io::Result<Report> {
+        (0..self.nodes.len()).for_each(|i| self.signal(i, Signal::USR1));
+        sleep(COUNTERS_LOGGED).await;
+        let mut logged = Vec::new();
+        for i in 0..self.nodes.len() {
+            logged.extend(logged_errors(&self.folder.join(format!("n{i:02}")), i)?);
+        }
+        let injected = self.injected_counts()?;
+        let history = self.recorder.history().clone();
+        let limits = Limits { repeat_window: REPEAT_WINDOW, ..Limits::default() };
+        let mut violations = judge(&history, &limits);
+        violations.extend(logged);
+        let mut answers = BTreeMap::new();
+        for request in &history.requests {
+            if let RequestEnd::Answered { status, .. } = request.end {
+                *answers.entry(status).or_default() += 1;
+            }
+        }
+        self.nodes.clear();
+        if violations.is_empty() {
+            std::fs::remove_dir_all(&self.folder)?;
+        }
+        Ok(Report {
+            violations,
+            requests: history.requests.len(),
+            attempts: history.attempts.len(),
+            answers,
+            injected,
+            stand_in_lag: history.stand_in_lag,
+            log_folder: self.folder.clone(),
+        })
+    }
+
+    fn injected_counts(&self) -> io::Result<BTreeMap<Fault, u64>> {
+        let over_nodes = |fault: &Fault| {
+            let counts = self.nodes.iter().map(|node| node.control.injected(*fault));
+            Ok((*fault, counts.sum::<io::Result<u64>>()?))
+        };
+        self.injected.iter().map(over_nodes).collect()
+    }
+}
+
+/// Errors and violations that a node's processes logged.
+fn logged_errors(folder: &Path, node: usize) -> io::Result<Vec<Violation>> {
+    let mut errors = Vec::new();
+    for entry in std::fs::read_dir(folder)? {
+        let path = entry?.path();
+        let is_log = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with("log-"));
+        if !is_log {
+            continue;
+        }
+        let text = std::fs::read_to_string(&path)?;
+        let is_error = |line: &&str| line.contains("\"ERROR\"") || line.contains("panicked");
+        let lines = text.lines().filter(is_error);
+        errors.extend(lines.map(|line| Violation::Reported { node, line: line.to_string() }));
+    }
+    Ok(errors)
+}
--- a/testbed/src/soak/history.rs
+++ b/testbed/src/soak/history.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins of a soak saw: the oracle's only source.
+//! History of a soak run as its stand-ins saw it: the only source of the oracle.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -102,16 +102,16 @@
     pub late_read: bool,
 }
 
-/// The life of one process of a node.
+/// Lifetime of one process of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
+pub struct ProcessRecord {
     /// The node.
     pub node: usize,
     /// When it was started.
     pub started: Time,
     /// When it first said that it is up.
     pub ready: Option<Time>,
-    /// From when on what discovery has counts as told to it; `None` where discovery was in trouble all the time.
+    /// From when on what discovery has counts as known to it; `None` where discovery was faulty all the time.
     pub list_from: Option<Time>,
     /// When it was sent SIGTERM.
     pub terminated: Option<Time>,
@@ -134,7 +134,7 @@
     pub told: Time,
 }
 
-/// All of it.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests.
@@ -142,7 +142,7 @@
     /// Attempts.
     pub attempts: Vec<AttemptRecord>,
     /// Processes.
-    pub lives: Vec<Life>,
+    pub processes: Vec<ProcessRecord>,
     /// Workers out of service.
     pub withdrawals: Vec<Withdrawal>,
     /// Cold workers that were sent too much: the worker, what came, and what was allowed.
@@ -150,7 +150,7 @@
     /// Unfinished requests whose client stayed, and had neither an answer nor a close in time: node and wait.
     pub ignored: Vec<(usize, Duration)>,
     /// The longest that the stand-ins themselves were held up.
-    pub own_lag: Duration,
+    pub stand_in_lag: Duration,
 }
 
 /// A history that is being written.
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -2,8 +2,8 @@
 //! that misbehave, signals, and a shim that makes system calls fail. An oracle that knows only what the stand-ins saw
 //! judges the protocol's rules.
 //!
-//! Everything is drawn from one seed ([`schedule`]); several troubles overlap. The operating system still orders the
-//! events, so a seed fixes the troubles and not the run.
+//! Everything is drawn from one seed ([`schedule`]); several faults overlap. The operating system still orders the
+//! events, so a seed fixes the faults and not the run.
 
 pub mod client;
 pub mod discovery;
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -1,6 +1,8 @@
 //! Judges a history by the protocol's rules. It knows nothing of how a node works.
 
-use super::history::{AttemptEnd, AttemptRecord, Effect, History, Life, RequestEnd, RequestRecord, Time};
+use super::history::{
+    AttemptEnd, AttemptRecord, Effect, History, ProcessRecord, RequestEnd, RequestRecord, Time,
+};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
@@ -168,10 +170,10 @@
 
 /// All broken rules of a history.
 pub fn judge(history: &History, limits: &Limits) -> Vec<Violation> {
-    let tolerance = limits.tolerance + history.own_lag;
+    let tolerance = limits.tolerance + history.stand_in_lag;
     let mut violations = Vec::new();
     for request in &history.requests {
-        violations.extend(judge_answer(request, &history.lives, limits, tolerance));
+        violations.extend(judge_answer(request, &history.processes, limits, tolerance));
     }
     let mut by_id: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &history.attempts {
@@ -193,13 +195,13 @@
         allowed,
     }));
     violations.extend(history.ignored.iter().map(|&(node, wait)| Violation::Ignored { node, wait }));
-    violations.extend(history.lives.iter().filter_map(|life| judge_life(life, limits)));
+    violations.extend(history.processes.iter().filter_map(|process| judge_process(process, limits)));
     violations
 }
 
 fn judge_answer(
     request: &RequestRecord,
-    lives: &[Life],
+    processes: &[ProcessRecord],
     limits: &Limits,
     tolerance: Duration,
 ) -> Option<Violation> {
@@ -220,7 +222,7 @@
             }
         }
         RequestEnd::Crossed | RequestEnd::NotConnected => None,
-        _ if is_excused(request, written, lives, limits) => None,
+        _ if is_excused(request, written, processes, limits) => None,
         RequestEnd::Open => lost("no answer"),
         RequestEnd::Unanswered => lost("read, and closed with no answer"),
         RequestEnd::Broken => lost("the connection broke with no answer"),
@@ -228,15 +230,15 @@
 }
 
 /// Whether a process was killed with the request open, and the request may be cut by that.
-fn is_excused(request: &RequestRecord, written: Time, lives: &[Life], limits: &Limits) -> bool {
+fn is_excused(request: &RequestRecord, written: Time, processes: &[ProcessRecord], limits: &Limits) -> bool {
     let ended = request.ended.unwrap_or(Time::MAX);
-    lives.iter().filter(|life| life.node == request.node && life.killed).any(|life| {
-        let within = life
+    processes.iter().filter(|process| process.node == request.node && process.killed).any(|process| {
+        let within = process
             .ended
             .is_some_and(|at| at <= ended + limits.tolerance && request.begun <= at + limits.tolerance);
-        let early = life.terminated.is_none_or(|at| written <= at + limits.excused);
+        let early = process.terminated.is_none_or(|at| written <= at + limits.excused);
         // It may have been taken over, running, by a process that began after it.
-        within && early && life.started <= ended
+        within && early && process.started <= ended
     })
 }
 
@@ -277,10 +279,10 @@
             history.withdrawals.iter().filter(|w| w.node == request.node && w.worker == attempt.worker);
         if let Some(told) = told.map(|w| w.told).min() {
             // A new process counts as told from its first moment on, and has its requests once it is ready.
-            let life =
-                history.lives.iter().rfind(|l| l.node == request.node && l.started <= attempt.first_byte);
-            let list_from = life.map_or(Some(Time::ZERO), |l| l.list_from);
-            let from = told.max(life.and_then(|l| l.ready).unwrap_or_default());
+            let process =
+                history.processes.iter().rfind(|l| l.node == request.node && l.started <= attempt.first_byte);
+            let list_from = process.map_or(Some(Time::ZERO), |l| l.list_from);
+            let from = told.max(process.and_then(|l| l.ready).unwrap_or_default());
             let Some(from) = list_from.map(|list_from| from.max(list_from)) else { continue };
             let late = attempt.first_byte.saturating_sub(from);
             if late > limits.drain_grace + tolerance {
@@ -321,13 +323,13 @@
     })
 }
 
-fn judge_life(life: &Life, limits: &Limits) -> Option<Violation> {
-    let by_itself = life.ended.is_some() && !life.killed;
-    if by_itself && (life.code != Some(0) || life.terminated.is_none()) {
-        return Some(Violation::Crashed { node: life.node, code: life.code });
+fn judge_process(process: &ProcessRecord, limits: &Limits) -> Option<Violation> {
+    let by_itself = process.ended.is_some() && !process.killed;
+    if by_itself && (process.code != Some(0) || process.terminated.is_none()) {
+        return Some(Violation::Crashed { node: process.node, code: process.code });
     }
-    let until = life.ended.or(life.terminated).unwrap_or(Time::MAX);
-    let in_time = life.ready.is_some_and(|at| at <= life.started + limits.ready);
-    let cut_short = life.ready.is_none() && until < life.started + limits.ready;
-    (!in_time && !cut_short).then_some(Violation::NotReady { node: life.node })
+    let until = process.ended.or(process.terminated).unwrap_or(Time::MAX);
+    let in_time = process.ready.is_some_and(|at| at <= process.started + limits.ready);
+    let cut_short = process.ready.is_none() && until < process.started + limits.ready;
+    (!in_time && !cut_short).then_some(Violation::NotReady { node: process.node })
 }
--- a/testbed/src/soak/schedule.rs
+++ b/testbed/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Draws the troubles of a run from its seed. Troubles overlap: each second begins some, and most last for seconds.
+//! Schedule of the faults of a run, drawn from its seed. Faults overlap: each second begins some, and most last for seconds.
 
 use super::discovery::AgentMode;
 use super::shim::Fault;
@@ -15,17 +15,17 @@
     pub nodes: usize,
     /// Workers at the start.
     pub workers: usize,
-    /// For which there is load.
-    pub span: Duration,
-    /// From the start on, for which nothing goes wrong.
-    pub quiet: Duration,
-    /// Troubles that begin in a second.
+    /// Duration of the load.
+    pub load_duration: Duration,
+    /// Time from the start on without faults.
+    pub fault_free: Duration,
+    /// Faults that begin in a second.
     pub per_second: f64,
 }
 
-/// Something that goes wrong, or that operators do.
+/// A fault, or something that operators do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Some of a node's system calls fail.
     Calls {
         /// The node.
@@ -106,69 +106,73 @@
     },
 }
 
-/// A trouble and its time.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When it begins.
     pub at: Duration,
     /// For how long, where it ends by itself.
     pub span: Duration,
-    /// What.
-    pub trouble: Trouble,
+    /// What happens.
+    pub kind: FaultKind,
 }
 
-impl fmt::Display for Planned {
+impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:7.3} for {:.1?}: {:?}", self.at.as_secs_f64(), self.span, self.trouble)
+        write!(f, "{:7.3} for {:.1?}: {:?}", self.at.as_secs_f64(), self.span, self.kind)
     }
 }
 
-/// The troubles of a seed, in order.
-pub fn draw(shape: &Shape, seed: u64) -> Vec<Planned> {
+/// Draws the faults of a seed, in order of time.
+pub fn draw(shape: &Shape, seed: u64) -> Vec<PlannedFault> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let troubled = shape.span.saturating_sub(shape.quiet);
-    let count = (troubled.as_secs_f64() * shape.per_second).round() as usize;
-    let mut all: Vec<Planned> = (0..count).map(|_| planned(shape, &mut random)).collect();
+    let disturbed = shape.load_duration.saturating_sub(shape.fault_free);
+    let count = (disturbed.as_secs_f64() * shape.per_second).round() as usize;
+    let mut all: Vec<PlannedFault> = (0..count).map(|_| draw_planned(shape, &mut random)).collect();
     all.sort_by_key(|planned| planned.at);
     all
 }
 
-fn planned(shape: &Shape, random: &mut SmallRng) -> Planned {
+fn draw_planned(shape: &Shape, random: &mut SmallRng) -> PlannedFault {
     let ms = Duration::from_millis;
-    let (first, last) = (shape.quiet.as_millis() as u64, shape.span.as_millis() as u64);
+    let (first, last) = (shape.fault_free.as_millis() as u64, shape.load_duration.as_millis() as u64);
     let at = ms(random.random_range(first..last.max(first + 1)));
     let span = ms(random.random_range(500..6_000));
-    Planned { at, span, trouble: trouble(shape, random) }
+    PlannedFault { at, span, kind: draw_kind(shape, random) }
 }
 
-fn trouble(shape: &Shape, random: &mut SmallRng) -> Trouble {
+fn draw_kind(shape: &Shape, random: &mut SmallRng) -> FaultKind {
     let node = random.random_range(0..shape.nodes);
     let ms = Duration::from_millis;
     match random.random_range(0..100) {
-        0..30 => Trouble::Calls { node, faults: faults(random) },
-        30..38 => Trouble::ClockStep { node, milliseconds: clock_step(random) },
-        38..43 => Trouble::Pause { node, span: ms(random.random_range(20..150)) },
-        43..50 => Trouble::Restart { node },
-        50..53 => Trouble::Kill { node },
-        53..56 => Trouble::Upgrade { node },
-        56..57 => Trouble::DrainNode { node },
-        57..59 => Trouble::FailedUpgrade { node, after: ms(random.random_range(1..120)) },
-        59..66 => Trouble::Reload {
+        0..30 => FaultKind::Calls { node, faults: draw_call_faults(random) },
+        30..38 => FaultKind::ClockStep { node, milliseconds: draw_clock_step(random) },
+        38..43 => FaultKind::Pause { node, span: ms(random.random_range(20..150)) },
+        43..50 => FaultKind::Restart { node },
+        50..53 => FaultKind::Kill { node },
+        53..56 => FaultKind::Upgrade { node },
+        56..57 => FaultKind::DrainNode { node },
+        57..59 => FaultKind::FailedUpgrade { node, after: ms(random.random_range(1..120)) },
+        59..66 => FaultKind::Reload {
             node,
             moves_discovery: random.random_bool(0.5),
             times: random.random_range(1..4),
         },
-        66..72 => Trouble::Replace { drains: ms(random.random_range(300..3_000)) },
-        72..74 => Trouble::Crash,
-        74..88 => {
-            Trouble::Worker { worker: random.random_range(0..shape.workers), mode: worker_mode(random) }
-        }
-        _ => Trouble::Discovery { node: random.random_bool(0.8).then_some(node), mode: agent_mode(random) },
+        66..72 => FaultKind::Replace { drains: ms(random.random_range(300..3_000)) },
+        72..74 => FaultKind::Crash,
+        74..88 => FaultKind::Worker {
+            worker: random.random_range(0..shape.workers),
+            mode: draw_worker_mode(random),
+        },
+        _ => FaultKind::Discovery {
+            node: random.random_bool(0.8).then_some(node),
+            mode: draw_agent_mode(random),
+        },
     }
 }
 
 /// One to four kinds of failing calls at once, seldom or often.
-fn faults(random: &mut SmallRng) -> Vec<(Fault, u64)> {
+fn draw_call_faults(random: &mut SmallRng) -> Vec<(Fault, u64)> {
     let on_sockets = Fault::ALL.iter().filter(|fault| **fault < Fault::WriteEnospc);
     let all: Vec<Fault> = on_sockets.copied().collect();
     let kinds = random.random_range(1..5);
@@ -187,7 +191,7 @@
         .collect()
 }
 
-fn clock_step(random: &mut SmallRng) -> i64 {
+fn draw_clock_step(random: &mut SmallRng) -> i64 {
     let span = if random.random_bool(0.5) { 3_600_000 } else { random.random_range(500..30_000) };
     if random.random_bool(0.5) {
         span
@@ -196,7 +200,7 @@
     }
 }
 
-fn worker_mode(random: &mut SmallRng) -> WorkerMode {
+fn draw_worker_mode(random: &mut SmallRng) -> WorkerMode {
     let modes = [
         WorkerMode::Silent,
         WorkerMode::Resetting,
@@ -208,7 +212,7 @@
     modes[random.random_range(0..modes.len())]
 }
 
-fn agent_mode(random: &mut SmallRng) -> AgentMode {
+fn draw_agent_mode(random: &mut SmallRng) -> AgentMode {
     let late = Duration::from_millis(random.random_range(300..3_000));
     let modes =
         [AgentMode::Down, AgentMode::Forgetful, AgentMode::Resetting, AgentMode::Busy, AgentMode::Late(late)];
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 use testbed::soak::history::{
-    AttemptEnd, AttemptRecord, Effect, History, Life, RequestEnd, RequestRecord, Withdrawal,
+    AttemptEnd, AttemptRecord, Effect, History, ProcessRecord, RequestEnd, RequestRecord, Withdrawal,
 };
 use testbed::soak::oracle::{judge, Limits};
-use testbed::soak::schedule::{draw, Shape, Trouble};
+use testbed::soak::schedule::{draw, FaultKind, Shape};
 
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -41,9 +41,9 @@
     }
 }
 
-fn life() -> Life {
+fn process() -> ProcessRecord {
     let (started, ready) = (ms(0), Some(ms(300)));
-    Life {
+    ProcessRecord {
         node: 0,
         started,
         ready,
@@ -56,7 +56,7 @@
 }
 
 fn history(request: RequestRecord, attempts: Vec<AttemptRecord>) -> History {
-    History { requests: vec![request], attempts, lives: vec![life()], ..History::default() }
+    History { requests: vec![request], attempts, processes: vec![process()], ..History::default() }
 }
 
 /// The rules that the oracle finds broken.
@@ -90,13 +90,13 @@
 fn what_the_protocol_excuses_is_not_lost() {
     let crossed = RequestRecord { kept: true, end: RequestEnd::Crossed, ..request(Effect::Safe) };
     assert_eq!(broken(&history(crossed, vec![])), Vec::<&str>::new());
-    let killed = Life { ended: Some(ms(1_050)), killed: true, ..life() };
+    let killed = ProcessRecord { ended: Some(ms(1_050)), killed: true, ..process() };
     let cut = RequestRecord { end: RequestEnd::Broken, ended: Some(ms(1_051)), ..request(Effect::Safe) };
-    let cut = History { lives: vec![killed], ..history(cut, vec![]) };
+    let cut = History { processes: vec![killed], ..history(cut, vec![]) };
     assert_eq!(broken(&cut), Vec::<&str>::new());
     // It came more than 0.7 s after SIGTERM: SIGKILL is no excuse.
-    let told = Life { terminated: Some(ms(200)), ..cut.lives[0] };
-    assert_eq!(broken(&History { lives: vec![told], ..cut }), ["lost"]);
+    let told = ProcessRecord { terminated: Some(ms(200)), ..cut.processes[0] };
+    assert_eq!(broken(&History { processes: vec![told], ..cut }), ["lost"]);
 }
 
 #[test]
@@ -130,7 +130,7 @@
     // Discovery could not be asked from the process's start on.
     let withdrawals = vec![Withdrawal { node: 0, worker: 1, told: ms(0) }];
     let blind = |list_from| History {
-        lives: vec![Life { list_from, ..life() }],
+        processes: vec![ProcessRecord { list_from, ..process() }],
         withdrawals: withdrawals.clone(),
         ..served()
     };
@@ -143,33 +143,34 @@
 
 #[test]
 fn a_process_that_ends_by_itself_or_is_not_ready_is_found() {
-    let with = |life| broken(&History { lives: vec![life], ..served() });
-    assert_eq!(with(Life { ended: Some(ms(5_000)), code: Some(0), ..life() }), ["crash"]);
-    let told = Life { terminated: Some(ms(4_000)), ended: Some(ms(5_000)), code: Some(0), ..life() };
+    let with = |record| broken(&History { processes: vec![record], ..served() });
+    assert_eq!(with(ProcessRecord { ended: Some(ms(5_000)), code: Some(0), ..process() }), ["crash"]);
+    let told =
+        ProcessRecord { terminated: Some(ms(4_000)), ended: Some(ms(5_000)), code: Some(0), ..process() };
     assert_eq!(with(told), Vec::<&str>::new());
-    assert_eq!(with(Life { code: Some(101), ..told }), ["crash"]);
-    assert_eq!(with(Life { ready: Some(ms(10_100)), ..life() }), ["ready"]);
+    assert_eq!(with(ProcessRecord { code: Some(101), ..told }), ["crash"]);
+    assert_eq!(with(ProcessRecord { ready: Some(ms(10_100)), ..process() }), ["ready"]);
     let overload = History { overloads: vec![(3, 40.0, 30.0)], ..served() };
     assert_eq!(broken(&overload), ["failback"]);
     let ignored = History { ignored: vec![(0, ms(3_600))], ..served() };
     assert_eq!(broken(&ignored), ["ignored"]);
 }
 
-/// A seed's troubles are the same in each run, begin after the quiet time, and are of all kinds.
+/// The faults of a seed are the same in each run, begin after the time without faults, and are of all kinds.
 #[test]
-fn a_seed_fixes_its_troubles() {
-    let span = ms(400_000);
-    let shape = Shape { nodes: 12, workers: 8, span, quiet: ms(65_000), per_second: 3.0 };
+fn a_seed_fixes_its_faults() {
+    let load_duration = ms(400_000);
+    let shape = Shape { nodes: 12, workers: 8, load_duration, fault_free: ms(65_000), per_second: 3.0 };
     let planned = draw(&shape, 7);
     assert_eq!(planned, draw(&shape, 7));
     assert_ne!(planned, draw(&shape, 8));
-    assert!(planned.iter().all(|planned| planned.at >= shape.quiet && planned.at <= span));
-    let any = |is: fn(&Trouble) -> bool| planned.iter().any(|planned| is(&planned.trouble));
-    assert!(any(|t| matches!(t, Trouble::Calls { .. })));
-    assert!(any(|t| matches!(t, Trouble::ClockStep { .. })));
-    assert!(any(|t| matches!(t, Trouble::Restart { .. })));
-    assert!(any(|t| matches!(t, Trouble::Upgrade { .. })));
-    assert!(any(|t| matches!(t, Trouble::FailedUpgrade { .. })));
-    assert!(any(|t| matches!(t, Trouble::Reload { .. })));
-    assert!(any(|t| matches!(t, Trouble::Discovery { .. })));
+    assert!(planned.iter().all(|planned| planned.at >= shape.fault_free && planned.at <= load_duration));
+    let any = |is: fn(&FaultKind) -> bool| planned.iter().any(|planned| is(&planned.kind));
+    assert!(any(|t| matches!(t, FaultKind::Calls { .. })));
+    assert!(any(|t| matches!(t, FaultKind::ClockStep { .. })));
+    assert!(any(|t| matches!(t, FaultKind::Restart { .. })));
+    assert!(any(|t| matches!(t, FaultKind::Upgrade { .. })));
+    assert!(any(|t| matches!(t, FaultKind::FailedUpgrade { .. })));
+    assert!(any(|t| matches!(t, FaultKind::Reload { .. })));
+    assert!(any(|t| matches!(t, FaultKind::Discovery { .. })));
 }
