--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for clients: an open-loop load in which some leave, stop halfway, write slowly or wait too short.
+//! Clients of a soak run: an open-loop load in which some disconnect, stall halfway, write slowly or wait too short.
 
 use super::history::{Recorder, RequestEnd, RequestRecord};
 use super::settings::{Class, CLASSES, MEAN_WORK};
@@ -92,6 +92,9 @@
     }
 
     /// Sends so many requests a second for this time, and waits for all of them.
+    ///
+    /// # Panics
+    /// Where the rate is not above zero.
     pub async fn play(self: Arc<Self>, per_second: f64, span: Duration, seed: u64) {
         let mut random = SmallRng::seed_from_u64(seed);
         let gaps = Exp::new(per_second).expect("a rate above zero");
--- a/testbed/src/soak/discovery.rs
+++ b/testbed/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery: an agent for each node, fed from one list, each with faults of its own.
+//! Discovery of a soak run: an agent for each node, fed from one list, each with faults of its own.
 
 use crate::wire::head;
 use serde_json::{json, Value};
@@ -98,6 +98,9 @@
 
 impl Agent {
     /// Starts one that has this list.
+    ///
+    /// # Errors
+    /// Where an address can't be bound.
     pub async fn start(addresses: [SocketAddr; 2], list: Arc<List>) -> io::Result<Agent> {
         let (list, mode) = (watch::Sender::new(list), watch::Sender::new(AgentMode::Prompt));
         let mut tasks = Vec::new();
--- a/testbed/src/soak/settings.rs
+++ b/testbed/src/soak/settings.rs
@@ -1,4 +1,4 @@
-//! The deployment of a soak: short deadlines, every effect of a repeat, a fleet that is larger than its load.
+//! Settings of a soak run: short deadlines, request classes with every effect of a repeat, more workers than the load needs.
 
 use super::history::Effect;
 use crate::wire;
--- a/testbed/src/soak/shim.rs
+++ b/testbed/src/soak/shim.rs
@@ -1,4 +1,4 @@
-//! The system-call shim of a process under test: what it is to inject, and how often it has.
+//! Control of the system-call shim of a process under test: rates of faults, and how often each was injected.
 //!
 //! The library itself is `testbed/shim/faults.c`; it shares a file with this module. A run that injected none of a fault
 //! which it was to inject shows nothing about it, so the counts are part of each report.
@@ -15,7 +15,10 @@
 const SLOTS: u64 = 64;
 /// Where processes under test listen for clients.
 pub const CLIENT_PORT: u16 = 8000;
+/// Length of an entry, in bytes.
 const ENTRY: u64 = 8;
+/// Stall of a new file.
+const DEFAULT_STALL: Duration = Duration::from_millis(150);
 /// The offset of the wall clock, in nanoseconds.
 const CLOCK_OFFSET: u64 = 0;
 /// For which a stalled call holds the process up, in nanoseconds.
@@ -119,26 +122,38 @@
 
 impl Control {
     /// A new file, of a process that listens at [`CLIENT_PORT`]: nothing is injected, the clock is right, a stall takes 0.15 s.
+    ///
+    /// # Errors
+    /// Where the file can't be created or written.
     pub fn create(path: PathBuf) -> io::Result<Control> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(&path)?;
         file.set_len(3 * SLOTS * ENTRY)?;
         let control = Control { file, path };
-        control.set_stall(Duration::from_millis(150))?;
+        control.set_stall(DEFAULT_STALL)?;
         control.set_parameter(LISTEN_PORT, i64::from(CLIENT_PORT))?;
         Ok(control)
     }
 
     /// Injects a fault in so many of a million calls.
+    ///
+    /// # Errors
+    /// Where the file can't be written.
     pub fn set_rate(&self, fault: Fault, per_million: u64) -> io::Result<()> {
         self.file.write_all_at(&per_million.to_ne_bytes(), fault as u64 * ENTRY)
     }
 
     /// Sets the wall clock this far from the machine's, in nanoseconds.
+    ///
+    /// # Errors
+    /// Where the file can't be written.
     pub fn set_clock_offset(&self, nanoseconds: i64) -> io::Result<()> {
         self.set_parameter(CLOCK_OFFSET, nanoseconds)
     }
 
-    /// For which a stalled call holds the process up.
+    /// Sets for how long a stalled call holds the process up.
+    ///
+    /// # Errors
+    /// Where the file can't be written.
     pub fn set_stall(&self, span: Duration) -> io::Result<()> {
         self.set_parameter(STALL, span.as_nanos() as i64)
     }
@@ -147,7 +162,10 @@
         self.file.write_all_at(&value.to_ne_bytes(), (2 * SLOTS + parameter) * ENTRY)
     }
 
-    /// How often a fault was injected.
+    /// Number of times that a fault was injected.
+    ///
+    /// # Errors
+    /// Where the file can't be read.
     pub fn injected(&self, fault: Fault) -> io::Result<u64> {
         let mut bytes = [0; 8];
         self.file.read_exact_at(&mut bytes, (SLOTS + fault as u64) * ENTRY)?;
--- a/testbed/src/soak/worker.rs
+++ b/testbed/src/soak/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for workers that record what comes, and misbehave as told.
+//! Workers of a soak run: stand-ins that record each attempt, and misbehave by their mode.
 
 use super::history::{AttemptEnd, AttemptRecord, Recorder};
 use super::settings::{worker_capacity, COLD_SHARE, FALL_MULTIPLE, FALL_SPAN, MEAN_WORK, SLOTS, WARM_UP};
@@ -14,20 +14,28 @@
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
-use tokio::net::{TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Jobs that wait at a worker before it turns more away.
+/// Jobs that wait at a worker before it rejects more.
 const QUEUE: usize = 30;
 /// The backlog of a worker whose connections may come up late: once it is full, the kernel drops what comes.
 const SHORT_BACKLOG: u32 = 0;
+/// The usual backlog, in connections.
 const BACKLOG: u32 = 1024;
 /// After a worker accepts again, for its backlog to be empty.
 const BACKLOG_CLEARED: Duration = Duration::from_millis(50);
 
-/// How a worker behaves.
+/// Answer to a request that is turned away.
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+/// Answer to a request that fails at once.
+const SERVER_ERROR: &[u8] = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+/// Head of an answer whose lines follow in chunks.
+const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Behavior of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerMode {
     /// As it should; a few jobs fail.
@@ -69,7 +77,7 @@
     cold: Option<Mutex<Cold>>,
 }
 
-/// What a cold worker was sent lately.
+/// Load of a cold worker within the last [`FALL_SPAN`].
 struct Cold {
     since: Instant,
     lately: VecDeque<(Instant, f64)>,
@@ -77,8 +85,8 @@
 }
 
 impl Cold {
-    /// Takes a job's work in, in mean jobs; returns what came and what is allowed where that is too much.
-    fn press(&mut self, work: f64) -> Option<(f64, f64)> {
+    /// Adds a job's work, in mean jobs; returns what came and what is allowed where that is too much.
+    fn add_load(&mut self, work: f64) -> Option<(f64, f64)> {
         let now = Instant::now();
         self.lately.push_back((now, work));
         while self.lately.front().is_some_and(|(at, _)| now - *at > FALL_SPAN) {
@@ -99,6 +107,9 @@
 
 impl SoakWorker {
     /// Starts one, warm or cold. `late` makes one whose connections can be held back.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
     pub fn start(
         number: usize,
         address: SocketAddr,
@@ -122,27 +133,7 @@
             random: Mutex::new(SmallRng::seed_from_u64(seed)),
             cold,
         });
-        let mut current = mode.subscribe();
-        let task = tokio::spawn(async move {
-            let mut connections = JoinSet::new();
-            let mut resumed: Option<Instant> = None;
-            loop {
-                if *current.borrow() == WorkerMode::NotAccepting {
-                    drop(current.wait_for(|mode| *mode != WorkerMode::NotAccepting).await);
-                    resumed = Some(Instant::now());
-                }
-                let accepted = tokio::select! {
-                    accepted = listener.accept() => accepted,
-                    _ = current.wait_for(|mode| *mode == WorkerMode::NotAccepting) => continue,
-                };
-                let Ok((socket, _)) = accepted else { continue };
-                let _ = socket.set_nodelay(true);
-                // What was written to a connection in the backlog is read late.
-                let held_back = resumed.is_some_and(|at| at.elapsed() < BACKLOG_CLEARED);
-                connections.spawn(serve(socket, shared.clone(), current.clone(), held_back));
-                while connections.try_join_next().is_some() {}
-            }
-        });
+        let task = tokio::spawn(accept(listener, shared, mode.subscribe()));
         Ok(SoakWorker { address, mode, task })
     }
 
@@ -152,6 +143,28 @@
     }
 }
 
+/// Accepts connections, except while the mode holds them back.
+async fn accept(listener: TcpListener, shared: Arc<Shared>, mut mode: watch::Receiver<WorkerMode>) {
+    let mut connections = JoinSet::new();
+    let mut resumed: Option<Instant> = None;
+    loop {
+        if *mode.borrow() == WorkerMode::NotAccepting {
+            drop(mode.wait_for(|mode| *mode != WorkerMode::NotAccepting).await);
+            resumed = Some(Instant::now());
+        }
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            _ = mode.wait_for(|mode| *mode == WorkerMode::NotAccepting) => continue,
+        };
+        let Ok((socket, _)) = accepted else { continue };
+        let _ = socket.set_nodelay(true);
+        // What was written to a connection in the backlog is read late.
+        let held_back = resumed.is_some_and(|at| at.elapsed() < BACKLOG_CLEARED);
+        connections.spawn(serve(socket, shared.clone(), mode.clone(), held_back));
+        while connections.try_join_next().is_some() {}
+    }
+}
+
 /// An attempt that breaks off with whatever holds it.
 struct OpenAttempt<'a> {
     recorder: &'a Recorder,
@@ -210,7 +223,7 @@
         first = false;
         let open = OpenAttempt { recorder, place };
         let work = String::from_utf8(body).ok()?.trim().parse::<f64>().ok()? / 1e6;
-        shared.press(work);
+        shared.record_load(work);
         let now = *mode.borrow();
         let next = tokio::select! {
             next = shared.answer(&open, &id, work, now, &mut writer) => next?,
@@ -255,14 +268,15 @@
         self.random.lock().unwrap_or_else(PoisonError::into_inner).random_range(range)
     }
 
-    fn press(&self, work: f64) {
+    fn record_load(&self, work: f64) {
         let Some(cold) = &self.cold else { return };
         let mut cold = cold.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((came, allowed)) = cold.press(work / MEAN_WORK.as_secs_f64()) {
+        if let Some((came, allowed)) = cold.add_load(work / MEAN_WORK.as_secs_f64()) {
             self.recorder.history().overloads.push((self.number, came, allowed));
         }
     }
 
+    /// Answers a request as the mode and a draw have it.
     async fn answer(
         &self,
         open: &OpenAttempt<'_>,
@@ -274,8 +288,7 @@
         let full = self.held.load(Ordering::Relaxed) >= (SLOTS + QUEUE) as u64;
         if full || mode == WorkerMode::Full {
             open.end(AttemptEnd::NotRun);
-            let text = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-            writer.write_all(text.as_bytes()).await.ok()?;
+            writer.write_all(REJECTION).await.ok()?;
             return Some(Next::Keep);
         }
         self.held.fetch_add(1, Ordering::Relaxed);
@@ -289,17 +302,27 @@
         }
         if chance < 2 {
             open.end(AttemptEnd::Concluded);
-            writer
-                .write_all(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-                .await
-                .ok()?;
+            writer.write_all(SERVER_ERROR).await.ok()?;
             return Some(Next::Keep);
         }
-        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
+        writer.write_all(STREAM_HEAD).await.ok()?;
         if chance < 4 {
             open.end(AttemptEnd::NotRun);
             return self.last(writer, id, json!({"state": "returned"})).await;
         }
+        self.run_job(open, id, work, mode, (stage, chance), writer).await
+    }
+
+    /// Runs a job that was taken, up to its last line or to the stage at which the mode breaks it off.
+    async fn run_job(
+        &self,
+        open: &OpenAttempt<'_>,
+        id: &str,
+        work: f64,
+        mode: WorkerMode,
+        (stage, chance): (u64, u64),
+        writer: &mut OwnedWriteHalf,
+    ) -> Option<Next> {
         let _slot = self.slots.acquire().await.ok()?;
         self.say(writer, id, json!({"state": "started"})).await?;
         sleep(Duration::from_secs_f64(work / 2.0)).await;
