--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -7,11 +7,11 @@
 use serde_json::Value;
 use std::process::Command;
 use std::time::Duration;
-use testbed::cluster::{Cluster, Duties, Spec, TENANTS};
+use testbed::cluster::{Cluster, CoordinationSpec, Spec, TENANTS};
+use testbed::fault_proxy::LinkRule;
 use testbed::history_check::violations;
 use testbed::load::{play, Load};
 use testbed::process::call;
-use testbed::relay::Rule;
 use testbed::resource::Resource;
 use testbed::soak::shim::Fault;
 use tokio::sync::{Semaphore, SemaphorePermit};
@@ -41,9 +41,15 @@
 async fn stage_with(nodes: usize, voters: usize, prepare: impl Fn(&mut Cluster)) -> Stage {
     let spec = Spec::new(env!("CARGO_BIN_EXE_molevale"), nodes);
     let mut yard = Cluster::prepare(spec).await.unwrap();
-    let resource = Resource::start(yard.spare(0)).await.unwrap();
-    let errands = vec![("stamp".to_string(), resource.address, 50)];
-    yard.spec.duties = Some(Duties { voters, lease_ms: LEASE_MS, lists: false, roll: false, errands });
+    let resource = Resource::start(yard.spare_address(0)).await.unwrap();
+    let scheduled_calls = vec![("stamp".to_string(), resource.address, 50)];
+    yard.spec.coordination = Some(CoordinationSpec {
+        voters,
+        lease_ms: LEASE_MS,
+        lists: false,
+        rolling_restart: false,
+        scheduled_calls,
+    });
     prepare(&mut yard);
     (0..nodes).for_each(|i| yard.start_node(i).unwrap());
     let stage = Stage { yard, resource };
@@ -197,17 +203,17 @@
     let (holder, token) = stage.last();
     // The holder is cut off from the voters, not from the resource.
     for voter in (0..5).filter(|v| *v != holder) {
-        stage.yard.relays.rule(holder, voter, Rule { cut: true, ..Rule::default() });
+        stage.yard.proxies.set_rule(holder, voter, LinkRule { cut: true, ..LinkRule::default() });
     }
     let token = stage.acts_after(token).await;
-    stage.yard.relays.heal();
+    stage.yard.proxies.heal();
     // One way only: it is heard and hears nothing.
     let (holder, _) = stage.last();
     for voter in (0..5).filter(|v| *v != holder) {
-        stage.yard.relays.rule(voter, holder, Rule { cut: true, ..Rule::default() });
+        stage.yard.proxies.set_rule(voter, holder, LinkRule { cut: true, ..LinkRule::default() });
     }
     let token = stage.acts_after(token).await;
-    stage.yard.relays.heal();
+    stage.yard.proxies.heal();
     // The leader dies, and the holder with it.
     let leader = stage.leader().await.expect("one leads");
     let (holder, _) = stage.last();
@@ -314,7 +320,7 @@
                 matches!(stage.standing(holder).await.as_deref(), Some("voting" | "leading"))
             })
             .await;
-        stage.yard.before.iter_mut().for_each(|p| p.signal(Signal::TERM));
+        stage.yard.predecessors.iter_mut().for_each(|p| p.signal(Signal::TERM));
     }
     stage.right();
 }
@@ -345,8 +351,13 @@
     let _place = place().await;
     let spec = Spec { workers: 4, quota: 60.0, ..Spec::new(env!("CARGO_BIN_EXE_molevale"), 8) };
     let mut yard = Cluster::prepare(spec).await.unwrap();
-    yard.spec.duties =
-        Some(Duties { voters: 3, lease_ms: LEASE_MS, lists: true, roll: false, errands: Vec::new() });
+    yard.spec.coordination = Some(CoordinationSpec {
+        voters: 3,
+        lease_ms: LEASE_MS,
+        lists: true,
+        rolling_restart: false,
+        scheduled_calls: Vec::new(),
+    });
     (0..8).for_each(|i| yard.start_node(i).unwrap());
     let all: Vec<usize> = (0..8).collect();
     let until_two_ask = async |yard: &Cluster, nodes: &[usize]| {
@@ -412,8 +423,13 @@
     let _place = place().await;
     let spec = Spec { workers: 5, quota: 60.0, ..Spec::new(env!("CARGO_BIN_EXE_molevale"), 10) };
     let mut yard = Cluster::prepare(spec).await.unwrap();
-    yard.spec.duties =
-        Some(Duties { voters: 3, lease_ms: LEASE_MS, lists: false, roll: true, errands: Vec::new() });
+    yard.spec.coordination = Some(CoordinationSpec {
+        voters: 3,
+        lease_ms: LEASE_MS,
+        lists: false,
+        rolling_restart: true,
+        scheduled_calls: Vec::new(),
+    });
     (0..10).for_each(|i| yard.start_node(i).unwrap());
     yard.settled(&Cluster::truth(0..10), BOUND).await.unwrap();
     let begun = |yard: &Cluster, arguments: &[&str]| {
@@ -495,21 +511,21 @@
                 4 if runs => stage.yard.node(i).go_on(),
                 5 => {
                     let parts: Vec<u32> = (0..7).map(|_| rng.random_range(0..2)).collect();
-                    stage.yard.relays.part(&parts);
+                    stage.yard.proxies.partition(&parts);
                 }
                 6 => {
                     let to = rng.random_range(0..7);
-                    stage.yard.relays.rule(i, to, Rule { cut: true, ..Rule::default() });
-                    stage
-                        .yard
-                        .relays
-                        .everywhere(7, Rule { loss: 0.1, jitter_ms: 200, twice: 0.1, ..Rule::default() });
+                    stage.yard.proxies.set_rule(i, to, LinkRule { cut: true, ..LinkRule::default() });
+                    stage.yard.proxies.set_default_rule(
+                        7,
+                        LinkRule { loss: 0.1, jitter_ms: 200, twice: 0.1, ..LinkRule::default() },
+                    );
                 }
-                _ => stage.yard.relays.heal(),
+                _ => stage.yard.proxies.heal(),
             }
             sleep(Duration::from_millis(rng.random_range(0..3000))).await;
         }
-        stage.yard.relays.heal();
+        stage.yard.proxies.heal();
         for i in 0..7 {
             match &mut stage.yard.nodes[i] {
                 Some(process) => process.go_on(),
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use testbed::check::Truth;
 use testbed::cluster::{Cluster, Spec, TENANTS};
+use testbed::fault_proxy::LinkRule;
 use testbed::load::{play, Load};
 use testbed::process::call;
-use testbed::relay::Rule;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout, Instant};
 
@@ -104,7 +104,7 @@
     let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
     let parts = [0, 1, 0, 1, 0, 1, 0, 1];
-    cluster.relays.part(&parts);
+    cluster.proxies.partition(&parts);
     let mut truth = Cluster::truth(0..8);
     truth.parts.values_mut().zip(parts).for_each(|(part, p)| *part = p);
     truly(&cluster, &truth).await;
@@ -114,7 +114,7 @@
         // Each half may share the quotas alone, and neither what cold workers bear: the other half may be sending.
         assert_eq!((stand.siblings, stand.senders), (4, 8), "{name}");
     }
-    cluster.relays.heal();
+    cluster.proxies.heal();
     settled(&cluster, 0..8).await;
 }
 
@@ -123,8 +123,8 @@
     let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
     for to in [1, 3, 5, 7] {
-        cluster.relays.rule(0, to, Rule { cut: true, ..Rule::default() });
-        cluster.relays.rule(to, 0, Rule { cut: true, ..Rule::default() });
+        cluster.proxies.set_rule(0, to, LinkRule { cut: true, ..LinkRule::default() });
+        cluster.proxies.set_rule(to, 0, LinkRule { cut: true, ..LinkRule::default() });
     }
     let start = Instant::now();
     while start.elapsed() < 5 * S {
@@ -134,13 +134,13 @@
         );
         sleep(S / 5).await;
     }
-    cluster.relays.heal();
-    (1..8).for_each(|to| cluster.relays.rule(0, to, Rule { cut: true, ..Rule::default() }));
+    cluster.proxies.heal();
+    (1..8).for_each(|to| cluster.proxies.set_rule(0, to, LinkRule { cut: true, ..LinkRule::default() }));
     until("the others miss one that hears and is not heard", || async {
         status(&cluster, 1, 0).await == Some(MemberStatus::Dead)
     })
     .await;
-    cluster.relays.heal();
+    cluster.proxies.heal();
     settled(&cluster, 0..8).await;
 }
 
@@ -148,11 +148,11 @@
 async fn views_converge_after_a_fifth_of_datagrams_was_lost() {
     let _slot = cluster_slot().await;
     let cluster = started(spec(8)).await;
-    let bad = Rule { loss: 0.2, twice: 0.1, mutated: 0.02, jitter_ms: 30, ..Rule::default() };
-    cluster.relays.everywhere(8, bad);
+    let bad = LinkRule { loss: 0.2, twice: 0.1, mutated: 0.02, jitter_ms: 30, ..LinkRule::default() };
+    cluster.proxies.set_default_rule(8, bad);
     let length = std::env::var("TESTBED_LONG").map_or(10 * S, |_| 60 * S);
     sleep(length).await;
-    cluster.relays.heal();
+    cluster.proxies.heal();
     settled(&cluster, 0..8).await;
     let refused: u64 =
         cluster.statuses().await.values().flatten().map(|s| s.counters.rejected.unauthenticated).sum();
@@ -254,16 +254,16 @@
     let at = cluster.node(2).management;
     until("the new process serves", || up(at)).await;
     settled(&cluster, 0..5).await;
-    cluster.before[0].signal(Signal::TERM);
-    until("the old one ends", || std::future::ready(cluster.before[0].ended().is_some())).await;
+    cluster.predecessors[0].signal(Signal::TERM);
+    until("the old one ends", || std::future::ready(cluster.predecessors[0].ended().is_some())).await;
     settled(&cluster, 0..5).await;
     assert_eq!(dead(&cluster), 0);
-    cluster.before.clear();
+    cluster.predecessors.clear();
 
     // The new one is killed before it serves: the old one goes on as if nothing had been.
     cluster.start_node(2).unwrap();
     cluster.kill(2);
-    cluster.nodes[2] = cluster.before.pop();
+    cluster.nodes[2] = cluster.predecessors.pop();
     settled(&cluster, 0..5).await;
 
     // The new one is killed right after it took over: the old one takes its place back.
@@ -271,7 +271,7 @@
     let at = cluster.node(2).management;
     until("the new process serves", || up(at)).await;
     cluster.kill(2);
-    cluster.nodes[2] = cluster.before.pop();
+    cluster.nodes[2] = cluster.predecessors.pop();
     settled(&cluster, 0..5).await;
 
     // The old one stands still before it is asked: the new one serves beside it, and is heard in its place.
@@ -280,10 +280,10 @@
     let at = cluster.node(2).management;
     until("the new process serves", || up(at)).await;
     settled(&cluster, 0..5).await;
-    cluster.before[0].go_on();
+    cluster.predecessors[0].go_on();
     sleep(2 * S).await; // it may want its place back; it is the older one
     settled(&cluster, 0..5).await;
-    cluster.before.clear();
+    cluster.predecessors.clear();
     settled(&cluster, 0..5).await;
 
     // The old one stands still, or dies, after the hand-over.
@@ -292,11 +292,11 @@
         let at = cluster.node(2).management;
         until("the new process serves", || up(at)).await;
         match kill {
-            true => cluster.before.clear(),
-            false => cluster.before[0].stop(),
+            true => cluster.predecessors.clear(),
+            false => cluster.predecessors[0].stop(),
         }
         settled(&cluster, 0..5).await;
-        cluster.before.clear();
+        cluster.predecessors.clear();
     }
 
     // The new one stands still after the hand-over, for longer than a suspicion: the node is gone, and comes back.
@@ -314,22 +314,22 @@
 async fn strangers_replays_and_floods_change_nothing() {
     let _slot = cluster_slot().await;
     let mut cluster = started(Spec { workers: 3, quota: 100.0, ..spec(6) }).await;
-    cluster.relays.tape();
+    cluster.proxies.start_recording();
     sleep(3 * S).await;
     // What the dead one said is said again, to all, many times: it stays dead.
     cluster.kill(5);
     settled(&cluster, 0..5).await;
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for node in 0..5 {
-        for taped in (0..6).flat_map(|to| cluster.relays.taped(to)) {
-            socket.send_to(&taped, cluster.talk(node)).unwrap();
+        for taped in (0..6).flat_map(|to| cluster.proxies.recorded(to)) {
+            socket.send_to(&taped, cluster.gossip_address(node)).unwrap();
         }
     }
     settled(&cluster, 0..5).await;
     let load = Load { rate: 15.0, length: 5 * S, seed: 3, tenants: TENANTS.map(String::from).to_vec() };
     let calm = timeout(BOUND, play(load.clone(), vec![cluster.listen(0)])).await.unwrap();
     // A flood, from here on, of whatever.
-    let target = cluster.talk(0);
+    let target = cluster.gossip_address(0);
     let flood = std::thread::spawn(move || {
         let start = std::time::Instant::now();
         let mut sent = 0u64;
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -10,7 +10,7 @@
 use testbed::discovery::Discovery;
 use testbed::process::{call, Process};
 use testbed::wire;
-use testbed::worker::{Kind, Worker};
+use testbed::worker::{Worker, WorkerProfile};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -29,7 +29,8 @@
         let pid = std::process::id();
         let own = format!("127.{}.{}.{}", 80 + n, pid / 256 % 256, pid % 256);
         let settings = settings(&site);
-        let worker = Worker::start("127.0.0.1:0".parse().unwrap(), Kind::default(), false).await.unwrap();
+        let worker =
+            Worker::start("127.0.0.1:0".parse().unwrap(), WorkerProfile::default(), false).await.unwrap();
         let mut line = wire::line("s-1", worker.address, "in_service", 0);
         line["locality"] = settings["Azs"][0].clone();
         line["flavor"] = settings["HostTypes"][0].clone();
--- a/testbed/src/cluster.rs
+++ b/testbed/src/cluster.rs
@@ -3,11 +3,11 @@
 
 use crate::check::{faults, Fault, Truth};
 use crate::discovery::Discovery;
+use crate::fault_proxy::FaultProxies;
 use crate::process::Process;
-use crate::relay::Relays;
 use crate::soak::shim::{self, Control};
 use crate::wire;
-use crate::worker::{Kind, Worker};
+use crate::worker::{Worker, WorkerProfile};
 use membership::{Status, View};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     /// Workers.
     pub workers: usize,
     /// How they work.
-    pub kind: Kind,
+    pub kind: WorkerProfile,
     /// Jobs a second that each of the two tenants may send.
     pub quota: f64,
     /// Between two probes of a node; all other times of the talk go by it.
@@ -48,12 +48,12 @@
     /// For what relays draw.
     pub seed: u64,
     /// Whether there are duties, and which.
-    pub duties: Option<Duties>,
+    pub coordination: Option<CoordinationSpec>,
 }
 
 /// The duties of a cluster's nodes. The first `voters` of them vote.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct CoordinationSpec {
     /// 3 or 5.
     pub voters: usize,
     /// For which a duty is granted.
@@ -61,15 +61,15 @@
     /// Whether one node of each zone follows discovery for the others.
     pub lists: bool,
     /// Whether nodes may be restarted one after another.
-    pub roll: bool,
+    pub rolling_restart: bool,
     /// Calls that one node makes for all: name, whom, how often.
-    pub errands: Vec<(String, SocketAddr, u64)>,
+    pub scheduled_calls: Vec<(String, SocketAddr, u64)>,
 }
 
 impl Spec {
     /// A small fleet that settles fast.
     pub fn new(binary: impl Into<PathBuf>, nodes: usize) -> Spec {
-        let (binary, kind) = (binary.into(), Kind::default());
+        let (binary, kind) = (binary.into(), WorkerProfile::default());
         Spec {
             binary,
             nodes,
@@ -79,12 +79,12 @@
             quota: 1000.0,
             probe_ms: 250,
             seed: 1,
-            duties: None,
+            coordination: None,
         }
     }
 
     /// For how long views have to be right before they count as settled: as long as a suspicion may take.
-    pub fn steady(&self) -> Duration {
+    pub fn settle_time(&self) -> Duration {
         Duration::from_millis(self.probe_ms * 6)
     }
 }
@@ -99,9 +99,9 @@
     /// The nodes' processes; `None` where none runs.
     pub nodes: Vec<Option<Process>>,
     /// Processes that were taken over from and are on their way to their end.
-    pub before: Vec<Process>,
+    pub predecessors: Vec<Process>,
     /// What lies between them.
-    pub relays: Relays,
+    pub proxies: FaultProxies,
     /// The workers, by number; `None` where one is gone.
     pub workers: Vec<Option<(Worker, u64)>>,
     /// Where the nodes hear of them.
@@ -145,12 +145,12 @@
         let at = |host: usize, port| address(block, host, port);
         let fronts: Vec<SocketAddr> = (0..spec.nodes).map(|i| at(100 + i, 7946)).collect();
         let hosts: Vec<SocketAddr> = (0..spec.nodes).map(|i| at(i, 7946)).collect();
-        let relays = Relays::start(&fronts, &hosts, spec.seed).await?;
+        let proxies = FaultProxies::start(&fronts, &hosts, spec.seed).await?;
         let discovery = Discovery::start(at(250, 8500), Vec::new()).await?;
         let mut cluster = Cluster {
             nodes: (0..spec.nodes).map(|_| None).collect(),
-            before: Vec::new(),
-            relays,
+            predecessors: Vec::new(),
+            proxies,
             workers: Vec::new(),
             discovery,
             stateful: BTreeSet::new(),
@@ -204,7 +204,7 @@
     }
 
     /// Where it listens for them itself.
-    pub fn talk(&self, i: usize) -> SocketAddr {
+    pub fn gossip_address(&self, i: usize) -> SocketAddr {
         address(self.block, i, 7946)
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// An address for a stand-in of the test's own.
-    pub fn spare(&self, n: u16) -> SocketAddr {
+    pub fn spare_address(&self, n: u16) -> SocketAddr {
         address(self.block, 251, 8600 + n)
     }
 
@@ -230,7 +230,7 @@
         &self.folder
     }
 
-    /// Starts a process for a node: anew, or beside one that runs, which is then in [`Cluster::before`].
+    /// Starts a process for a node: anew, or beside one that runs, which is then in [`Cluster::predecessors`].
     pub fn start_node(&mut self, i: usize) -> io::Result<()> {
         self.start_as(i, &Cluster::name(i))
     }
@@ -254,7 +254,7 @@
         let process = Process::start_with(&self.spec.binary, &folder, &config, arguments, &variables)?;
         if let Some(mut old) = self.nodes[i].replace(process) {
             if old.ended().is_none() {
-                self.before.push(old);
+                self.predecessors.push(old);
             }
         }
         Ok(())
@@ -265,7 +265,7 @@
             (0..self.spec.nodes.min(3)).map(|s| format!("{:?}", self.advertise(s).to_string())).collect();
         let p = self.spec.probe_ms;
         let mut duties = String::new();
-        if let Some(d) = &self.spec.duties {
+        if let Some(d) = &self.spec.coordination {
             let voter = |v| format!("{{ name = \"{}\", at = \"{}\" }}", Cluster::name(v), self.advertise(v));
             let voters: Vec<String> = (0..d.voters).map(voter).collect();
             let state = if i < d.voters || self.stateful.contains(&i) { "state = \"state\"\n" } else { "" };
@@ -274,9 +274,9 @@
                 voters.join(", "),
                 d.lease_ms,
                 d.lists,
-                d.roll
+                d.rolling_restart
             );
-            for (name, at, every) in &d.errands {
+            for (name, at, every) in &d.scheduled_calls {
                 duties += &format!(
                     "[[duties.errand]]\nname = \"{name}\"\nat = \"{at}\"\npath = \"/{name}\"\nevery_ms = {every}\n"
                 );
@@ -285,7 +285,7 @@
         format!(
             "fleet = \"testbed\"\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"z{}\"\nkey_file = \"../fleet.key\"\n\
              seeds = [{}]\n[timing]\nprobe_ms = {p}\nanswer_ms = {}\nsuspicion_ms = {}\ncontact_ms = {p}\n{duties}",
-            self.talk(i),
+            self.gossip_address(i),
             self.advertise(i),
             i % 2,
             seeds.join(", "),
@@ -403,7 +403,7 @@
             let wrong = faults(truth, &self.views().await);
             if wrong.is_empty() {
                 let since = *right_since.get_or_insert_with(Instant::now);
-                if since.elapsed() >= self.spec.steady() {
+                if since.elapsed() >= self.spec.settle_time() {
                     return Ok(since - start);
                 }
             } else {
@@ -426,7 +426,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         self.nodes.clear();
-        self.before.clear();
+        self.predecessors.clear();
         if std::thread::panicking() {
             eprintln!("the nodes' logs are left in {}", self.folder.display());
         } else {
--- a/testbed/src/coordination.rs
+++ b/testbed/src/coordination.rs
@@ -3,8 +3,8 @@
 //! records every act with its token.
 
 use crate::disk::MemDisk;
+use crate::fault_proxy::LinkRules;
 use crate::history_check::Act;
-use crate::relay::Rules;
 use ::coordination::{
     Client, ClientAction, FencingGuard, Holder, LeaseLost, Message, Operation, Store, Timing, Voter,
     VoterAction, VoterConfig, VoterEvent, VoterMember, VoterMetrics, VoterState,
@@ -92,7 +92,7 @@
     queue: BTreeMap<(Duration, u64), Event>,
     order: u64,
     /// What passes between them.
-    pub rules: Rules,
+    pub rules: LinkRules,
     rng: SmallRng,
     fence: FencingGuard,
     /// All acts, in the order in which they came.
@@ -133,7 +133,7 @@
             nodes,
             queue: BTreeMap::new(),
             order: 0,
-            rules: Rules::default(),
+            rules: LinkRules::default(),
             rng,
             fence: FencingGuard::default(),
             acts: Vec::new(),
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -25,11 +25,11 @@
     sleep(Duration::from_secs(2)).await;
     cluster.kill(1);
     settle(&cluster, &format!("{} is killed", names(&1)), [0, 2, 3, 4].map(|i| (i, 0)).to_vec()).await?;
-    cluster.relays.part(&[0, 0, 0, 0, 1]);
+    cluster.proxies.partition(&[0, 0, 0, 0, 1]);
     let parts = [(0, 0), (2, 0), (3, 0), (4, 1)].to_vec();
     settle(&cluster, &format!("{} is cut off from the other nodes, not from workers", names(&4)), parts)
         .await?;
-    cluster.relays.heal();
+    cluster.proxies.heal();
     cluster.start_node(1).map_err(no)?;
     settle(&cluster, "the cut is mended and the killed one started again", (0..5).map(|i| (i, 0)).collect())
         .await?;
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -2,7 +2,7 @@
 //! passes between them goes by the rules that the relays of real processes have, too.
 
 use crate::check::{faults, Fault, Truth};
-use crate::relay::Rules;
+use crate::fault_proxy::LinkRules;
 use membership::keys::Keys;
 use membership::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Timing, View};
 use rand::rngs::SmallRng;
@@ -65,7 +65,7 @@
     queue: BTreeMap<(Duration, u64), Event>,
     order: u64,
     /// What passes between them.
-    pub rules: Rules,
+    pub rules: LinkRules,
     rng: SmallRng,
     /// Events of the nodes; cleared by the reader.
     pub events: Vec<RecordedEvent>,
@@ -107,7 +107,7 @@
             at: (0..spec.nodes).map(|i| (address(i), i)).collect(),
             queue: BTreeMap::new(),
             order: 0,
-            rules: Rules::default(),
+            rules: LinkRules::default(),
             rng: SmallRng::seed_from_u64(spec.seed),
             events: Vec::new(),
             tape: None,
--- a/testbed/src/relay.rs
+++ b/testbed/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! Relays between nodes. Each node is known to the others at its relay's address; the relay tells by the sender's address
+//! FaultProxies between nodes. Each node is known to the others at its relay's address; the relay tells by the sender's address
 //! who it is, and does to what passes from one to the other what the rules for that pair and direction say.
 
 use rand::rngs::SmallRng;
@@ -22,8 +22,8 @@
 
 /// What happens to what passes in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Rule {
+#[serde(rename = "Rule", default, deny_unknown_fields)]
+pub struct LinkRule {
     /// Nothing passes; streams stay open and silent.
     pub cut: bool,
     /// The part of the datagrams that is lost.
@@ -40,45 +40,45 @@
 
 /// Which rule holds between which two nodes, in emulated time.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
-    between: HashMap<(usize, usize), Rule>,
-    everywhere: Rule,
+pub struct LinkRules {
+    between: HashMap<(usize, usize), LinkRule>,
+    everywhere: LinkRule,
 }
 
-impl Rules {
+impl LinkRules {
     /// The rule that holds from one node to another.
-    pub fn between(&self, from: usize, to: usize) -> Rule {
+    pub fn between(&self, from: usize, to: usize) -> LinkRule {
         *self.between.get(&(from, to)).unwrap_or(&self.everywhere)
     }
 
     /// From now on this rule holds from one node to another.
-    pub fn rule(&mut self, from: usize, to: usize, rule: Rule) {
+    pub fn set_rule(&mut self, from: usize, to: usize, rule: LinkRule) {
         self.between.insert((from, to), rule);
     }
 
     /// From now on this rule holds wherever no other does.
-    pub fn everywhere(&mut self, rule: Rule) {
+    pub fn set_default_rule(&mut self, rule: LinkRule) {
         self.everywhere = rule;
     }
 
     /// Nothing passes between nodes of different parts.
-    pub fn part(&mut self, parts: &[u32]) {
+    pub fn partition(&mut self, parts: &[u32]) {
         for (from, a) in parts.iter().enumerate() {
             for (to, b) in parts.iter().enumerate().filter(|(to, _)| *to != from) {
-                self.between.insert((from, to), Rule { cut: a != b, ..self.everywhere });
+                self.between.insert((from, to), LinkRule { cut: a != b, ..self.everywhere });
             }
         }
     }
 
     /// Everything passes again.
     pub fn heal(&mut self) {
-        *self = Rules::default();
+        *self = LinkRules::default();
     }
 }
 
 /// What the relays have done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct ProxyCounters {
     /// Datagrams passed on.
     pub datagrams: u64,
     /// Their bytes.
@@ -88,10 +88,10 @@
 }
 
 struct State {
-    rules: HashMap<(usize, usize), Rule>,
+    rules: HashMap<(usize, usize), LinkRule>,
     of: HashMap<IpAddr, usize>,
     rng: SmallRng,
-    passed: Passed,
+    passed: ProxyCounters,
     /// The last datagrams to each node, for those who play them back.
     tape: HashMap<usize, Vec<Vec<u8>>>,
     taping: bool,
@@ -99,7 +99,7 @@
 
 /// The relays of one fleet.
 #[derive(Clone)]
-pub struct Relays {
+pub struct FaultProxies {
     state: Arc<Mutex<State>>,
     tasks: Arc<Tasks>,
 }
@@ -114,47 +114,48 @@
     }
 }
 
-impl Relays {
-    /// Relays at `front[i]` for the nodes that listen at `nodes[i]`; what they draw goes by the seed.
-    pub async fn start(front: &[SocketAddr], nodes: &[SocketAddr], seed: u64) -> io::Result<Relays> {
+impl FaultProxies {
+    /// FaultProxies at `front[i]` for the nodes that listen at `nodes[i]`; what they draw goes by the seed.
+    pub async fn start(front: &[SocketAddr], nodes: &[SocketAddr], seed: u64) -> io::Result<FaultProxies> {
         let state = State {
             rules: HashMap::new(),
             of: nodes.iter().enumerate().map(|(i, at)| (at.ip(), i)).collect(),
             rng: SmallRng::seed_from_u64(seed),
-            passed: Passed::default(),
+            passed: ProxyCounters::default(),
             tape: HashMap::new(),
             taping: false,
         };
-        let relays = Relays { state: Arc::new(Mutex::new(state)), tasks: Arc::new(Tasks(Mutex::default())) };
+        let proxies =
+            FaultProxies { state: Arc::new(Mutex::new(state)), tasks: Arc::new(Tasks(Mutex::default())) };
         for (to, (front, node)) in front.iter().zip(nodes).enumerate() {
             let socket = Arc::new(UdpSocket::bind(front).await?);
             let listener = TcpListener::bind(front).await?;
-            let (state, node) = (relays.state.clone(), *node);
+            let (state, node) = (proxies.state.clone(), *node);
             let datagrams = tokio::spawn(datagrams(state, socket, to, node));
-            let streams = tokio::spawn(streams(relays.state.clone(), listener, to, node));
-            let mut tasks = relays.tasks.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let streams = tokio::spawn(streams(proxies.state.clone(), listener, to, node));
+            let mut tasks = proxies.tasks.0.lock().unwrap_or_else(PoisonError::into_inner);
             tasks.extend([datagrams, streams]);
         }
-        Ok(relays)
+        Ok(proxies)
     }
 
     /// From now on, this rule holds from one node to another.
-    pub fn rule(&self, from: usize, to: usize, rule: Rule) {
+    pub fn set_rule(&self, from: usize, to: usize, rule: LinkRule) {
         lock(&self.state).rules.insert((from, to), rule);
     }
 
     /// From now on, this rule holds between any two nodes.
-    pub fn everywhere(&self, nodes: usize, rule: Rule) {
+    pub fn set_default_rule(&self, nodes: usize, rule: LinkRule) {
         for from in 0..nodes {
-            (0..nodes).filter(|to| *to != from).for_each(|to| self.rule(from, to, rule));
+            (0..nodes).filter(|to| *to != from).for_each(|to| self.set_rule(from, to, rule));
         }
     }
 
     /// Nothing passes between those of different parts, in either direction.
-    pub fn part(&self, parts: &[u32]) {
+    pub fn partition(&self, parts: &[u32]) {
         for (from, a) in parts.iter().enumerate() {
             for (to, b) in parts.iter().enumerate().filter(|(to, _)| *to != from) {
-                self.rule(from, to, Rule { cut: a != b, ..Rule::default() });
+                self.set_rule(from, to, LinkRule { cut: a != b, ..LinkRule::default() });
             }
         }
     }
@@ -165,17 +166,17 @@
     }
 
     /// What has been done so far.
-    pub fn passed(&self) -> Passed {
+    pub fn counters(&self) -> ProxyCounters {
         lock(&self.state).passed
     }
 
     /// Keeps what goes to each node from here on, some thousand datagrams each.
-    pub fn tape(&self) {
+    pub fn start_recording(&self) {
         lock(&self.state).taping = true;
     }
 
     /// What was kept of what went to a node.
-    pub fn taped(&self, to: usize) -> Vec<Vec<u8>> {
+    pub fn recorded(&self, to: usize) -> Vec<Vec<u8>> {
         lock(&self.state).tape.get(&to).cloned().unwrap_or_default()
     }
 }
@@ -188,7 +189,7 @@
 }
 
 impl State {
-    fn rule(&self, from: usize, to: usize) -> Rule {
+    fn rule(&self, from: usize, to: usize) -> LinkRule {
         self.rules.get(&(from, to)).copied().unwrap_or_default()
     }
 
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -3,8 +3,8 @@
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
 use crate::emulated::{name, Spec, World};
+use crate::fault_proxy::LinkRule;
 use crate::lists;
-use crate::relay::Rule;
 use hdrhistogram::Histogram;
 use membership::{MemberStatus, MembershipEvent};
 use std::fmt;
@@ -120,9 +120,9 @@
     let bound = Duration::from_secs(60);
     cluster.settled(&Cluster::truth(0..nodes), bound).await.map_err(fail)?;
     let ticks = |cluster: &Cluster| cluster.nodes.iter().flatten().filter_map(|p| p.ticks()).sum::<u64>();
-    let (before, calm) = ((ticks(&cluster), cluster.relays.passed()), Duration::from_secs(20));
+    let (before, calm) = ((ticks(&cluster), cluster.proxies.counters()), Duration::from_secs(20));
     tokio::time::sleep(calm).await;
-    let after = (ticks(&cluster), cluster.relays.passed());
+    let after = (ticks(&cluster), cluster.proxies.counters());
     let each = nodes as f64 * calm.as_secs_f64();
     figures.messages = (after.1.datagrams - before.1.datagrams) as f64 / each;
     figures.bytes = (after.1.bytes - before.1.bytes) as f64 / each;
@@ -176,9 +176,9 @@
                 "handed on" => world.seek(holder, false),
                 "killed" => world.kill(holder),
                 "cut off" => (0..3).for_each(|v| {
-                    let cut = Rule { cut: true, ..Rule::default() };
-                    world.rules.rule(holder, v, cut);
-                    world.rules.rule(v, holder, cut);
+                    let cut = LinkRule { cut: true, ..LinkRule::default() };
+                    world.rules.set_rule(holder, v, cut);
+                    world.rules.set_rule(v, holder, cut);
                 }),
                 _ => {
                     world.kill(holder);
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,9 +1,9 @@
 //! Fault plans: faults injected into nodes at given times, from a TOML file, and the outcome of running one.
 
 use crate::check::{Fault, Truth};
-use crate::cluster::{Cluster, Duties, Spec, NODES_MAX, TENANTS};
+use crate::cluster::{Cluster, CoordinationSpec, Spec, NODES_MAX, TENANTS};
+use crate::fault_proxy::LinkRule;
 use crate::load::{play, Load, Report};
-use crate::relay::Rule;
 use membership::Status;
 use rustix::process::Signal;
 use serde::Deserialize;
@@ -69,7 +69,7 @@
     pub to: Vec<usize>,
     /// With `link`: the rule.
     #[serde(default)]
-    pub rule: Rule,
+    pub rule: LinkRule,
     /// With `workers`: how many more, all cold.
     #[serde(default)]
     pub count: usize,
@@ -175,10 +175,16 @@
 
 /// Carries a plan out with this program; `say` hears of each step.
 pub async fn carry_out(plan: &Plan, binary: &Path, say: impl Fn(&str)) -> io::Result<Outcome> {
-    let duties = Duties { voters: 3, lease_ms: 2500, lists: true, roll: false, errands: Vec::new() };
+    let duties = CoordinationSpec {
+        voters: 3,
+        lease_ms: 2500,
+        lists: true,
+        rolling_restart: false,
+        scheduled_calls: Vec::new(),
+    };
     let spec = Spec {
         fleet: plan.fleet,
-        duties: plan.duties.then_some(duties),
+        coordination: plan.duties.then_some(duties),
         workers: plan.workers,
         quota: plan.quota,
         probe_ms: plan.probe_ms,
@@ -271,15 +277,15 @@
     match step.kind {
         FaultKind::Part => {
             let parts: Vec<u32> = (0..running.len()).map(|i| u32::from(step.nodes.contains(&i))).collect();
-            cluster.relays.part(&parts);
+            cluster.proxies.partition(&parts);
         }
-        FaultKind::Heal => cluster.relays.heal(),
+        FaultKind::Heal => cluster.proxies.heal(),
         FaultKind::Link => {
             for from in &step.nodes {
                 step.to
                     .iter()
                     .filter(|to| *to != from)
-                    .for_each(|to| cluster.relays.rule(*from, *to, step.rule));
+                    .for_each(|to| cluster.proxies.set_rule(*from, *to, step.rule));
             }
         }
         FaultKind::Workers => {
--- a/testbed/src/worker.rs
+++ b/testbed/src/worker.rs
@@ -16,7 +16,7 @@
 
 /// How a worker works.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct WorkerProfile {
     /// Jobs that run at once.
     pub slots: usize,
     /// Jobs that wait at most; beyond, they are turned away.
@@ -31,10 +31,10 @@
     pub fall: Duration,
 }
 
-impl Default for Kind {
+impl Default for WorkerProfile {
     fn default() -> Self {
         let (warm_up, fall) = (Duration::from_secs(10), Duration::from_secs(3));
-        Kind { slots: 4, queue: 40, cold_share: 0.13, warm_up, fall_multiple: 3.0, fall }
+        WorkerProfile { slots: 4, queue: 40, cold_share: 0.13, warm_up, fall_multiple: 3.0, fall }
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 struct State {
-    kind: Kind,
+    kind: WorkerProfile,
     /// When it started, where it started cold.
     cold_since: Option<Instant>,
     /// Work that came lately, in seconds of a warm slot.
@@ -115,7 +115,7 @@
 
 impl Worker {
     /// Starts one at this address, warm or cold.
-    pub async fn start(address: SocketAddr, kind: Kind, cold: bool) -> io::Result<Worker> {
+    pub async fn start(address: SocketAddr, kind: WorkerProfile, cold: bool) -> io::Result<Worker> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let (fallen, fell) = watch::channel(false);
--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use testbed::coordination::{address, name, Spec, World};
 use testbed::disk::MemDisk;
+use testbed::fault_proxy::LinkRule;
 use testbed::history_check::violations;
-use testbed::relay::Rule;
 
 const S: Duration = Duration::from_secs(1);
 /// After the last fault: a lease, elections, and what clients wait between two asks.
@@ -81,7 +81,7 @@
     for seed in 70..90 {
         let mut world = world(seed);
         let (holder, token) = world.holder().unwrap();
-        world.rules.everywhere(Rule { jitter_ms: 1500, ..Rule::default() });
+        world.rules.set_default_rule(LinkRule { jitter_ms: 1500, ..LinkRule::default() });
         world.run(Duration::from_millis(2000 + seed * 37 % 1000));
         if world.holder() != Some((holder, token)) {
             continue;
@@ -104,7 +104,7 @@
     for seed in 90..110 {
         let mut world = world(seed);
         let (holder, token) = world.holder().unwrap();
-        world.rules.everywhere(Rule { jitter_ms: 2500, ..Rule::default() });
+        world.rules.set_default_rule(LinkRule { jitter_ms: 2500, ..LinkRule::default() });
         world.run(Duration::from_millis(3000 + seed * 53 % 2000));
         world.kill(holder);
         world.start(holder);
@@ -146,12 +146,12 @@
         for way in 0..3 {
             let (holder, token) = if way == 0 { (holder, 0) } else { held(&mut world) };
             for voter in 0..3 {
-                let cut = Rule { cut: true, ..Rule::default() };
+                let cut = LinkRule { cut: true, ..LinkRule::default() };
                 if way != 1 {
-                    world.rules.rule(holder, voter, cut);
+                    world.rules.set_rule(holder, voter, cut);
                 }
                 if way != 2 {
-                    world.rules.rule(voter, holder, cut);
+                    world.rules.set_rule(voter, holder, cut);
                 }
             }
             world.run(10 * S);
@@ -245,7 +245,7 @@
     let mut world = world(31);
     for round in 0..12 {
         for to in 0..2 {
-            world.rules.rule(2, to, Rule { delay_ms: 1000, ..Rule::default() });
+            world.rules.set_rule(2, to, LinkRule { delay_ms: 1000, ..LinkRule::default() });
         }
         world.run(Duration::from_millis(700 + 170 * round));
         world.kill(2);
@@ -263,7 +263,12 @@
 fn the_same_seed_gives_the_same_run() {
     let run = || {
         let mut world = world(32);
-        world.rules.everywhere(Rule { loss: 0.2, jitter_ms: 300, twice: 0.1, ..Rule::default() });
+        world.rules.set_default_rule(LinkRule {
+            loss: 0.2,
+            jitter_ms: 300,
+            twice: 0.1,
+            ..LinkRule::default()
+        });
         world.run(20 * S);
         world.kill(world.leader().unwrap_or(0));
         world.run(20 * S);
@@ -292,7 +297,7 @@
     world.start_with_disk(4);
     let cut = (0..3).find(|i| Some(*i) != world.leader()).unwrap();
     let parts: Vec<u32> = (0..5).map(|i| u32::from(i == cut)).collect();
-    world.rules.part(&parts);
+    world.rules.partition(&parts);
     world.run(2 * S);
     for _ in 0..20 {
         world.wish(3, Operation::AddVoter(VoterMember { name: name(4), address: address(4) }));
@@ -335,16 +340,16 @@
             4 | 5 if world.is_there(i) && !world.runs(i) => world.go_on(i),
             6 => {
                 let parts: Vec<u32> = (0..nodes).map(|_| rng.random_range(0..2)).collect();
-                world.rules.part(&parts);
+                world.rules.partition(&parts);
             }
             7 => world.rules.heal(),
             8 => {
                 let to = rng.random_range(0..nodes);
-                world.rules.rule(i, to, Rule { cut: true, ..Rule::default() });
+                world.rules.set_rule(i, to, LinkRule { cut: true, ..LinkRule::default() });
             }
             9 => {
                 let (loss, jitter_ms) = (rng.random::<f64>() * 0.3, rng.random_range(0..1500));
-                world.rules.everywhere(Rule { loss, jitter_ms, twice: 0.1, ..Rule::default() });
+                world.rules.set_default_rule(LinkRule { loss, jitter_ms, twice: 0.1, ..LinkRule::default() });
             }
             10 => {
                 world.seek(i, false);
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use testbed::check::Truth;
 use testbed::emulated::{address, key, name, Spec, World};
-use testbed::relay::Rule;
+use testbed::fault_proxy::LinkRule;
 
 const S: Duration = Duration::from_secs(1);
 
@@ -68,7 +68,7 @@
 fn halves_hold_each_other_dead_and_find_each_other_again() {
     let mut world = fleet(10, 3);
     let parts: Vec<u32> = (0..10).map(|i| i % 2).collect();
-    world.rules.part(&parts);
+    world.rules.partition(&parts);
     let mut truth = world.truth();
     truth.parts.values_mut().enumerate().for_each(|(i, part)| *part = i as u32 % 2);
     world.until(60 * S, &truth).unwrap();
@@ -83,8 +83,8 @@
     let mut world = fleet(9, 4);
     for to in 1..9 {
         let half = to % 2 == 0;
-        world.rules.rule(0, to, Rule { cut: half, ..Rule::default() });
-        world.rules.rule(to, 0, Rule { cut: half, ..Rule::default() });
+        world.rules.set_rule(0, to, LinkRule { cut: half, ..LinkRule::default() });
+        world.rules.set_rule(to, 0, LinkRule { cut: half, ..LinkRule::default() });
     }
     // Others reach it for those that can't: nobody drops it.
     for _ in 0..30 {
@@ -93,7 +93,7 @@
     }
     world.rules.heal();
     for to in 1..9 {
-        world.rules.rule(0, to, Rule { cut: true, ..Rule::default() });
+        world.rules.set_rule(0, to, LinkRule { cut: true, ..LinkRule::default() });
     }
     world.run(30 * S);
     world.rules.heal();
@@ -103,7 +103,7 @@
 #[test]
 fn a_fifth_of_all_datagrams_lost_for_a_minute_holds_nobody_dead_for_good() {
     let mut world = fleet(10, 5);
-    world.rules.everywhere(Rule { loss: 0.2, twice: 0.1, jitter_ms: 50, ..Rule::default() });
+    world.rules.set_default_rule(LinkRule { loss: 0.2, twice: 0.1, jitter_ms: 50, ..LinkRule::default() });
     world.run(60 * S);
     let deaths = world.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Down(_))).count();
     assert!(deaths <= 9, "{deaths} times somebody was held dead: more than one wrong death, told to all");
@@ -140,7 +140,7 @@
     // Whether it goes on before the others hold it dead, and would have to be wrong, depends on who probed when.
     for seed in 100..130 {
         let mut world = fleet(4, seed);
-        world.rules.part(&[0, 0, 0, 1]);
+        world.rules.partition(&[0, 0, 0, 1]);
         while !suspects(&world, 3) {
             world.run(S / 20);
         }
@@ -168,7 +168,7 @@
     world.kill(0);
     settled(&mut world, 40 * S);
     let parts: Vec<u32> = (0..9).map(|i| i % 2).collect();
-    world.rules.part(&parts);
+    world.rules.partition(&parts);
     world.run(40 * S);
     assert_eq!(status(&world, 1, 2), Some(MemberStatus::Dead));
     world.rules.heal();
@@ -293,7 +293,7 @@
     world.until(10 * S, &truth).unwrap();
     let refused = |world: &World| (0..6).map(|i| world.counters(i).rejected.unauthenticated).sum::<u64>();
     assert!(refused(&world) > 0, "what the one with the wrong key sends");
-    world.rules.everywhere(Rule { mutated: 0.1, ..Rule::default() });
+    world.rules.set_default_rule(LinkRule { mutated: 0.1, ..LinkRule::default() });
     let mut rng = SmallRng::seed_from_u64(11);
     for _ in 0..200 {
         let length = rng.random_range(0..2000);
@@ -360,21 +360,21 @@
             4 if !world.runs(i) && world.is_there(i) => world.go_on(i),
             5 => {
                 let parts: Vec<u32> = (0..n).map(|_| rng.random_range(0..3)).collect();
-                world.rules.part(&parts);
+                world.rules.partition(&parts);
             }
             6 => world.rules.heal(),
             7 => {
                 let to = rng.random_range(0..n);
-                world.rules.rule(i, to, Rule { cut: true, ..Rule::default() });
+                world.rules.set_rule(i, to, LinkRule { cut: true, ..LinkRule::default() });
             }
             8 => {
                 let (loss, jitter_ms) = (rng.random::<f64>() * 0.4, rng.random_range(0..200));
-                world.rules.everywhere(Rule {
+                world.rules.set_default_rule(LinkRule {
                     loss,
                     jitter_ms,
                     twice: 0.1,
                     mutated: 0.01,
-                    ..Rule::default()
+                    ..LinkRule::default()
                 });
             }
             _ => {}
