--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -11,7 +11,7 @@
 use testbed::discovery::Discovery;
 use testbed::process::{call, Process};
 use testbed::wire;
-use testbed::worker::{Kind, Worker};
+use testbed::worker::{Worker, WorkerProfile};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -44,7 +44,8 @@
         let pid = std::process::id();
         let own = format!("127.{}.{}.{}", 80 + n, pid / 256 % 256, pid % 256);
         let settings = site.settings();
-        let worker = Worker::start("127.0.0.1:0".parse().unwrap(), Kind::default(), false).await.unwrap();
+        let worker =
+            Worker::start("127.0.0.1:0".parse().unwrap(), WorkerProfile::default(), false).await.unwrap();
         let mut line = wire::line("s-1", worker.address, "in_service", 0);
         line["locality"] = settings["Azs"][0].clone();
         line["flavor"] = settings["HostTypes"][0].clone();
