--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -64,9 +64,9 @@
     pub outcome: Outcome,
     /// Whether the request needs no further answer.
     pub request_done: bool,
-    /// Whether the failure says nothing about the worker. With [`Outcome::ConnectionLost`]: a reused connection broke
-    /// before the worker responded, as idle connections do. With [`Outcome::ConnectFailed`]: this dispatcher had no
-    /// means to open a connection.
+    /// Whether the failure says nothing about the worker. With [`Outcome::ConnectionLost`]: a reused
+    /// connection broke before the worker responded, as idle connections do. With [`Outcome::ConnectFailed`]:
+    /// this dispatcher had no means to open a connection.
     pub not_attributable: bool,
     /// The load report that came with the response.
     pub report: Option<LoadReport>,
@@ -77,7 +77,8 @@
 pub enum Event {
     /// A request was received and is owed one final answer.
     RequestReceived(Request),
-    /// A request that another process of this dispatcher received and sent once: its first attempt goes on here.
+    /// A request that another process of this dispatcher received and sent once: its first attempt goes on
+    /// here.
     RequestAdopted {
         /// The request; `time_left_us` counts from now.
         request: Request,
@@ -125,8 +126,8 @@
         /// The request.
         id: RequestId,
     },
-    /// New settings. Classes and tenants keep their indexes and new ones are appended; a class whose rules change
-    /// becomes a new one. Open requests keep the number of attempts that they were received with.
+    /// New settings. Classes and tenants keep their indexes and new ones are appended; a class whose rules
+    /// change becomes a new one. Open requests keep the number of attempts that they were received with.
     SettingsChanged {
         /// All settings.
         settings: Box<Settings>,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of the decision module.
 
 use super::Micros;
+use crate::table::{ClassId, RowId, TenantId};
 
 /// What a class of requests allows after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,8 +98,8 @@
     pub dispatchers: u32,
     /// This dispatcher's number among them, from 0 on.
     pub ordinal: u32,
-    /// The most dispatchers that may be sending to workers, where that can be more than `dispatchers`: one that
-    /// seems to have gone may only be unreachable from here. 0 where nothing else is known.
+    /// The most dispatchers that may be sending to workers, where that can be more than `dispatchers`: one
+    /// that seems to have gone may only be unreachable from here. 0 where nothing else is known.
     pub max_senders: u32,
     /// Identifies which dispatchers the ordinals stand for. When it changes, what peers reported is dropped.
     pub membership_epoch: u64,
@@ -148,8 +149,8 @@
     pub over_quota_weight: f64,
     /// The least time between two events that can be told apart.
     pub clock_resolution_us: Micros,
-    /// The longest time from a decision to send until the attempt begins, where the embedder has to wait for a
-    /// connection.
+    /// The longest time from a decision to send until the attempt begins, where the embedder has to wait for
+    /// a connection.
     pub max_send_delay_us: Micros,
     /// Rules that every dispatcher keeps.
     pub rules: Rules,
@@ -161,8 +162,19 @@
         self.dispatchers.max(self.max_senders)
     }
 
-    /// Indexes of the classes that are offered.
-    pub fn offered_classes(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.classes.len()).filter(|class| !self.retired_classes.contains(class))
+    /// The classes that are offered.
+    pub fn offered_classes(&self) -> impl Iterator<Item = ClassId> + '_ {
+        let offered = (0..self.classes.len()).filter(|class| !self.retired_classes.contains(class));
+        offered.map(ClassId::new)
+    }
+
+    /// A class's settings.
+    pub(crate) fn class(&self, class: ClassId) -> &ClassSettings {
+        &self.classes[class.position()]
+    }
+
+    /// A tenant's settings; none where the settings name no tenant.
+    pub(crate) fn tenant(&self, tenant: TenantId) -> Option<&TenantSettings> {
+        self.tenants.get(tenant.position())
     }
 }
--- a/src/least_squares.rs
+++ b/src/least_squares.rs
@@ -17,8 +17,9 @@
         LeastSquares { parameters, covariance }
     }
 
-    /// The parameters after one more sample `y` at `phi`, where older samples are forgotten by the factor `lambda`. The
-    /// covariance's trace stays under `max_trace`, also where nothing excites it. The caller decides whether to use them.
+    /// The parameters after one more sample `y` at `phi`, where older samples are forgotten by the factor
+    /// `lambda`. The covariance's trace stays under `max_trace`, also where nothing excites it. The caller
+    /// decides whether to use them.
     pub fn estimate(&mut self, y: f64, phi: [f64; 3], lambda: f64, max_trace: f64) -> [f64; 3] {
         let p = &mut self.covariance;
         let p_phi = [dot(&p[0], &phi), dot(&p[1], &phi), dot(&p[2], &phi)];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a dispatcher that stands beside a submitter and pushes its jobs to workers: how many
-//! jobs to admit, whose, where each runs, and what becomes of those that fail.
+//! Decisions of a dispatcher that sends requests to workers: how many it admits, of which tenants, which
+//! worker each one is sent to, and what becomes of those that fail.
 //!
-//! The module has no clock, thread, socket or global. The embedder tells it what happened, with the time,
-//! and carries out the actions it answers with:
+//! The package has no clock, thread, socket or global state. The embedder reports events with the time, and
+//! carries out the actions that come back. [`Policy`] takes the decisions in the order of a request's life;
+//! each kind of decision has a module of its own.
 //!
 //! ```
 //! use dispatch_policy::api::*;
@@ -38,9 +39,16 @@
 //! policy.handle(1_000, &Event::RequestReceived(request), &mut actions);
 //! assert!(actions.contains(&Action::Send { id: 1, worker: WorkerId(7) }));
 //!
-//! // When the worker answers, tell the module; `last` says that the client has its answer.
-//! let ending = AttemptEnd { id: 1, attempt: 0, outcome: Outcome::Success, request_done: true, not_attributable: false, report: None };
-//! policy.handle(301_000, &Event::AttemptEnded(ending), &mut actions);
+//! // When the worker responds, report it; `request_done` says that the client has its answer.
+//! let end = AttemptEnd {
+//!     id: 1,
+//!     attempt: 0,
+//!     outcome: Outcome::Success,
+//!     request_done: true,
+//!     not_attributable: false,
+//!     report: None,
+//! };
+//! policy.handle(301_000, &Event::AttemptEnded(end), &mut actions);
 //! # Ok::<(), InvalidSettings>(())
 //! ```
 //!
@@ -49,12 +57,28 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admission;
 pub mod api;
+pub mod attempt_timeout;
+pub mod class_backoff;
+pub mod concurrency_limit;
+pub mod endpoints;
+pub mod gossip;
+pub mod latency_objective;
 pub mod least_squares;
 pub mod live_weights;
+pub mod load_report;
+pub mod outlier;
+pub mod placement;
+pub mod poison;
 pub mod policy;
+pub mod probe;
+pub mod rate_control;
 pub mod regulator;
+pub mod requests;
+pub mod retry;
 pub mod rng;
+pub mod run_time;
 pub mod settings;
 pub mod sliding_count;
 pub mod slow_start;
--- a/src/live_weights.rs
+++ b/src/live_weights.rs
@@ -1,7 +1,7 @@
 //! What live weights of the endpoint list say about workers.
 //!
-//! A live weight is a worker's size divided by one more than the requests that each of its cores holds. All dispatchers
-//! see the same weights, so they count the requests of all of them.
+//! A live weight is a worker's size divided by one more than the requests that each of its cores holds. All
+//! dispatchers see the same weights, so they count the requests of all of them.
 
 use crate::table::{KindId, Table};
 
--- a/src/regulator.rs
+++ b/src/regulator.rs
@@ -1,8 +1,8 @@
 //! Self-tuning regulator of the admission rate (Triage): one control loop for each class of requests.
 //!
-//! It fits w(k) = s1 w(k-1) + r1 u(k-1) + r2 u(k-2) by recursive least squares with forgetting, where w is the mean
-//! latency over the class's objective and u the rate admitted, as a part of the largest; then it sets u so that w
-//! becomes 1.
+//! It fits w(k) = s1 w(k-1) + r1 u(k-1) + r2 u(k-2) by recursive least squares with forgetting, where w is
+//! the mean latency over the class's objective and u the rate admitted, as a part of the largest; then it
+//! sets u so that w becomes 1.
 
 use crate::least_squares::LeastSquares;
 
@@ -14,7 +14,8 @@
 const INITIAL_VARIANCE: f64 = 0.2;
 /// Bound of the covariance's trace, where nothing excites the loop.
 const MAX_TRACE: f64 = 10.0;
-/// Change of a parameter, as a part of itself, beyond which the model is dropped. It is at least this part of itself.
+/// Change of a parameter, as a part of itself, beyond which the model is dropped. It is at least this part of
+/// itself.
 const RESET_CHANGE: f64 = 0.3;
 /// Periods after a reset in which there is no other.
 const SETTLING_PERIODS: u32 = 3;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reader of settings in the form of `path=value` lines, as the simulator's first message and a node's configuration
-//! carry them.
+//! Reader of settings in the form of `path=value` lines, as the simulator's first message and a node's
+//! configuration carry them.
 
 use crate::api::{
     ClassSettings, Idempotency, InvalidSettings, KeyScope, LoadReport, Micros, RetryBudget, Rules, Settings,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,19 +1,20 @@
 //! Slow start: limits what all dispatchers together send to a worker that has just started.
 //!
 //! A worker that has just started can do only a part of its work, and falls over when it is sent more than a
-//! multiple of that within a span ([`Rules::overload_multiple`], [`Rules::overload_window_us`]). Dispatchers share no state, so
-//! the budget is divided by time: the worker's age is cut into slots, and each slot belongs to as many dispatchers
-//! as the budget of that slot allows jobs. Which ones follows from the worker's id, the slot's number and the
-//! dispatcher's ordinal alone, so all of them agree without a message.
+//! multiple of that within a span ([`Rules::overload_multiple`], [`Rules::overload_window_us`]). Dispatchers
+//! share no state, so the budget is divided by time: the worker's age is cut into slots, and each slot
+//! belongs to as many dispatchers as the budget of that slot allows jobs. Which ones follows from the
+//! worker's id, the slot's number and the dispatcher's ordinal alone, so all of them agree without a message.
 //!
-//! - The rule counts work, not jobs. A job of several times the mean is sent in so many times fewer slots, and one
-//!   that would be a large part of the budget by itself is not sent until the worker is warmer.
+//! - The rule counts work, not jobs. A job of several times the mean is sent in so many times fewer slots,
+//!   and one that would be a large part of the budget by itself is not sent until the worker is warmer.
 //! - A slot that its owners leave unused lapses: nothing is saved up, whatever the traffic was before.
-//! - A dispatcher uses no slot that began before its own start, so one that has restarted and forgotten what it
-//!   sent can't send it again.
-//! - The law is the same for any number of dispatchers. One alone owns all slots; of a thousand, each owns few.
-//! - Where dispatchers disagree on their number or on the worker's capacity, their slots fall at random: the sum
-//!   then varies as a Poisson count of the same mean.
+//! - A dispatcher uses no slot that began before its own start, so one that has restarted and forgotten what
+//!   it sent can't send it again.
+//! - The law is the same for any number of dispatchers. One alone owns all slots; of a thousand, each owns
+//!   few.
+//! - Where dispatchers disagree on their number or on the worker's capacity, their slots fall at random: the
+//!   sum then varies as a Poisson count of the same mean.
 
 use crate::api::{Micros, Rules, Settings, WorkerId};
 use crate::rng::{mix, unit};
@@ -28,7 +29,8 @@
 const BUDGET_COLD: f64 = 0.45;
 /// ... and what more of it is used once it is warm: the sums of many jobs vary less.
 const BUDGET_WARM: f64 = 0.25;
-/// The largest job, as a part of what makes the worker fall within the span: a few that come together stay below.
+/// The largest job, as a part of what makes the worker fall within the span: a few that come together stay
+/// below.
 const LARGEST_JOB: f64 = 0.25;
 /// Steps of a sequence that fills an interval evenly (the golden ratio, and the square root of 2).
 const OWNER_STEP: f64 = 0.618_033_988_749_894_9;
@@ -66,8 +68,9 @@
 impl Fleet {
     /// Jobs a second that a worker of this size can do once it is warm.
     ///
-    /// Quotas are parts of what the whole fleet can do, and the same at all dispatchers. Where there are none, sizes
-    /// under live weights are in standard cores; else what is served here stands for as much at each dispatcher.
+    /// Quotas are parts of what the whole fleet can do, and the same at all dispatchers. Where there are
+    /// none, sizes under live weights are in standard cores; else what is served here stands for as much at
+    /// each dispatcher.
     pub fn capacity(&self, settings: &Settings, size: f64) -> f64 {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         if quotas > 0.0 {
@@ -99,7 +102,8 @@
     jobs: u32,
 }
 
-/// The part of its capacity that a worker surely has that started at `at`, from the rules' least share up to 1.
+/// The part of its capacity that a worker surely has that started at `at`, from the rules' least share up to
+/// 1.
 pub fn warmth(rules: &Rules, at: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(at);
     if at == 0 || age >= rules.warm_up_us {
@@ -109,7 +113,8 @@
     rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio).max(0.0) * grown
 }
 
-/// Whether this dispatcher may send the worker one more job now, whose work is `size` times that of a mean job.
+/// Whether this dispatcher may send the worker one more job now, whose work is `size` times that of a mean
+/// job.
 pub fn may_send(rules: &Rules, sender: Sender, start: Start, used: Used, now: Micros, size: f64) -> bool {
     if warmth(rules, start.at, now) >= 1.0 {
         return true;
@@ -136,13 +141,14 @@
     (rules.overload_window_us / SLOTS_IN_SPAN).max(SHORTEST_SLOT)
 }
 
-/// The number of the slot, counted from the worker's start. The first slots of two workers that start at once begin
-/// at once; which dispatchers own them differs.
+/// The number of the slot, counted from the worker's start. The first slots of two workers that start at once
+/// begin at once; which dispatchers own them differs.
 fn slot_at(rules: &Rules, started: Micros, now: Micros) -> u64 {
     now.saturating_sub(started) / slot_length(rules)
 }
 
-/// What the rule allows the worker within a time, as jobs of mean work. The warmth at the slot's beginning counts.
+/// What the rule allows the worker within a time, as jobs of mean work. The warmth at the slot's beginning
+/// counts.
 fn allowed(rules: &Rules, start: Start, slot: u64, time: Micros) -> f64 {
     let seconds = time as f64 / 1_000_000.0;
     rules.overload_multiple * start.capacity * slot_warmth(rules, start, slot) * seconds
@@ -167,8 +173,8 @@
 
 /// The jobs of this size that this dispatcher may send within a slot.
 ///
-/// All dispatchers stand at distances of 1 on a ring whose length is their number; those that lie within `budget`
-/// of the slot's place on it may send one job, or more if the budget goes round more than once.
+/// All dispatchers stand at distances of 1 on a ring whose length is their number; those that lie within
+/// `budget` of the slot's place on it may send one job, or more if the budget goes round more than once.
 fn jobs_in_slot(rules: &Rules, sender: Sender, start: Start, slot: u64, size: f64) -> u32 {
     let ring = f64::from(sender.count.max(1));
     let hash = mix(start.worker.0 ^ mix(start.at));
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -1,9 +1,9 @@
 //! Start times of workers, by the dispatcher's own clock.
 //!
-//! Starts are told as times of day. A dispatcher's clock may have been stepped, by seconds or an hour, before it
-//! started; then a worker that has just started would pass for a warm one, or stay cold for an hour. What the dispatcher
-//! has seen itself bounds the start: it lies in the past, and where a worker begins to stand in the list, not long before
-//! the last list that lacked it.
+//! Starts are told as times of day. A dispatcher's clock may have been stepped, by seconds or an hour, before
+//! it started; then a worker that has just started would pass for a warm one, or stay cold for an hour. What
+//! the dispatcher has seen itself bounds the start: it lies in the past, and where a worker begins to stand
+//! in the list, not long before the last list that lacked it.
 
 use crate::api::Micros;
 
@@ -24,15 +24,15 @@
         self.last = now;
     }
 
-    /// Before which a worker can't have started that the last list lacked. `None` where nothing is known: the first list
-    /// may be an old one, and what the next one adds may have been there for long.
+    /// Before which a worker can't have started that the last list lacked. `None` where nothing is known: the
+    /// first list may be an old one, and what the next one adds may have been there for long.
     pub fn earliest_start(&self) -> Option<Micros> {
         (self.lists >= 2).then(|| self.last.saturating_sub(LIST_LATENESS))
     }
 }
 
-/// When a worker started that is told to have started at `told` (0 for long ago). `earliest` is known of one that the
-/// last list lacked.
+/// When a worker started that is told to have started at `told` (0 for long ago). `earliest` is known of one
+/// that the last list lacked.
 pub fn local_start(told: Micros, now: Micros, earliest: Option<Micros>) -> Micros {
     if told == 0 {
         return 0;
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,5 +1,5 @@
-//! Tables whose rows are addressed by an index type of their own, so that a worker's index can't be taken for a
-//! class's.
+//! Tables whose rows are addressed by an index type of their own, so that a worker's index can't be taken for
+//! a class's.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,9 +1,10 @@
-//! The window: how many jobs one dispatcher may have at workers at once, where it can't see what others' jobs fill.
+//! The window: how many jobs one dispatcher may have at workers at once, where it can't see what others' jobs
+//! fill.
 //!
-//! The cap of each worker is at least one job, so a fleet of many dispatchers could fill every worker many times
-//! over. The window bounds a dispatcher's jobs at all workers together. It grows and shrinks in proportion, so that
-//! dispatchers with more traffic keep more of it, and settles where about one start in four is prompt: with workers
-//! chosen unseen, that uses most of them.
+//! The cap of each worker is at least one job, so a fleet of many dispatchers could fill every worker many
+//! times over. The window bounds a dispatcher's jobs at all workers together. It grows and shrinks in
+//! proportion, so that dispatchers with more traffic keep more of it, and settles where about one start in
+//! four is prompt: with workers chosen unseen, that uses most of them.
 
 /// The part that a prompt start adds to a window that is full ...
 const GAIN: f64 = 0.05;
@@ -50,8 +51,8 @@
         self.size = self.size.clamp(self.least, LARGEST);
     }
 
-    /// Sets the least window: this dispatcher's part of one job at each worker, and as many more as chance makes one
-    /// of them have at a time.
+    /// Sets the least window: this dispatcher's part of one job at each worker, and as many more as chance
+    /// makes one of them have at a time.
     pub fn resize(&mut self, workers: usize, dispatchers: u32) {
         let part = workers as f64 / f64::from(dispatchers.max(1));
         self.least = part + part.sqrt().max(1.0);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -102,7 +102,7 @@
     /// Runs a stream and returns its actions.
     pub fn run(plan: Plan, set: Settings) -> Recording {
         let mut rng = Rng(plan.seed);
-        let policy = Policy::new(set.clone(), plan.seed, S).unwrap();
+        let policy = Policy::new(set.clone(), plan.seed, S).expect("valid settings");
         let machines = (0..plan.workers).map(|i| machine(i, plan.zones, &mut rng)).collect();
         let (steps, jobs, recorded) = Default::default();
         let (now, planned, next) = (S, 0, 1);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -71,7 +71,7 @@
 impl Desk {
     pub fn new(settings: Settings, list: Vec<Endpoint>) -> Desk {
         let mut desk = Desk {
-            policy: Policy::new(settings, 7, S).unwrap(),
+            policy: Policy::new(settings, 7, S).expect("valid settings"),
             now: S,
             timers: vec![],
             throttled: 0,
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -99,7 +99,7 @@
     /// Given settings and a given number of workers; `rng` draws the steps.
     pub fn with(seed: u64, rng: Rng, set: Settings, workers: u64) -> World {
         let entry = |i| Endpoint { kind: (i % 2) as u8, ..worker(i, (i % 2) as u8, (i % 4) as u32) };
-        let policy = Policy::new(set.clone(), seed, S).unwrap();
+        let policy = Policy::new(set.clone(), seed, S).expect("valid settings");
         let list: Vec<Endpoint> = (0..workers).map(entry).collect();
         let (jobs, barred) = Default::default();
         let (timers, cold, taken, further, recorded) = Default::default();
@@ -218,7 +218,7 @@
     }
 
     fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
-        let job = self.jobs.get_mut(&id).unwrap();
+        let job = self.jobs.get_mut(&id).expect("an open request");
         job.attempts[attempt as usize].2 = Some(outcome);
         job.over |= outcome == Outcome::Success;
         let last = job.over;
@@ -235,6 +235,7 @@
     }
 
     /// One random step.
+    #[allow(clippy::too_many_lines, reason = "one arm for each kind of step")]
     pub fn act(&mut self) {
         match self.rng.below(12) {
             0..=3 => {
@@ -295,7 +296,7 @@
             10 => {
                 let ids: Vec<RequestId> = self.jobs.iter().filter(|j| !j.1.over).map(|j| *j.0).collect();
                 if let (Some(&id), 0) = (ids.first(), self.rng.below(4)) {
-                    self.jobs.get_mut(&id).unwrap().over = true;
+                    self.jobs.get_mut(&id).expect("an open request").over = true;
                     self.tell(Event::ClientDisconnected { id });
                 }
             }
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -17,7 +17,7 @@
 /// A dispatcher whose clock is off by so much, and which has had two lists of a warm worker.
 fn desk(ahead: i64) -> Desk {
     let mut desk = Desk::new(cold_settings(), vec![worker(1, 0, 0)]);
-    desk.now = NOW.checked_add_signed(ahead).unwrap();
+    desk.now = NOW.checked_add_signed(ahead).expect("within the range of times");
     for _ in 0..3 {
         desk.pass(S);
         desk.tell(Event::EndpointChanges(vec![]));
@@ -50,7 +50,7 @@
 fn a_worker_that_is_new_in_the_list_is_cold_whatever_the_clock_says() {
     let cold = |ahead: i64| {
         let mut desk = desk(ahead);
-        let started = desk.now.checked_add_signed(-ahead).unwrap() - S;
+        let started = desk.now.checked_add_signed(-ahead).expect("within the range of times") - S;
         desk.tell(successor(started));
         jobs_sent(&mut desk, 1)
     };
@@ -65,7 +65,7 @@
 fn a_worker_is_warm_in_its_time_where_the_clock_is_behind() {
     let warm = |ahead: i64| {
         let mut desk = desk(ahead);
-        let started = desk.now.checked_add_signed(-ahead).unwrap() - S;
+        let started = desk.now.checked_add_signed(-ahead).expect("within the range of times") - S;
         desk.tell(successor(started));
         for _ in 0..25 {
             desk.pass(S);
