--- a/coordination/tests/golden_bytes/messages.rs
+++ b/coordination/tests/golden_bytes/messages.rs
@@ -10,12 +10,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
+/// Check of encoded bytes.
+pub type Check = Box<dyn Fn(&[u8]) -> bool>;
+
 /// A message with its encoding.
 pub struct Sample {
     pub name: String,
     pub encoded: Vec<u8>,
     /// Whether these bytes decode to the message.
-    pub decodes_to_the_same: Box<dyn Fn(&[u8]) -> bool>,
+    pub decodes_to_the_same: Check,
 }
 
 fn sample<M>(name: &str, message: M) -> Sample
