--- a/coordination/tests/golden_bytes.rs
+++ b/coordination/tests/golden_bytes.rs
@@ -3,6 +3,8 @@
 //! The recorded data is in `tests/golden/`. `GOLDEN_RECORD=1` writes the files anew and fails, so that a recording is never
 //! taken for a pass.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
 #[path = "golden_bytes/cluster.rs"]
 mod cluster;
 #[path = "golden_bytes/messages.rs"]
