--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -1,84 +1,125 @@
-//! Demonstration of the fleet (`make fleet`).
+//! Demonstration of membership (`make fleet`).
 
+use crate::check::Fault;
 use crate::cluster::{Cluster, Spec, TENANTS};
 use crate::load::{play, Load};
 use membership::{MemberStatus, Status};
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
+use tokio::task::JoinError;
 use tokio::time::sleep;
 
-/// For the views to become equal and true.
-const BOUND: Duration = Duration::from_secs(20);
+/// Time limit for the views to become equal and true.
+const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// Number of nodes.
+const NODES: usize = 5;
+/// Jobs a second.
+const RATE: f64 = 20.0;
+/// Duration of the load.
+const LOAD_LENGTH: Duration = Duration::from_secs(20);
+/// Time of load before the first fault.
+const BEFORE_FAULTS: Duration = Duration::from_secs(2);
+/// Node that is killed, and node that is cut off.
+const KILLED: usize = 1;
+const CUT_OFF: usize = 4;
+
+/// Error of the demonstration.
+#[derive(Debug, thiserror::Error)]
+pub enum DemoError {
+    /// A node can't be started.
+    #[error("cannot start {}: {source}", binary.display())]
+    Start {
+        /// The program.
+        binary: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The views are not equal and true in time.
+    #[error("{step}: the views did not settle in {SETTLE_LIMIT:?}: {}", list(faults))]
+    NotSettled {
+        /// What had happened.
+        step: String,
+        /// What was wrong with the views last.
+        faults: Vec<Fault>,
+    },
+    /// The load's task failed.
+    #[error(transparent)]
+    Load(#[from] JoinError),
+}
+
+fn list(faults: &[Fault]) -> String {
+    faults.iter().map(Fault::to_string).collect::<Vec<_>>().join(", ")
+}
 
 /// Starts five nodes with workers and load, kills one, cuts one off, and prints what each sees.
-pub async fn run(binary: &Path) -> Result<(), String> {
-    let no = |e: std::io::Error| format!("cannot start {}: {e}", binary.display());
-    let mut cluster =
-        Cluster::start(Spec { workers: 4, quota: 12.0, ..Spec::new(binary, 5) }).await.map_err(no)?;
+///
+/// # Errors
+/// Where the program can't be started, or the views of the nodes don't become right in time.
+pub async fn run(binary: &Path) -> Result<(), DemoError> {
+    let cannot_start = |source| DemoError::Start { binary: binary.to_path_buf(), source };
+    let spec = Spec { workers: 4, quota: 12.0, ..Spec::new(binary, NODES) };
+    let mut cluster = Cluster::start(spec).await.map_err(cannot_start)?;
     println!("Five nodes, four workers, 20 jobs a second. Each row is what one node sees of each other.\n");
-    let names = |i: &usize| Cluster::name(*i);
-    settle(&cluster, "all five find each other", (0..5).map(|i| (i, 0)).collect()).await?;
-    let length = Duration::from_secs(20);
-    let load = Load { rate: 20.0, length, seed: 1, tenants: TENANTS.map(String::from).to_vec() };
-    let load = tokio::spawn(play(load, (0..5).map(|i| cluster.listen(i)).collect()));
-    sleep(Duration::from_secs(2)).await;
-    cluster.kill(1);
-    settle(&cluster, &format!("{} is killed", names(&1)), [0, 2, 3, 4].map(|i| (i, 0)).to_vec()).await?;
+    let all: Vec<(usize, u32)> = (0..NODES).map(|i| (i, 0)).collect();
+    settle(&cluster, "all five find each other", &all).await?;
+    let tenants = TENANTS.map(String::from).to_vec();
+    let load = Load { rate: RATE, length: LOAD_LENGTH, seed: 1, tenants };
+    let load = tokio::spawn(play(load, (0..NODES).map(|i| cluster.listen(i)).collect()));
+    sleep(BEFORE_FAULTS).await;
+    cluster.kill(KILLED);
+    let killed = format!("{} is killed", Cluster::name(KILLED));
+    settle(&cluster, &killed, &[(0, 0), (2, 0), (3, 0), (4, 0)]).await?;
     cluster.proxies.partition(&[0, 0, 0, 0, 1]);
-    let parts = [(0, 0), (2, 0), (3, 0), (4, 1)].to_vec();
-    settle(&cluster, &format!("{} is cut off from the other nodes, not from workers", names(&4)), parts)
-        .await?;
+    let cut_off = format!("{} is cut off from the other nodes, not from workers", Cluster::name(CUT_OFF));
+    settle(&cluster, &cut_off, &[(0, 0), (2, 0), (3, 0), (4, 1)]).await?;
     cluster.proxies.heal();
-    cluster.start_node(1).map_err(no)?;
-    settle(&cluster, "the cut is mended and the killed one started again", (0..5).map(|i| (i, 0)).collect())
-        .await?;
-    let r = load.await.map_err(|e| e.to_string())?;
+    cluster.start_node(KILLED).map_err(cannot_start)?;
+    settle(&cluster, "the cut is mended and the killed one started again", &all).await?;
+    let report = load.await?;
     println!(
         "Meanwhile {} jobs were due: {} served in time, {} late, {} refused, {} failed, {} lost with the node that was \
          killed or before the front noticed it. Worth served: {:.2}.",
-        r.due,
-        r.in_time,
-        r.late,
-        r.refused,
-        r.failed,
-        r.lost + r.nowhere,
-        r.worth
+        report.due,
+        report.in_time,
+        report.late,
+        report.refused,
+        report.failed,
+        report.lost + report.nowhere,
+        report.worth
     );
     Ok(())
 }
 
-async fn settle(cluster: &Cluster, what: &str, running: Vec<(usize, u32)>) -> Result<(), String> {
-    let mut truth = Cluster::truth(running.iter().map(|(i, _)| *i));
-    for (i, part) in running {
-        truth.parts.insert(Cluster::name(i), part);
-    }
-    match cluster.settled(&truth, BOUND).await {
-        Ok(took) => println!("{what}: equal and true after {:.1} s", took.as_secs_f64()),
-        Err(wrong) => {
-            let wrong: Vec<String> = wrong.iter().map(|f| f.to_string()).collect();
-            return Err(format!("{what}: the views did not settle in {BOUND:?}: {}", wrong.join(", ")));
-        }
+/// Waits until the views are right where these nodes run, each with its partition, and prints them.
+async fn settle(cluster: &Cluster, step: &str, running: &[(usize, u32)]) -> Result<(), DemoError> {
+    let mut expected = Cluster::truth(running.iter().map(|(node, _)| *node));
+    for (node, partition) in running {
+        expected.parts.insert(Cluster::name(*node), *partition);
     }
+    let settled = cluster.settled(&expected, SETTLE_LIMIT).await;
+    let took = settled.map_err(|faults| DemoError::NotSettled { step: step.to_string(), faults })?;
+    println!("{step}: equal and true after {:.1} s", took.as_secs_f64());
     println!("{}", table(&cluster.statuses().await));
     Ok(())
 }
 
-/// A row for each node: what it holds of each other.
+/// A row for each node: the status that it has of each other.
 fn table(statuses: &BTreeMap<String, Option<Status>>) -> String {
     let known = statuses.values().flatten().flat_map(|s| &s.view.members).map(|m| &m.name);
     let names: BTreeSet<&String> = known.chain(statuses.keys()).collect();
     let mut out = format!("  {:6}", "");
     names.iter().for_each(|n| out += &format!("{n:>9}"));
-    for (name, told) in statuses {
+    for (name, status) in statuses {
         out += &format!("\n  {name:6}");
-        let Some(told) = told else {
+        let Some(status) = status else {
             out += "  tells nothing";
             continue;
         };
         for other in &names {
-            let m = told.view.members.iter().find(|m| m.name == ***other);
-            let word = match m.map(|m| m.status) {
+            let member = status.view.members.iter().find(|member| member.name == ***other);
+            let label = match member.map(|member| member.status) {
                 None => "unknown",
                 Some(MemberStatus::Alive) => "alive",
                 Some(MemberStatus::Suspect) => "suspect",
@@ -86,10 +127,12 @@
                 Some(MemberStatus::Left) => "left",
                 Some(MemberStatus::Dead) => "dead",
             };
-            out += &format!("{word:>9}");
+            out += &format!("{label:>9}");
         }
-        out +=
-            &format!("   {} take jobs, {} may be sending", told.fleet_size.siblings, told.fleet_size.senders);
+        out += &format!(
+            "   {} take jobs, {} may be sending",
+            status.fleet_size.siblings, status.fleet_size.senders
+        );
     }
     out + "\n"
 }
--- a/testbed/src/fault_proxy.rs
+++ b/testbed/src/fault_proxy.rs
@@ -28,7 +28,7 @@
 
 /// Faults of one direction between two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(rename = "Rule", default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields, expecting = "struct Rule")]
 pub struct LinkRule {
     /// Nothing passes; streams stay open and silent.
     pub cut: bool,
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,10 +1,13 @@
-//! `testbed`: plays fault plans against real processes of the program, and measures the fleet in emulated time.
+//! Command line of the testbed: fault plans against real processes, soak runs, and measurements in emulated time.
 
 use clap::{Parser, Subcommand};
-use std::path::PathBuf;
+use std::future::Future;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::time::Duration;
 use testbed::allocation::{counting, CountingAllocator};
-use testbed::plan::{carry_out, Outcome, Plan};
+use testbed::plan::{carry_out, Outcome, Plan, PlanError};
 use testbed::{demo, measure, scale, soak};
 
 /// Counts what is allocated, for the measurements of state in bytes.
@@ -111,102 +114,129 @@
     },
 }
 
+/// Error of a command; its text is one line for the operator.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error("no runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error(transparent)]
+    Demo(#[from] demo::DemoError),
+    #[error(transparent)]
+    Scale(#[from] scale::Failure),
+    /// A cluster or soak could not be run.
+    #[error(transparent)]
+    Run(#[from] io::Error),
+    #[error("cannot read {}: {source}", path.display())]
+    ReadPlan { path: PathBuf, source: io::Error },
+    #[error("{}: {source}", path.display())]
+    Plan { path: PathBuf, source: PlanError },
+    #[error("cannot write {}: {source}", path.display())]
+    WriteViews { path: PathBuf, source: io::Error },
+    #[error("rules were broken with {broken} of {seeds} seeds")]
+    RulesBroken { broken: u64, seeds: u64 },
+}
+
+/// Exit code of a command that failed.
+const FAILED: u8 = 2;
+
 fn main() -> ExitCode {
-    let result = match Cli::parse().command {
-        Command::Demo { node } => runtime(demo::run(&node)),
+    match run(Cli::parse().command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("testbed: {}", error.to_string().replace('\n', " "));
+            ExitCode::from(FAILED)
+        }
+    }
+}
+
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Demo { node } => block_on(async move { Ok(demo::run(&node).await?) }),
         Command::Measure { nodes, plays } => {
-            nodes.iter().for_each(|n| println!("{}", measure::emulated(*n, plays)));
+            nodes.iter().for_each(|n| println!("{}", measure::emulated_membership(*n, plays)));
             Ok(())
         }
         Command::Duties { nodes, plays } => {
-            measure::vacancies(plays).iter().for_each(|line| println!("{line}"));
-            for n in nodes {
-                let plays = (plays * 10 / n as u64).clamp(1, 20);
-                measure::zone_lists(n, plays).iter().for_each(|line| println!("{line}"));
-            }
+            measure_coordination(&nodes, plays);
             Ok(())
         }
         Command::Play { plan, node, times, paired, views } => {
-            runtime(plays(plan, node, times, paired, views))
+            block_on(play_plan(plan, node, times, paired, views))
         }
-        Command::Scale(arguments) => scale::run(&arguments, &ALLOCATOR).map_err(|e| e.to_string()),
+        Command::Scale(arguments) => Ok(scale::run(&arguments, &ALLOCATOR)?),
         Command::Soak { node, seed, times, nodes, workers, seconds, quiet, requests, troubles, verbose } => {
             let options = soak::Options {
                 binary: node,
                 nodes,
                 workers,
-                load_duration: std::time::Duration::from_secs_f64(seconds),
-                fault_free: std::time::Duration::from_secs_f64(quiet),
+                load_duration: Duration::from_secs_f64(seconds),
+                fault_free: Duration::from_secs_f64(quiet),
                 requests_per_second: requests,
                 faults_per_second: troubles,
                 seed,
                 verbose,
             };
-            runtime(soaks(options, times))
+            block_on(run_soaks(options, times))
         }
-        Command::Idle { node, nodes, plays } => runtime(async move {
-            println!("{}", measure::real(&node, nodes, plays).await.map_err(|e| e.to_string())?);
+        Command::Idle { node, nodes, plays } => block_on(async move {
+            println!("{}", measure::real_membership(&node, nodes, plays).await?);
             Ok(())
         }),
-    };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("testbed: {}", message.replace('\n', " "));
-            ExitCode::from(2)
-        }
     }
 }
 
-fn runtime(what: impl std::future::Future<Output = Result<(), String>>) -> Result<(), String> {
+fn block_on(task: impl Future<Output = Result<(), CommandError>>) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(what)
+    runtime.map_err(CommandError::Runtime)?.block_on(task)
 }
 
-async fn plays(
+fn measure_coordination(nodes: &[usize], plays: u64) {
+    measure::lease_vacancies(plays).iter().for_each(|line| println!("{line}"));
+    for nodes in nodes {
+        // Larger zones take longer, and differ less.
+        let plays = (plays * 10 / *nodes as u64).clamp(1, 20);
+        measure::list_broadcast(*nodes, plays).iter().for_each(|line| println!("{line}"));
+    }
+}
+
+async fn play_plan(
     path: PathBuf,
     node: PathBuf,
     times: u64,
     paired: bool,
     views: Option<PathBuf>,
-) -> Result<(), String> {
-    let mut told = String::new();
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let mut plan = Plan::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+) -> Result<(), CommandError> {
+    let mut history = String::new();
+    let mut plan = read_plan(&path)?;
     let first = plan.seed;
     for play in 0..times {
         plan.seed = first + play;
-        let ways: &[bool] = if paired { &[true, false] } else { &[plan.fleet] };
-        for fleet in ways {
+        let with_membership: &[bool] = if paired { &[true, false] } else { &[plan.fleet] };
+        for fleet in with_membership {
             plan.fleet = *fleet;
-            let outcome =
-                carry_out(&plan, &node, |line| println!("  {line}")).await.map_err(|e| e.to_string())?;
-            for (at, shown) in &outcome.history {
-                let line =
-                    serde_json::json!({"seed": plan.seed, "at_ms": at.as_millis() as u64, "nodes": shown});
-                told += &format!("{line}\n");
-            }
-            println!(
-                "seed {} {}: {}",
-                plan.seed,
-                if *fleet { "with the view" } else { "without it" },
-                line(&outcome)
-            );
+            let outcome = carry_out(&plan, &node, |line| println!("  {line}")).await?;
+            history += &history_lines(plan.seed, &outcome);
+            let view = if *fleet { "with the view" } else { "without it" };
+            println!("seed {} {view}: {}", plan.seed, summary(&outcome));
         }
     }
-    match views {
-        Some(path) => {
-            std::fs::write(&path, told).map_err(|e| format!("cannot write {}: {e}", path.display()))
-        }
-        None => Ok(()),
+    if let Some(path) = views {
+        std::fs::write(&path, history).map_err(|source| CommandError::WriteViews { path, source })?;
     }
+    Ok(())
+}
+
+fn read_plan(path: &Path) -> Result<Plan, CommandError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| CommandError::ReadPlan { path: path.to_path_buf(), source })?;
+    Plan::parse(&text).map_err(|source| CommandError::Plan { path: path.to_path_buf(), source })
 }
 
 /// Runs a soak for each seed; an error where any rule was broken.
-async fn soaks(options: soak::Options, times: u64) -> Result<(), String> {
+async fn run_soaks(options: soak::Options, seeds: u64) -> Result<(), CommandError> {
     let mut broken = 0;
-    for seed in options.seed..options.seed + times {
-        let report = soak::run(soak::Options { seed, ..options.clone() }).await.map_err(|e| e.to_string())?;
+    for seed in options.seed..options.seed + seeds {
+        let report = soak::run(soak::Options { seed, ..options.clone() }).await?;
         println!("seed {seed}: {} violations; {report}", report.violations.len());
         if !report.violations.is_empty() {
             println!("    logs in {}", report.log_folder.display());
@@ -214,18 +244,28 @@
         }
     }
     if broken > 0 {
-        return Err(format!("rules were broken with {broken} of {times} seeds"));
+        return Err(CommandError::RulesBroken { broken, seeds });
     }
     Ok(())
 }
 
-fn line(o: &Outcome) -> String {
-    let settled = match &o.settled {
+/// The status reports of a play, a line of JSON for each moment.
+fn history_lines(seed: u64, outcome: &Outcome) -> String {
+    let mut lines = String::new();
+    for (at, nodes) in &outcome.history {
+        let line = serde_json::json!({"seed": seed, "at_ms": at.as_millis() as u64, "nodes": nodes});
+        lines += &format!("{line}\n");
+    }
+    lines
+}
+
+fn summary(outcome: &Outcome) -> String {
+    let settled = match &outcome.settled {
         Ok(took) => format!("settled {took:.1?} after the load"),
         Err(wrong) => format!("NOT SETTLED: {}", wrong[0]),
     };
     format!(
         "{}; {} cold workers fell, pressure {:.2}; {} keys done twice; {settled}",
-        o.report, o.fell, o.pressure, o.twice
+        outcome.report, outcome.fell, outcome.pressure, outcome.twice
     )
 }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures the view: how long it takes to settle and what it costs.
+//! Measurements of membership and coordination: how long a change takes, and what it costs.
 
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// What one size of fleet showed.
+/// Measurements of a fleet of one size.
 #[derive(Clone, Debug)]
 pub struct Figures {
     nodes: usize,
@@ -54,20 +54,24 @@
 }
 
 fn figures(nodes: usize, plays: u64, way: &'static str) -> Figures {
-    let none = || Histogram::new(3).expect("three digits are allowed");
-    let (detected, all, joined) = (none(), none(), none());
+    let (detected, all, joined) = (histogram(), histogram(), histogram());
     Figures { nodes, plays, way, detected, all, joined, false_deaths: 0, messages: 0.0, bytes: 0.0, cpu: 0.0 }
 }
 
-/// A histogram without bounds takes every value.
-const NO_BOUND: &str = "a histogram without bounds";
+fn histogram() -> Histogram<u64> {
+    Histogram::new(3).expect("three digits are allowed")
+}
 
-fn ms(span: Duration) -> u64 {
-    span.as_millis() as u64
+/// Records a duration, in milliseconds.
+fn record(histogram: &mut Histogram<u64>, duration: Duration) {
+    histogram.record(duration.as_millis() as u64).expect("a histogram without bounds takes every value");
 }
 
-/// In emulated time, with the times that a node has by default.
-pub fn emulated(nodes: usize, plays: u64) -> Figures {
+/// Measures membership in emulated time, with the times that a node has by default.
+///
+/// # Panics
+/// Where the views do not become equal and true after a change.
+pub fn emulated_membership(nodes: usize, plays: u64) -> Figures {
     let mut figures = figures(nodes, plays, "emulated");
     let mut world = World::started(Spec { nodes, ..Spec::default() });
     world.run(Duration::from_secs(60));
@@ -94,13 +98,13 @@
         let Ok(all) = all else { panic!("the fleet does not settle: {all:?}") };
         let down = |n: &&(Duration, usize, MembershipEvent)| matches!(&n.2, MembershipEvent::Down(id) if id.name == name(victim));
         let first = world.events.iter().find(down).map_or(all, |n| n.0 - killed);
-        figures.detected.record(ms(first)).map_err(|e| e.to_string()).expect(NO_BOUND);
-        figures.all.record(ms(all)).map_err(|e| e.to_string()).expect(NO_BOUND);
+        record(&mut figures.detected, first);
+        record(&mut figures.all, all);
         world.start(victim);
         let truth = world.truth();
         let joined = world.until(Duration::from_secs(120), &truth);
         let Ok(joined) = joined else { panic!("the fleet does not settle: {joined:?}") };
-        figures.joined.record(ms(joined)).map_err(|e| e.to_string()).expect(NO_BOUND);
+        record(&mut figures.joined, joined);
         figures.false_deaths += world
             .events
             .iter()
@@ -110,8 +114,11 @@
     figures
 }
 
-/// With real processes that have nothing else to do.
-pub async fn real(binary: &Path, nodes: usize, plays: u64) -> io::Result<Figures> {
+/// Measures membership of real processes that have nothing else to do.
+///
+/// # Errors
+/// Where a process can't be started, or the views do not become equal and true in time.
+pub async fn real_membership(binary: &Path, nodes: usize, plays: u64) -> io::Result<Figures> {
     let mut figures = figures(nodes, plays, "real processes");
     // The times that a node has by default.
     let mut cluster =
@@ -143,11 +150,11 @@
         }
         let since = killed.elapsed();
         let all = since + cluster.settled(&truth, bound).await.map_err(fail)?;
-        figures.detected.record(ms(first.unwrap_or(all))).map_err(|e| e.to_string()).expect(NO_BOUND);
-        figures.all.record(ms(all)).map_err(|e| e.to_string()).expect(NO_BOUND);
+        record(&mut figures.detected, first.unwrap_or(all));
+        record(&mut figures.all, all);
         cluster.start_node(victim)?;
         let joined = cluster.settled(&Cluster::truth(0..nodes), bound).await.map_err(fail)?;
-        figures.joined.record(ms(joined)).map_err(|e| e.to_string()).expect(NO_BOUND);
+        record(&mut figures.joined, joined);
         let views = cluster.views().await;
         figures.false_deaths += views
             .values()
@@ -158,12 +165,15 @@
     Ok(figures)
 }
 
-/// How long nobody holds a duty, for each way in which its holder goes, and what holding costs: in emulated time, with the
-/// times that a node has by default.
-pub fn vacancies(plays: u64) -> Vec<String> {
+/// Measures how long nobody holds a lease, for each way in which its holder goes, and what holding it costs: in emulated
+/// time, with the times that a node has by default. Returns a line for each measurement.
+///
+/// # Panics
+/// Where nobody holds the lease in time.
+pub fn lease_vacancies(plays: u64) -> Vec<String> {
     let mut ways = Vec::new();
     for way in ["handed on", "killed", "cut off", "killed with the leader"] {
-        let mut spans = Histogram::<u64>::new(3).expect("three digits are allowed");
+        let mut spans = histogram();
         for seed in 0..plays {
             let spec =
                 emulated::Spec { timing: ::coordination::Timing::default(), ..emulated::Spec::new(seed) };
@@ -188,7 +198,7 @@
             while world.holder().is_none_or(|(_, t)| t == token) {
                 world.run(Duration::from_millis(2));
             }
-            spans.record(ms(world.now() - start)).map_err(|e| e.to_string()).expect(NO_BOUND);
+            record(&mut spans, world.now() - start);
         }
         let span = |v: u64| v as f64 / 1e3;
         ways.push(format!(
@@ -211,20 +221,24 @@
     ways
 }
 
-/// Calls for lists and how long a change takes to the last node, for each size of a zone.
-pub fn zone_lists(nodes: usize, plays: u64) -> Vec<String> {
+/// Measures the calls to discovery and how long a change takes to the last node of a zone. Returns a line for each way in
+/// which its nodes know the list.
+///
+/// # Panics
+/// Where a node is behind by more than the last change at the end.
+pub fn list_broadcast(nodes: usize, plays: u64) -> Vec<String> {
     let mut told = Vec::new();
     for (shared, killed, loss) in
         [(false, false, 0.0), (true, false, 0.0), (true, false, 0.1), (true, true, 0.0)]
     {
         let (mut calls, mut words, mut most) = (0, 0, 0.0_f64);
-        let mut spans = Histogram::<u64>::new(3).expect("three digits are allowed");
+        let mut spans = histogram();
         for seed in 0..plays {
             let outcome = lists::run(lists::Spec { nodes, shared, holder_killed: killed, loss, seed });
             (calls, words) = (calls + outcome.calls, words + outcome.messages);
             most = most.max(outcome.most);
             for span in outcome.last_ms {
-                spans.record(span).map_err(|e| e.to_string()).expect(NO_BOUND);
+                record(&mut spans, Duration::from_millis(span));
             }
         }
         let way = match (shared, killed) {
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,6 +1,6 @@
 //! Fault plans: faults injected into nodes at given times, from a TOML file, and the outcome of running one.
 
-use crate::check::{Fault, Truth};
+use crate::check::Fault;
 use crate::cluster::{Cluster, CoordinationSpec, Spec, NODES_MAX, TENANTS};
 use crate::fault_proxy::LinkRule;
 use crate::load::{play, Load, Report};
@@ -14,29 +14,29 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use toml::Spanned;
 
-/// A plan.
+/// A plan: the cluster, its load, and the faults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// For all that is drawn.
+    /// Seed of all that is drawn.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Whether they talk.
+    /// Whether they are members of one fleet.
     #[serde(default = "yes")]
     pub fleet: bool,
-    /// Whether they have duties, where they talk: three voters, and one node of each zone that follows discovery.
+    /// Whether members coordinate: three voters, and one node of each zone that follows discovery.
     #[serde(default)]
     pub duties: bool,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
     /// Jobs a second.
     pub rate: f64,
-    /// Jobs a second that each of the two tenants may send.
+    /// Quota of each of the two tenants, in jobs a second.
     pub quota: f64,
-    /// For how long the load is played.
+    /// Duration of the load, in seconds.
     pub length_s: f64,
-    /// Between two probes of a node.
+    /// Probe interval of membership, in milliseconds.
     #[serde(default = "probe")]
     pub probe_ms: u64,
     /// Faults.
@@ -99,8 +99,18 @@
     Workers,
 }
 
-/// Between two looks at what all nodes tell.
-const WATCH: Duration = Duration::from_millis(500);
+/// Interval between two status reports of a node.
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for the views to become equal and true.
+const SETTLE_LIMIT: Duration = Duration::from_secs(30);
+/// Time that nodes without membership have to start.
+const START_TIME: Duration = Duration::from_secs(2);
+/// Number of voters of a plan with duties.
+const VOTERS: usize = 3;
+/// Duration of a lease, in milliseconds.
+const LEASE_MS: u64 = 2500;
+/// Least probe interval, in milliseconds.
+const PROBE_MIN_MS: u64 = 100;
 
 /// Error in a plan: the line, from 1, and the reason.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -130,14 +140,14 @@
             reason: e.message().trim().replace('\n', " "),
         })?;
         let bad = |at: usize, reason: &str| Err(PlanError { line: line(at), reason: reason.to_string() });
-        if plan.duties && plan.nodes < 3 {
+        if plan.duties && plan.nodes < VOTERS {
             return bad(0, "duties want 3 nodes at least, for the voters");
         }
         if !(1..=NODES_MAX).contains(&plan.nodes) {
             return bad(0, &format!("nodes: 1 to {NODES_MAX} are allowed"));
         }
         let above = |x: f64| x.is_finite() && x > 0.0;
-        if !above(plan.rate) || !above(plan.quota) || !above(plan.length_s) || plan.probe_ms < 100 {
+        if !above(plan.rate) || !above(plan.quota) || !above(plan.length_s) || plan.probe_ms < PROBE_MIN_MS {
             return bad(0, "rate, quota and length_s must be above zero, and probe_ms 100 at least");
         }
         for step in &plan.fault {
@@ -157,102 +167,121 @@
     }
 }
 
-/// What came of a plan.
+/// Status reports of all nodes at some moments since the load's start.
+pub type History = Vec<(Duration, BTreeMap<String, Option<Status>>)>;
+
+/// Outcome of a plan.
 pub struct Outcome {
     /// How the jobs ended.
     pub report: Report,
     /// How long after the load's end the views of all that ran were equal and true, or what was wrong.
     pub settled: Result<Duration, Vec<Fault>>,
-    /// What each node told, each half second from the load's start on.
-    pub history: Vec<(Duration, BTreeMap<String, Option<Status>>)>,
-    /// Workers that fell over, and the most that came to one while it was cold, as a part of what makes it fall.
+    /// Status reports of the nodes each half second from the load's start on.
+    pub history: History,
+    /// Workers that failed under overload while they were warming up.
     pub fell: usize,
-    /// The same.
+    /// Largest load of a worker that was warming up, as a share of what makes it fail.
     pub pressure: f64,
-    /// Keys that were done more than once.
+    /// Idempotency keys that were done more than once.
     pub twice: usize,
 }
 
-/// Carries a plan out with this program; `say` hears of each step.
-pub async fn carry_out(plan: &Plan, binary: &Path, say: impl Fn(&str)) -> io::Result<Outcome> {
-    let duties = CoordinationSpec {
-        voters: 3,
-        lease_ms: 2500,
-        lists: true,
-        rolling_restart: false,
-        scheduled_calls: Vec::new(),
-    };
-    let spec = Spec {
-        fleet: plan.fleet,
-        coordination: plan.duties.then_some(duties),
-        workers: plan.workers,
-        quota: plan.quota,
-        probe_ms: plan.probe_ms,
-        seed: plan.seed,
-        ..Spec::new(binary, plan.nodes)
-    };
-    let mut cluster = Cluster::start(spec).await?;
+/// Carries a plan out with this program; `report_step` is called with a line for each step.
+///
+/// # Errors
+/// Where the cluster can't be started, a process or worker can't be started, or the load fails.
+pub async fn carry_out(plan: &Plan, binary: &Path, report_step: impl Fn(&str)) -> io::Result<Outcome> {
+    let mut cluster = Cluster::start(plan.cluster_spec(binary)).await?;
     let mut running = vec![true; plan.nodes];
     if plan.fleet {
-        let all = cluster.settled(&Cluster::truth(0..plan.nodes), Duration::from_secs(30)).await;
-        say(&match &all {
+        let settled = cluster.settled(&Cluster::truth(0..plan.nodes), SETTLE_LIMIT).await;
+        report_step(&match &settled {
             Ok(took) => format!("the views of {} nodes are equal and true after {took:.1?}", plan.nodes),
             Err(wrong) => format!("the views did not settle: {}", wrong[0]),
         });
     } else {
-        sleep(Duration::from_secs(2)).await;
+        sleep(START_TIME).await;
     }
-    let load = Load {
-        rate: plan.rate,
-        length: Duration::from_secs_f64(plan.length_s),
-        seed: plan.seed,
-        tenants: TENANTS.map(String::from).to_vec(),
-    };
     let nodes = (0..plan.nodes).map(|i| cluster.listen(i)).collect();
-    let (start, load) = (Instant::now(), tokio::spawn(play(load, nodes)));
-    let mut steps: Vec<Step> = plan.fault.iter().map(|s| s.get_ref().clone()).collect();
+    let (start, load) = (Instant::now(), tokio::spawn(play(plan.load(), nodes)));
+    let mut steps: Vec<Step> = plan.fault.iter().map(|step| step.get_ref().clone()).collect();
     steps.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let mut history = Vec::new();
+    let mut history = History::new();
     for step in steps {
         watch(&cluster, start, Duration::from_secs_f64(step.at_s), &mut history).await;
-        do_step(&mut cluster, &mut running, &step).await?;
-        say(&format!("{:5.1} s: {:?} {:?}", step.at_s, step.kind, step.nodes));
+        carry_out_step(&mut cluster, &mut running, &step).await?;
+        report_step(&format!("{:5.1} s: {:?} {:?}", step.at_s, step.kind, step.nodes));
     }
     watch(&cluster, start, Duration::from_secs_f64(plan.length_s), &mut history).await;
     let report = load.await.map_err(io::Error::other)?;
-    let truth: Truth = Cluster::truth((0..plan.nodes).filter(|i| running[*i]));
+    let expected = Cluster::truth((0..plan.nodes).filter(|i| running[*i]));
     let settled = match plan.fleet {
-        true => cluster.settled(&truth, Duration::from_secs(30)).await,
+        true => cluster.settled(&expected, SETTLE_LIMIT).await,
         false => Ok(Duration::ZERO),
     };
-    let seen: Vec<_> = cluster.workers.iter().flatten().map(|(w, _)| w.seen()).collect();
+    Ok(outcome(&cluster, report, settled, history))
+}
+
+/// Adds what the workers have recorded.
+fn outcome(
+    cluster: &Cluster,
+    report: Report,
+    settled: Result<Duration, Vec<Fault>>,
+    history: History,
+) -> Outcome {
+    let seen: Vec<_> = cluster.workers.iter().flatten().map(|(worker, _)| worker.seen()).collect();
     let mut keys: BTreeMap<&String, u32> = BTreeMap::new();
-    seen.iter().flat_map(|s| &s.keys).for_each(|(key, n)| *keys.entry(key).or_default() += n);
-    Ok(Outcome {
+    seen.iter().flat_map(|seen| &seen.keys).for_each(|(key, n)| *keys.entry(key).or_default() += n);
+    Outcome {
         report,
         settled,
         history,
-        fell: seen.iter().filter(|s| s.fell).count(),
-        pressure: seen.iter().map(|s| s.pressure).fold(0.0, f64::max),
+        fell: seen.iter().filter(|seen| seen.fell).count(),
+        pressure: seen.iter().map(|seen| seen.pressure).fold(0.0, f64::max),
         twice: keys.values().filter(|n| **n > 1).count(),
-    })
+    }
 }
 
-/// Notes what each node tells, each half second until this time.
-async fn watch(
-    cluster: &Cluster,
-    start: Instant,
-    until: Duration,
-    history: &mut Vec<(Duration, BTreeMap<String, Option<Status>>)>,
-) {
-    while cluster.spec.fleet && start.elapsed() + WATCH < until {
+impl Plan {
+    fn cluster_spec(&self, binary: &Path) -> Spec {
+        let coordination = CoordinationSpec {
+            voters: VOTERS,
+            lease_ms: LEASE_MS,
+            lists: true,
+            rolling_restart: false,
+            scheduled_calls: Vec::new(),
+        };
+        Spec {
+            fleet: self.fleet,
+            coordination: self.duties.then_some(coordination),
+            workers: self.workers,
+            quota: self.quota,
+            probe_ms: self.probe_ms,
+            seed: self.seed,
+            ..Spec::new(binary, self.nodes)
+        }
+    }
+
+    fn load(&self) -> Load {
+        Load {
+            rate: self.rate,
+            length: Duration::from_secs_f64(self.length_s),
+            seed: self.seed,
+            tenants: TENANTS.map(String::from).to_vec(),
+        }
+    }
+}
+
+/// Records the status reports each half second until this time.
+async fn watch(cluster: &Cluster, start: Instant, until: Duration, history: &mut History) {
+    while cluster.spec.fleet && start.elapsed() + STATUS_INTERVAL < until {
         history.push((start.elapsed(), cluster.statuses().await));
-        sleep(WATCH).await;
+        sleep(STATUS_INTERVAL).await;
     }
     sleep_until(start + until).await;
 }
 
-async fn do_step(cluster: &mut Cluster, running: &mut [bool], step: &Step) -> io::Result<()> {
+async fn carry_out_step(cluster: &mut Cluster, running: &mut [bool], step: &Step) -> io::Result<()> {
     for i in step.nodes.iter().copied() {
         match step.kind {
             FaultKind::Kill => cluster.kill(i),
