--- a/node/tests/golden/record.rs
+++ b/node/tests/golden/node/record.rs
@@ -4,7 +4,7 @@
 
 /// Compares a text with the recorded file of this name and prints the first line that differs.
 pub fn check(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/node").join(name);
     if std::env::var_os("GOLDEN_RECORD").is_some() {
         std::fs::write(&path, text).unwrap();
         return;
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -3,11 +3,11 @@
 //! files that come with it. `GOLDEN_RECORD=1` records anew.
 
 mod common;
-#[path = "golden/process.rs"]
+#[path = "golden/node/process.rs"]
 mod process;
-#[path = "golden/record.rs"]
+#[path = "golden/node/record.rs"]
 mod record;
-#[path = "golden/rendering.rs"]
+#[path = "golden/node/rendering.rs"]
 mod rendering;
 
 use common::deployments;
@@ -423,7 +423,7 @@
     write!(all, "== once it is told what is held\n{}", link.line().await).unwrap();
     link.send(&[to_client.as_fd(), to_worker.as_fd()]).await;
     drop((to_client, to_worker));
-    let job = include_str!("golden/job.json").replace("NODE", &own);
+    let job = include_str!("golden/node/job.json").replace("NODE", &own);
     link.say(&job).await;
     write!(all, "== once it has a job\n{}", link.line().await).unwrap();
     link.say("H{\"descriptors\":2,\"bodies_kib\":0}\n").await;
