--- a/node/src/acceptor.rs
+++ b/node/src/acceptor.rs
@@ -1,6 +1,6 @@
 //! Accepts connections, whatever `accept` says for a moment, and tells how long each may have waited in the backlog.
 
-use crate::transient::{self, Again, REPEATS_AT_ONCE};
+use crate::transient::{self, Retry, IMMEDIATE_RETRIES};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
@@ -37,7 +37,7 @@
 
 impl Acceptor {
     /// Nobody looks at the backlog from now on until the next call.
-    pub fn looks_away(&mut self) {
+    pub fn backlog_unwatched(&mut self) {
         self.unseen_since.get_or_insert_with(Instant::now);
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// The next connection that lies in the backlog already.
-    pub async fn next_waiting(&mut self, listener: &TcpListener) -> Option<Accepted> {
+    pub async fn next_in_backlog(&mut self, listener: &TcpListener) -> Option<Accepted> {
         let started = Instant::now();
         loop {
             // With no wait: the poller is asked all the same.
@@ -78,15 +78,16 @@
                 Poll::Ready(Ok((socket, _))) => {
                     let waited = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
                     self.failures = 0;
-                    self.looks_away();
+                    self.backlog_unwatched();
                     return Poll::Ready(Accepted { socket, waited });
                 }
                 Poll::Ready(Err(e)) => {
                     log::debug!("cannot accept: {e}");
-                    self.looks_away();
+                    self.backlog_unwatched();
                     self.failures += 1;
                     // Guards against a spin where no descriptor is left: the connection stays in the backlog.
-                    if transient::of_accept(&e) == Again::Soon || self.failures >= REPEATS_AT_ONCE {
+                    if transient::accept_retry(&e) == Retry::AfterPause || self.failures >= IMMEDIATE_RETRIES
+                    {
                         log::warn!("cannot accept: {e}");
                         self.failures = 0;
                         self.pause = Some(Box::pin(sleep(PAUSE)));
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,10 +1,10 @@
 //! What a node is told at its start and when it is to read that again: environment, JSON configuration and an
 //! operator's file.
 
+use crate::endpoint_list::EndpointList;
 use crate::faktory::FaktoryConfig;
-use crate::list::ListBody;
 use crate::names::read_settings;
-use crate::retune::Tuning;
+use crate::settings_merge::EffectiveSettings;
 use membership::file::FleetFile;
 use membership::keys::Keys;
 use membership::NAME_MAX;
@@ -27,7 +27,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<ListBody>,
+    known: Option<EndpointList>,
     peer_listen: Option<String>,
     #[serde(default)]
     peers: Vec<String>,
@@ -66,20 +66,20 @@
     /// What it may use.
     pub limits: Limits,
     /// The workers as last known.
-    pub known: Option<ListBody>,
+    pub known: Option<EndpointList>,
     /// Where the platform's other nodes send their datagrams; none come if not set.
     pub peer_listen: Option<SocketAddr>,
     /// Where they are reached, by number, and come from.
     pub peers: Vec<SocketAddr>,
     /// The module's settings, and what the wires need beside them.
-    pub tuning: Tuning,
+    pub effective_settings: EffectiveSettings,
     /// All that it was read from, less what is for starts only.
     pub text: Value,
 }
 
 impl Config {
     /// What differs from a newer one and holds until a restart. (`known` and `seed` are for starts only.)
-    fn lasting(&self, newer: &Config) -> Vec<&'static str> {
+    fn restart_required(&self, newer: &Config) -> Vec<&'static str> {
         [
             ("name", self.name != newer.name),
             ("listen", self.listen != newer.listen),
@@ -95,18 +95,18 @@
 
 /// All that the fronts are told; one that is off has nothing.
 #[derive(Clone)]
-pub struct Told {
+pub struct LoadedConfig {
     /// The platform's front.
     pub config: Option<Config>,
     /// The Faktory front.
     pub operator: Option<FaktoryConfig>,
     /// The talk between nodes.
-    pub fleet: Option<Talk>,
+    pub fleet: Option<MembershipConfig>,
 }
 
 /// What lets a node talk to others.
 #[derive(Clone, PartialEq)]
-pub struct Talk {
+pub struct MembershipConfig {
     /// The operator's file.
     pub file: FleetFile,
     /// The keys that it names.
@@ -115,23 +115,26 @@
     pub folder: PathBuf,
 }
 
-impl Talk {
-    fn read(path: &Path, text: impl Fn(&PathBuf) -> Result<String, String>) -> Result<Talk, String> {
+impl MembershipConfig {
+    fn read(
+        path: &Path,
+        text: impl Fn(&PathBuf) -> Result<String, String>,
+    ) -> Result<MembershipConfig, String> {
         let file =
             FleetFile::parse(&text(&path.to_path_buf())?).map_err(|e| format!("{}: {e}", path.display()))?;
         // A relative name is meant from where the file stands, wherever the node was started.
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         let at = folder.join(&file.key_file);
         let keys = Keys::parse(&text(&at)?).map_err(|e| format!("{}: {e}", at.display()))?;
-        Ok(Talk { file, keys, folder })
+        Ok(MembershipConfig { file, keys, folder })
     }
 }
 
-impl Told {
+impl LoadedConfig {
     /// What differs from a newer one and holds until a restart.
-    pub fn lasting(&self, newer: &Told) -> Vec<&'static str> {
+    pub fn restart_required(&self, newer: &LoadedConfig) -> Vec<&'static str> {
         let mut all = match (&self.config, &newer.config) {
-            (Some(old), Some(new)) => old.lasting(new),
+            (Some(old), Some(new)) => old.restart_required(new),
             _ => Vec::new(),
         };
         if self.operator != newer.operator {
@@ -145,7 +148,7 @@
 }
 
 /// Where a node's configuration stands: it can be read again from there.
-pub struct Sources {
+pub struct ConfigSources {
     /// The platform's JSON file.
     pub config: Option<PathBuf>,
     /// The operator's file of the Faktory front.
@@ -154,9 +157,9 @@
     pub fleet: Option<PathBuf>,
 }
 
-impl Sources {
+impl ConfigSources {
     /// From the command line's files and the environment.
-    pub fn new(operator: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<Sources, String> {
+    pub fn new(operator: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<ConfigSources, String> {
         let config = variable("RELAY_CONFIG").map(PathBuf::from);
         // Without a platform configuration, the second front may run alone.
         if config.is_none() && operator.is_none() {
@@ -165,20 +168,20 @@
         if config.is_none() && fleet.is_some() {
             return Err("--fleet: RELAY_CONFIG is not set, so the node has no name".to_string());
         }
-        Ok(Sources { config, operator, fleet })
+        Ok(ConfigSources { config, operator, fleet })
     }
 
     /// Reads all of it for the start: variables, where set, come before the platform's file.
-    pub fn read(&self) -> Result<Told, String> {
+    pub fn read(&self) -> Result<LoadedConfig, String> {
         self.read_with(variable)
     }
 
     /// Reads all of it again: the file's discovery now holds, also against the environment.
-    pub fn read_again(&self) -> Result<Told, String> {
+    pub fn read_again(&self) -> Result<LoadedConfig, String> {
         self.read_with(|name| variable(name).filter(|_| name != "RELAY_DISCOVERY"))
     }
 
-    fn read_with(&self, var: impl Fn(&str) -> Option<String>) -> Result<Told, String> {
+    fn read_with(&self, var: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, String> {
         let text = |path: &PathBuf| {
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))
         };
@@ -198,13 +201,13 @@
                 .ok_or("operator's file: connections leave the platform too few sockets")?;
         }
         let fleet = match &self.fleet {
-            Some(path) => Some(Talk::read(path, text)?),
+            Some(path) => Some(MembershipConfig::read(path, text)?),
             None => None,
         };
         if fleet.is_some() && config.as_ref().is_some_and(|c| c.name.is_empty() || c.name.len() > NAME_MAX) {
             return Err(format!("--fleet: the node needs a name of 1 to {NAME_MAX} bytes"));
         }
-        Ok(Told { config, operator, fleet })
+        Ok(LoadedConfig { config, operator, fleet })
     }
 }
 
@@ -229,13 +232,14 @@
     let peers = raw.peers.iter().map(place).collect::<Result<_, _>>()?;
     let (settings, names) = read_settings(&raw.settings)?;
     Ok(Config {
-        tuning: Tuning { settings, names },
+        effective_settings: EffectiveSettings { settings, names },
         text,
         listen: address("RELAY_LISTEN", raw.listen)?,
         discovery: address("RELAY_DISCOVERY", raw.discovery)?,
         management: optional("RELAY_MANAGEMENT", raw.management)?,
         name: var("RELAY_NAME").unwrap_or(raw.name),
-        seed: u64::from_str_radix(&raw.seed, 16).unwrap_or_else(|_| crate::dispatcher::number_of(&raw.seed)),
+        seed: u64::from_str_radix(&raw.seed, 16)
+            .unwrap_or_else(|_| crate::dispatcher::stable_hash(&raw.seed)),
         limits: raw.limits,
         known: raw.known,
         peer_listen: optional("peer_listen", raw.peer_listen)?,
--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -28,7 +28,7 @@
         let now = boottime();
         let process_id = self.dependencies.fleet.process_id();
         let is_own = |peer: &Peer| peer.name == self.dependencies.name && peer.process_id == process_id;
-        let is_serving = self.phase.up() && peers.iter().any(is_own);
+        let is_serving = self.phase.is_serving() && peers.iter().any(is_own);
         let all: Vec<&Peer> = peers.iter().collect();
         let zone: Vec<&Peer> = peers.iter().filter(|peer| peer.zone == self.dependencies.zone).collect();
         if let Some(list_delivery) = &mut self.dependencies.list_delivery {
--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -5,7 +5,7 @@
 use super::message::NodeMessage;
 use super::status::ListBroadcastStatus;
 use super::task::Task;
-use crate::list::{ListBody, Member};
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::platform::ListSharing;
 use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
 use ::membership::{name_hash, Peer};
@@ -31,9 +31,9 @@
     /// Whether discovery is watched from here.
     watches: watch::Sender<bool>,
     /// Lists of the holder, for the watch.
-    deliver: mpsc::Sender<ListBody>,
+    deliver: mpsc::Sender<EndpointList>,
     /// Lists that discovery told here; the task takes the receiver.
-    published: Option<mpsc::Receiver<ListBody>>,
+    published: Option<mpsc::Receiver<EndpointList>>,
     /// Set by the watch while discovery can't be reached.
     unreachable: Arc<AtomicBool>,
     unreachable_since: Option<Duration>,
@@ -42,7 +42,9 @@
 }
 
 /// Returns the next list that discovery tells; never if lists are not shared.
-pub(super) async fn next_published(published: &mut Option<mpsc::Receiver<ListBody>>) -> Option<ListBody> {
+pub(super) async fn next_published(
+    published: &mut Option<mpsc::Receiver<EndpointList>>,
+) -> Option<EndpointList> {
     match published {
         Some(published) => published.recv().await,
         None => std::future::pending().await,
@@ -88,7 +90,7 @@
     }
 
     /// Takes the receiver of what discovery tells.
-    pub(super) fn take_published(&mut self) -> Option<mpsc::Receiver<ListBody>> {
+    pub(super) fn take_published(&mut self) -> Option<mpsc::Receiver<EndpointList>> {
         self.published.take()
     }
 
@@ -114,9 +116,9 @@
     }
 
     /// Publishes a list that discovery told this node.
-    pub(super) fn publish(&mut self, now: Duration, list: &ListBody, may_act: bool) {
+    pub(super) fn publish(&mut self, now: Duration, list: &EndpointList, may_act: bool) {
         self.update_source();
-        let entry = |member: &Member| {
+        let entry = |member: &EndpointRecord| {
             let bytes = serde_json::to_vec(member).ok()?;
             Some(Entry { key: member.id().to_string(), removed: member.is_gone(), bytes })
         };
@@ -177,13 +179,13 @@
 
     /// Delivers a list of the holder to the watch.
     fn deliver(&self, delta: &ListDelta) {
-        let members: Vec<Member> =
+        let members: Vec<EndpointRecord> =
             delta.entries.iter().filter_map(|entry| serde_json::from_slice(&entry.bytes).ok()).collect();
         let unreadable = delta.entries.len() - members.len();
         if unreadable > 0 {
             log::warn!(event = "list_entries_unreadable", count = unreadable; "list entries can't be decoded");
         }
-        let list = ListBody { revision: delta.version, complete: delta.complete, members };
+        let list = EndpointList { revision: delta.version, complete: delta.complete, members };
         if self.deliver.try_send(list).is_err() {
             // The watch is behind: it has to hear all of it from discovery.
             self.watches.send_replace(true);
--- a/node/src/coordination/print.rs
+++ b/node/src/coordination/print.rs
@@ -1,7 +1,7 @@
 //! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: ask a node's management address and print the answer.
 
 use super::status::Status;
-use crate::ask::ask;
+use crate::operator_client::call;
 use ::coordination::{ChangeKind, ClusterStatus, LeaseTable, RestartProgress, VoterState};
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
@@ -44,7 +44,7 @@
 ///
 /// [`PrintError`] if the node does not answer, or not with a status.
 pub async fn print_status(address: SocketAddr, json: bool) -> Result<String, PrintError> {
-    let call = ask(address, Method::GET, "/fleet/duties").await;
+    let call = call(address, Method::GET, "/fleet/duties").await;
     let (status, body) = call.map_err(|e| PrintError::Unreachable(e.to_string()))?;
     if status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
@@ -64,7 +64,7 @@
 ///
 /// [`PrintError`] if the node does not answer or rejects the command.
 pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, PrintError> {
-    let call = ask(address, Method::POST, path).await;
+    let call = call(address, Method::POST, path).await;
     let (status, body) = call.map_err(|e| PrintError::Unreachable(e.to_string()))?;
     let answer = String::from_utf8_lossy(&body).trim().to_string();
     match status {
--- a/node/src/coordination/task.rs
+++ b/node/src/coordination/task.rs
@@ -10,7 +10,7 @@
 use super::store_folder::OpenError;
 use super::voter_host::VoterHost;
 use super::Dependencies;
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use crate::phase::Phase;
 use ::coordination::{Client, Message, Store, StoreContents, StoreError, Timing};
 use ::membership::Peer;
@@ -156,7 +156,7 @@
         }
     }
 
-    fn publish_list(&mut self, list: &ListBody) {
+    fn publish_list(&mut self, list: &EndpointList) {
         let (now, may_act) = (boottime(), self.may_publish_lists());
         self.with_lists(|lists| lists.publish(now, list, may_act));
     }
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -1,5 +1,5 @@
 //! The core. One task owns the decision module, the clock, the timers and the table of requests; fronts
-//! reach it through a queue only. It knows no wire: events come in, actions go out through [`Front`].
+//! reach it through a queue only. It knows no wire: events come in, actions go out through [`Frontend`].
 
 use crate::counters::Counters;
 use crate::invariants::Invariant;
@@ -18,13 +18,13 @@
 use tokio::time::{sleep_until, Instant};
 
 /// The number of a named thing, such as a worker: the same at every node.
-pub fn number_of(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     membership::name_hash(name)
 }
 
 /// One attempt at one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Tag {
+pub struct AttemptId {
     /// The request, by the core's own number.
     pub id: RequestId,
     /// Which of its attempts, from 0 on.
@@ -44,7 +44,7 @@
 
 /// When an attempt went out, and to whom.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
+pub struct AttemptStart {
     /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
@@ -56,14 +56,14 @@
 }
 
 /// What carries the core's decisions out on a wire. It decides nothing.
-pub trait Front: Send + 'static {
+pub trait Frontend: Send + 'static {
     /// What came in and the way back to who asked.
     type Job: Send + 'static;
     /// The hold on an attempt that is out.
     type Attempt: Send + 'static;
 
     /// Starts an attempt. Exactly one [`Handle::ended`] follows for this tag, whatever happens.
-    fn send(&mut self, tag: Tag, job: &Self::Job, worker: WorkerId, until: Instant) -> Self::Attempt;
+    fn send(&mut self, tag: AttemptId, job: &Self::Job, worker: WorkerId, until: Instant) -> Self::Attempt;
     /// Whether somebody still waits for this job, as far as can be told now.
     fn is_awaited(&self, _job: &Self::Job) -> bool {
         true
@@ -75,45 +75,52 @@
     /// Gives the one final answer.
     fn answer(&mut self, job: Self::Job, answer: Answer);
     /// The request is taken, and was not answered at once.
-    fn taken(&mut self, _job: &Self::Job) {}
+    fn accepted(&mut self, _job: &Self::Job) {}
     /// Takes a running job up for another process, if all of it can move: here nothing more happens to it until
-    /// [`Handle::moved`] says that it is gone, or it is let go.
-    fn lift(&mut self, _tag: Tag, _sent: &Sent, _job: &Self::Job, _hold: &Self::Attempt) {}
+    /// [`Handle::transferred`] says that it is gone, or it is let go.
+    fn freeze_for_transfer(
+        &mut self,
+        _tag: AttemptId,
+        _sent: &AttemptStart,
+        _job: &Self::Job,
+        _hold: &Self::Attempt,
+    ) {
+    }
     /// Closes idle connections to a worker.
-    fn release(&mut self, _worker: WorkerId) {}
+    fn close_idle(&mut self, _worker: WorkerId) {}
     /// Asks for the worker list again.
-    fn watch(&mut self) {}
+    fn refresh_endpoints(&mut self) {}
     /// Asks a worker for its load, where this front can: exactly one [`Handle::probed`] follows then, whatever happens.
     fn probe(&mut self, _worker: WorkerId) -> bool {
         false
     }
     /// Tells another node, by its number, the rates of tenants here.
-    fn tell(&mut self, _to: u32, _rates: &[u8]) {}
+    fn send_to_peer(&mut self, _to: u32, _rates: &[u8]) {}
 }
 
 /// What reaches the core.
-enum Input<J> {
+enum DispatcherEvent<J> {
     Accept(Request, J),
     Left(RequestId),
-    Taken(Tag),
-    Started(Tag),
-    Progress(Tag, f64),
-    Ended(Tag, Outcome, Option<LoadReport>, Bytes),
-    EndedBlameless(Tag, Outcome),
+    Taken(AttemptId),
+    Started(AttemptId),
+    Progress(AttemptId, f64),
+    Ended(AttemptId, Outcome, Option<LoadReport>, Bytes),
+    EndedBlameless(AttemptId, Outcome),
     List(Vec<Endpoint>, bool),
     ListFailed,
     Settings(Box<Settings>, Vec<Option<usize>>),
     Peer(u32, Vec<u8>),
     Probed(WorkerId, bool, Option<LoadReport>),
-    Adopt(Request, J, Sent),
+    Adopt(Request, J, AttemptStart),
     Lift(oneshot::Sender<()>),
-    Moved(Tag),
+    Moved(AttemptId),
 }
 
 /// The way into a core's queue. The queue is not bounded in itself: what can wait in it is bounded by the
 /// connections that a front accepts.
 pub struct Handle<J> {
-    queue: UnboundedSender<Input<J>>,
+    queue: UnboundedSender<DispatcherEvent<J>>,
     numbers: Arc<AtomicU64>,
 }
 
@@ -125,96 +132,96 @@
 
 impl<J> Handle<J> {
     /// Hands a request in; its `id` is set here and returned.
-    pub fn accept(&self, request: Request, job: J) -> RequestId {
+    pub fn submit(&self, request: Request, job: J) -> RequestId {
         let id = self.numbers.fetch_add(1, Ordering::Relaxed);
-        self.put(Input::Accept(Request { id, ..request }, job));
+        self.put(DispatcherEvent::Accept(Request { id, ..request }, job));
         id
     }
 
-    /// As [`Handle::accept`], a request that another process of this node has sent once: its attempt goes on here.
-    pub fn adopt(&self, request: Request, job: J, sent: Sent) -> RequestId {
+    /// As [`Handle::submit`], a request that another process of this node has sent once: its attempt goes on here.
+    pub fn resume(&self, request: Request, job: J, sent: AttemptStart) -> RequestId {
         let id = self.numbers.fetch_add(1, Ordering::Relaxed);
-        self.put(Input::Adopt(Request { id, ..request }, job, sent));
+        self.put(DispatcherEvent::Adopt(Request { id, ..request }, job, sent));
         id
     }
 
     /// Has the front take up all running jobs that can move to another process; returns once it has.
-    pub async fn lift(&self) {
+    pub async fn freeze_transferable(&self) {
         let (tell, done) = oneshot::channel();
-        self.put(Input::Lift(tell));
+        self.put(DispatcherEvent::Lift(tell));
         let _ = done.await; // fails where the core has ended: it has no jobs
     }
 
     /// Another process goes on with this attempt and its request.
-    pub fn moved(&self, tag: Tag) {
-        self.put(Input::Moved(tag));
+    pub fn transferred(&self, tag: AttemptId) {
+        self.put(DispatcherEvent::Moved(tag));
     }
 
     /// The client of this request has gone; after its answer this changes nothing.
-    pub fn left(&self, id: RequestId) {
-        self.put(Input::Left(id));
+    pub fn client_left(&self, id: RequestId) {
+        self.put(DispatcherEvent::Left(id));
     }
 
     /// The worker has taken the job, and may start it later.
-    pub fn taken(&self, tag: Tag) {
-        self.put(Input::Taken(tag));
+    pub fn acknowledged(&self, tag: AttemptId) {
+        self.put(DispatcherEvent::Taken(tag));
     }
 
     /// The worker has started the job.
-    pub fn started(&self, tag: Tag) {
-        self.put(Input::Started(tag));
+    pub fn started(&self, tag: AttemptId) {
+        self.put(DispatcherEvent::Started(tag));
     }
 
     /// This part of the job is done.
-    pub fn progress(&self, tag: Tag, done: f64) {
-        self.put(Input::Progress(tag, done));
+    pub fn progress(&self, tag: AttemptId, done: f64) {
+        self.put(DispatcherEvent::Progress(tag, done));
     }
 
     /// An attempt has ended, and with `Ok` this is its result.
-    pub fn ended(&self, tag: Tag, outcome: Outcome, report: Option<LoadReport>, result: Bytes) {
-        self.put(Input::Ended(tag, outcome, report, result));
+    pub fn ended(&self, tag: AttemptId, outcome: Outcome, report: Option<LoadReport>, result: Bytes) {
+        self.put(DispatcherEvent::Ended(tag, outcome, report, result));
     }
 
     /// An attempt has ended in a way that tells nothing of its worker: a connection that had served before broke with no
     /// word on this job, or this node could not open one.
-    pub fn ended_blameless(&self, tag: Tag, outcome: Outcome) {
-        self.put(Input::EndedBlameless(tag, outcome));
+    pub fn ended_blameless(&self, tag: AttemptId, outcome: Outcome) {
+        self.put(DispatcherEvent::EndedBlameless(tag, outcome));
     }
 
     /// News of the workers: all of them, or the changed lines.
-    pub fn list(&self, entries: Vec<Endpoint>, full: bool) {
-        self.put(Input::List(entries, full));
+    pub fn update_endpoints(&self, entries: Vec<Endpoint>, full: bool) {
+        self.put(DispatcherEvent::List(entries, full));
     }
 
     /// New settings, laid over those before: requests handed in from here on may be of a new class. `continues`
     /// tells of each class which one's run times its own are about like.
-    pub fn settings(&self, settings: Settings, continues: Vec<Option<usize>>) {
-        self.put(Input::Settings(Box::new(settings), continues));
+    pub fn update_settings(&self, settings: Settings, continues: Vec<Option<usize>>) {
+        self.put(DispatcherEvent::Settings(Box::new(settings), continues));
     }
 
     /// Another node, by its number, tells the rates of tenants there.
-    pub fn peer(&self, from: u32, rates: Vec<u8>) {
-        self.put(Input::Peer(from, rates));
+    pub fn peer_rates(&self, from: u32, rates: Vec<u8>) {
+        self.put(DispatcherEvent::Peer(from, rates));
     }
 
     /// A worker that was asked for its load has answered, or not in time.
     pub fn probed(&self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
-        self.put(Input::Probed(worker, ok, report));
+        self.put(DispatcherEvent::Probed(worker, ok, report));
     }
 
     /// The worker list could not be had.
-    pub fn list_failed(&self) {
-        self.put(Input::ListFailed);
+    pub fn endpoint_list_failed(&self) {
+        self.put(DispatcherEvent::ListFailed);
     }
 
-    fn put(&self, input: Input<J>) {
+    fn put(&self, input: DispatcherEvent<J>) {
         // Fails only once the core is gone, at the end of the process or a test: nobody is left to ask.
         let _ = self.queue.send(input);
     }
 }
 
 /// The other end of the queue, for [`Dispatcher::run`].
-pub struct Inbox<J>(UnboundedReceiver<Input<J>>);
+pub struct Inbox<J>(UnboundedReceiver<DispatcherEvent<J>>);
 
 /// A queue into a core.
 pub fn queue<J>() -> (Handle<J>, Inbox<J>) {
@@ -270,12 +277,12 @@
 }
 
 /// A request in the table: until it is answered and no attempt is out.
-struct Entry<F: Front> {
+struct Entry<F: Frontend> {
     job: Option<F::Job>, // until its answer
     until: Instant,
     sent: u32,
     most: u32, // attempts, by the settings that it came in under
-    last: Option<Sent>,
+    last: Option<AttemptStart>,
     rules: RepeatRules,
     may_have_run: Option<Instant>, // when the first attempt was sent of which that can be said
     out: Option<Option<F::Attempt>>, // an attempt is out; the inner hold is gone once it was told to stop
@@ -288,7 +295,7 @@
 }
 
 /// The core with its front.
-pub struct Dispatcher<F: Front> {
+pub struct Dispatcher<F: Frontend> {
     policy: Policy,
     settings: Settings,
     front: F,
@@ -300,7 +307,7 @@
     slow_start_overdrafts: u64, // of the module, as counted so far
 }
 
-impl<F: Front> Dispatcher<F> {
+impl<F: Frontend> Dispatcher<F> {
     /// A core that knows its settings and no worker yet.
     pub fn new(
         settings: Settings,
@@ -361,9 +368,9 @@
         }
     }
 
-    fn input(&mut self, input: Input<F::Job>) {
+    fn input(&mut self, input: DispatcherEvent<F::Job>) {
         match input {
-            Input::Accept(request, job) => {
+            DispatcherEvent::Accept(request, job) => {
                 self.counters.taken.add();
                 let until = Instant::now() + Duration::from_micros(request.time_left_us);
                 let entry = Entry {
@@ -380,10 +387,10 @@
                 self.due.insert((until, Due::Deadline(request.id)));
                 self.tell(Event::RequestReceived(request));
                 if let Some(job) = self.table.get(&request.id).and_then(|e| e.job.as_ref()) {
-                    self.front.taken(job);
+                    self.front.accepted(job);
                 }
             }
-            Input::Left(id) => {
+            DispatcherEvent::Left(id) => {
                 let left = self.table.get_mut(&id).filter(|e| e.job.is_some());
                 if let Some(entry) = left {
                     entry.job = None;
@@ -397,47 +404,53 @@
                     self.tidy(id);
                 }
             }
-            Input::Taken(tag) if self.is_out(tag) => {
+            DispatcherEvent::Taken(tag) if self.is_out(tag) => {
                 self.counters.acknowledged.add();
                 self.tell(Event::Acknowledged { id: tag.id, attempt: tag.attempt })
             }
-            Input::Started(tag) if self.is_out(tag) => {
+            DispatcherEvent::Started(tag) if self.is_out(tag) => {
                 if let Some(last) = self.table.get_mut(&tag.id).and_then(|e| e.last.as_mut()) {
                     last.started = last.started.or(Some(Instant::now()));
                 }
                 self.tell(Event::Started { id: tag.id, attempt: tag.attempt })
             }
-            Input::Progress(tag, done) if self.is_out(tag) => {
+            DispatcherEvent::Progress(tag, done) if self.is_out(tag) => {
                 self.tell(Event::Progress { id: tag.id, attempt: tag.attempt, done })
             }
-            Input::Taken(_) | Input::Started(_) | Input::Progress(..) => {}
-            Input::Ended(tag, outcome, report, result) => self.ended(tag, outcome, report, result, false),
-            Input::EndedBlameless(tag, outcome) => self.ended(tag, outcome, None, Bytes::new(), true),
-            Input::List(entries, full) => {
+            DispatcherEvent::Taken(_) | DispatcherEvent::Started(_) | DispatcherEvent::Progress(..) => {}
+            DispatcherEvent::Ended(tag, outcome, report, result) => {
+                self.ended(tag, outcome, report, result, false)
+            }
+            DispatcherEvent::EndedBlameless(tag, outcome) => {
+                self.ended(tag, outcome, None, Bytes::new(), true)
+            }
+            DispatcherEvent::List(entries, full) => {
                 self.tell(if full { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) });
             }
-            Input::ListFailed => self.tell(Event::EndpointWatchFailed),
-            Input::Peer(from, bytes) => self.tell(Event::PeerMessage { from, bytes }),
-            Input::Probed(worker, ok, report) => self.tell(Event::ProbeEnded { worker, ok, report }),
-            Input::Adopt(request, job, sent) => self.adopt(request, job, sent),
-            Input::Lift(done) => {
+            DispatcherEvent::ListFailed => self.tell(Event::EndpointWatchFailed),
+            DispatcherEvent::Peer(from, bytes) => self.tell(Event::PeerMessage { from, bytes }),
+            DispatcherEvent::Probed(worker, ok, report) => {
+                self.tell(Event::ProbeEnded { worker, ok, report })
+            }
+            DispatcherEvent::Adopt(request, job, sent) => self.adopt(request, job, sent),
+            DispatcherEvent::Lift(done) => {
                 self.lift();
                 let _ = done.send(()); // fails where nobody waits any more
             }
-            Input::Moved(tag) => self.moved(tag),
-            Input::Settings(settings, continues) => {
+            DispatcherEvent::Moved(tag) => self.moved(tag),
+            DispatcherEvent::Settings(settings, continues) => {
                 self.settings = (*settings).clone();
                 self.tell(Event::SettingsChanged { settings, continues });
             }
         }
     }
 
-    fn adopt(&mut self, request: Request, job: F::Job, sent: Sent) {
+    fn adopt(&mut self, request: Request, job: F::Job, sent: AttemptStart) {
         self.counters.transferred_in.add();
         self.counters.in_flight.set(self.counters.in_flight.get() + 1);
         let (id, started) = (request.id, sent.started);
         let ago = |at: Instant| at.elapsed().as_micros() as Micros;
-        let tag = Tag { id, attempt: 0 };
+        let tag = AttemptId { id, attempt: 0 };
         let out = Some(Some(self.front.send(tag, &job, sent.worker, sent.until)));
         let (until, most) = (sent.until, self.settings.max_attempts);
         let rules = RepeatRules::of(&self.settings, request.class);
@@ -457,11 +470,11 @@
             else {
                 continue;
             };
-            self.front.lift(Tag { id: *id, attempt: 0 }, sent, job, hold);
+            self.front.freeze_for_transfer(AttemptId { id: *id, attempt: 0 }, sent, job, hold);
         }
     }
 
-    fn moved(&mut self, tag: Tag) {
+    fn moved(&mut self, tag: AttemptId) {
         let Some(entry) = self.forget(tag.id) else { return };
         self.counters.transferred_out.add();
         if let Some(Some(hold)) = entry.out {
@@ -480,14 +493,14 @@
         }));
     }
 
-    fn is_out(&self, tag: Tag) -> bool {
+    fn is_out(&self, tag: AttemptId) -> bool {
         self.table.get(&tag.id).is_some_and(|e| e.out.is_some() && e.sent == tag.attempt + 1)
     }
 
     /// Guards against two outcomes of one attempt: the first one counts.
     fn ended(
         &mut self,
-        tag: Tag,
+        tag: AttemptId,
         outcome: Outcome,
         report: Option<LoadReport>,
         result: Bytes,
@@ -602,10 +615,10 @@
                 let at = Instant::now() + Duration::from_micros(after_us);
                 self.due.insert((at, Due::Timer));
             }
-            Action::WatchEndpoints => self.front.watch(),
-            Action::CloseIdleConnections { worker } => self.front.release(worker),
+            Action::WatchEndpoints => self.front.refresh_endpoints(),
+            Action::CloseIdleConnections { worker } => self.front.close_idle(worker),
             Action::Notify(trace) => say(&trace),
-            Action::SendPeerMessage { to, bytes } => self.front.tell(to, &bytes),
+            Action::SendPeerMessage { to, bytes } => self.front.send_to_peer(to, &bytes),
             Action::Probe { worker } => {
                 self.counters.probes.add();
                 // Guards jobs that wait for the answer: a front that can't ask is no answer.
@@ -645,10 +658,10 @@
         if !self.front.is_awaited(job) {
             return self.gone(id);
         }
-        let tag = Tag { id, attempt: entry.sent };
+        let tag = AttemptId { id, attempt: entry.sent };
         log::debug!(request = id, attempt = tag.attempt, worker:% = format_args!("{:016x}", worker.0); "sent");
         entry.sent += 1;
-        entry.last = Some(Sent { worker, at: Instant::now(), started: None, until: entry.until });
+        entry.last = Some(AttemptStart { worker, at: Instant::now(), started: None, until: entry.until });
         entry.out = Some(Some(self.front.send(tag, job, worker, entry.until)));
         self.counters.sent.add();
         self.counters.in_flight.set(self.counters.in_flight.get() + 1);
--- a/node/src/list.rs
+++ b/node/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The worker list, as discovery tells it and as configurations and upgrades carry it.
 
-use crate::dispatcher::number_of;
+use crate::dispatcher::stable_hash;
 use crate::names::Names;
 use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -9,18 +9,18 @@
 
 /// An answer of discovery.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct ListBody {
+pub struct EndpointList {
     /// The version of the list.
     pub revision: u64,
     /// Whether these are all workers, or the changed ones.
     pub complete: bool,
     /// The lines.
-    pub members: Vec<Member>,
+    pub members: Vec<EndpointRecord>,
 }
 
 /// A line of the worker list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Member {
+pub struct EndpointRecord {
     id: String,
     host_port: SocketAddr,
     locality: String,
@@ -46,9 +46,9 @@
     Terminated,
 }
 
-impl ListBody {
+impl EndpointList {
     /// Takes a newer list in: changed lines, or all of them. Who is gone has no line.
-    pub fn merge(&mut self, newer: &ListBody) {
+    pub fn merge(&mut self, newer: &EndpointList) {
         if newer.complete {
             self.members.clear();
         }
@@ -60,7 +60,7 @@
     }
 }
 
-impl Member {
+impl EndpointRecord {
     /// Its id.
     pub fn id(&self) -> &str {
         &self.id
@@ -68,7 +68,7 @@
 
     /// Where it listens.
     pub fn address(&self) -> (WorkerId, SocketAddr) {
-        (WorkerId(number_of(&self.id)), self.host_port)
+        (WorkerId(stable_hash(&self.id)), self.host_port)
     }
 
     /// Whether it says that the worker is gone.
@@ -85,7 +85,7 @@
     pub fn entry(&self, names: &Names) -> Endpoint {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|i| i as u8);
         Endpoint {
-            worker: WorkerId(number_of(&self.id)),
+            worker: WorkerId(stable_hash(&self.id)),
             kind: place(&names.kinds, &self.flavor).unwrap_or(0),
             zone: place(&names.zones, &self.locality).unwrap_or(u8::MAX),
             cell: self.cell,
--- a/node/src/faktory/leases/assignment.rs
+++ b/node/src/faktory/leases/assignment.rs
@@ -2,7 +2,7 @@
 
 use super::job::{Attempt, Job, JobNumber};
 use super::LeaseTable;
-use crate::dispatcher::Tag;
+use crate::dispatcher::AttemptId;
 use bytes::Bytes;
 use dispatch_policy::api::{Outcome, WorkerId};
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
     /// Bytes of the job, as pushed.
     pub payload: Bytes,
     /// Attempt that it is sent in.
-    pub attempt: Tag,
+    pub attempt: AttemptId,
     job: JobNumber,
 }
 
@@ -35,7 +35,7 @@
 impl LeaseTable {
     /// Offers a job to a worker, which gets it with a `FETCH` that waits or that comes within [`OFFER_TIMEOUT`]. Returns
     /// whether the offer waits.
-    pub fn offer(&mut self, attempt: Tag, number: JobNumber, worker: WorkerId) -> bool {
+    pub fn offer(&mut self, attempt: AttemptId, number: JobNumber, worker: WorkerId) -> bool {
         let worker_id = self.worker_names.get(&worker).cloned().unwrap_or_default();
         let job = self.jobs.get_mut(&number).filter(|job| !job.lost_by.contains(&worker_id));
         let worker = self.workers.get_mut(&worker_id).filter(|worker| !worker.draining);
@@ -76,7 +76,7 @@
 
     /// Ends an attempt before its worker does: an offer as never run, a lease with `outcome`. The worker's report comes
     /// too late then.
-    pub fn cancel(&mut self, number: JobNumber, attempt: Tag, outcome: Outcome) {
+    pub fn cancel(&mut self, number: JobNumber, attempt: AttemptId, outcome: Outcome) {
         let Some(job) = self.jobs.get(&number) else { return };
         if job.is_offered(attempt) {
             self.end_attempt(number, Outcome::Rejected);
@@ -86,7 +86,7 @@
     }
 
     /// Ends an offer that no `FETCH` has met in time.
-    pub fn expire_offer(&mut self, number: JobNumber, attempt: Tag) {
+    pub fn expire_offer(&mut self, number: JobNumber, attempt: AttemptId) {
         if self.jobs.get(&number).is_some_and(|job| job.is_offered(attempt)) {
             self.end_attempt(number, Outcome::Rejected);
         }
--- a/node/src/faktory/leases/job.rs
+++ b/node/src/faktory/leases/job.rs
@@ -1,7 +1,7 @@
 //! Jobs of the lease table: their progress from submission to the end, and the attempt that is out.
 
 use super::submission::PushOutcome;
-use crate::dispatcher::{Answer, Tag};
+use crate::dispatcher::{Answer, AttemptId};
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
@@ -46,9 +46,9 @@
     /// None is.
     None,
     /// It waits for a `FETCH` of a worker.
-    Offered(String, Tag),
+    Offered(String, AttemptId),
     /// A worker holds the lease.
-    Leased(String, Tag),
+    Leased(String, AttemptId),
 }
 
 /// A job.
@@ -85,12 +85,12 @@
     }
 
     /// Whether this attempt waits for a `FETCH`.
-    pub fn is_offered(&self, attempt: Tag) -> bool {
+    pub fn is_offered(&self, attempt: AttemptId) -> bool {
         matches!(&self.attempt, Attempt::Offered(_, other) if *other == attempt)
     }
 
     /// Whether a worker holds the lease of this attempt.
-    pub fn is_leased(&self, attempt: Tag) -> bool {
+    pub fn is_leased(&self, attempt: AttemptId) -> bool {
         matches!(&self.attempt, Attempt::Leased(_, other) if *other == attempt)
     }
 
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -147,7 +147,7 @@
         let time_left_us = deadline.as_micros() as u64;
         let request =
             Request { class, tenant, time_left_us, work_hint_us: cost_hint_us, ..Request::default() };
-        self.dispatcher.accept(request, number);
+        self.dispatcher.submit(request, number);
     }
 
     /// The job that this one is a duplicate of, if any.
--- a/node/src/faktory/leases/workers.rs
+++ b/node/src/faktory/leases/workers.rs
@@ -3,7 +3,7 @@
 use super::assignment::Delivery;
 use super::job::JobNumber;
 use super::LeaseTable;
-use crate::dispatcher::number_of;
+use crate::dispatcher::stable_hash;
 use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         worker.sessions += 1;
         worker.last_activity = Some(Instant::now());
         if worker.sessions == 1 {
-            self.worker_names.insert(WorkerId(number_of(worker_id)), worker_id.to_string());
+            self.worker_names.insert(WorkerId(stable_hash(worker_id)), worker_id.to_string());
             self.announce(worker_id, Availability::Ready);
         }
     }
@@ -68,7 +68,7 @@
             self.announce(worker_id, Availability::Gone);
             self.release(worker_id, true);
             self.workers.remove(worker_id);
-            self.worker_names.remove(&WorkerId(number_of(worker_id)));
+            self.worker_names.remove(&WorkerId(stable_hash(worker_id)));
         }
     }
 
@@ -128,8 +128,8 @@
     /// Reports the availability of a worker to the dispatcher.
     fn announce(&self, worker_id: &str, availability: Availability) {
         // A worker asks for each job itself, so it can't be overloaded by a push and needs no slow start.
-        let worker = WorkerId(number_of(worker_id));
+        let worker = WorkerId(stable_hash(worker_id));
         let entry = Endpoint { worker, kind: 0, zone: 0, cell: 0, availability, weight: 1.0, started_at: 0 };
-        self.dispatcher.list(vec![entry], false);
+        self.dispatcher.update_endpoints(vec![entry], false);
     }
 }
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -11,7 +11,7 @@
 use crate::names::read_settings;
 use crate::phase::Phase;
 use crate::platform::socket::Socket;
-use crate::transient::outlast;
+use crate::transient::retry_local_failures;
 use crate::START_WAIT;
 use dispatch_policy::api::{InvalidSettings, Settings};
 use serde_json::json;
@@ -83,7 +83,7 @@
 
     /// Whether the phase of the process is one in which new jobs are rejected.
     pub fn rejects_new_jobs(&self) -> bool {
-        self.phase.borrow().sends_away()
+        self.phase.borrow().closes_connections()
     }
 
     /// Draws the challenge of one session, if there is a password.
@@ -150,7 +150,7 @@
         let dispatcher =
             Dispatcher::new(settings, seed, transport, counters).map_err(Error::InvalidSettings)?;
         let dispatcher = tokio::spawn(dispatcher.run(inbox)).abort_handle();
-        handle.list(Vec::new(), true);
+        handle.update_endpoints(Vec::new(), true);
         Ok(Server { shared, dispatcher: Arc::new(dispatcher), longest_deadline })
     }
 
@@ -224,7 +224,7 @@
 ///
 /// Fails if it can't be bound.
 pub async fn listen(config: &FaktoryConfig) -> Result<TcpListener, Error> {
-    let listener = outlast(START_WAIT, || TcpListener::bind(config.listen)).await;
+    let listener = retry_local_failures(START_WAIT, || TcpListener::bind(config.listen)).await;
     listener.map_err(|source| Error::Listen { address: config.listen, source })
 }
 
--- a/node/src/faktory/transport.rs
+++ b/node/src/faktory/transport.rs
@@ -2,7 +2,7 @@
 
 use super::leases::{JobNumber, OFFER_TIMEOUT};
 use super::server::Shared;
-use crate::dispatcher::{Answer, Front, Tag};
+use crate::dispatcher::{Answer, AttemptId, Frontend};
 use dispatch_policy::api::{Outcome, WorkerId};
 use std::sync::Arc;
 use tokio::time::{sleep, Instant};
@@ -12,11 +12,17 @@
     pub shared: Arc<Shared>,
 }
 
-impl Front for FaktoryTransport {
+impl Frontend for FaktoryTransport {
     type Job = JobNumber;
-    type Attempt = (JobNumber, Tag);
+    type Attempt = (JobNumber, AttemptId);
 
-    fn send(&mut self, attempt: Tag, job: &JobNumber, worker: WorkerId, _until: Instant) -> Self::Attempt {
+    fn send(
+        &mut self,
+        attempt: AttemptId,
+        job: &JobNumber,
+        worker: WorkerId,
+        _until: Instant,
+    ) -> Self::Attempt {
         let job = *job;
         if self.shared.leases().offer(attempt, job, worker) {
             let shared = self.shared.clone();
@@ -36,7 +42,7 @@
         self.shared.leases().answered(job, answer);
     }
 
-    fn taken(&mut self, job: &JobNumber) {
+    fn accepted(&mut self, job: &JobNumber) {
         self.shared.leases().admitted(*job);
     }
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -5,33 +5,34 @@
 #![warn(missing_docs)]
 
 pub mod acceptor;
-mod ask;
 pub mod cli;
 pub mod config;
 pub mod coordination;
 pub mod counters;
 pub mod dispatcher;
+pub mod endpoint_list;
 pub mod faktory;
 pub mod invariants;
-pub mod list;
 pub mod logger;
 pub mod management;
 pub mod membership;
 pub mod metrics;
 pub mod names;
+mod operator_client;
 pub mod phase;
 pub mod platform;
+pub mod process_handover;
 pub mod reload;
-pub mod retune;
+pub mod settings_merge;
 pub mod signals;
 pub mod transient;
-pub mod upgrade;
 
-use config::{Sources, Told};
+use config::{ConfigSources, LoadedConfig};
 use counters::Counters;
 use management::Management;
 use phase::Phases;
 use platform::Dependencies;
+use process_handover::{Predecessor, PredecessorLookup};
 use reload::Reload;
 use signals::{Command, Signals};
 use std::path::PathBuf;
@@ -40,7 +41,6 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use upgrade::{Before, Found};
 
 /// For which a start outlasts a machine that has no descriptor or buffer left.
 const START_WAIT: Duration = Duration::from_secs(4);
@@ -79,20 +79,20 @@
 }
 
 fn start(faktory: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<(), String> {
-    let sources = Sources::new(faktory, fleet)?;
+    let sources = ConfigSources::new(faktory, fleet)?;
     let told = sources.read()?;
-    let Told { config, operator, fleet: talk } = told.clone();
+    let LoadedConfig { config, operator, fleet: talk } = told.clone();
     logger::start(config.as_ref().map_or("faktory", |c| &c.name));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     runtime.block_on(async {
         let phases = Phases::default();
-        let signals = transient::outlast(START_WAIT, || async { Signals::start() }).await;
+        let signals = transient::retry_local_failures(START_WAIT, || async { Signals::start() }).await;
         let signals = signals.map_err(|e| format!("no signals: {e}"))?;
         phases.stop_on_signal(signals.clone());
         let (ready, follow_ready) = watch::channel(false);
         let reload = Reload::new(sources, told);
-        let (discovery, tuning) = (reload.discovery(), reload.tuning());
+        let (discovery, effective_settings) = (reload.discovery(), reload.effective_settings());
         let duties_file = talk.as_ref().and_then(|talk| {
             let file = talk.file.duties.clone()?;
             let folder = file.state.as_ref().map(|state| talk.folder.join(state));
@@ -104,7 +104,7 @@
                     name: config.name.clone(),
                     talk,
                     keys: reload.keys(),
-                    planned: reload.tuning(),
+                    planned: reload.effective_settings(),
                     phase: phases.follow(),
                 });
                 Some(started.map_err(|error| error.to_string())?)
@@ -137,7 +137,7 @@
         };
         reload.on_signal(signals.clone());
         if let Some(at) = config.as_ref().and_then(|c| c.management) {
-            let listener = transient::outlast(START_WAIT, || TcpListener::bind(at)).await;
+            let listener = transient::retry_local_failures(START_WAIT, || TcpListener::bind(at)).await;
             let listener = listener.map_err(|e| format!("cannot listen on {at} (management): {e}"))?;
             let management = Management {
                 phases: phases.clone(),
@@ -173,20 +173,22 @@
             match config {
                 Some(config) => {
                     let at = config.listen;
-                    let place = upgrade::place(at);
+                    let place = process_handover::socket_path(at);
                     let found = match &place {
-                        Some(place) => Before::find(place).await,
-                        None => Found::Nobody,
+                        Some(place) => Predecessor::look_up(place).await,
+                        None => PredecessorLookup::Absent,
                     };
                     let listen = async |beside| {
-                        let listener =
-                            transient::outlast(START_WAIT, async || platform::listen(at, beside)).await;
+                        let listener = transient::retry_local_failures(START_WAIT, async || {
+                            platform::listen(at, beside)
+                        })
+                        .await;
                         listener.map_err(|e| format!("cannot listen on {at}: {e}"))
                     };
                     let (listener, before) = match found {
-                        Found::Process(listener, before) => (listener, Some(before)),
-                        Found::Hung => (listen(true).await?, None),
-                        Found::Nobody => (listen(false).await?, None),
+                        PredecessorLookup::Serving(listener, before) => (listener, Some(before)),
+                        PredecessorLookup::Unresponsive => (listen(true).await?, None),
+                        PredecessorLookup::Absent => (listen(false).await?, None),
                     };
                     let counters = counters[0].clone();
                     let (phases, fleet) = (phases.clone(), fleet.clone());
@@ -194,7 +196,7 @@
                         counters,
                         phases,
                         discovery,
-                        tuning,
+                        effective_settings,
                         ready,
                         predecessor: before,
                         handover_path: place,
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -16,7 +16,7 @@
 pub use show::{show, ShowError};
 pub(crate) use sockets::bind_datagram_socket;
 
-use crate::config::Talk;
+use crate::config::MembershipConfig;
 use crate::phase::Phase;
 use handle::HandleParts;
 use membership::{Config, FleetSize, Machine, ProcessStart};
@@ -36,11 +36,11 @@
     /// Name of the node.
     pub name: String,
     /// Configuration file, and the keys at the start.
-    pub talk: Talk,
+    pub talk: MembershipConfig,
     /// Current keys.
     pub keys: watch::Receiver<Option<membership::keys::Keys>>,
     /// Current settings, for the planned number of nodes.
-    pub planned: watch::Receiver<crate::retune::Tuning>,
+    pub planned: watch::Receiver<crate::settings_merge::EffectiveSettings>,
     /// Phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -1,6 +1,6 @@
 //! Command `molevale fleet show`: requests a node's status report from its management address and formats it.
 
-use crate::ask::ask;
+use crate::operator_client::call;
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
 use hyper::{Method, StatusCode};
@@ -38,7 +38,7 @@
 ///
 /// Fails if the node can't be reached, rejects the request, or returns no status report.
 pub async fn show(address: SocketAddr, json: bool) -> Result<String, ShowError> {
-    let (code, body) = ask(address, Method::GET, "/fleet").await.map_err(ShowError::Request)?;
+    let (code, body) = call(address, Method::GET, "/fleet").await.map_err(ShowError::Request)?;
     if code != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
         return Err(ShowError::Rejected { address, reason });
--- a/node/src/ask.rs
+++ b/node/src/operator_client.rs
@@ -17,12 +17,12 @@
 const ANSWER_MAX: usize = 4 << 20;
 
 /// Asks the node at this address.
-pub async fn ask(address: SocketAddr, method: Method, path: &str) -> Result<(StatusCode, Bytes), String> {
-    let call = timeout(WAIT, call(address, method, path)).await;
+pub async fn call(address: SocketAddr, method: Method, path: &str) -> Result<(StatusCode, Bytes), String> {
+    let call = timeout(WAIT, exchange(address, method, path)).await;
     call.unwrap_or_else(|_| Err(format!("no answer in {WAIT:?}"))).map_err(|e| format!("{address}: {e}"))
 }
 
-async fn call(address: SocketAddr, method: Method, path: &str) -> Result<(StatusCode, Bytes), String> {
+async fn exchange(address: SocketAddr, method: Method, path: &str) -> Result<(StatusCode, Bytes), String> {
     let socket = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
     let (mut sender, connection) = handshake(TokioIo::new(socket)).await.map_err(|e| e.to_string())?;
     tokio::spawn(connection);
--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -34,17 +34,17 @@
 
 impl Phase {
     /// Whether clients are wanted.
-    pub fn up(self) -> bool {
+    pub fn is_serving(self) -> bool {
         self == Phase::Serving
     }
 
     /// Whether connections are closed: idle ones now, others after their answer.
-    pub fn sends_away(self) -> bool {
+    pub fn closes_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::HandedOver | Phase::Closing)
     }
 
     /// Whether new connections are taken.
-    pub fn accepts(self) -> bool {
+    pub fn accepts_connections(self) -> bool {
         !matches!(self, Phase::HandedOver | Phase::Closing)
     }
 }
@@ -67,26 +67,26 @@
 
     /// Sends clients away; one that is on its way to its end does already. Says whether it does now.
     pub fn drain(&self) -> bool {
-        self.turn(|p| (p == Phase::Serving).then_some(Phase::Draining));
+        self.transition(|p| (p == Phase::Serving).then_some(Phase::Draining));
         true
     }
 
     /// Back to serving. Says whether it serves now: a node that was told to stop, or that another process serves
     /// for, does not come back.
     pub fn resume(&self) -> bool {
-        self.turn(|p| (p == Phase::Draining).then_some(Phase::Serving)) == Phase::Serving
+        self.transition(|p| (p == Phase::Draining).then_some(Phase::Serving)) == Phase::Serving
     }
 
     /// Another process serves now. Returns what to take back should it fail; in the last phase nothing changes.
     pub fn hand_over(&self) -> Phase {
         let before = *self.0.borrow();
-        self.turn(|p| (p != Phase::Closing).then_some(Phase::HandedOver));
+        self.transition(|p| (p != Phase::Closing).then_some(Phase::HandedOver));
         before
     }
 
     /// The other process has ended: this one goes on from where it was, unless it was told to stop since.
     pub fn take_back(&self, before: Phase) {
-        self.turn(|p| (p == Phase::HandedOver).then_some(before));
+        self.transition(|p| (p == Phase::HandedOver).then_some(before));
     }
 
     /// Goes through the last phases, whatever the phase is; a second call changes nothing. Where another process
@@ -98,11 +98,11 @@
             Phase::Stopping | Phase::Closing => return,
             Phase::HandedOver => {}
             Phase::Serving | Phase::Draining => {
-                self.turn(|_| Some(Phase::Stopping));
+                self.transition(|_| Some(Phase::Stopping));
                 sleep(ACCEPTING).await;
             }
         }
-        self.turn(|_| Some(Phase::Closing));
+        self.transition(|_| Some(Phase::Closing));
     }
 
     /// Stops at SIGTERM (or SIGINT).
@@ -116,13 +116,13 @@
     }
 
     /// By when a request that comes in now has to have its answer, where SIGKILL may come before its own time ends.
-    pub fn last_moment(&self, longest_deadline: Duration) -> Option<Instant> {
+    pub fn shutdown_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
         let told = self.1.get().filter(|told| told.elapsed() > EXCUSED)?;
         Some(*told + longest_deadline.min(DEADLINE_MOST) + EXCUSED - MARGIN)
     }
 
     /// Changes the phase, where something follows on it, and says what it is then.
-    fn turn(&self, next: impl FnOnce(Phase) -> Option<Phase>) -> Phase {
+    fn transition(&self, next: impl FnOnce(Phase) -> Option<Phase>) -> Phase {
         self.0.send_if_modified(|phase| match next(*phase) {
             Some(new) => {
                 log::info!("{phase:?} -> {new:?}");
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -2,13 +2,13 @@
 
 use super::fields::{self, WorkerUpdate};
 use super::in_flight_ids::InFlightId;
-use super::job_handover::{Adopted, Line};
+use super::job_handover::{AttemptConnection, TransferredAttempt};
 use super::pool::{ConnectError, Connection, Pool};
 use super::send_guard::SendBlocked;
 use super::socket::PeerObserver;
 use super::Job;
 use crate::counters::Counters;
-use crate::dispatcher::{Handle, Tag};
+use crate::dispatcher::{AttemptId, Handle};
 use crate::names::Names;
 use bytes::{Bytes, BytesMut};
 use dispatch_policy::api::{LoadReport, Outcome, WorkerId};
@@ -36,7 +36,7 @@
 /// A request as one attempt forwards it.
 pub struct AttemptRequest {
     /// The attempt's number in the dispatcher.
-    pub tag: Tag,
+    pub tag: AttemptId,
     /// The worker that it is for.
     pub worker: WorkerId,
     /// When its client stops waiting.
@@ -50,7 +50,7 @@
     /// Body, forwarded unchanged.
     pub body: Bytes,
     /// Where its connection can be found by who moves it to another process.
-    pub line: Arc<Line>,
+    pub line: Arc<AttemptConnection>,
     /// Its client's connection.
     pub client: Option<PeerObserver>,
 }
@@ -125,7 +125,7 @@
     pub async fn run(
         self: Arc<Self>,
         request: AttemptRequest,
-        adopted: Option<Adopted>,
+        adopted: Option<TransferredAttempt>,
         stopped: oneshot::Receiver<Outcome>,
     ) {
         let mut connection = None;
@@ -175,7 +175,7 @@
     async fn execute(
         &self,
         request: &AttemptRequest,
-        adopted: Option<Adopted>,
+        adopted: Option<TransferredAttempt>,
         slot: &mut Option<Connection>,
     ) -> AttemptEnd {
         let is_adopted = adopted.is_some();
@@ -203,7 +203,7 @@
     async fn connect(
         &self,
         request: &AttemptRequest,
-        adopted: Option<Adopted>,
+        adopted: Option<TransferredAttempt>,
     ) -> Result<Connection, AttemptEnd> {
         match adopted {
             // An attempt of another process may have run.
@@ -246,7 +246,7 @@
         is_adopted: bool,
         error: &hyper::Error,
     ) -> AttemptEnd {
-        let Tag { id, attempt } = request.tag;
+        let AttemptId { id, attempt } = request.tag;
         log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no answer from the worker");
         if let Some(reason) = connection.guard.blocked_by() {
             self.counters.held_back.add();
@@ -272,7 +272,7 @@
     async fn read_response(&self, request: &AttemptRequest, response: Response<Incoming>) -> AttemptEnd {
         let (head, body) = response.into_parts();
         if head.status == StatusCode::OK {
-            self.handle.taken(request.tag);
+            self.handle.acknowledged(request.tag);
             return self.read_updates(request, UpdateLines::new(body)).await;
         }
         let has_not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
@@ -289,7 +289,7 @@
 
     /// Follows the worker's updates on an accepted job to the one that ends it.
     async fn read_updates(&self, request: &AttemptRequest, mut lines: UpdateLines) -> AttemptEnd {
-        let Tag { id, attempt } = request.tag;
+        let AttemptId { id, attempt } = request.tag;
         loop {
             let line = match lines.next().await {
                 Ok(line) => line,
--- a/node/src/platform/endpoint_watch/client.rs
+++ b/node/src/platform/endpoint_watch/client.rs
@@ -1,7 +1,7 @@
 //! Calls to discovery: the whole list, or a watch for what has changed since a version.
 
 use super::super::socket::Socket;
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -117,13 +117,13 @@
     ///
     /// # Errors
     /// [`CallError`] if discovery cannot be reached, rejects the call, or answers what is no list.
-    pub async fn call(&mut self, watch: Option<Watch>) -> Result<ListBody, CallError> {
+    pub async fn call(&mut self, watch: Option<Watch>) -> Result<EndpointList, CallError> {
         let limit = CALL_GRACE + watch.map_or(Duration::ZERO, |watch| watch.wait);
         let exchange = self.exchange(Watch::target(watch));
         timeout(limit, exchange).await.unwrap_or_else(|_| Err(ExchangeError::Timeout.into()))
     }
 
-    async fn exchange(&mut self, target: String) -> Result<ListBody, CallError> {
+    async fn exchange(&mut self, target: String) -> Result<EndpointList, CallError> {
         let host = self.address.to_string();
         let sender = self.sender().await?;
         let request = Request::get(target).header(HOST, host).body(Empty::new())?;
--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -15,7 +15,7 @@
 use super::Job;
 use crate::counters::Counters;
 use crate::dispatcher::Handle;
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use crate::names::Names;
 use backoff::Backoff;
 use sharing::SharingEvent;
@@ -45,33 +45,38 @@
     /// Seed for random numbers.
     pub seed: u64,
     /// Latest list of all workers.
-    pub latest_list: Arc<Mutex<ListBody>>,
+    pub latest_list: Arc<Mutex<EndpointList>>,
 }
 
 impl EndpointWatch {
     /// Feeds the list that was known, then all that discovery tells, wherever it is at each moment. Without end.
-    pub async fn run(self, address: DiscoveryAddress, sharing: Option<ListSharing>, known: Option<ListBody>) {
+    pub async fn run(
+        self,
+        address: DiscoveryAddress,
+        sharing: Option<ListSharing>,
+        known: Option<EndpointList>,
+    ) {
         // The list that was known is a version of discovery's own: it tells what has changed since.
         let version = known.as_ref().map(|known| known.revision);
         if let Some(known) = known {
-            self.feed(&ListBody { complete: true, ..known });
+            self.feed(&EndpointList { complete: true, ..known });
         }
         Follower::new(self, address, sharing, version).run().await;
     }
 
     /// Takes over a list that has been received.
-    fn accept(&self, list: &ListBody) {
+    fn accept(&self, list: &EndpointList) {
         self.feed(list);
         self.counters.lists.add();
     }
 
-    fn feed(&self, list: &ListBody) {
+    fn feed(&self, list: &EndpointList) {
         self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).merge(list);
         self.pool.update_endpoints(&list.members, list.complete);
         // Also a list without changes: a worker that appears in the next one has started since this one.
         let names = self.names.borrow().clone();
         let entries = list.members.iter().map(|member| member.entry(&names)).collect();
-        self.handle.list(entries, list.complete);
+        self.handle.update_endpoints(entries, list.complete);
     }
 }
 
@@ -147,7 +152,7 @@
     }
 
     /// Takes over a list of discovery, and publishes it where lists are shared.
-    fn handle_list(&mut self, list: ListBody) {
+    fn handle_list(&mut self, list: EndpointList) {
         self.version = Some(list.revision);
         self.watch.accept(&list);
         if let Some(sharing) = &self.sharing {
--- a/node/src/platform/endpoint_watch/sharing.rs
+++ b/node/src/platform/endpoint_watch/sharing.rs
@@ -1,6 +1,6 @@
 //! Sharing of endpoint lists: one node of a zone watches discovery and publishes its lists to the others.
 
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -10,9 +10,9 @@
     /// Whether discovery is watched from here.
     pub watches: watch::Receiver<bool>,
     /// Lists of the node that watches for all.
-    pub received: mpsc::Receiver<ListBody>,
+    pub received: mpsc::Receiver<EndpointList>,
     /// Lists that discovery told here.
-    pub publish: mpsc::Sender<ListBody>,
+    pub publish: mpsc::Sender<EndpointList>,
     /// Set while discovery cannot be reached from here.
     pub unreachable: Arc<AtomicBool>,
 }
@@ -22,7 +22,7 @@
     /// Discovery is to be watched from here, or no more.
     Watch(bool),
     /// A list of the node that watches for all.
-    Received(ListBody),
+    Received(EndpointList),
 }
 
 /// The next event; never returns where nothing is shared, or no more.
--- a/node/src/platform/endpoint_watch/source.rs
+++ b/node/src/platform/endpoint_watch/source.rs
@@ -3,7 +3,7 @@
 use super::backoff::Backoff;
 use super::client::{CallError, DiscoveryClient, Watch};
 use super::DiscoveryAddress;
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// Lists of one address. Its task ends with it.
 pub struct ListSource {
-    lists: mpsc::Receiver<ListBody>,
+    lists: mpsc::Receiver<EndpointList>,
     task: AbortHandle,
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// The next list of a source; never returns where there is no source, or where it has ended.
-pub async fn next_list(source: &mut Option<ListSource>) -> ListBody {
+pub async fn next_list(source: &mut Option<ListSource>) -> EndpointList {
     if let Some(source) = source {
         if let Some(list) = source.lists.recv().await {
             return list;
@@ -59,7 +59,7 @@
     discovery: DiscoveryAddress,
     backoff: Backoff,
     unreachable: Arc<AtomicBool>,
-    lists: mpsc::Sender<ListBody>,
+    lists: mpsc::Sender<EndpointList>,
 }
 
 /// What follows a call.
@@ -92,7 +92,7 @@
         }
     }
 
-    async fn handle_list(&mut self, list: ListBody) -> Next {
+    async fn handle_list(&mut self, list: EndpointList) -> Next {
         // An older list of the same address must not take a drain back. The whole list is asked for, and counts whatever
         // its version, for discovery may have restarted.
         if let Some(version) = self.version.filter(|version| list.revision < *version) {
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -1,6 +1,6 @@
 //! Fields of the platform's protocol: what is read out of requests, workers' updates and load reports.
 
-use crate::dispatcher::number_of;
+use crate::dispatcher::stable_hash;
 use crate::names::Names;
 use bytes::Bytes;
 use dispatch_policy::api::{LoadReport, Request};
@@ -105,7 +105,7 @@
 fn affinity_key(query: &str) -> u64 {
     match query.split('&').find_map(|part| part.strip_prefix("user=")).unwrap_or("") {
         "" => 0,
-        user => u64::from_str_radix(user, 16).unwrap_or_else(|_| number_of(user)),
+        user => u64::from_str_radix(user, 16).unwrap_or_else(|_| stable_hash(user)),
     }
 }
 
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -5,9 +5,9 @@
 use super::monitored_stream::MessageMonitor;
 use super::socket::SocketHandle;
 use super::Job;
-use crate::dispatcher::{Handle, Sent};
+use crate::dispatcher::{AttemptStart, Handle};
 use crate::names::Names;
-use crate::upgrade::Lifted;
+use crate::process_handover::FrozenJob;
 use bytes::Bytes;
 use dispatch_policy::api::{Outcome, Request, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
 
 /// A client's connection, for who may move it.
 #[derive(Clone)]
-pub struct Client {
+pub struct ClientConnection {
     /// Its socket.
     pub socket_handle: SocketHandle,
     /// Where its messages end.
@@ -34,16 +34,16 @@
 }
 
 /// The core's hold on an attempt.
-pub struct Hold {
+pub struct AttemptHandle {
     /// Ends it.
     pub stop: oneshot::Sender<Outcome>,
     /// Its connection.
-    pub line: Arc<Line>,
+    pub line: Arc<AttemptConnection>,
 }
 
 /// An attempt's connection, once there is one, and whether it has moved.
 #[derive(Default)]
-pub struct Line {
+pub struct AttemptConnection {
     /// The socket, what has passed over it, and where it leads.
     pub link: Mutex<Option<(SocketHandle, SharedProgress, SocketAddr)>>,
     /// It is another process's: its end is not this one's to report.
@@ -54,7 +54,7 @@
 
 /// A job on its way, beside its two sockets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Moving {
+pub struct TransferredJob {
     /// The class, by name.
     pub class: String,
     /// The tenant, by name; empty where there are none.
@@ -74,7 +74,7 @@
 }
 
 /// What goes on here of an attempt that another process made.
-pub struct Adopted {
+pub struct TransferredAttempt {
     /// Its socket, with what its worker said so far.
     pub socket: OwnedFd,
     /// Where the worker listens.
@@ -82,17 +82,17 @@
     /// What the worker said.
     pub said: Bytes,
     /// What the module is told.
-    pub sent: Sent,
+    pub sent: AttemptStart,
 }
 
-impl Moving {
+impl TransferredJob {
     /// Freezes a running job and takes it up, if all of it can move.
-    pub fn lift(
-        sent: &Sent,
+    pub fn freeze(
+        sent: &AttemptStart,
         job: &Job,
-        hold: &Hold,
+        hold: &AttemptHandle,
         names: &Names,
-    ) -> Option<(Moving, SocketHandle, SocketHandle)> {
+    ) -> Option<(TransferredJob, SocketHandle, SocketHandle)> {
         let client = job.client.as_ref()?;
         let link = hold.line.link.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let (socket_handle, meter, address) = link?;
@@ -106,7 +106,7 @@
         }
         let text = |value: &hyper::header::HeaderValue| value.to_str().ok().map(String::from);
         let Request { work_hint_us: hint_us, is_retry: retry, slots, memory, .. } = job.fields;
-        let moving = Moving {
+        let moving = TransferredJob {
             class: names.classes.get(job.fields.class)?.clone(),
             tenant: names.tenants.get(job.fields.tenant).cloned().unwrap_or_default(),
             target: job.target.to_string(),
@@ -130,7 +130,7 @@
     }
 
     /// The same, this much later.
-    fn after(mut self, span: Duration) -> Moving {
+    fn delayed_by(mut self, span: Duration) -> TransferredJob {
         self.left = self.left.saturating_sub(span);
         let (_, _, sent, started) = &mut self.worker;
         *sent += span;
@@ -171,38 +171,38 @@
     }
 
     /// Its attempt, with the worker's socket.
-    pub fn adopted(&self, socket: OwnedFd) -> Adopted {
+    pub fn attempt(&self, socket: OwnedFd) -> TransferredAttempt {
         let (worker, address, at, started) = self.worker;
         let ago = |span: Duration| Instant::now().checked_sub(span).unwrap_or_else(Instant::now);
-        let sent = Sent {
+        let sent = AttemptStart {
             worker: WorkerId(worker),
             at: ago(at),
             started: started.map(ago),
             until: Instant::now() + self.left,
         };
-        Adopted { socket, address, said: self.said.clone(), sent }
+        TransferredAttempt { socket, address, said: self.said.clone(), sent }
     }
 }
 
 /// What the core's front gives to the other process, and what becomes of the job here.
-pub fn lifted(
+pub fn frozen_job(
     handle: &Handle<Job>,
-    tag: crate::dispatcher::Tag,
+    tag: crate::dispatcher::AttemptId,
     job: &Job,
-    hold: &Hold,
-    (moving, client, worker): (Moving, SocketHandle, SocketHandle),
-) -> Option<Lifted> {
+    hold: &AttemptHandle,
+    (moving, client, worker): (TransferredJob, SocketHandle, SocketHandle),
+) -> Option<FrozenJob> {
     let connection = job.client.as_ref()?;
     let (handle, line, over) = (handle.clone(), hold.line.clone(), connection.over.clone());
     let client_moved = connection.moved.clone();
     let socket_handles = [client, worker];
-    let done = {
+    let finish = {
         let socket_handles = socket_handles.clone();
         Box::new(move |taken: bool| {
             if taken {
                 line.moved.store(true, Ordering::Relaxed);
                 client_moved.store(true, Ordering::Relaxed);
-                handle.moved(tag);
+                handle.transferred(tag);
                 over.notify_one();
             } else {
                 socket_handles.iter().for_each(SocketHandle::thaw);
@@ -211,6 +211,6 @@
     };
     // Guards the client's wait, and what further workers are told of it: jobs go one after the other.
     let (taken_up, moving) = (Instant::now(), moving);
-    let text = Box::new(move || serde_json::to_string(&moving.after(taken_up.elapsed())).ok());
-    Some(Lifted { text, sockets: socket_handles, done })
+    let record = Box::new(move || serde_json::to_string(&moving.delayed_by(taken_up.elapsed())).ok());
+    Some(FrozenJob { record, sockets: socket_handles, finish })
 }
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -31,14 +31,14 @@
 use crate::dispatcher::{queue, Answer};
 use crate::membership;
 use crate::phase::Phases;
-use crate::retune::Tuning;
-use crate::upgrade::Before;
+use crate::process_handover::Predecessor;
+use crate::settings_merge::EffectiveSettings;
 use bytes::Bytes;
 use dispatch_policy::api::{InvalidSettings, Request};
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
 use in_flight_ids::InFlightId;
-use job_handover::Adopted;
+use job_handover::TransferredAttempt;
 use startup::Startup;
 use std::io;
 use std::net::SocketAddr;
@@ -77,9 +77,9 @@
     /// What the dispatcher's decisions need of it.
     fields: Request,
     /// Its client's connection.
-    client: Option<job_handover::Client>,
+    client: Option<job_handover::ClientConnection>,
     /// An attempt that another process started, until it is continued here.
-    adopted: Mutex<Option<Adopted>>,
+    adopted: Mutex<Option<TransferredAttempt>>,
     reply: oneshot::Sender<Answer>,
 }
 
@@ -92,11 +92,11 @@
     /// Address of discovery.
     pub discovery: watch::Receiver<Option<SocketAddr>>,
     /// Settings in force.
-    pub tuning: watch::Receiver<Tuning>,
+    pub effective_settings: watch::Receiver<EffectiveSettings>,
     /// Set once the frontend can serve.
     pub ready: watch::Sender<bool>,
     /// The process that this one takes over from; its listener comes separately.
-    pub predecessor: Option<Before>,
+    pub predecessor: Option<Predecessor>,
     /// Unix socket at which the next process takes over, if it may.
     pub handover_path: Option<PathBuf>,
     /// Cluster membership, where it is configured.
--- a/node/src/platform/peers.rs
+++ b/node/src/platform/peers.rs
@@ -6,7 +6,7 @@
 
 use super::Job;
 use crate::counters::Counters;
-use crate::dispatcher::{number_of, Clock, Handle};
+use crate::dispatcher::{stable_hash, Clock, Handle};
 use crate::membership::bind_datagram_socket;
 use crate::names::Names;
 use std::io;
@@ -50,7 +50,7 @@
 
 /// Hash of the tenants: rates go by the tenants' numbers, so both sides must number them alike.
 fn tenants_hash(names: &Names) -> u32 {
-    number_of(&names.tenants.join("\n")) as u32
+    stable_hash(&names.tenants.join("\n")) as u32
 }
 
 /// Socket for rates, and the addresses of the other nodes.
@@ -154,7 +154,7 @@
             if last[from].is_none_or(|last| last.is_followed_by(at_ms)) {
                 last[from] = Some(LastAccepted { at_ms, received: Instant::now() });
                 self.counters.gossip_received.add();
-                handle.peer(from as u32, rates.to_vec());
+                handle.peer_rates(from as u32, rates.to_vec());
             }
         }
     }
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -1,11 +1,11 @@
 //! Connections to workers: one request at a time on each, idle ones kept for a while.
 
 use super::counted_writes::{CountingStream, RequestProgress, SharedProgress};
-use super::job_handover::Adopted;
+use super::job_handover::TransferredAttempt;
 use super::send_guard::SendGuard;
 use super::socket::{Socket, SocketHandle};
 use crate::counters::Counters;
-use crate::list::Member;
+use crate::endpoint_list::EndpointRecord;
 use crate::names::Names;
 use crate::transient;
 use bytes::Bytes;
@@ -192,7 +192,7 @@
     }
 
     /// Takes over the addresses of a list; idle connections to workers that are gone or have moved are closed.
-    pub fn update_endpoints(&self, members: &[Member], is_complete: bool) {
+    pub fn update_endpoints(&self, members: &[EndpointRecord], is_complete: bool) {
         let mut endpoints = self.endpoints();
         if is_complete {
             endpoints.values_mut().for_each(|endpoint| endpoint.is_listed = false);
@@ -251,7 +251,7 @@
     async fn open(&self, address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
         let permit = self.permit().await?;
         // Errors of this machine say nothing about the worker: a moment later there may be a socket.
-        let connect = transient::outlast(limit, || TcpStream::connect(address));
+        let connect = transient::retry_local_failures(limit, || TcpStream::connect(address));
         let socket = match timeout(limit, connect).await {
             Ok(Ok(socket)) => socket,
             Ok(Err(e)) if transient::is_local(&e) => return Err(ConnectError::LocalResources),
@@ -276,7 +276,7 @@
 
     /// A connection on which another process has written a request with a body of `body` bytes; what its worker has
     /// answered so far comes first. `None` where the socket cannot be used.
-    pub async fn adopt(&self, adopted: Adopted, body: usize) -> Option<Connection> {
+    pub async fn adopt(&self, adopted: TransferredAttempt, body: usize) -> Option<Connection> {
         let permit = self.permits.clone().try_acquire_owned();
         let permit = permit.or_else(|_| {
             // The other process releases its descriptor for it.
--- a/node/src/platform/rate_gossip.rs
+++ b/node/src/platform/rate_gossip.rs
@@ -2,7 +2,7 @@
 
 use super::peers::PeerSocket;
 use super::Job;
-use crate::dispatcher::{number_of, Handle};
+use crate::dispatcher::{stable_hash, Handle};
 use crate::membership;
 use crate::names::Names;
 use ::membership::{FleetSize, RATES_MAX};
@@ -44,7 +44,7 @@
 
     fn publish(&self, to: u32, rates: &[u8]) {
         let (cluster_size, names) = (self.cluster_size.borrow(), self.names.borrow());
-        let tenants = names.tenants.iter().map(|t| number_of(t));
+        let tenants = names.tenants.iter().map(|t| stable_hash(t));
         let rates = rates.chunks_exact(2).map(|r| u16::from_be_bytes([r[0], r[1]]));
         let rates: Vec<_> = tenants.zip(rates).collect();
         // Of more tenants than fit into one datagram, a part would pass for all of them.
@@ -60,10 +60,10 @@
             let sender = self.cluster_size.borrow().names.iter().position(|name| *name == sender);
             let rates: HashMap<u64, u16> = rates.into_iter().collect();
             let names = self.names.borrow().clone();
-            let rate_of = |tenant: &String| rates.get(&number_of(tenant)).copied().unwrap_or(0);
+            let rate_of = |tenant: &String| rates.get(&stable_hash(tenant)).copied().unwrap_or(0);
             if let Some(sender) = sender {
                 let rates = names.tenants.iter().flat_map(|tenant| rate_of(tenant).to_be_bytes());
-                handle.peer(sender as u32, rates.collect());
+                handle.peer_rates(sender as u32, rates.collect());
             }
         }
     }
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -8,9 +8,9 @@
 use crate::config::Limits;
 use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::Handle;
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use crate::names::Names;
-use crate::upgrade::{Held, Holder, Lifted, State};
+use crate::process_handover::{FrozenJob, HandoverSource, HeldResources, NodeState};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Semaphore;
 
@@ -38,7 +38,7 @@
 }
 
 impl Allocation {
-    fn new(limits: Limits, other: Held) -> Allocation {
+    fn new(limits: Limits, other: HeldResources) -> Allocation {
         let set_aside = FIXED_DESCRIPTORS + REJECTION_SLOTS;
         let budget = limits.sockets.saturating_sub(set_aside).max(DESCRIPTORS_OF_TINY_LIMIT);
         let budget = budget.saturating_sub(other.descriptors).max(DESCRIPTORS_MIN.min(budget));
@@ -62,7 +62,7 @@
     /// The dispatcher, for the jobs that move.
     core: Handle<Job>,
     /// Running jobs that were collected for another process.
-    pub lifted: Arc<Mutex<Vec<Lifted>>>,
+    pub lifted: Arc<Mutex<Vec<FrozenJob>>>,
     /// Slots for connections of clients.
     pub client_slots: Arc<ConnectionSlots>,
     /// Slots for connections that are only refused.
@@ -74,7 +74,7 @@
     /// Ids of requests in flight.
     pub(super) in_flight_ids: InFlightIds,
     /// Latest endpoint list.
-    pub latest_list: Arc<Mutex<ListBody>>,
+    pub latest_list: Arc<Mutex<EndpointList>>,
     limits: Limits,
     allocation: Mutex<Allocation>,
 }
@@ -84,7 +84,7 @@
     pub fn new(
         core: Handle<Job>,
         limits: Limits,
-        other: Held,
+        other: HeldResources,
         names: &Names,
         counters: Arc<Counters>,
     ) -> ResourceBudget {
@@ -142,7 +142,7 @@
     }
 
     /// The other process now holds no more than this: what it released is allocated here. Nothing is taken away again.
-    pub fn update_peer_usage(&self, other: Held) {
+    pub fn update_peer_usage(&self, other: HeldResources) {
         let mut allocation = self.lock_allocation();
         let newer = Allocation::new(self.limits, other);
         self.client_slots.grant(newer.clients.saturating_sub(allocation.clients));
@@ -152,27 +152,27 @@
     }
 }
 
-impl Holder for ResourceBudget {
-    fn state(&self) -> State {
+impl HandoverSource for ResourceBudget {
+    fn node_state(&self) -> NodeState {
         let known = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        State { known, ids: self.in_flight_ids.all() }
+        NodeState { known, ids: self.in_flight_ids.all() }
     }
 
-    fn held(&self) -> Held {
+    fn held_resources(&self) -> HeldResources {
         let clients = self.client_slots.taken();
         let refused = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may yet have an attempt out.
         let workers = self.client_slots.at_work().max(self.pool.taken());
         let descriptors = FIXED_DESCRIPTORS + clients + refused + workers;
-        Held { descriptors, bodies_kib: self.bodies_held_kib() }
+        HeldResources { descriptors, bodies_kib: self.bodies_held_kib() }
     }
 
-    fn let_go(&self) {
+    fn close_idle(&self) {
         self.pool.close_idle();
     }
 
-    async fn lift(&self) -> Vec<Lifted> {
-        self.core.lift().await;
+    async fn freeze_jobs(&self) -> Vec<FrozenJob> {
+        self.core.freeze_transferable().await;
         std::mem::take(&mut *self.lifted.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/node/src/platform/server/connection.rs
+++ b/node/src/platform/server/connection.rs
@@ -1,7 +1,7 @@
 //! A client's connection, from its first request to its close.
 
 use super::super::connection_slots::Slot;
-use super::super::job_handover::{self, Adopted};
+use super::super::job_handover::{self, TransferredAttempt};
 use super::super::monitored_stream::{MessageMonitor, MonitoredStream};
 use super::super::socket::Socket;
 use super::request::BODY_MAX;
@@ -32,11 +32,11 @@
     /// Its slot.
     pub slot: Slot,
     /// Its socket, for who may move it.
-    pub client: job_handover::Client,
+    pub client: job_handover::ClientConnection,
     /// Requests so far.
     requests: AtomicU64,
     /// An attempt of another process, for the first request.
-    adopted: Mutex<Option<Adopted>>,
+    adopted: Mutex<Option<TransferredAttempt>>,
     /// Time for which the first request may have waited to be accepted.
     accept_delay: Duration,
 }
@@ -57,11 +57,11 @@
     pub fn new(
         stream: &MonitoredStream<Socket>,
         slot: Slot,
-        adopted: Option<Adopted>,
+        adopted: Option<TransferredAttempt>,
         accept_delay: Duration,
     ) -> ClientConnection {
         let monitor = stream.monitor();
-        let client = job_handover::Client {
+        let client = job_handover::ClientConnection {
             socket_handle: stream.get_ref().socket_handle(),
             watcher: monitor.clone(),
             over: Arc::new(Notify::new()),
@@ -77,7 +77,7 @@
     }
 
     /// Takes the attempt of another process that the first request continues.
-    pub fn take_adopted(&self) -> Option<Adopted> {
+    pub fn take_adopted(&self) -> Option<TransferredAttempt> {
         self.adopted.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
@@ -141,7 +141,7 @@
     async fn must_close_idle(&self, connection: &ClientConnection) {
         let mut phase = self.phase.clone();
         let has_no_request = || connection.requests.load(Ordering::Relaxed) == 0;
-        while phase.wait_for(|p| p.sends_away()).await.is_ok() && has_no_request() {
+        while phase.wait_for(|p| p.closes_connections()).await.is_ok() && has_no_request() {
             let _ = phase.changed().await; // fails with the process's end only, as the wait above does
         }
     }
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -5,7 +5,7 @@
 mod response;
 
 use super::in_flight_ids::InFlightId;
-use super::job_handover::Moving;
+use super::job_handover::TransferredJob;
 use super::monitored_stream::MonitoredStream;
 use super::resource_budget::ResourceBudget;
 use super::socket::Socket;
@@ -79,7 +79,7 @@
         let mut acceptor = Acceptor::default();
         loop {
             let current = *phase.borrow_and_update();
-            if current.accepts() {
+            if current.accepts_connections() {
                 owns_listener = true;
                 self.accept_next(&mut acceptor, &listener, &mut phase).await;
             } else if current == Phase::Closing {
@@ -111,9 +111,9 @@
         let accepted = tokio::select! {
             biased;
             accepted = acceptor.next(listener) => Some(accepted),
-            _ = phase.wait_for(|p| !p.accepts()) => None,
+            _ = phase.wait_for(|p| !p.accepts_connections()) => None,
         };
-        acceptor.looks_away();
+        acceptor.backlog_unwatched();
         if let Some(accepted) = accepted {
             self.handle_accepted(accepted).await;
         }
@@ -121,7 +121,7 @@
 
     /// Accepts what the backlog holds at the close: it counts as taken.
     async fn accept_backlog(self: &Arc<Self>, acceptor: &mut Acceptor, listener: &TcpListener) {
-        while let Some(accepted) = acceptor.next_waiting(listener).await {
+        while let Some(accepted) = acceptor.next_in_backlog(listener).await {
             self.handle_accepted(accepted).await;
         }
     }
@@ -168,7 +168,7 @@
         reserved_ids: &mut HashMap<String, Arc<InFlightId>>,
     ) -> bool {
         let names = self.names.borrow().clone();
-        let Ok(moving) = serde_json::from_str::<Moving>(text) else { return false };
+        let Ok(moving) = serde_json::from_str::<TransferredJob>(text) else { return false };
         let is_tenant_known = names.tenants.is_empty() || names.tenant(&moving.tenant).is_some();
         // A job of a class that this process does not offer keeps its rules where it is.
         if names.class(&moving.class).is_none() || !is_tenant_known {
@@ -180,7 +180,7 @@
             return false;
         };
         reserved_ids.remove(moving.id());
-        let adopted = Some(moving.adopted(worker));
+        let adopted = Some(moving.attempt(worker));
         let connection = ClientConnection::new(&stream, slot, adopted, Duration::ZERO);
         let server = self.clone();
         tokio::spawn(async move { server.serve(stream, connection).await });
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -4,7 +4,7 @@
 use super::super::fields;
 use super::super::framing::Framing;
 use super::super::in_flight_ids::InFlightId;
-use super::super::job_handover::{self, Adopted};
+use super::super::job_handover::{self, TransferredAttempt};
 use super::super::Job;
 use super::connection::ClientConnection;
 use super::response::{self, InvalidRequest, RequestError, Response, ShedReason};
@@ -45,7 +45,7 @@
         let mut response = result.unwrap_or_else(|error| self.reject(error));
         // Who asks wrongly once must not hold a descriptor, or ask at once again; what follows a chunked body is not
         // followed on the socket; and a node that drains keeps no client.
-        if is_invalid || framing != Framing::Length || self.phase.borrow().sends_away() {
+        if is_invalid || framing != Framing::Length || self.phase.borrow().closes_connections() {
             response::close_connection(&mut response);
         }
         connection.monitor.response_sent();
@@ -89,7 +89,7 @@
     fn admit(
         &self,
         request: RoutedRequest,
-        adopted: Option<Adopted>,
+        adopted: Option<TransferredAttempt>,
     ) -> Result<AdmittedRequest<'_>, RequestError> {
         let expected = request.body.size_hint().upper().unwrap_or(BODY_MAX as u64).min(BODY_MAX as u64);
         let body_memory = self.budget.body_memory_kib.try_acquire_many(expected.div_ceil(1024) as u32).ok();
@@ -133,8 +133,8 @@
             reply,
         };
         let number = match sent {
-            Some(sent) => self.handle.adopt(fields, job, sent),
-            None => self.handle.accept(fields, job),
+            Some(sent) => self.handle.resume(fields, job, sent),
+            None => self.handle.submit(fields, job),
         };
         log_accepted(number, id, fields.time_left_us, sent.is_some());
         let client = WaitingClient {
@@ -152,7 +152,7 @@
         // The client's wait ran while its connection could not be accepted; workers are told what is left of it.
         let left = stated_us.saturating_sub(connection.accept_delay().as_micros() as u64);
         // SIGKILL would cut off the answer to a request that was written while the node stops.
-        match self.phases.last_moment(names.longest) {
+        match self.phases.shutdown_deadline(names.longest) {
             Some(last) => left.min(last.saturating_duration_since(Instant::now()).as_micros() as u64),
             None => left,
         }
@@ -197,7 +197,7 @@
     body: Incoming,
     names: Arc<Names>,
     fields: dispatch_policy::api::Request,
-    adopted: Option<Adopted>,
+    adopted: Option<TransferredAttempt>,
     body_memory: Option<SemaphorePermit<'a>>,
 }
 
@@ -221,7 +221,7 @@
     body: Bytes,
     names: Arc<Names>,
     fields: dispatch_policy::api::Request,
-    adopted: Option<Adopted>,
+    adopted: Option<TransferredAttempt>,
     body_memory: Option<SemaphorePermit<'a>>,
 }
 
@@ -257,7 +257,7 @@
     handle: &'a Handle<Job>,
     id: RequestId,
     is_waiting: bool,
-    connection: &'a job_handover::Client,
+    connection: &'a job_handover::ClientConnection,
     counters: &'a Counters,
 }
 
@@ -270,6 +270,6 @@
         if !has_moved && !self.connection.socket_handle.is_peer_closed() {
             self.counters.violations.add(Invariant::Answered, self.id);
         }
-        self.handle.left(self.id);
+        self.handle.client_left(self.id);
     }
 }
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -2,9 +2,9 @@
 
 use super::pool::Pool;
 use super::Job;
-use crate::dispatcher::{number_of, Handle};
+use crate::dispatcher::{stable_hash, Handle};
 use crate::names::Names;
-use crate::retune::Tuning;
+use crate::settings_merge::EffectiveSettings;
 use ::membership::FleetSize;
 use dispatch_policy::api::Settings;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     /// Connections to workers, whose timeouts change.
     pub pool: Arc<Pool>,
     /// Settings in force.
-    pub tuning: watch::Receiver<Tuning>,
+    pub effective_settings: watch::Receiver<EffectiveSettings>,
     /// Size of the cluster, where membership is configured.
     pub cluster_size: Option<watch::Receiver<FleetSize>>,
     /// Names for all parts that speak on wires.
@@ -29,7 +29,7 @@
     pub async fn run(mut self) {
         loop {
             tokio::select! {
-                Ok(()) = self.tuning.changed() => {}
+                Ok(()) = self.effective_settings.changed() => {}
                 () = changed(&mut self.cluster_size) => {}
             }
             self.apply();
@@ -37,12 +37,12 @@
     }
 
     fn apply(&mut self) {
-        let Tuning { settings, names } = self.tuning.borrow_and_update().clone();
+        let EffectiveSettings { settings, names } = self.effective_settings.borrow_and_update().clone();
         self.pool.set_timeouts(&names);
         let cluster_size = self.cluster_size.as_mut().map(|size| size.borrow_and_update().clone());
         let settings = platform_settings(settings, &names, cluster_size.as_ref());
         // The dispatcher first: no request may come with a class that it has not heard of.
-        self.handle.settings(settings, names.continues.clone());
+        self.handle.update_settings(settings, names.continues.clone());
         if **self.names.borrow() != names {
             self.names.send_replace(Arc::new(names));
         }
@@ -69,7 +69,7 @@
             dispatchers: size.siblings,
             ordinal: size.ordinal,
             max_senders: size.senders,
-            membership_epoch: number_of(&size.names.join("\n")),
+            membership_epoch: stable_hash(&size.names.join("\n")),
             ..settings
         },
         None => settings,
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -1,7 +1,7 @@
 //! TCP socket that may go to another process while it is in use: what this process does with it can be frozen at any
 //! moment, and what an earlier process has read of it comes first here.
 
-use crate::transient::{self, Again, PAUSE, REPEATS_AT_ONCE};
+use crate::transient::{self, Retry, IMMEDIATE_RETRIES, PAUSE};
 use futures_util::FutureExt;
 use rustix::net::{recv, shutdown, RecvFlags, Shutdown};
 use std::future::Future;
@@ -56,14 +56,14 @@
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         let again = match &result {
             Ok(_) => None,
-            Err(e) => transient::of_transfer(e),
+            Err(e) => transient::transfer_retry(e),
         };
         let Some(again) = again else {
             self.failures = 0;
             return Some(result);
         };
         self.failures += 1;
-        if again == Again::Soon || self.failures >= REPEATS_AT_ONCE {
+        if again == Retry::AfterPause || self.failures >= IMMEDIATE_RETRIES {
             self.failures = 0;
             self.pause = Some(Box::pin(sleep(PAUSE)));
         }
@@ -158,14 +158,14 @@
     }
 
     fn unread(&self) -> Unread {
-        for _ in 0..REPEATS_AT_ONCE {
+        for _ in 0..IMMEDIATE_RETRIES {
             match self.0.peek(RecvFlags::DONTWAIT) {
                 Ok(0) => return Unread::End,
                 Ok(_) => return Unread::Bytes,
                 Err(rustix::io::Errno::WOULDBLOCK) => return Unread::Nothing,
-                Err(e) => match transient::of_transfer(&e.into()) {
-                    Some(Again::Now) => {}
-                    Some(Again::Soon) => return Unread::Unknown,
+                Err(e) => match transient::transfer_retry(&e.into()) {
+                    Some(Retry::Immediately) => {}
+                    Some(Retry::AfterPause) => return Unread::Unknown,
                     None => return Unread::End,
                 },
             }
@@ -202,7 +202,7 @@
                     match self.0.stream.try_io(Interest::READABLE, peek) {
                         Ok(bytes) => bytes == 0,
                         Err(e) if e.kind() == ErrorKind::WouldBlock => continue,
-                        Err(e) => transient::of_transfer(&e).is_none(),
+                        Err(e) => transient::transfer_retry(&e).is_none(),
                     }
                 }
                 Err(_) => true,
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -13,12 +13,12 @@
 use crate::config::Config;
 use crate::counters::{Counters, ResourceUsage};
 use crate::dispatcher::{Dispatcher, Handle, Inbox};
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use crate::membership;
 use crate::names::Names;
 use crate::phase::Phases;
-use crate::retune::Tuning;
-use crate::upgrade::{self, Before, Held, Remains};
+use crate::process_handover::{self, HeldResources, Predecessor, PredecessorLink};
+use crate::settings_merge::EffectiveSettings;
 use dispatch_policy::api::Settings;
 use hyper::header::HeaderValue;
 use std::collections::HashMap;
@@ -38,10 +38,10 @@
     settings: Settings,
     first_names: Names,
     /// Endpoint list to begin with.
-    known: Option<ListBody>,
+    known: Option<EndpointList>,
     names: watch::Receiver<Arc<Names>>,
     publish_names: watch::Sender<Arc<Names>>,
-    tuning: watch::Receiver<Tuning>,
+    effective_settings: watch::Receiver<EffectiveSettings>,
     handle: Handle<Job>,
     budget: Arc<ResourceBudget>,
     counters: Arc<Counters>,
@@ -54,7 +54,7 @@
 
 /// The process that served before, from the moment in which this one serves in its place.
 pub struct DisplacedPredecessor {
-    link: Remains,
+    link: PredecessorLink,
     /// Wire ids of requests that are in flight there.
     ids: Vec<String>,
 }
@@ -66,10 +66,11 @@
         dependencies: Dependencies,
         handle: Handle<Job>,
     ) -> (Startup, Option<DisplacedPredecessor>) {
-        let Dependencies { counters, mut tuning, predecessor, .. } = dependencies;
-        let Tuning { settings, names: first_names } = tuning.borrow_and_update().clone();
+        let Dependencies { counters, mut effective_settings, predecessor, .. } = dependencies;
+        let EffectiveSettings { settings, names: first_names } =
+            effective_settings.borrow_and_update().clone();
         let (publish_names, names) = watch::channel(Arc::new(first_names.clone()));
-        let (mut known, mut usage, mut displaced) = (config.known, Held::default(), None);
+        let (mut known, mut usage, mut displaced) = (config.known, HeldResources::default(), None);
         if let Some(predecessor) = predecessor {
             known = Some(predecessor.state.known.clone());
             let (held, predecessor) = displace(predecessor).await;
@@ -91,7 +92,7 @@
             known,
             names,
             publish_names,
-            tuning,
+            effective_settings,
             handle,
             budget,
             counters,
@@ -182,7 +183,7 @@
         let updates = SettingsUpdates {
             handle: self.handle.clone(),
             pool: self.budget.pool.clone(),
-            tuning: self.tuning.clone(),
+            effective_settings: self.effective_settings.clone(),
             cluster_size: self.membership.as_ref().map(|membership| membership.fleet_size()),
             names: self.publish_names.clone(),
         };
@@ -195,7 +196,9 @@
         let (listener, phases, budget) = (Arc::downgrade(listener), self.phases.clone(), self.budget.clone());
         let membership = self.membership.clone();
         let displaced = move || membership.iter().for_each(membership::Handle::suspend);
-        tokio::spawn(async move { upgrade::offer(&path, listener, &phases, &*budget, displaced).await });
+        tokio::spawn(async move {
+            process_handover::serve_successors(&path, listener, &phases, &*budget, displaced).await
+        });
     }
 
     /// The server for clients: the last part.
@@ -212,9 +215,9 @@
 }
 
 /// Serves in place of the process before; returns what it still holds.
-async fn displace(predecessor: Before) -> (Held, DisplacedPredecessor) {
+async fn displace(predecessor: Predecessor) -> (HeldResources, DisplacedPredecessor) {
     let ids = predecessor.state.ids.clone();
-    let (held, link) = predecessor.replace().await;
+    let (held, link) = predecessor.take_over().await;
     (held, DisplacedPredecessor { link, ids })
 }
 
@@ -229,7 +232,7 @@
         let mut reserved: HashMap<String, Arc<InFlightId>> = reserved.collect();
         tokio::spawn(async move {
             self.link
-                .follow(
+                .run(
                     |held| server.budget.update_peer_usage(held),
                     |text, sockets| server.adopt(text, sockets, &mut reserved),
                 )
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -1,11 +1,11 @@
 //! Transport of the dispatcher's decisions to workers, clients and other nodes.
 
 use super::attempt::{AttemptRequest, AttemptRunner};
-use super::job_handover::{self, Hold, Line, Moving};
+use super::job_handover::{self, AttemptConnection, AttemptHandle, TransferredJob};
 use super::rate_gossip::RatePublisher;
 use super::{probe, Job};
-use crate::dispatcher::{Answer, Front, Sent, Tag};
-use crate::upgrade::Lifted;
+use crate::dispatcher::{Answer, AttemptId, AttemptStart, Frontend};
+use crate::process_handover::FrozenJob;
 use dispatch_policy::api::{Outcome, WorkerId};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,7 +16,7 @@
 pub struct PlatformTransport {
     runner: Arc<AttemptRunner>,
     /// Running jobs that were collected for another process.
-    lifted: Arc<Mutex<Vec<Lifted>>>,
+    lifted: Arc<Mutex<Vec<FrozenJob>>>,
     rate_publisher: Option<RatePublisher>,
 }
 
@@ -24,20 +24,20 @@
     /// A transport that runs attempts with this runner.
     pub fn new(
         runner: Arc<AttemptRunner>,
-        lifted: Arc<Mutex<Vec<Lifted>>>,
+        lifted: Arc<Mutex<Vec<FrozenJob>>>,
         rate_publisher: Option<RatePublisher>,
     ) -> PlatformTransport {
         PlatformTransport { runner, lifted, rate_publisher }
     }
 }
 
-impl Front for PlatformTransport {
+impl Frontend for PlatformTransport {
     type Job = Job;
-    type Attempt = Hold;
+    type Attempt = AttemptHandle;
 
-    fn send(&mut self, tag: Tag, job: &Job, worker: WorkerId, until: Instant) -> Self::Attempt {
+    fn send(&mut self, tag: AttemptId, job: &Job, worker: WorkerId, until: Instant) -> Self::Attempt {
         let (stop, stopped) = oneshot::channel();
-        let line = Arc::new(Line::default());
+        let line = Arc::new(AttemptConnection::default());
         let request = AttemptRequest {
             tag,
             worker,
@@ -51,7 +51,7 @@
         };
         let adopted = job.adopted.lock().unwrap_or_else(PoisonError::into_inner).take();
         tokio::spawn(self.runner.clone().run(request, adopted, stopped));
-        Hold { stop, line }
+        AttemptHandle { stop, line }
     }
 
     fn is_awaited(&self, job: &Job) -> bool {
@@ -67,10 +67,10 @@
         attempt.line.unwanted.store(true, Ordering::Relaxed);
     }
 
-    fn lift(&mut self, tag: Tag, sent: &Sent, job: &Job, hold: &Hold) {
-        let moving = Moving::lift(sent, job, hold, &self.runner.names.borrow());
+    fn freeze_for_transfer(&mut self, tag: AttemptId, sent: &AttemptStart, job: &Job, hold: &AttemptHandle) {
+        let moving = TransferredJob::freeze(sent, job, hold, &self.runner.names.borrow());
         let lifted =
-            moving.and_then(|moving| job_handover::lifted(&self.runner.handle, tag, job, hold, moving));
+            moving.and_then(|moving| job_handover::frozen_job(&self.runner.handle, tag, job, hold, moving));
         self.lifted.lock().unwrap_or_else(PoisonError::into_inner).extend(lifted);
     }
 
@@ -79,7 +79,7 @@
         let _ = job.reply.send(answer);
     }
 
-    fn release(&mut self, worker: WorkerId) {
+    fn close_idle(&mut self, worker: WorkerId) {
         self.runner.pool.close_idle_to(worker);
     }
 
@@ -88,7 +88,7 @@
         true
     }
 
-    fn tell(&mut self, to: u32, rates: &[u8]) {
+    fn send_to_peer(&mut self, to: u32, rates: &[u8]) {
         if let Some(publisher) = &self.rate_publisher {
             publisher.publish(to, rates);
         }
--- a/node/src/upgrade.rs
+++ b/node/src/process_handover.rs
@@ -2,7 +2,7 @@
 //! Unix socket, for its listener and what it knows; once it serves, the old one takes nothing new and answers
 //! what it has. What either holds counts for both, and the end of their link tells each of the other's end.
 
-use crate::list::ListBody;
+use crate::endpoint_list::EndpointList;
 use crate::phase::Phases;
 use crate::platform::socket::SocketHandle;
 use rustix::net::{
@@ -38,16 +38,16 @@
 
 /// What goes with the listener.
 #[derive(Serialize, Deserialize)]
-pub struct State {
+pub struct NodeState {
     /// The workers as the old process knows them.
-    pub known: ListBody,
+    pub known: EndpointList,
     /// The wire ids that are open there.
     pub ids: Vec<String>,
 }
 
 /// What the old process may hold at most from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldResources {
     /// Descriptors.
     pub descriptors: usize,
     /// Memory for bodies.
@@ -55,66 +55,66 @@
 }
 
 /// A running job that was taken up: it moves, or it is let go and goes on here.
-pub struct Lifted {
+pub struct FrozenJob {
     /// What goes with its sockets, as of the moment in which it goes; `None` where that can't be told.
-    pub text: Box<dyn FnOnce() -> Option<String> + Send>,
+    pub record: Box<dyn FnOnce() -> Option<String> + Send>,
     /// Its client's and its worker's.
     pub sockets: [SocketHandle; 2],
     /// Whether the other process has it.
-    pub done: Box<dyn FnOnce(bool) + Send>,
+    pub finish: Box<dyn FnOnce(bool) + Send>,
 }
 
 /// A front that can be taken over.
-pub trait Holder {
+pub trait HandoverSource {
     /// What goes with the listener.
-    fn state(&self) -> State;
+    fn node_state(&self) -> NodeState;
     /// What is held now.
-    fn held(&self) -> Held;
+    fn held_resources(&self) -> HeldResources;
     /// Nothing new comes: what is kept for later can go.
-    fn let_go(&self);
+    fn close_idle(&self);
     /// Takes up the running jobs that can move.
-    fn lift(&self) -> impl Future<Output = Vec<Lifted>> + Send;
+    fn freeze_jobs(&self) -> impl Future<Output = Vec<FrozenJob>> + Send;
 }
 
 /// Where the process that serves this address waits for the next one: in `TMPDIR`, which the platform keeps to
 /// one node; without it there are no upgrades.
-pub fn place(listen: SocketAddr) -> Option<PathBuf> {
+pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|f| !f.is_empty())?;
     Some(PathBuf::from(folder).join(format!("molevale-{listen}")))
 }
 
 /// The process that serves now, as the new one sees it.
-pub struct Before {
+pub struct Predecessor {
     /// What it knew.
-    pub state: State,
+    pub state: NodeState,
     link: BufReader<UnixStream>,
 }
 
 /// Who serves now.
-pub enum Found {
+pub enum PredecessorLookup {
     /// A process that hands over, and its listener with all that waits there.
-    Process(TcpListener, Before),
+    Serving(TcpListener, Predecessor),
     /// A process that gives no answer.
-    Hung,
+    Unresponsive,
     /// Nobody; a file may be left from a process that is gone.
-    Nobody,
+    Absent,
 }
 
-impl Before {
+impl Predecessor {
     /// Asks at this place.
-    pub async fn find(place: &Path) -> Found {
-        let Ok(link) = UnixStream::connect(place).await else { return Found::Nobody };
-        let asked = timeout(ANSWER_WAIT, Before::ask(link)).await;
+    pub async fn look_up(place: &Path) -> PredecessorLookup {
+        let Ok(link) = UnixStream::connect(place).await else { return PredecessorLookup::Absent };
+        let asked = timeout(ANSWER_WAIT, Predecessor::ask(link)).await;
         match asked.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
-            Ok((listener, before)) => Found::Process(listener, before),
+            Ok((listener, before)) => PredecessorLookup::Serving(listener, before),
             Err(e) => {
                 log::warn!("upgrade: the process before gives no answer, starting without it: {e}");
-                Found::Hung
+                PredecessorLookup::Unresponsive
             }
         }
     }
 
-    async fn ask(link: UnixStream) -> io::Result<(TcpListener, Before)> {
+    async fn ask(link: UnixStream) -> io::Result<(TcpListener, Predecessor)> {
         let listener = link.async_io(Interest::READABLE, || receive(&link)).await?;
         let listener = listener.into_iter().next().ok_or(ErrorKind::InvalidData)?;
         let listener = std::net::TcpListener::from(listener);
@@ -122,34 +122,34 @@
         let listener = TcpListener::from_std(listener)?;
         let mut link = BufReader::new(link);
         let state = serde_json::from_str(&line(&mut link).await?)?;
-        Ok((listener, Before { state, link }))
+        Ok((listener, Predecessor { state, link }))
     }
 
     /// Tells it that this process serves; returns what it still holds. From here on it takes nothing new.
-    pub async fn replace(mut self) -> (Held, Remains) {
+    pub async fn take_over(mut self) -> (HeldResources, PredecessorLink) {
         let told = async {
             self.link.get_mut().write_all(b"serving\n").await?;
-            Ok::<Held, io::Error>(serde_json::from_str(&line(&mut self.link).await?)?)
+            Ok::<HeldResources, io::Error>(serde_json::from_str(&line(&mut self.link).await?)?)
         };
         let held = timeout(ANSWER_WAIT, told).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let held = held.unwrap_or_else(|e| {
             log::warn!("upgrade: the process before has fallen silent: {e}");
-            Held::default()
+            HeldResources::default()
         });
         log::info!("upgrade: took over from the process before, which still holds {held:?}");
-        (held, Remains(self.link))
+        (held, PredecessorLink(self.link))
     }
 }
 
 /// What remains of the process before.
-pub struct Remains(BufReader<UnixStream>);
+pub struct PredecessorLink(BufReader<UnixStream>);
 
-impl Remains {
+impl PredecessorLink {
     /// Takes the jobs that run there over, each as `adopt` says whether it can be; then brings each word on what
     /// it still holds, and nothing, at its end.
-    pub async fn follow(
+    pub async fn run(
         mut self,
-        mut hear: impl FnMut(Held),
+        mut hear: impl FnMut(HeldResources),
         mut adopt: impl FnMut(&str, [OwnedFd; 2]) -> bool,
     ) {
         let mut ended = self.0.get_mut().write_all(b"ready\n").await.is_err();
@@ -157,12 +157,12 @@
             ended = self.word(&mut hear, &mut adopt).await.is_err();
         }
         log::info!("upgrade: the process before has ended");
-        hear(Held::default());
+        hear(HeldResources::default());
     }
 
     async fn word(
         &mut self,
-        hear: &mut impl FnMut(Held),
+        hear: &mut impl FnMut(HeldResources),
         adopt: &mut impl FnMut(&str, [OwnedFd; 2]) -> bool,
     ) -> io::Result<()> {
         // A job's sockets come with its first byte, and nothing comes behind a job before it has its answer.
@@ -192,11 +192,11 @@
 
 /// Waits at this place for the next process and lets it take over, as long as there is a listener. `displaced` is called
 /// where another process has taken the place while this one stood still.
-pub async fn offer(
+pub async fn serve_successors(
     place: &Path,
     listener: Weak<TcpListener>,
     phases: &Phases,
-    holder: &impl Holder,
+    holder: &impl HandoverSource,
     displaced: impl Fn(),
 ) {
     let mut socket = match bind(place) {
@@ -251,7 +251,7 @@
     link: UnixStream,
     listener: &Weak<TcpListener>,
     phases: &Phases,
-    holder: &impl Holder,
+    holder: &impl HandoverSource,
 ) -> io::Result<()> {
     let mut link = BufReader::new(link);
     let told = async {
@@ -259,7 +259,7 @@
         let link = link.get_mut();
         link.async_io(Interest::WRITABLE, || send(link, &[listener.as_fd()])).await?;
         drop(listener);
-        say(link, &holder.state()).await
+        say(link, &holder.node_state()).await
     };
     timeout(ANSWER_WAIT, told).await??;
     log::info!("upgrade: a new process starts");
@@ -267,7 +267,7 @@
         return Err(ErrorKind::InvalidData.into());
     }
     let before = phases.hand_over();
-    holder.let_go();
+    holder.close_idle();
     let ended = match move_jobs(&mut link, holder).await {
         Ok(()) => follow_successor(&mut link, holder).await,
         Err(e) => e,
@@ -277,21 +277,21 @@
 }
 
 /// Says what is held, and hands the running jobs over, one after the other.
-async fn move_jobs(link: &mut BufReader<UnixStream>, holder: &impl Holder) -> io::Result<()> {
+async fn move_jobs(link: &mut BufReader<UnixStream>, holder: &impl HandoverSource) -> io::Result<()> {
     // Idle connections close now; what they held is not to be missed by the new process.
     for _ in 0..SETTLE {
         yield_now().await;
     }
-    say(link.get_mut(), &holder.held()).await?;
+    say(link.get_mut(), &holder.held_resources()).await?;
     if timeout(START_WAIT, line(link)).await?? != "ready" {
         return Err(ErrorKind::InvalidData.into());
     }
-    let mut jobs = holder.lift().await.into_iter();
+    let mut jobs = holder.freeze_jobs().await.into_iter();
     let (mut moved, mut result) = (0, Ok(()));
     for job in jobs.by_ref() {
         let sockets = [job.sockets[0].descriptor().as_fd(), job.sockets[1].descriptor().as_fd()];
-        let Some(text) = (job.text)() else {
-            (job.done)(false);
+        let Some(text) = (job.record)() else {
+            (job.finish)(false);
             continue;
         };
         let exchange = async {
@@ -303,23 +303,23 @@
         let answer = timeout(ANSWER_WAIT, exchange).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let taken = matches!(answer.as_deref(), Ok("ok"));
         moved += usize::from(taken);
-        (job.done)(taken);
+        (job.finish)(taken);
         if let Err(e) = answer {
             result = Err(e);
             break;
         }
     }
     // Guards those that are left where the other process has failed: they go on here.
-    jobs.for_each(|job| (job.done)(false));
+    jobs.for_each(|job| (job.finish)(false));
     log::info!("upgrade: {moved} running jobs went over");
     result
 }
 
-async fn follow_successor(link: &mut BufReader<UnixStream>, holder: &impl Holder) -> io::Error {
+async fn follow_successor(link: &mut BufReader<UnixStream>, holder: &impl HandoverSource) -> io::Error {
     loop {
         let word = async {
             link.get_mut().write_all(b"H").await?;
-            say(link.get_mut(), &holder.held()).await
+            say(link.get_mut(), &holder.held_resources()).await
         };
         if let Err(e) = word.await {
             return e;
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,7 +1,7 @@
 //! From SIGHUP to what a new configuration changes in a running node.
 
-use crate::config::{Sources, Told};
-use crate::retune::{lacks, Tuning};
+use crate::config::{ConfigSources, LoadedConfig};
+use crate::settings_merge::{first_missing_key, EffectiveSettings};
 use crate::signals::{Command, Signals};
 use membership::keys::Keys;
 use std::net::SocketAddr;
@@ -9,21 +9,23 @@
 
 /// Owns the configuration of a running node and what may change in it.
 pub struct Reload {
-    sources: Sources,
-    running: Told,
+    sources: ConfigSources,
+    running: LoadedConfig,
     discovery: watch::Sender<Option<SocketAddr>>,
-    tuning: watch::Sender<Tuning>,
+    effective_settings: watch::Sender<EffectiveSettings>,
     keys: watch::Sender<Option<Keys>>,
 }
 
 impl Reload {
     /// Starts from what the fronts were told.
-    pub fn new(sources: Sources, started: Told) -> Reload {
+    pub fn new(sources: ConfigSources, started: LoadedConfig) -> Reload {
         let at = started.config.as_ref().map(|c| c.discovery);
-        let tuning = started.config.as_ref().map(|c| c.tuning.clone()).unwrap_or_default();
-        let (discovery, tuning) = (watch::Sender::new(at), watch::Sender::new(tuning));
+        let effective_settings =
+            started.config.as_ref().map(|c| c.effective_settings.clone()).unwrap_or_default();
+        let (discovery, effective_settings) =
+            (watch::Sender::new(at), watch::Sender::new(effective_settings));
         let keys = watch::Sender::new(started.fleet.as_ref().map(|t| t.keys.clone()));
-        Reload { sources, running: started, discovery, tuning, keys }
+        Reload { sources, running: started, discovery, effective_settings, keys }
     }
 
     /// Where discovery listens, as of now; `None` where no front asks it.
@@ -32,8 +34,8 @@
     }
 
     /// The settings, as of now.
-    pub fn tuning(&self) -> watch::Receiver<Tuning> {
-        self.tuning.subscribe()
+    pub fn effective_settings(&self) -> watch::Receiver<EffectiveSettings> {
+        self.effective_settings.subscribe()
     }
 
     /// The keys of the talk between nodes, as of now; `None` where there is none.
@@ -61,15 +63,19 @@
         let newer = self.sources.read_again()?;
         let mut changed = Vec::new();
         if let (Some(old), Some(new)) = (&mut self.running.config, &newer.config) {
-            if let Some(key) = lacks(&old.text, &new.text, "configuration") {
+            if let Some(key) = first_missing_key(&old.text, &new.text, "configuration") {
                 return Err(format!("{key} is missing"));
             }
-            let tuning = self.tuning.borrow().overlaid(&new.tuning);
-            tuning.settings.validate().map_err(|e| format!("settings: {e}"))?;
-            if self.tuning.send_if_modified(|old| std::mem::replace(old, tuning.clone()) != tuning) {
-                let offered = (0..tuning.names.classes.len()).filter(|n| !tuning.names.retired.contains(n));
-                let offered: Vec<&str> = offered.map(|n| tuning.names.classes[n].as_str()).collect();
-                let most = tuning.settings.max_attempts;
+            let effective_settings = self.effective_settings.borrow().merged_with(&new.effective_settings);
+            effective_settings.settings.validate().map_err(|e| format!("settings: {e}"))?;
+            if self.effective_settings.send_if_modified(|old| {
+                std::mem::replace(old, effective_settings.clone()) != effective_settings
+            }) {
+                let offered = (0..effective_settings.names.classes.len())
+                    .filter(|n| !effective_settings.names.retired.contains(n));
+                let offered: Vec<&str> =
+                    offered.map(|n| effective_settings.names.classes[n].as_str()).collect();
+                let most = effective_settings.settings.max_attempts;
                 changed
                     .push(format!("new settings: classes {}; {most} attempts at most", offered.join(", ")));
             }
@@ -84,9 +90,10 @@
         if self.keys.send_if_modified(|old| std::mem::replace(old, keys.clone()) != keys) {
             changed.push("new keys for the talk between nodes".to_string());
         }
-        let lasting = self.running.lasting(&newer);
-        if !lasting.is_empty() {
-            changed.push(format!("changed, but in force only after a restart: {}", lasting.join(", ")));
+        let restart_required = self.running.restart_required(&newer);
+        if !restart_required.is_empty() {
+            changed
+                .push(format!("changed, but in force only after a restart: {}", restart_required.join(", ")));
         }
         Ok(if changed.is_empty() { "all as before".to_string() } else { changed.join("; ") })
     }
--- a/node/src/retune.rs
+++ b/node/src/settings_merge.rs
@@ -7,19 +7,19 @@
 
 /// The settings and the names that belong to them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tuning {
+pub struct EffectiveSettings {
     /// The module's settings.
     pub settings: Settings,
     /// What the wires need beside them.
     pub names: Names,
 }
 
-impl Tuning {
+impl EffectiveSettings {
     /// The newer settings, by this one's numbers. A class whose rules are as before keeps its number; any other
     /// gets a number of its own, and one that is no longer named is offered no more.
-    pub fn overlaid(&self, newer: &Tuning) -> Tuning {
+    pub fn merged_with(&self, newer: &EffectiveSettings) -> EffectiveSettings {
         let old = &self.names;
-        let mut new = Tuning {
+        let mut new = EffectiveSettings {
             settings: Settings {
                 classes: self.settings.classes.clone(),
                 tenants: self.settings.tenants.clone(),
@@ -88,12 +88,12 @@
 
 /// The first key that the running configuration has and a newer one lacks. Items of a list need what all of them
 /// had. Guards against files that are incomplete and read all the same, for the reader has defaults.
-pub fn lacks(running: &Value, newer: &Value, path: &str) -> Option<String> {
+pub fn first_missing_key(running: &Value, newer: &Value, path: &str) -> Option<String> {
     match (running, newer) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| {
             let path = format!("{path}.{key}");
             match new.get(key) {
-                Some(newer) => lacks(value, newer, &path),
+                Some(newer) => first_missing_key(value, newer, &path),
                 None => Some(path),
             }
         }),
@@ -102,7 +102,9 @@
             let mut common = items.next()?.clone();
             items.for_each(|item| common.retain(|key, _| item.contains_key(key)));
             let common = Value::Object(common);
-            new.iter().enumerate().find_map(|(i, item)| lacks(&common, item, &format!("{path}.{i}")))
+            new.iter()
+                .enumerate()
+                .find_map(|(i, item)| first_missing_key(&common, item, &format!("{path}.{i}")))
         }
         (Value::Object(_) | Value::Array(_), _) => Some(path.to_string()),
         _ => None,
@@ -118,7 +120,7 @@
     use std::collections::BTreeMap;
 
     /// Settings that offer these classes: a name and which of three effects.
-    fn tuning(classes: &BTreeMap<u8, u8>, zones: [&str; 2]) -> Tuning {
+    fn effective_settings(classes: &BTreeMap<u8, u8>, zones: [&str; 2]) -> EffectiveSettings {
         let effects =
             [Idempotency::Idempotent, Idempotency::WithKey(KeyScope::Fleet), Idempotency::NotIdempotent];
         let class = |effect: &u8| ClassSettings {
@@ -144,7 +146,7 @@
             zones: zones.map(String::from).to_vec(),
             ..Names::default()
         };
-        Tuning { settings, names }
+        EffectiveSettings { settings, names }
     }
 
     /// Guards jobs that are open: whatever settings come, a number keeps its rules, and a name is looked up under
@@ -155,10 +157,10 @@
             let model = |step: &Vec<(u8, u8)>| -> BTreeMap<u8, u8> {
                 step.iter().map(|(n, e)| (n % 4, e % 3)).chain([(9, 0)]).collect()
             };
-            let mut running = tuning(&BTreeMap::from([(9, 0)]), ["a", "b"]);
+            let mut running = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
             for step in &steps {
                 let wanted = model(step);
-                let new = running.overlaid(&tuning(&wanted, ["b", "c"]));
+                let new = running.merged_with(&effective_settings(&wanted, ["b", "c"]));
                 let (old, now) = (&running.settings.classes, &new.settings.classes);
                 assert_eq!(old[..], now[..old.len()], "numbers keep their rules");
                 for name in 0..10_u8 {
@@ -181,13 +183,13 @@
     #[test]
     fn tenants_keep_their_numbers_and_one_that_goes_has_no_share() {
         let with = |names: &[&str]| {
-            let mut tuning = tuning(&BTreeMap::from([(9, 0)]), ["a", "b"]);
-            tuning.names.tenants = names.iter().map(ToString::to_string).collect();
+            let mut effective_settings = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
+            effective_settings.names.tenants = names.iter().map(ToString::to_string).collect();
             let tenant = |i| TenantSettings { quota_per_s: f64::from(i), share: 0.5 };
-            tuning.settings.tenants = (1..=names.len() as u32).map(tenant).collect();
-            tuning
+            effective_settings.settings.tenants = (1..=names.len() as u32).map(tenant).collect();
+            effective_settings
         };
-        let new = with(&["sava", "drava"]).overlaid(&with(&["drava", "mura"]));
+        let new = with(&["sava", "drava"]).merged_with(&with(&["drava", "mura"]));
         let quota = |n: usize| new.settings.tenants[n].quota_per_s;
         assert_eq!(
             (new.names.tenant("sava"), new.names.tenant("drava"), new.names.tenant("mura")),
@@ -199,7 +201,7 @@
     #[test]
     fn a_key_that_is_missing_is_named_and_one_that_only_some_items_had_is_not() {
         let running = json!({"a": {"b": 1}, "list": [{"x": 1, "y": 1}, {"x": 2}], "plain": [1, 2]});
-        let lacking = |newer: Value| lacks(&running, &newer, "c").unwrap_or_default();
+        let lacking = |newer: Value| first_missing_key(&running, &newer, "c").unwrap_or_default();
         assert_eq!(lacking(running.clone()), "");
         assert_eq!(lacking(json!({"a": {"b": 2, "n": 1}, "list": [{"x": 5}], "plain": []})), "");
         assert_eq!(lacking(json!({"a": {}, "list": [], "plain": []})), "c.a.b");
--- a/node/src/transient.rs
+++ b/node/src/transient.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, Instant};
 
 /// Calls that are made again at once, in a row; then there is a pause.
-pub const REPEATS_AT_ONCE: u32 = 16;
+pub const IMMEDIATE_RETRIES: u32 = 16;
 /// Before a call is made again for which the machine had no buffer or descriptor, or which was interrupted often.
 pub const PAUSE: Duration = Duration::from_millis(2);
 /// The longest pause of calls that fail again and again.
@@ -18,28 +18,28 @@
 
 /// When a call that failed is to be made again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum Retry {
     /// At once.
-    Now,
+    Immediately,
     /// After a pause.
-    Soon,
+    AfterPause,
 }
 
 /// For a `send` or `recv` on a connection: `None` is the connection's end.
-pub fn of_transfer(error: &io::Error) -> Option<Again> {
+pub fn transfer_retry(error: &io::Error) -> Option<Retry> {
     match Errno::from_io_error(error)? {
-        Errno::INTR => Some(Again::Now),
-        Errno::NOBUFS | Errno::NOMEM => Some(Again::Soon),
+        Errno::INTR => Some(Retry::Immediately),
+        Errno::NOBUFS | Errno::NOMEM => Some(Retry::AfterPause),
         _ => None,
     }
 }
 
 /// For an `accept`, which fails by itself or hands on the error of a connection that has ended in the backlog: the next
 /// one may be there.
-pub fn of_accept(error: &io::Error) -> Again {
+pub fn accept_retry(error: &io::Error) -> Retry {
     match Errno::from_io_error(error) {
-        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) | None => Again::Soon,
-        Some(_) => Again::Now,
+        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) | None => Retry::AfterPause,
+        Some(_) => Retry::Immediately,
     }
 }
 
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// The call's last one.
-pub async fn outlast<T, F: Future<Output = io::Result<T>>>(
+pub async fn retry_local_failures<T, F: Future<Output = io::Result<T>>>(
     limit: Duration,
     mut call: impl FnMut() -> F,
 ) -> io::Result<T> {
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use molevale::counters::Counters;
 use molevale::faktory::{FaktoryConfig, Server};
 use molevale::phase::{Phase, Phases};
-use molevale::retune::Tuning;
-use molevale::upgrade::Before;
+use molevale::process_handover::Predecessor;
+use molevale::settings_merge::EffectiveSettings;
 use molevale::{config, platform};
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{json, Value};
@@ -376,7 +376,7 @@
     pub counters: Arc<Counters>,
     pub phases: Phases,
     pub served: JoinHandle<Result<(), String>>,
-    pub tuning: watch::Sender<Tuning>,
+    pub effective_settings: watch::Sender<EffectiveSettings>,
     discovery: watch::Sender<Option<SocketAddr>>,
     calls: mpsc::UnboundedReceiver<String>,
     agent: Agent,
@@ -401,7 +401,7 @@
         known: Vec<Value>,
         sockets: usize,
         memory_mb: usize,
-        found: Option<(TcpListener, Before)>,
+        found: Option<(TcpListener, Predecessor)>,
     ) -> Platform {
         let told = json!({"settings": settings(true, 60_000_000), "known": known});
         Platform::all(told, place, sockets, memory_mb, found).await
@@ -423,7 +423,7 @@
         place: Option<PathBuf>,
         sockets: usize,
         memory_mb: usize,
-        found: Option<(TcpListener, Before)>,
+        found: Option<(TcpListener, Predecessor)>,
     ) -> Platform {
         let _time = still();
         let (agent, at, calls) = Agent::start().await;
@@ -443,13 +443,13 @@
         let counters = Arc::new(Counters::default());
         // A test may name another discovery than the stand-in that comes with the node.
         let (discovery, followed) = watch::channel(Some(config.discovery));
-        let (tuning, follow_tuning) = watch::channel(config.tuning.clone());
+        let (effective_settings, follow_tuning) = watch::channel(config.effective_settings.clone());
         let (ready, mut is_ready) = watch::channel(false);
         let dependencies = platform::Dependencies {
             counters: counters.clone(),
             phases: phases.clone(),
             discovery: followed,
-            tuning: follow_tuning,
+            effective_settings: follow_tuning,
             ready,
             predecessor: before,
             handover_path: place,
@@ -459,7 +459,18 @@
         let served = platform::serve(config, listener, dependencies);
         let served = tokio::spawn(async move { served.await.map_err(|e| e.to_string()) });
         is_ready.wait_for(|ready| *ready).await.unwrap();
-        Platform { address, counters, phases, tuning, served, discovery, calls, agent, old: None, _time }
+        Platform {
+            address,
+            counters,
+            phases,
+            effective_settings,
+            served,
+            discovery,
+            calls,
+            agent,
+            old: None,
+            _time,
+        }
     }
 
     /// The one check after each bad order: all that is counted goes back to nothing. Every request had one end and every
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -6,7 +6,7 @@
 use common::{checker, holds, settings};
 use dispatch_policy::api::{Availability, Endpoint, Outcome, Request, WorkerId};
 use molevale::counters::Counters;
-use molevale::dispatcher::{queue, Answer, Dispatcher, Front, Handle, Tag};
+use molevale::dispatcher::{queue, Answer, AttemptId, Dispatcher, Frontend, Handle};
 use molevale::names::read_settings;
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 /// What the core asked for.
 #[derive(Default)]
 struct Notes {
-    out: BTreeMap<u64, (Tag, WorkerId)>, // by job: the attempt that is out
-    stopped: Vec<(u64, Outcome)>,        // told to stop, and not ended yet
+    out: BTreeMap<u64, (AttemptId, WorkerId)>, // by job: the attempt that is out
+    stopped: Vec<(u64, Outcome)>,              // told to stop, and not ended yet
     answers: BTreeMap<u64, Answer>,
     draining: BTreeMap<WorkerId, Instant>,
     sent: BTreeMap<u64, u32>,
@@ -26,11 +26,11 @@
 
 struct Noting(Arc<Mutex<Notes>>);
 
-impl Front for Noting {
+impl Frontend for Noting {
     type Job = u64;
     type Attempt = u64;
 
-    fn send(&mut self, tag: Tag, job: &u64, worker: WorkerId, until: Instant) -> u64 {
+    fn send(&mut self, tag: AttemptId, job: &u64, worker: WorkerId, until: Instant) -> u64 {
         let mut notes = self.0.lock().unwrap();
         assert!(!notes.answers.contains_key(job), "job {job} was sent after its answer");
         assert!(notes.out.insert(*job, (tag, worker)).is_none(), "job {job} is out twice");
@@ -108,14 +108,14 @@
     let (core, inbox) = queue();
     let dispatcher = Dispatcher::new(settings, 7, Noting(notes.clone()), counters.clone()).unwrap();
     let task = tokio::spawn(dispatcher.run(inbox));
-    core.list(vec![line(1, Availability::Ready), line(2, Availability::Ready)], true);
+    core.update_endpoints(vec![line(1, Availability::Ready), line(2, Availability::Ready)], true);
     let (mut jobs, mut left) = (Vec::new(), 0);
     for step in steps {
         match step {
             Step::Accept(lodge) => {
                 let class = usize::from(lodge);
                 let request = Request { class, time_left_us: 5_000_000, ..Request::default() };
-                jobs.push(core.accept(request, jobs.len() as u64));
+                jobs.push(core.submit(request, jobs.len() as u64));
             }
             Step::End(n, outcome) => {
                 let mut notes = notes.lock().unwrap();
@@ -128,7 +128,7 @@
                 let job = usize::from(n) % jobs.len();
                 // A client that leaves has no answer to come; one that has its answer is no news.
                 if !notes.lock().unwrap().answers.contains_key(&(job as u64)) {
-                    core.left(jobs[job]);
+                    core.client_left(jobs[job]);
                     left += 1;
                     settle(&core, &notes).await;
                     notes.lock().unwrap().answers.entry(job as u64).or_insert(Answer::Failed);
@@ -140,14 +140,14 @@
                 let mut notes = notes.lock().unwrap();
                 let job = notes.out.keys().copied().nth(usize::from(n) % notes.out.len().max(1));
                 if let Some((tag, _)) = job.and_then(|j| notes.out.get(&j).copied()) {
-                    core.moved(tag);
+                    core.transferred(tag);
                     notes.answers.insert(job.unwrap(), Answer::Failed); // an answer here would be a second one
                 }
             }
             Step::List(second, drains) => {
                 let worker = 1 + u64::from(second);
                 let state = if drains { Availability::Draining } else { Availability::Ready };
-                core.list(vec![line(worker, state)], false);
+                core.update_endpoints(vec![line(worker, state)], false);
                 let mut notes = notes.lock().unwrap();
                 if drains {
                     notes.draining.entry(WorkerId(worker)).or_insert_with(Instant::now);
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -6,7 +6,7 @@
 use common::{one, request, stop, stopping, Client, Platform, Seen, Worker};
 use molevale::names::read_settings;
 use molevale::phase::Phase;
-use molevale::retune::Tuning;
+use molevale::settings_merge::EffectiveSettings;
 use serde_json::json;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -390,7 +390,8 @@
         newer["Profiles"].as_array_mut().unwrap().truncate(1);
         newer["Limits"]["MaxAttempts"] = 1.into();
         let (settings, names) = read_settings(&newer).unwrap();
-        node.tuning.send_modify(|running| *running = running.overlaid(&Tuning { settings, names }));
+        node.effective_settings
+            .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
         let mut late = Client::connect(&node).await;
         assert_eq!(late.ask(&request("lodge", NEXT, 60.0, "")).await.status, 400, "offered no more");
         let lists = node.counters.lists.get() + 2;
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dispatch_policy::api::{Outcome, WorkerId};
-use molevale::dispatcher::{number_of, queue, Tag};
+use molevale::dispatcher::{queue, stable_hash, AttemptId};
 use molevale::faktory::leases::{ClassLimits, LeaseTable};
 use molevale::names::Names;
 use std::time::Duration;
@@ -19,8 +19,8 @@
     let job = serde_json::from_str(text).unwrap();
     let _outcome = leases.push(job, Bytes::from_static(text.as_bytes())).unwrap();
     let (number, queues) = (1, ["lodge".to_string()]);
-    let attempt = |attempt| Tag { id: 9, attempt };
-    let worker = |name| WorkerId(number_of(name));
+    let attempt = |attempt| AttemptId { id: 9, attempt };
+    let worker = |name| WorkerId(stable_hash(name));
     leases.session_opened("one");
     let (_, mut first) = leases.fetch("one", &queues);
     assert!(!leases.offer(attempt(0), number, worker("one")), "a FETCH was waiting");
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{request, Client, Platform, Seen, Worker};
-use molevale::upgrade::{Before, Found};
+use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::json;
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -69,7 +69,7 @@
 }
 
 /// A node that may be taken over, with a job at one worker while another is free.
-struct Moving {
+struct TransferredJob {
     place: PathBuf,
     old: Platform,
     client: Client,
@@ -77,8 +77,8 @@
     workers: [Worker; 2],
 }
 
-impl Moving {
-    async fn start(name: &str) -> Moving {
+impl TransferredJob {
+    async fn start(name: &str) -> TransferredJob {
         let place = std::env::temp_dir().join(format!("molevale-gone-{}-{name}", std::process::id()));
         let workers = [Worker::start().await, Worker::start().await];
         let known = vec![workers[0].line("s-1", "in_service"), workers[1].line("s-2", "in_service")];
@@ -96,13 +96,13 @@
         while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
-        Moving { place, old, client, seen, workers }
+        TransferredJob { place, old, client, seen, workers }
     }
 
     /// The process that is to take over finds the one that serves.
-    async fn find(&self) -> (tokio::net::TcpListener, Before) {
-        match Before::find(&self.place).await {
-            Found::Process(listener, before) => (listener, before),
+    async fn find(&self) -> (tokio::net::TcpListener, Predecessor) {
+        match Predecessor::look_up(&self.place).await {
+            PredecessorLookup::Serving(listener, before) => (listener, before),
             _ => panic!("nobody"),
         }
     }
@@ -120,9 +120,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_that_thaws_without_its_client_is_not_sent_again() {
     for way in WAYS {
-        let Moving { place, old, client, seen, workers } = Moving::start(&format!("{way:?}")).await;
-        let Found::Process(_listener, before) = Before::find(&place).await else { panic!("nobody") };
-        let (_, remains) = before.replace().await;
+        let TransferredJob { place, old, client, seen, workers } =
+            TransferredJob::start(&format!("{way:?}")).await;
+        let PredecessorLookup::Serving(_listener, before) = Predecessor::look_up(&place).await else {
+            panic!("nobody")
+        };
+        let (_, remains) = before.take_over().await;
         let (tell_offered, mut offered) = unbounded_channel();
         let (decide, decided) = mpsc::channel::<()>();
         let adopt = move |_: &str, _| {
@@ -133,7 +136,7 @@
         let runtime = tokio::runtime::Handle::current();
         // On a thread of its own, so that the answer can be held back while time passes here.
         let other = std::thread::spawn(move || {
-            let follow = remains.follow(|_| {}, adopt);
+            let follow = remains.run(|_| {}, adopt);
             let _ = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(60), follow).await });
         });
         offered.recv().await.unwrap();
@@ -163,9 +166,9 @@
 async fn a_job_whose_client_leaves_in_a_hand_over_is_not_sent_again() {
     for way in WAYS {
         for steps in (0..60).step_by(3) {
-            let moving = Moving::start(&format!("over-{way:?}-{steps}")).await;
+            let moving = TransferredJob::start(&format!("over-{way:?}-{steps}")).await;
             let found = moving.find().await;
-            let Moving { place, old, client, seen, workers } = moving;
+            let TransferredJob { place, old, client, seen, workers } = moving;
             let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some(found)).await;
             for _ in 0..steps {
                 yield_now().await;
@@ -193,8 +196,8 @@
 async fn a_close_behind_bytes_that_were_seen_is_seen_in_time() {
     for way in [Way::Part, Way::Further, Way::Much] {
         for due_at_once in [false, true] {
-            let moving = Moving::start(&format!("late-{way:?}-{due_at_once}")).await;
-            let Moving { place, old, mut client, seen, workers } = moving;
+            let moving = TransferredJob::start(&format!("late-{way:?}-{due_at_once}")).await;
+            let TransferredJob { place, old, mut client, seen, workers } = moving;
             client.add(&behind(way)).await;
             settle().await;
             advance(Duration::from_millis(1)).await;
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{late_worker, request, stop, Client, Platform, Worker};
-use molevale::upgrade::{Before, Found};
+use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -224,7 +224,9 @@
     let mut held = Client::connect(&old).await;
     held.tell(&request("check", "9b1f03aa5c7e2d43", 60.0, "x")).await;
     taken(&old, 2).await;
-    let Found::Process(listener, before) = Before::find(&place).await else { panic!("nobody") };
+    let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
+        panic!("nobody")
+    };
     let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some((listener, before))).await;
     while new.counters.transferred_in.get() < 1 {
         yield_now().await;
@@ -264,8 +266,10 @@
         while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
-        let Found::Process(_listener, before) = Before::find(&place).await else { panic!("nobody") };
-        let (_, remains) = before.replace().await;
+        let PredecessorLookup::Serving(_listener, before) = Predecessor::look_up(&place).await else {
+            panic!("nobody")
+        };
+        let (_, remains) = before.take_over().await;
         let (offer, mut offered) = tokio::sync::mpsc::unbounded_channel();
         let (client, counters) = (std::sync::Mutex::new(Some(client)), old.counters.clone());
         let adopt = move |_: &str, _| {
@@ -279,7 +283,7 @@
             offer.send(()).unwrap();
             false
         };
-        let follow = tokio::spawn(remains.follow(|_| {}, adopt));
+        let follow = tokio::spawn(remains.run(|_| {}, adopt));
         offered.recv().await.unwrap();
         assert!(off(&old, 1).await, "{way:?}");
         assert!(seen.next().await.is_none(), "called off");
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -14,7 +14,7 @@
 use molevale::platform::resource_budget::{
     ResourceBudget, DESCRIPTORS_MIN, FIXED_DESCRIPTORS, REJECTION_SLOTS,
 };
-use molevale::upgrade::{Held, Holder};
+use molevale::process_handover::{HandoverSource, HeldResources};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -61,11 +61,11 @@
     for (sockets, memory_mb) in [(128, 16), (256, 32), (1024, 192)] {
         let limits = Limits { sockets, memory_mb };
         let budget = |held| ResourceBudget::new(queue().0, limits, held, &Names::default(), Arc::default());
-        let old = budget(Held::default());
+        let old = budget(HeldResources::default());
         let all = old.allocation();
         let mut clients = busy(&old.client_slots, all.clients / 4).await;
         let bodies = old.body_memory_kib.try_acquire_many(all.bodies_kib as u32 / 2).unwrap();
-        let held = old.held();
+        let held = old.held_resources();
         let new = budget(held);
         let given = new.allocation();
         let set_aside = FIXED_DESCRIPTORS + REJECTION_SLOTS;
@@ -79,14 +79,14 @@
         let mut last = std::pin::pin!(old.clients_closed());
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_err());
         drop(clients.pop());
-        assert_eq!(old.held().descriptors, held.descriptors - 2, "its client and its attempt");
+        assert_eq!(old.held_resources().descriptors, held.descriptors - 2, "its client and its attempt");
         drop((clients, bodies));
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
-        new.update_peer_usage(old.held());
+        new.update_peer_usage(old.held_resources());
         let less = new.allocation();
         assert!(less.clients > given.clients && less.clients < all.clients, "it is still there");
         new.update_peer_usage(held); // nothing is taken away again
-        new.update_peer_usage(Held::default());
+        new.update_peer_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
         assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
         let _all = busy(&new.client_slots, all.clients).await;
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -147,9 +147,13 @@
             over = false; // no way back from the end; a timer may be a little late
         }
         assert!(phase == Phase::Closing || late <= Some(722));
-        assert_eq!(phase.up(), !draining && !over && late.is_none());
-        assert_eq!(phase.accepts(), !over && late.is_none_or(|late| late < 720), "{phase:?} {late:?}");
-        assert_eq!(phase.sends_away(), !phase.accepts() || late.is_none() && draining);
+        assert_eq!(phase.is_serving(), !draining && !over && late.is_none());
+        assert_eq!(
+            phase.accepts_connections(),
+            !over && late.is_none_or(|late| late < 720),
+            "{phase:?} {late:?}"
+        );
+        assert_eq!(phase.closes_connections(), !phase.accepts_connections() || late.is_none() && draining);
     }
 }
 
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -7,7 +7,7 @@
 use common::{one, request, Client, Platform, Worker, UP};
 use dispatch_policy::api::Outcome;
 use molevale::names::read_settings;
-use molevale::retune::Tuning;
+use molevale::settings_merge::EffectiveSettings;
 use serde_json::json;
 use std::time::Duration;
 use tokio::time::advance;
@@ -197,7 +197,8 @@
     newer["Profiles"][0]["Semantics"] = "unsafe".into();
     newer["Limits"]["MaxAttempts"] = 1.into();
     let (settings, names) = read_settings(&newer).unwrap();
-    node.tuning.send_modify(|running| *running = running.overlaid(&Tuning { settings, names }));
+    node.effective_settings
+        .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
     let mut fresh = Client::connect(&node).await;
     assert_eq!(fresh.ask(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await.status, 400);
     let mut fresh = Client::connect(&node).await;
--- a/node/tests/told.rs
+++ b/node/tests/told.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{until, Platform, Worker};
-use molevale::upgrade::{Before, Found};
+use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -166,7 +166,9 @@
             while !place.exists() {
                 yield_now().await;
             }
-            let Found::Process(listener, before) = Before::find(&place).await else { panic!("nobody") };
+            let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
+                panic!("nobody")
+            };
             let mut new = Platform::all(parts, Some(place.clone()), 256, 32, Some((listener, before))).await;
             let since = Instant::now();
             new.call().await;
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use common::{request, Client, Platform, Worker};
 use molevale::phase::Phase;
 use molevale::platform::listen;
-use molevale::upgrade::{Before, Found};
+use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use tokio::net::{TcpListener, UnixListener};
@@ -19,10 +19,10 @@
 }
 
 /// The process that serves now, and its listener.
-async fn find(place: &Path) -> Option<(TcpListener, Before)> {
-    match Before::find(place).await {
-        Found::Process(listener, before) => Some((listener, before)),
-        Found::Hung | Found::Nobody => None,
+async fn find(place: &Path) -> Option<(TcpListener, Predecessor)> {
+    match Predecessor::look_up(place).await {
+        PredecessorLookup::Serving(listener, before) => Some((listener, before)),
+        PredecessorLookup::Unresponsive | PredecessorLookup::Absent => None,
     }
 }
 
@@ -55,7 +55,7 @@
     }
     before.write("38\r\n{\"id\":\"9b1f03aa").await; // a line that is cut, here and there
     let found = find(&place).await.expect("the old process answers");
-    assert!(old.phases.follow().borrow().up(), "it serves until the new one does");
+    assert!(old.phases.follow().borrow().is_serving(), "it serves until the new one does");
     let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some(found)).await;
     assert_eq!(new.address, old.address);
     assert!(idle.answer().await.is_none(), "an idle connection is closed");
@@ -94,7 +94,7 @@
     drop(find(&place).await.expect("the old process answers"));
     assert_eq!(Client::connect(&old).await.ask(UP).await.status, 200);
     let (listener, before) = find(&place).await.expect("it answers again");
-    let (held, remains) = before.replace().await;
+    let (held, remains) = before.take_over().await;
     assert!(held.descriptors > 0);
     let mut phase = old.phases.follow();
     assert_eq!(*phase.borrow(), Phase::HandedOver);
@@ -120,13 +120,13 @@
         yield_now().await;
     }
     let (_listener, before) = find(&place).await.unwrap();
-    let (_, remains) = before.replace().await;
+    let (_, remains) = before.take_over().await;
     let (offer, mut offered) = tokio::sync::mpsc::unbounded_channel();
     let adopt = move |text: &str, _| {
         offer.send(text.to_string()).unwrap();
         false
     };
-    let follow = tokio::spawn(remains.follow(|_| {}, adopt));
+    let follow = tokio::spawn(remains.run(|_| {}, adopt));
     assert!(offered.recv().await.unwrap().contains("9b1f03aa5c7e2d41"));
     seen.say(json!({"state": "done", "result": "r"})).await;
     let got = client.answer().await.unwrap();
@@ -150,7 +150,7 @@
     let _hung = UnixListener::bind(&place).unwrap();
     let asked = tokio::spawn({
         let place = place.clone();
-        async move { matches!(Before::find(&place).await, Found::Hung) }
+        async move { matches!(Predecessor::look_up(&place).await, PredecessorLookup::Unresponsive) }
     });
     for _ in 0..11 {
         yield_now().await;
