--- /dev/null
+++ b/node/src/dispatcher/actions.rs
@@ -0,0 +1,181 @@
+//! Execution of the decision module's actions.
+
+use super::request_table::{AttemptState, RequestEntry};
+use super::timers::Timer;
+use super::{Answer, AttemptId, AttemptStart, Dispatcher, Frontend};
+use crate::invariants::Invariant;
+use dispatch_policy::api::{Action, AttemptEnd, Event, Notice, Outcome, RequestId, WorkerId};
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl<F: Frontend> Dispatcher<F> {
+    /// Hands an event to the decision module and executes the actions that come out.
+    pub(super) fn notify_policy(&mut self, event: Event) {
+        self.events.push_back(event);
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            self.policy.handle(self.clock.now(), &event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(action);
+            }
+        }
+        let overdrafts = self.policy.slow_start_overdrafts();
+        if overdrafts > self.overdrafts {
+            self.overdrafts = overdrafts;
+            self.counters.violations.add(Invariant::ColdBudget, overdrafts);
+        }
+    }
+
+    fn execute(&mut self, action: Action) {
+        match action {
+            Action::Send { id, worker } => self.send(id, worker),
+            Action::Reject { id, retry_after_us } => {
+                self.reject(id, Duration::from_micros(retry_after_us));
+            }
+            Action::Fail { id } => self.fail(id),
+            Action::Cancel { id, attempt } => self.cancel(AttemptId { id, attempt }),
+            Action::SetTimer { after_us } => {
+                let at = Instant::now() + Duration::from_micros(after_us);
+                self.timers.schedule(at, Timer::Policy);
+            }
+            Action::WatchEndpoints => self.frontend.refresh_endpoints(),
+            Action::CloseIdleConnections { worker } => self.frontend.close_idle(worker),
+            Action::Notify(notice) => log_notice(&notice),
+            Action::SendPeerMessage { to, bytes } => self.frontend.send_to_peer(to, &bytes),
+            Action::Probe { worker } => self.probe(worker),
+        }
+    }
+
+    fn reject(&mut self, id: RequestId, retry_after: Duration) {
+        log::debug!(event = "request_rejected", request = id; "request rejected");
+        if let Some(job) = self.take_job(id) {
+            self.counters.refused.add();
+            self.frontend.answer(job, Answer::Refused(retry_after));
+        }
+    }
+
+    fn fail(&mut self, id: RequestId) {
+        log::debug!(event = "request_failed", request = id; "request failed");
+        if let Some(job) = self.take_job(id) {
+            self.counters.failed.add();
+            self.frontend.answer(job, Answer::Failed);
+        }
+    }
+
+    fn cancel(&mut self, tag: AttemptId) {
+        let entry = self.requests.get_mut(tag.id).filter(|e| e.attempts == tag.attempt + 1);
+        if let Some(attempt) = entry.and_then(|e| e.attempt.begin_stop()) {
+            self.frontend.stop(attempt, Outcome::Cancelled);
+        }
+    }
+
+    fn probe(&mut self, worker: WorkerId) {
+        self.counters.probes.add();
+        // Jobs may wait for the answer: a front end that cannot ask counts as no answer.
+        if !self.frontend.probe(worker) {
+            self.events.push_back(Event::ProbeEnded { worker, ok: false, report: None });
+        }
+    }
+
+    /// Takes the job of a request that is answered now.
+    fn take_job(&mut self, id: RequestId) -> Option<F::Job> {
+        let job = self.requests.get_mut(id).and_then(|e| e.job.take());
+        self.remove_if_done(id);
+        job
+    }
+
+    /// Starts an attempt, if no rule forbids it: nothing goes out that the decision module decided in error.
+    fn send(&mut self, id: RequestId, worker: WorkerId) {
+        let Some(entry) = self.requests.get_mut(id) else { return self.abort_unsent(id) };
+        if let Some(invariant) = broken_invariant(entry) {
+            self.counters.violations.add(invariant, id);
+            return self.abort_unsent(id);
+        }
+        let Some(job) = entry.job.as_ref().filter(|_| entry.deadline > Instant::now()) else {
+            return self.abort_unsent(id);
+        };
+        // The client may have left while nobody could see it, as while its socket was frozen.
+        if !self.frontend.is_awaited(job) {
+            return self.abort_without_client(id);
+        }
+        let tag = AttemptId { id, attempt: entry.attempts };
+        log::debug!(
+            event = "attempt_sent", request = id, attempt = tag.attempt, worker:% = format_args!("{:016x}", worker.0);
+            "attempt sent"
+        );
+        let until = entry.deadline;
+        entry.attempts += 1;
+        entry.last_attempt = Some(AttemptStart { worker, at: Instant::now(), started: None, until });
+        entry.attempt = AttemptState::Running(self.frontend.send(tag, job, worker, until));
+        self.counters.sent.add();
+        self.add_in_flight();
+    }
+
+    /// Drops a request that was to be sent and whose client has left: the decision module learns that first, then that
+    /// nothing was sent.
+    fn abort_without_client(&mut self, id: RequestId) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        entry.job = None;
+        self.counters.client_left.add();
+        self.events.push_back(Event::ClientDisconnected { id });
+        self.abort_unsent(id);
+        self.remove_if_done(id);
+    }
+
+    /// Tells the decision module that an attempt was not sent.
+    fn abort_unsent(&mut self, id: RequestId) {
+        self.counters.not_sent.add();
+        let Some(entry) = self.requests.get_mut(id).filter(|e| !e.attempt.is_in_flight()) else { return };
+        let (attempt, last) = (entry.attempts, entry.job.is_none());
+        entry.attempts += 1;
+        let ending = AttemptEnd {
+            id,
+            attempt,
+            outcome: Outcome::NotSent,
+            request_done: last,
+            not_attributable: false,
+            report: None,
+        };
+        self.events.push_back(Event::AttemptEnded(ending));
+    }
+}
+
+/// The rule that sending this request now would break, if any.
+fn broken_invariant<F: Frontend>(entry: &RequestEntry<F>) -> Option<Invariant> {
+    if entry.attempt.is_in_flight() {
+        Some(Invariant::OneAttempt)
+    } else if entry.attempts >= entry.max_attempts {
+        Some(Invariant::AttemptsLeft)
+    } else if !entry.retry_rules.allow(entry.may_have_run) {
+        Some(Invariant::Repeatable)
+    } else {
+        None
+    }
+}
+
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::RequestGivenUp { request: id, reason } => {
+            log::debug!(event = "request_given_up", request = id, reason:?; "no further attempt");
+        }
+        Notice::WorkerUnresponsive { worker } => log_ejected(*worker, "no_response"),
+        Notice::WorkerFailing { worker } => log_ejected(*worker, "failed_job"),
+        Notice::WorkerRecovered { worker } => log::info!(
+            event = "endpoint_readmitted", worker:% = format_args!("{:016x}", worker.0); "endpoint readmitted"
+        ),
+        Notice::Throttling { admitted_per_s: admitted, offered_per_s: offered } => log::info!(
+            event = "admission_limited", admitted_per_s:% = format_args!("{admitted:.1}"),
+            offered_per_s:% = format_args!("{offered:.1}"); "admission limited"
+        ),
+        Notice::EndpointListUnavailable => {
+            log::warn!(event = "endpoint_list_unavailable"; "no endpoint list: asking again");
+        }
+    }
+}
+
+fn log_ejected(worker: WorkerId, reason: &str) {
+    log::warn!(
+        event = "endpoint_ejected", worker:% = format_args!("{:016x}", worker.0), reason;
+        "endpoint ejected: it gets a trickle of jobs only"
+    );
+}
--- /dev/null
+++ b/node/src/dispatcher/clock.rs
@@ -0,0 +1,25 @@
+//! Clock of the dispatcher.
+
+use dispatch_policy::api::Micros;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::time::Instant;
+
+/// Unix time at the start plus monotonic time since: it never runs backwards.
+#[derive(Clone, Copy)]
+pub struct Clock {
+    unix_us: Micros,
+    start: Instant,
+}
+
+impl Clock {
+    /// Starts from the wall clock as it is now.
+    pub fn start() -> Self {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_us: unix.as_micros() as Micros, start: Instant::now() }
+    }
+
+    /// Current time, in microseconds.
+    pub fn now(&self) -> Micros {
+        self.unix_us + self.start.elapsed().as_micros() as Micros
+    }
+}
