--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: a list of workers with a version, whole or as watches, and a count of the calls.
+//! Discovery as a stand-in: a list of workers with a version, served whole or as watches, and a count of the calls.
 
 use crate::wire::head;
 use serde_json::{json, Value};
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// The longest wait of a watch.
+/// Longest duration of a watch.
 const WAIT_MAX: Duration = Duration::from_secs(60);
 
 /// A discovery; it ends with this value.
@@ -33,6 +33,9 @@
 
 impl Discovery {
     /// Starts one with these lines of workers, as version 1.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
     pub async fn start(address: SocketAddr, members: Vec<Value>) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -84,6 +84,9 @@
 }
 
 /// A key for tests, one for each number.
+///
+/// # Panics
+/// Never: the text that it parses is well-formed.
 pub fn key(n: u8) -> Keys {
     Keys::parse(&format!("current {}", format!("{n:02x}").repeat(16))).expect("it is well-formed")
 }
@@ -239,6 +242,9 @@
 
     /// Lets time pass until nothing is wrong and nothing was for as long as a suspicion that is under way may take; how
     /// long it took until then, or what was wrong last after `most`. Looked at each 50 ms.
+    ///
+    /// # Errors
+    /// What was wrong last, where it still was after `most`.
     pub fn until(&mut self, most: Duration, truth: &Truth) -> Result<Duration, Vec<Fault>> {
         let start = self.now;
         let steady = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
--- a/testbed/src/fault_proxy.rs
+++ b/testbed/src/fault_proxy.rs
@@ -182,7 +182,7 @@
         lock(&self.state).counters
     }
 
-    /// Records the datagrams to each node from here on, up to [`RECORDED_MAX`].
+    /// Records the datagrams to each node from here on, up to some thousands.
     pub fn start_recording(&self) {
         lock(&self.state).recording = true;
     }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,6 +1,26 @@
-//! Runs many processes of the program side by side on loopback addresses, with stand-ins for workers and discovery, an
-//! open-loop load of jobs, relays between any two nodes, and faults between them; and says whether what the nodes tell of
-//! each other is true. No node links it.
+//! Testbed: many processes of the program on loopback addresses, with stand-ins for workers and discovery, an open-loop load,
+//! and faults; and the same state machines in emulated time. No node links it.
+//!
+//! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] plays jobs; [`plan`] carries a
+//!   plan of faults out; [`soak`] draws overlapping faults and judges the protocol's rules.
+//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases, [`lists`] the list broadcast; [`scale`]
+//!   measures all of them at growing sizes.
+//! - Judges: [`check`] compares the views of the nodes with what is true, [`history_check`] and [`resource`] the calls of lease
+//!   holders.
+//!
+//! A fault plan is a TOML file; an error names its line:
+//!
+//! ```
+//! use testbed::plan::Plan;
+//!
+//! let plan = "seed = 1\nnodes = 3\nworkers = 2\nrate = 5.0\nquota = 5.0\nlength_s = 3\n";
+//! assert_eq!(Plan::parse(plan)?.nodes, 3);
+//!
+//! let with_fault = format!("{plan}[[fault]]\nat_s = 1\nwhat = \"kill\"\nnodes = [3]\n");
+//! let error = Plan::parse(&with_fault).expect_err("nodes are numbered from 0");
+//! assert_eq!(error.to_string(), "line 7: there is no such node");
+//! # Ok::<(), testbed::plan::PlanError>(())
+//! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -122,7 +122,7 @@
     #[error(transparent)]
     Demo(#[from] demo::DemoError),
     #[error(transparent)]
-    Scale(#[from] scale::Failure),
+    Scale(#[from] scale::ScaleError),
     /// A cluster or soak could not be run.
     #[error(transparent)]
     Run(#[from] io::Error),
--- a/testbed/src/resource.rs
+++ b/testbed/src/resource.rs
@@ -38,6 +38,9 @@
 
 impl Resource {
     /// Starts one.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Resource> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
--- a/testbed/src/scale/broadcast.rs
+++ b/testbed/src/scale/broadcast.rs
@@ -25,7 +25,7 @@
 /// Second byte of the nodes' addresses.
 const NETWORK: u8 = 6;
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Nodes of the zone.
--- a/testbed/src/scale/chart.rs
+++ b/testbed/src/scale/chart.rs
@@ -8,7 +8,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
+/// Charts side by side.
 const COLUMNS: usize = 3;
+/// Size of a chart and of its texts, in pixels.
 const CHART_WIDTH: u32 = 440;
 const CHART_HEIGHT: u32 = 240;
 const TITLE_HEIGHT: i32 = 11;
@@ -18,7 +20,7 @@
 /// Room beside the least and the largest value, as a factor.
 const MARGIN: f64 = 1.5;
 
-/// Why the chart can't be drawn.
+/// Error of the chart.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot draw the chart: {0}")]
 pub struct ChartError(String);
@@ -47,6 +49,9 @@
 }
 
 /// Draws all rows of the capacity page that were measured at more than one size, on logarithmic scales: the median process and the worst.
+///
+/// # Errors
+/// Where the file can't be written.
 pub fn draw(path: &Path, runs: &[Run]) -> Result<(), ChartError> {
     let charts = series(runs);
     let rows = charts.len().div_ceil(COLUMNS).max(1);
--- a/testbed/src/scale/estimate.rs
+++ b/testbed/src/scale/estimate.rs
@@ -1,6 +1,6 @@
 //! Requirements at their planned sizes: measured there, or extrapolated.
 
-use super::fit::{Estimate, Fit, Law, Point};
+use super::fit::{Estimate, Fit, Model, Point};
 use super::requirement::{planned, Requirement};
 use super::result::{Outcome, Run};
 use super::table::number;
@@ -18,7 +18,7 @@
     pub estimate: Option<Estimate>,
     /// Whether the planned size itself was measured.
     pub is_measured: bool,
-    /// The law that fits the measurements.
+    /// The model fitted to the measurements.
     pub fit: Option<Fit>,
 }
 
@@ -43,11 +43,11 @@
         }
     }
 
-    /// The fitted law, in short.
-    pub fn law(&self) -> String {
+    /// The fitted model, in short.
+    pub fn model(&self) -> String {
         match self.fit {
-            Some(Fit { law: Law::Power, slope, .. }) => format!("size^{slope:.2}"),
-            Some(Fit { law: Law::Linear, intercept, slope, .. }) => {
+            Some(Fit { model: Model::Power, slope, .. }) => format!("size^{slope:.2}"),
+            Some(Fit { model: Model::Linear, intercept, slope, .. }) => {
                 let sign = if slope < 0.0 { "−" } else { "+" };
                 format!("{} {sign} {} × size", number(intercept), number(slope.abs()))
             }
--- a/testbed/src/scale/fit.rs
+++ b/testbed/src/scale/fit.rs
@@ -2,7 +2,7 @@
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The part of new values that lies within an estimate's interval, if the law holds.
+/// The part of new values that lies within an estimate's interval, if the model holds.
 const CONFIDENCE: f64 = 0.95;
 /// Points that a fit with an interval needs at least: two parameters and one degree of freedom.
 pub const POINTS_MIN: usize = 3;
@@ -16,21 +16,21 @@
     pub value: f64,
 }
 
-/// How a figure grows.
+/// Regression model: how a figure grows with a size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Law {
+pub enum Model {
     /// `intercept + slope * size`.
     Linear,
     /// `exp(intercept) * size ^ slope`.
     Power,
 }
 
-/// A law fitted to points.
+/// A model fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Which law.
-    pub law: Law,
-    /// Its intercept, on the law's own scale.
+    /// The model.
+    pub model: Model,
+    /// Its intercept, on the model's own scale.
     pub intercept: f64,
     /// Its slope; for a power law the exponent.
     pub slope: f64,
@@ -56,20 +56,20 @@
 }
 
 impl Fit {
-    /// The law that fits these points better; `None` of fewer than [`POINTS_MIN`] sizes.
+    /// Fits the model that is closer to these points; `None` of fewer than [`POINTS_MIN`] sizes.
     pub fn of(points: &[Point]) -> Option<Fit> {
-        let linear = Fit::with(Law::Linear, points)?;
-        let power = Fit::with(Law::Power, points);
+        let linear = Fit::with(Model::Linear, points)?;
+        let power = Fit::with(Model::Power, points);
         Some(power.filter(|power| power.error < linear.error).unwrap_or(linear))
     }
 
-    /// A fit of one law; `None` of too few sizes, and of a power law where a figure is not above zero.
-    pub fn with(law: Law, points: &[Point]) -> Option<Fit> {
+    /// Fits one model; `None` of too few sizes, and of a power law where a figure is not above zero.
+    pub fn with(model: Model, points: &[Point]) -> Option<Fit> {
         let positive = points.iter().all(|p| p.size > 0.0 && p.value > 0.0);
-        if points.len() < POINTS_MIN || (law == Law::Power && !positive) {
+        if points.len() < POINTS_MIN || (model == Model::Power && !positive) {
             return None;
         }
-        let scaled: Vec<Point> = points.iter().map(|point| law.scale(*point)).collect();
+        let scaled: Vec<Point> = points.iter().map(|point| model.scale(*point)).collect();
         let count = scaled.len() as f64;
         let mean = scaled.iter().map(|p| p.size).sum::<f64>() / count;
         let mean_value = scaled.iter().map(|p| p.value).sum::<f64>() / count;
@@ -83,19 +83,19 @@
         let residual = |p: &Point| p.value - intercept - slope * p.size;
         let residuals = scaled.iter().map(|p| residual(p).powi(2)).sum::<f64>();
         let deviation = (residuals / (count - 2.0)).sqrt();
-        let mut fit = Fit { law, intercept, slope, points: count, mean, spread, deviation, error: 0.0 };
+        let mut fit = Fit { model, intercept, slope, points: count, mean, spread, deviation, error: 0.0 };
         fit.error = points.iter().map(|p| fit.relative_error(p).powi(2)).sum();
         Some(fit)
     }
 
     /// The figure at a size, with its prediction interval.
     pub fn estimate(&self, size: f64) -> Estimate {
-        let scaled = self.law.scale(Point { size, value: 1.0 }).size;
+        let scaled = self.model.scale(Point { size, value: 1.0 }).size;
         let middle = self.intercept + self.slope * scaled;
         let distance = (scaled - self.mean).powi(2) / self.spread;
         let error = self.deviation * (1.0 + 1.0 / self.points + distance).sqrt();
         let reach = student_quantile(self.points - 2.0) * error;
-        let value = |at: f64| self.law.unscale(at);
+        let value = |at: f64| self.model.unscale(at);
         Estimate { value: value(middle), low: value(middle - reach), high: value(middle + reach) }
     }
 
@@ -105,18 +105,18 @@
     }
 }
 
-impl Law {
+impl Model {
     fn scale(self, point: Point) -> Point {
         match self {
-            Law::Linear => point,
-            Law::Power => Point { size: point.size.ln(), value: point.value.ln() },
+            Model::Linear => point,
+            Model::Power => Point { size: point.size.ln(), value: point.value.ln() },
         }
     }
 
     fn unscale(self, value: f64) -> f64 {
         match self {
-            Law::Linear => value,
-            Law::Power => value.exp(),
+            Model::Linear => value,
+            Model::Power => value.exp(),
         }
     }
 }
--- a/testbed/src/scale/limits.rs
+++ b/testbed/src/scale/limits.rs
@@ -3,7 +3,7 @@
 use crate::allocation::Memory;
 use std::time::{Duration, Instant};
 
-/// Why a measurement was not made, or not made to its end.
+/// Reason why a measurement was not made, or not made to its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRun {
     /// More memory than the plan allows.
@@ -46,6 +46,7 @@
     started: Instant,
 }
 
+/// Bytes in a megabyte.
 const MEGABYTE: usize = 1_000_000;
 
 impl Limits {
@@ -59,7 +60,10 @@
         self.memory
     }
 
-    /// Fails once a limit is exceeded.
+    /// Compares memory and time with the limits.
+    ///
+    /// # Errors
+    /// Where a limit is exceeded.
     pub fn check(&self) -> Result<(), NotRun> {
         let used = self.memory.allocated();
         if used > self.memory_limit {
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -50,7 +50,10 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the body of an answer.
+    /// Parses the body of an answer.
+    ///
+    /// # Errors
+    /// Where the body is not a version of the list.
     pub fn from_json(body: &[u8]) -> serde_json::Result<ListBody> {
         serde_json::from_slice(body)
     }
--- a/testbed/src/scale/membership.rs
+++ b/testbed/src/scale/membership.rs
@@ -10,7 +10,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Emulated time between two looks at the limits.
+/// Emulated time between two checks of the limits.
 const SLICE: Duration = Duration::from_millis(250);
 /// Emulated time that the nodes have to reach equal views.
 const SETTLE_MAX: Duration = Duration::from_secs(300);
@@ -30,7 +30,7 @@
     Condition::ZoneReturns,
 ];
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Nodes.
@@ -110,7 +110,7 @@
         let world_spec = WorldSpec { nodes: spec.nodes, seed: spec.seed, ..WorldSpec::default() };
         let world = World::started(world_spec);
         let mut fleet = Fleet { world, limits, nodes: spec.nodes };
-        fleet.until_equal()?;
+        fleet.run_until_equal()?;
         Ok(fleet)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Lets emulated time pass until all running nodes have equal views of all of them.
-    fn until_equal(&mut self) -> Result<(), NotRun> {
+    fn run_until_equal(&mut self) -> Result<(), NotRun> {
         let end = self.world.now() + SETTLE_MAX;
         while !self.views_are_equal() {
             if self.world.now() >= end {
@@ -141,25 +141,25 @@
     fn views_are_equal(&mut self) -> bool {
         let running = self.running();
         let digests: HashSet<Option<u64>> = running.iter().map(|i| self.digest(*i)).collect();
-        digests.len() == 1 && !digests.contains(&None) && self.sees(running[0], running.len())
+        digests.len() == 1 && !digests.contains(&None) && self.has_present(running[0], running.len())
     }
 
     fn digest(&mut self, node: usize) -> Option<u64> {
         self.world.with(node, |machine, _| machine.digest()).flatten()
     }
 
-    /// Whether a node sees so many others and itself there.
-    fn sees(&self, node: usize, running: usize) -> bool {
+    /// Whether so many members, itself included, are present in a node's view.
+    fn has_present(&self, node: usize, running: usize) -> bool {
         let view = self.world.view(node);
-        let there = |view: &membership::View| view.members.iter().filter(|m| m.status.is_present()).count();
-        view.is_some_and(|view| there(&view) == running)
+        let present = |view: &membership::View| view.members.iter().filter(|m| m.status.is_present()).count();
+        view.is_some_and(|view| present(&view) == running)
     }
 
     fn running(&self) -> Vec<usize> {
         (0..self.nodes).filter(|i| self.world.runs(*i)).collect()
     }
 
-    /// The traffic of the running nodes while `during` lasts.
+    /// Counters of the running nodes now.
     fn traffic(&self) -> Traffic {
         Traffic::of(self.running().into_iter().map(|i| (i, self.world.counters(i))))
     }
@@ -169,7 +169,7 @@
         let stopwatch = Stopwatch::start();
         self.run(length)?;
         let mut figures = self.figures_since(&before, length, &stopwatch);
-        figures.insert(Quantity::ExchangeBytes, Value::single(self.whole_state_bytes() as f64));
+        figures.insert(Quantity::ExchangeBytes, Value::single(self.full_state_bytes() as f64));
         Ok(figures)
     }
 
@@ -182,7 +182,7 @@
         figures
     }
 
-    fn whole_state_bytes(&mut self) -> usize {
+    fn full_state_bytes(&mut self) -> usize {
         let length =
             |machine: &mut membership::Machine, now| machine.request_sync(now, address(1), 1).1.len();
         self.world.with(0, length).unwrap_or(0)
@@ -191,11 +191,11 @@
     fn phase_change(&mut self, node: usize) -> Result<Figures, NotRun> {
         let others = self.running().len() - 1;
         let draining =
-            |note: &MembershipEvent| matches!(note, MembershipEvent::Up(id) if id.phase == Phase::Draining);
+            |event: &MembershipEvent| matches!(event, MembershipEvent::Up(id) if id.phase == Phase::Draining);
         self.world.events.clear();
         let (before, changed_at) = (self.traffic(), self.world.now());
         self.world.with(node, |machine, now| machine.set_draining(now, true));
-        self.until_noted(changed_at, others, draining, &before)
+        self.run_until_reported(changed_at, others, draining, &before)
     }
 
     fn crashes(&mut self, killed: &[usize]) -> Result<Crashes, NotRun> {
@@ -207,14 +207,14 @@
         let before = self.traffic();
         let reports = before.nodes() * killed.len();
         let down =
-            |note: &MembershipEvent| matches!(note, MembershipEvent::Down(id) if names.contains(&id.name));
-        let figures = self.until_noted(changed_at, reports, down, &before)?;
+            |event: &MembershipEvent| matches!(event, MembershipEvent::Down(id) if names.contains(&id.name));
+        let figures = self.run_until_reported(changed_at, reports, down, &before)?;
         Ok(Crashes { figures, state })
     }
 
-    /// Runs until so many notes of this kind have come, and through the window in which traffic is counted; the figures
-    /// are those of the window and the delays of the notes.
-    fn until_noted(
+    /// Runs until so many events of this kind have come, and through the window in which traffic is counted. Returns the
+    /// figures of the window and the delays of the events.
+    fn run_until_reported(
         &mut self,
         changed_at: Duration,
         expected: usize,
@@ -227,8 +227,8 @@
         loop {
             self.world.run(SLICE);
             self.limits.check()?;
-            let noted = std::mem::take(&mut self.world.events);
-            let wanted = noted.iter().filter(|(_, _, note)| wanted(note));
+            let events = std::mem::take(&mut self.world.events);
+            let wanted = events.iter().filter(|(_, _, event)| wanted(event));
             delays.extend(wanted.map(|(at, _, _)| (*at - changed_at).as_secs_f64() * 1e3));
             let passed = self.world.now() - changed_at;
             if passed >= CHANGE_WINDOW && figures.is_empty() {
@@ -252,12 +252,12 @@
         zone.iter().for_each(|node| self.world.start(*node));
         let (before, started) = (self.traffic(), self.world.now());
         let stopwatch = Stopwatch::start();
-        self.until_equal()?;
+        self.run_until_equal()?;
         let took = self.world.now() - started;
         self.run(CHANGE_WINDOW.saturating_sub(took))?;
         let window = self.world.now() - started;
         let mut figures = self.figures_since(&before, window, &stopwatch);
-        let state_rate = self.whole_state_bytes() as f64 / window.as_secs_f64();
+        let state_rate = self.full_state_bytes() as f64 / window.as_secs_f64();
         if let Some(exchanges) = figures.get(&Quantity::Exchanges).copied() {
             let (median, worst) = (exchanges.median * state_rate, exchanges.worst * state_rate);
             figures.insert(Quantity::ExchangeBytesIn, Value { median, worst });
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Scale tests: the state machines of many hollow processes at growing sizes, in emulated time, and the capacity page that
-//! is worked out from what they showed.
+//! Scale runs: the state machines of many processes at growing sizes, in emulated time, and the capacity page that is
+//! computed from their results.
 //!
 //! `testbed scale` measures by a plan and keeps each axis' results as JSON; `--page` writes the generated part of the page,
 //! and `--check` fails where page and results differ.
@@ -27,4 +27,4 @@
 pub mod voting;
 
 pub use arguments::Arguments;
-pub use run::{measure, run, Failure};
+pub use run::{measure, run, ScaleError};
--- a/testbed/src/scale/plan.rs
+++ b/testbed/src/scale/plan.rs
@@ -92,10 +92,10 @@
     pub list_nodes: Spanned<u64>,
 }
 
-/// Why a plan was not taken.
+/// Error in a plan, by its line.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {what}")]
-pub struct BadPlan {
+pub struct PlanError {
     /// The line, from 1 on.
     pub line: usize,
     /// What is wrong there.
@@ -103,13 +103,16 @@
 }
 
 impl Plan {
-    /// Reads a plan and checks it whole.
-    pub fn parse(text: &str) -> Result<Plan, BadPlan> {
-        let plan: Plan = toml::from_str(text).map_err(|e| BadPlan {
+    /// Parses and validates a plan.
+    ///
+    /// # Errors
+    /// The first part that is wrong, by its line.
+    pub fn parse(text: &str) -> Result<Plan, PlanError> {
+        let plan: Plan = toml::from_str(text).map_err(|e| PlanError {
             line: e.span().map_or(1, |span| line_of(text, span.start)),
             what: e.message().trim().replace('\n', " "),
         })?;
-        plan.check().map_err(|fault| BadPlan { line: line_of(text, fault.at), what: fault.what })?;
+        plan.check().map_err(|invalid| PlanError { line: line_of(text, invalid.at), what: invalid.what })?;
         Ok(plan)
     }
 
@@ -133,7 +136,7 @@
         *self.limits.memory_mb.get_ref() as usize
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), Invalid> {
         let positive = [
             ("memory_mb", &self.limits.memory_mb),
             ("time_s", &self.limits.time_s),
@@ -163,7 +166,7 @@
         self.check_nodes()
     }
 
-    fn check_nodes(&self) -> Result<(), Fault> {
+    fn check_nodes(&self) -> Result<(), Invalid> {
         let Some(sizes) = &self.sizes.nodes else { return Ok(()) };
         let largest = sizes.get_ref().last().copied().unwrap_or(0);
         let least = sizes.get_ref().first().copied().unwrap_or(0);
@@ -191,21 +194,21 @@
     }
 }
 
-/// What is wrong, with its place in the text.
-struct Fault {
+/// An invalid value, by its place in the text.
+struct Invalid {
     at: usize,
     what: String,
 }
 
-fn check_that(right: bool, at: usize, what: impl FnOnce() -> String) -> Result<(), Fault> {
+fn check_that(right: bool, at: usize, what: impl FnOnce() -> String) -> Result<(), Invalid> {
     if right {
         Ok(())
     } else {
-        Err(Fault { at, what: what() })
+        Err(Invalid { at, what: what() })
     }
 }
 
-fn check_sizes(sizes: &Spanned<Vec<u64>>, least: usize) -> Result<(), Fault> {
+fn check_sizes(sizes: &Spanned<Vec<u64>>, least: usize) -> Result<(), Invalid> {
     let (at, sizes) = (sizes.span().start, sizes.get_ref());
     check_that(sizes.len() >= least, at, || format!("{least} sizes at least are needed"))?;
     check_that(sizes[0] > 0, at, || "sizes must be above zero".to_string())?;
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -1,8 +1,8 @@
-//! What the operators plan for, and what each figure is held against.
+//! Requirements of the capacity page: planned sizes, and the budget of each figure.
 
 use super::result::{Axis, Condition, Quantity, Role};
 
-/// What a figure is held against.
+/// Budget that a figure is compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
     /// A node's processor time for control.
@@ -53,7 +53,7 @@
     pub condition: Condition,
     /// Which figure, of the worst process.
     pub quantity: Quantity,
-    /// What it is held against.
+    /// Its budget.
     pub budget: Budget,
     /// Whether it counts in the sum of what a dispatching node spends.
     pub in_node_sum: bool,
@@ -62,11 +62,11 @@
 }
 
 const VIEW: &str = "membership, `membership::Machine`";
-const LIST: &str = "each node reads each line, `platform::follow`";
+const LIST: &str = "each node reads each line, `platform::endpoint_watch`";
 const DECISION: &str = "decision module, `dispatch_policy::Policy`";
-const RATES: &str = "rates of 90 tenants at most to 16 siblings a second, `Machine::tell`";
+const RATES: &str = "rates of 90 tenants at most to 16 siblings a second, `Machine::send_rates`";
 const VOTES: &str = "5 voters for all regions, `coordination::Voter`";
-const TREE: &str = "tree of a zone's nodes, `coordination::Spread`";
+const TREE: &str = "tree of a zone's nodes, `coordination::ListBroadcast`";
 const SHARED: &str = "a watch of one node of each zone, `lists = true`";
 const WATCHES: &str = "a watch of each node, without `lists`";
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// What a quantity is held against where the operators gave a bound for it.
+/// Budget of a quantity, where the operators gave a bound for it.
 fn usual_budget(quantity: Quantity) -> Budget {
     match quantity {
         Quantity::StateBytes | Quantity::ListStateBytes => Budget::Memory,
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -1,9 +1,9 @@
-//! Carries a plan out, axis by axis, and does what the command line asks for.
+//! Run of a scale plan, axis by axis, and the modes of the command line.
 
 use super::arguments::Arguments;
 use super::limits::Limits;
 use super::page::PageError;
-use super::plan::{BadPlan, Plan, AXES};
+use super::plan::{Plan, PlanError, AXES};
 use super::result::{Axis, Measurement, Recorder, Run, FORMAT};
 use super::store::{self, StoreError};
 use super::{broadcast, chart, dispatcher, membership, page, voting};
@@ -16,9 +16,9 @@
 /// The chart's file in the folder of results.
 const CHART: &str = "scale.svg";
 
-/// Why `testbed scale` failed.
+/// Error of `testbed scale`.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum ScaleError {
     /// The plan can't be read.
     #[error("cannot read {}: {source}", path.display())]
     PlanFile {
@@ -33,7 +33,7 @@
         /// The plan.
         path: PathBuf,
         /// Where and why.
-        source: BadPlan,
+        source: PlanError,
     },
     /// Results can't be kept or read.
     #[error(transparent)]
@@ -46,8 +46,11 @@
     Page(#[from] PageError),
 }
 
-/// Does what the command line asks for.
-pub fn run(arguments: &Arguments, allocator: &'static CountingAllocator) -> Result<(), Failure> {
+/// Runs `testbed scale`: measures, writes the page, or compares it with the kept results.
+///
+/// # Errors
+/// Where the plan is invalid, a file can't be read or written, or the page differs from the results.
+pub fn run(arguments: &Arguments, allocator: &'static CountingAllocator) -> Result<(), ScaleError> {
     if let Some(path) = &arguments.page {
         let runs = store::read_all(&arguments.results)?;
         chart::draw(&arguments.results.join(CHART), &runs)?;
@@ -59,7 +62,7 @@
     measure_and_keep(arguments, Memory::new(allocator))
 }
 
-fn measure_and_keep(arguments: &Arguments, memory: Memory) -> Result<(), Failure> {
+fn measure_and_keep(arguments: &Arguments, memory: Memory) -> Result<(), ScaleError> {
     let plan = read_plan(&arguments.plan)?;
     let wanted = |axis: &Axis| arguments.axis.is_empty() || arguments.axis.contains(axis);
     let axes: Vec<Axis> =
@@ -74,10 +77,10 @@
     Ok(())
 }
 
-fn read_plan(path: &Path) -> Result<Plan, Failure> {
+fn read_plan(path: &Path) -> Result<Plan, ScaleError> {
     let text = std::fs::read_to_string(path)
-        .map_err(|source| Failure::PlanFile { path: path.to_path_buf(), source })?;
-    Plan::parse(&text).map_err(|source| Failure::Plan { path: path.to_path_buf(), source })
+        .map_err(|source| ScaleError::PlanFile { path: path.to_path_buf(), source })?;
+    Plan::parse(&text).map_err(|source| ScaleError::Plan { path: path.to_path_buf(), source })
 }
 
 fn progress_bar(steps: usize) -> ProgressBar {
@@ -96,7 +99,7 @@
     arguments: &Arguments,
     memory: Memory,
     progress: &ProgressBar,
-) -> Result<(), Failure> {
+) -> Result<(), ScaleError> {
     let (started, commit) = (Instant::now(), commit());
     let mut measurements = Vec::new();
     for size in plan.sizes(axis) {
--- a/testbed/src/scale/sealer.rs
+++ b/testbed/src/scale/sealer.rs
@@ -1,13 +1,13 @@
-//! What messages between nodes take once the membership machine has sealed them, measured by sending one.
+//! Size of messages between nodes once the membership machine has sealed them, measured by sending one.
 
 use crate::emulated::{address, name, Spec, World};
 use membership::Machine;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Until two nodes have met.
-const MEET: Duration = Duration::from_secs(10);
-/// A rate of a tenant, in 64ths of a job a second.
+/// Emulated time in which two nodes join each other.
+const JOIN_TIME: Duration = Duration::from_secs(10);
+/// Rate of a tenant, in 64ths of a job a second.
 const RATE: u16 = 64;
 
 /// The size of a message as it is sent.
@@ -19,7 +19,7 @@
     pub bytes: u64,
 }
 
-/// Two nodes that have met.
+/// Two nodes that have joined each other.
 pub struct Sealer {
     world: World,
     message_sizes: HashMap<usize, Sealed>,
@@ -29,7 +29,7 @@
     /// Starts the two nodes.
     pub fn new() -> Sealer {
         let mut world = World::started(Spec { nodes: 2, ..Spec::default() });
-        world.run(MEET);
+        world.run(JOIN_TIME);
         Sealer { world, message_sizes: HashMap::new() }
     }
 
--- a/testbed/src/scale/store.rs
+++ b/testbed/src/scale/store.rs
@@ -1,11 +1,11 @@
-//! Kept results: a JSON file for each axis in one folder.
+//! Store of results: a JSON file for each axis in one folder.
 
 use super::plan::AXES;
 use super::result::{Axis, Run, FORMAT};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why kept results can't be read or written.
+/// Error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The file can't be read or written.
@@ -39,7 +39,10 @@
     folder.join(name)
 }
 
-/// Keeps the results of one axis.
+/// Writes the results of one axis.
+///
+/// # Errors
+/// Where the file can't be written.
 pub fn keep(folder: &Path, axis: Axis, run: &Run) -> Result<(), StoreError> {
     let path = file(folder, axis);
     let text = serde_json::to_string_pretty(run)
@@ -48,7 +51,10 @@
     written.map_err(|source| StoreError::File { path, source })
 }
 
-/// Reads all kept results, in the order of the axes.
+/// Reads the results of all axes that have a file, in the order of the axes.
+///
+/// # Errors
+/// Where a file can't be read, or holds no results of this version.
 pub fn read_all(folder: &Path) -> Result<Vec<Run>, StoreError> {
     let files = AXES.iter().map(|axis| file(folder, *axis)).filter(|path| path.exists());
     files.map(|path| read(&path)).collect()
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -38,16 +38,16 @@
 /// The conditions that [`measure`] records.
 pub const CONDITIONS: [Condition; 2] = [Condition::Calm, Condition::Crashes];
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Zones, each with a duty.
+    /// Zones, each with a lease.
     pub zones: usize,
     /// The seed of all that is drawn.
     pub seed: u64,
 }
 
-/// Measures voters while all duties are held, and after the leader and all holders crash at once.
+/// Measures voters while all leases are held, and after the leader and all holders crash at once.
 pub fn measure(spec: &Spec, limits: &Limits, recorder: &mut Recorder) {
     if let Err(reason) = measure_all(spec, limits, recorder) {
         recorder.rest_not_run(Role::Voter, &CONDITIONS, &reason);
--- a/testbed/src/soak/driver/mod.rs
+++ b/testbed/src/soak/driver/mod.rs
@@ -1,7 +1,7 @@
 //! Driver of one soak run: starts the processes and stand-ins, plays load and faults, and has the history judged.
 //!
-//! [`Driver`] owns all of it and runs on one task. [`processes`] starts, ends and watches the nodes' processes, [`execution`]
-//! carries the schedule out, [`endpoints`] replaces workers and tells discovery, [`report`] collects the outcome.
+//! `Driver` owns all of it and runs on one task. `processes` starts, ends and watches the nodes' processes, `execution`
+//! carries the schedule out, `endpoints` replaces workers and tells discovery, `report` collects the outcome.
 
 mod endpoints;
 mod execution;
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -1,4 +1,5 @@
 //! Faults planted in views, and whether the checker reports each.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::{MemberInfo, MemberStatus, View};
 use std::collections::BTreeMap;
--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -1,4 +1,5 @@
 //! Duties in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use coordination::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
 use rand::rngs::SmallRng;
@@ -315,6 +316,10 @@
 }
 
 /// Faults drawn by seed.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one drawn run: a match over the kinds of faults, and what must hold after it"
+)]
 fn walk(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let voters = [3, 5][rng.random_range(0..2)];
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -1,4 +1,5 @@
 //! The fleet's machines in emulated time: hard cases one by one, then random schedules against a plain model.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::{MemberStatus, MembershipEvent, Timing};
 use rand::rngs::SmallRng;
@@ -335,6 +336,10 @@
 }
 
 /// The drawn faults of one schedule, and a plain model of them: who runs, and who can talk to whom.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one drawn run: a match over the kinds of faults, and what must hold after it"
+)]
 fn walk(seed: u64, most: usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let n = rng.random_range(3..=most);
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use testbed::allocation::{counting, CountingAllocator, Memory};
-use testbed::scale::fit::{Fit, Law, Point};
+use testbed::scale::fit::{Fit, Model, Point};
 use testbed::scale::limits::Limits;
 use testbed::scale::membership;
 use testbed::scale::page::{self, PageError, BEGIN, END};
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_view_of_a_small_fleet_stays_within_its_bounds() {
+fn membership_of_a_small_fleet_stays_within_its_bounds() {
     let _alone = alone();
     let found = measured(Axis::Nodes);
     let member = |condition, quantity| worst(&found, Role::Member, condition, quantity);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_decision_module_and_its_list_stay_within_their_bounds() {
+fn decision_module_and_endpoint_list_stay_within_their_bounds() {
     let _alone = alone();
     let found = measured(Axis::Workers);
     let dispatcher = |quantity| worst(&found, Role::Dispatcher, Condition::LiveWeights, quantity);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_rates_of_tenants_stay_within_their_bounds() {
+fn published_rates_stay_within_their_bounds() {
     let _alone = alone();
     let found = measured(Axis::Tenants);
     let teller = |quantity| worst(&found, Role::RateTeller, Condition::Calm, quantity);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn zones_that_pass_lists_on_and_their_voters_stay_within_their_bounds() {
+fn list_broadcast_and_voters_stay_within_their_bounds() {
     let _alone = alone();
     let found = measured(Axis::Zones);
     let relay = |quantity| worst(&found, Role::ListRelay, Condition::LiveWeights, quantity);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_counts() {
+fn same_seed_gives_same_counts() {
     let _alone = alone();
     let small = PLAN.replace("nodes = [20, 40, 80]", "nodes = [10, 15, 20]");
     let small = Plan::parse(&small).expect("its sizes ascend");
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_recorded_as_not_run() {
+fn measurement_beyond_a_limit_is_recorded_as_not_run() {
     let _alone = alone();
     let spec = membership::Spec {
         nodes: 20,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_bad_plan_is_told_by_its_line() {
+fn invalid_plan_is_reported_by_its_line() {
     let line_of =
         |start: &str| 1 + PLAN.lines().position(|line| line.starts_with(start)).expect("it is there");
     for (from, to) in [
@@ -206,9 +206,9 @@
 
 /// The interval was worked out by hand with the quantile 4.302653 of two degrees of freedom.
 #[test]
-fn a_line_is_fitted_with_its_prediction_interval() {
+fn line_is_fitted_with_its_prediction_interval() {
     let measured = points(&[(1.0, 2.0), (2.0, 4.1), (3.0, 5.9), (4.0, 8.2)]);
-    let fit = Fit::with(Law::Linear, &measured).expect("four sizes are enough");
+    let fit = Fit::with(Model::Linear, &measured).expect("four sizes are enough");
     assert!(close(fit.intercept, -0.05) && close(fit.slope, 2.04), "{fit:?}");
     let estimate = fit.estimate(10.0);
     assert!(close(estimate.value, 20.35), "{estimate:?}");
@@ -216,14 +216,14 @@
 }
 
 #[test]
-fn the_law_that_fits_better_is_taken() {
+fn model_that_fits_better_is_chosen() {
     let power: Vec<Point> =
         [10.0, 100.0, 1000.0].map(|size: f64| Point { size, value: 3.0 * size.powf(0.5) }).to_vec();
     let fit = Fit::of(&power).expect("three sizes are enough");
-    assert_eq!(fit.law, Law::Power);
+    assert_eq!(fit.model, Model::Power);
     assert!(close(fit.slope, 0.5) && close(fit.estimate(10_000.0).value, 300.0), "{fit:?}");
     let line = Fit::of(&points(&[(10.0, 120.0), (100.0, 300.0), (1000.0, 2100.0)])).expect("three sizes");
-    assert_eq!(line.law, Law::Linear);
+    assert_eq!(line.model, Model::Linear);
     assert!(close(line.estimate(0.0).value, 100.0), "{line:?}");
     assert_eq!(Fit::of(&points(&[(1.0, 1.0), (2.0, 2.0)])), None, "two sizes have no interval");
 }
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_page_that_differs_from_its_results_is_found_by_its_line() {
+fn page_that_differs_from_its_results_is_reported_by_its_line() {
     let path = std::env::temp_dir().join(format!("capacity-{}.md", std::process::id()));
     std::fs::write(&path, format!("# Page\n{BEGIN}\nold\n{END}\nmore\n")).expect("a temporary file");
     assert!(matches!(page::check(&path, &kept(1000.0)), Err(PageError::Differs { .. })));
@@ -274,7 +274,7 @@
 
 /// The page of this version is what its kept results give.
 #[test]
-fn the_capacity_page_agrees_with_the_kept_results() {
+fn capacity_page_agrees_with_the_kept_results() {
     let docs = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
     let runs = testbed::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
     page::check(&docs.join("CAPACITY.md"), &runs)
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn a_request_that_is_served_breaks_nothing() {
+fn served_request_breaks_no_rule() {
     assert_eq!(broken(&served()), Vec::<&str>::new());
 }
 
 #[test]
-fn requests_without_their_answer_are_lost() {
+fn request_without_timely_genuine_answer_is_lost() {
     for end in [RequestEnd::Open, RequestEnd::Unanswered, RequestEnd::Broken] {
         let lost = History { requests: vec![RequestRecord { end, ..request(Effect::Safe) }], ..served() };
         assert_eq!(broken(&lost), ["lost"], "{end:?}");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_the_protocol_excuses_is_not_lost() {
+fn request_cut_by_an_excused_kill_is_not_lost() {
     let crossed = RequestRecord { kept: true, end: RequestEnd::Crossed, ..request(Effect::Safe) };
     assert_eq!(broken(&history(crossed, vec![])), Vec::<&str>::new());
     let killed = ProcessRecord { ended: Some(ms(1_050)), killed: true, ..process() };
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_second_attempt_is_found_where_it_is_barred() {
+fn forbidden_second_attempt_is_found() {
     let twice = |effect, first, at| {
         let attempts = vec![attempt(1, 1_010, first), attempt(2, at, AttemptEnd::Concluded)];
         broken(&history(request(effect), attempts))
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_attempt_that_begins_too_late_is_found() {
+fn attempt_after_disconnect_drain_or_deadline_is_found() {
     let left = RequestRecord { left: Some(ms(1_000)), end: RequestEnd::Open, ..request(Effect::Safe) };
     let late = |at| broken(&history(left.clone(), vec![attempt(1, at, AttemptEnd::GivenUp)]));
     assert_eq!(late(1_090), Vec::<&str>::new());
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_or_is_not_ready_is_found() {
+fn crash_late_start_overload_and_ignored_client_are_found() {
     let with = |record| broken(&History { processes: vec![record], ..served() });
     assert_eq!(with(ProcessRecord { ended: Some(ms(5_000)), code: Some(0), ..process() }), ["crash"]);
     let told =
@@ -158,7 +158,7 @@
 
 /// The faults of a seed are the same in each run, begin after the time without faults, and are of all kinds.
 #[test]
-fn a_seed_fixes_its_faults() {
+fn seed_determines_the_schedule() {
     let load_duration = ms(400_000);
     let shape = Shape { nodes: 12, workers: 8, load_duration, fault_free: ms(65_000), per_second: 3.0 };
     let planned = draw(&shape, 7);
