--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -1,4 +1,4 @@
-//! Where a node is between its start and its end: one owner of that, and what may follow on what.
+//! Lifecycle of this process: its phase, the transitions between phases, and who is told of them.
 
 use crate::signals::{Command, Signals};
 use std::sync::{Arc, OnceLock};
@@ -6,131 +6,136 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// New connections go on coming for a while after SIGTERM; what comes in 0.7 s must be answered.
-const ACCEPTING: Duration = Duration::from_millis(720);
+/// Time after SIGTERM in which new connections are still accepted: what comes in 0.7 s must be answered.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(720);
 
-/// Up to which a request after SIGTERM may be cut by SIGKILL; a later one has to have its answer by then.
-const EXCUSED: Duration = Duration::from_millis(700);
-/// SIGKILL comes no sooner than the longest deadline, but counted as this where it is longer, and 0.7 s more.
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-/// Before SIGKILL, for an answer to reach its client, and for SIGTERM to have been heard late: by a process that was
-/// held up, or whose wake-up was lost (see [`crate::signals`]).
-const MARGIN: Duration = Duration::from_millis(180);
+/// Age of the stop up to which a new request may be cut by SIGKILL; a later one needs its answer before.
+const UNANSWERED_ALLOWED: Duration = Duration::from_millis(700);
+/// Upper bound of the deadline that counts for SIGKILL, which comes no sooner than the longest deadline, or this
+/// where it is longer, and 0.7 s more.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Reserve before SIGKILL: for an answer to reach its client, and for a SIGTERM that was seen late by a process that
+/// was held up, or whose wake-up was lost (see [`crate::signals`]).
+const KILL_RESERVE: Duration = Duration::from_millis(180);
 
-/// Where a node is between its start and its end.
+/// Phase of a process between its start and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// The process serves.
     Serving,
-    /// It was told to drain: it sends its clients away and still serves what comes. It may go back to serving.
+    /// An operator drains it: it sends clients away, still serves what comes, and may go back to serving.
     Draining,
-    /// Another process serves in its place: it takes nothing new and answers what it has.
+    /// Another process serves in its place: it accepts nothing new and answers what it has.
     HandedOver,
-    /// It was told to stop; it still takes what comes.
+    /// A signal stops it: it still accepts what comes.
     Stopping,
-    /// It takes nothing new, answers what it has and closes connections that are idle.
+    /// It accepts nothing new, answers what it has and closes idle connections.
     Closing,
 }
 
 impl Phase {
-    /// Whether clients are wanted.
+    /// Whether clients are welcome.
     pub fn is_serving(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether connections are closed: idle ones now, others after their answer.
+    /// Whether client connections are closed: idle ones at once, others after their answer.
     pub fn closes_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::HandedOver | Phase::Closing)
     }
 
-    /// Whether new connections are taken.
+    /// Whether new connections are accepted.
     pub fn accepts_connections(self) -> bool {
         !matches!(self, Phase::HandedOver | Phase::Closing)
     }
 }
 
-/// The phase of this process. All that changes it goes through here; whoever follows it gets a receiver.
+/// Owner of the phase of this process; clones share it. Each transition is a method.
 #[derive(Clone)]
-pub struct Phases(Arc<watch::Sender<Phase>>, Arc<OnceLock<Instant>>);
+pub struct Phases {
+    current: Arc<watch::Sender<Phase>>,
+    stopped_at: Arc<OnceLock<Instant>>,
+}
 
 impl Default for Phases {
     fn default() -> Self {
-        Phases(Arc::new(watch::Sender::new(Phase::Serving)), Arc::default())
+        Phases { current: Arc::new(watch::Sender::new(Phase::Serving)), stopped_at: Arc::default() }
     }
 }
 
 impl Phases {
-    /// For who follows it.
+    /// Receiver of the phase and its changes.
     pub fn follow(&self) -> watch::Receiver<Phase> {
-        self.0.subscribe()
+        self.current.subscribe()
     }
 
-    /// Sends clients away; one that is on its way to its end does already. Says whether it does now.
+    /// Begins to drain. Returns whether clients are sent away now, which is always so: a process that stops or has
+    /// handed over does so, too.
     pub fn drain(&self) -> bool {
-        self.transition(|p| (p == Phase::Serving).then_some(Phase::Draining));
+        self.transition(|phase| (phase == Phase::Serving).then_some(Phase::Draining));
         true
     }
 
-    /// Back to serving. Says whether it serves now: a node that was told to stop, or that another process serves
-    /// for, does not come back.
+    /// Ends the drain. Returns whether the process serves now: one that stops or has handed over does not come back.
     pub fn resume(&self) -> bool {
-        self.transition(|p| (p == Phase::Draining).then_some(Phase::Serving)) == Phase::Serving
+        let phase = self.transition(|phase| (phase == Phase::Draining).then_some(Phase::Serving));
+        phase == Phase::Serving
     }
 
-    /// Another process serves now. Returns what to take back should it fail; in the last phase nothing changes.
+    /// Notes that another process serves now, except in the last phase. Returns the phase before, for
+    /// [`Phases::take_back`].
     pub fn hand_over(&self) -> Phase {
-        let before = *self.0.borrow();
-        self.transition(|p| (p != Phase::Closing).then_some(Phase::HandedOver));
+        let before = *self.current.borrow();
+        self.transition(|phase| (phase != Phase::Closing).then_some(Phase::HandedOver));
         before
     }
 
-    /// The other process has ended: this one goes on from where it was, unless it was told to stop since.
+    /// Notes that the other process has ended: this one goes on from the phase before, unless it was stopped since.
     pub fn take_back(&self, before: Phase) {
-        self.transition(|p| (p == Phase::HandedOver).then_some(before));
+        self.transition(|phase| (phase == Phase::HandedOver).then_some(before));
     }
 
-    /// Goes through the last phases, whatever the phase is; a second call changes nothing. Where another process
-    /// serves, nothing more is taken.
+    /// Goes through the last phases; a second call changes nothing. A process that has handed over closes at once.
     pub async fn stop(&self) {
-        self.1.get_or_init(Instant::now);
-        let now = *self.0.borrow();
-        match now {
+        self.stopped_at.get_or_init(Instant::now);
+        let phase = *self.current.borrow();
+        match phase {
             Phase::Stopping | Phase::Closing => return,
             Phase::HandedOver => {}
             Phase::Serving | Phase::Draining => {
                 self.transition(|_| Some(Phase::Stopping));
-                sleep(ACCEPTING).await;
+                sleep(ACCEPT_AFTER_STOP).await;
             }
         }
         self.transition(|_| Some(Phase::Closing));
     }
 
-    /// Stops at SIGTERM (or SIGINT).
+    /// Starts a task that stops the process at SIGTERM or SIGINT.
     pub fn stop_on_signal(&self, signals: Signals) {
         let phases = self.clone();
         tokio::spawn(async move {
             signals.received(Command::Stop).await;
-            log::info!("told to stop");
+            log::info!(event = "stop_requested"; "stop requested by a signal");
             phases.stop().await;
         });
     }
 
-    /// By when a request that comes in now has to have its answer, where SIGKILL may come before its own time ends.
+    /// Moment by which a request that arrives now needs its answer because SIGKILL may come before its own deadline;
+    /// `None` where that is no concern.
     pub fn shutdown_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
-        let told = self.1.get().filter(|told| told.elapsed() > EXCUSED)?;
-        Some(*told + longest_deadline.min(DEADLINE_MOST) + EXCUSED - MARGIN)
+        let stopped_at = self.stopped_at.get().filter(|at| at.elapsed() > UNANSWERED_ALLOWED)?;
+        let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + UNANSWERED_ALLOWED;
+        Some(*stopped_at + killed_after - KILL_RESERVE)
     }
 
-    /// Changes the phase, where something follows on it, and says what it is then.
+    /// Changes the phase where `next` names another one. Returns the phase afterwards.
     fn transition(&self, next: impl FnOnce(Phase) -> Option<Phase>) -> Phase {
-        self.0.send_if_modified(|phase| match next(*phase) {
-            Some(new) => {
-                log::info!("{phase:?} -> {new:?}");
-                *phase = new;
-                true
-            }
-            None => false,
+        self.current.send_if_modified(|phase| {
+            let Some(to) = next(*phase) else { return false };
+            log::info!(event = "phase_changed", from:? = *phase, to:?; "phase changed");
+            *phase = to;
+            true
         });
-        *self.0.borrow()
+        *self.current.borrow()
     }
 }
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -207,7 +207,7 @@
     said(&moved);
     assert!(call(&agents[2]).starts_with("GET /discovery/hosts HTTP/1.1"), "the whole list first");
     node.signal("-TERM");
-    said("told to stop");
+    said("INFO stop requested by a signal event=stop_requested");
     node.signal("-HUP");
     said("reload: changed, but in force only after a restart: name");
     assert!(node.0.wait().unwrap().success());
@@ -269,7 +269,7 @@
     assert_eq!(failing.0.wait().unwrap().code(), Some(2));
     let (mut new, mut new_log) = start(9002);
     said(&mut new_log, "upgrade: took over");
-    said(&mut old_log, "Serving -> HandedOver");
+    said(&mut old_log, "INFO phase changed event=phase_changed from=Serving to=HandedOver");
     old.signal("-TERM");
     assert!(old.0.wait().unwrap().success());
     said(&mut new_log, "upgrade: the process before has ended");
