--- a/node/src/acceptor.rs
+++ b/node/src/acceptor.rs
@@ -1,61 +1,61 @@
-//! Accepts connections, whatever `accept` says for a moment, and tells how long each may have waited in the backlog.
+//! Acceptor of connections: outlasts transient errors of `accept`, and tells how long a connection may have waited in the
+//! backlog.
 
-use crate::transient::{self, Retry, IMMEDIATE_RETRIES};
-use std::future::{poll_fn, Future};
-use std::pin::Pin;
+use crate::transient::{self, FailureBackoff};
+use std::future::poll_fn;
+use std::io;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::{sleep, timeout, Instant, Sleep};
+use tokio::time::{timeout, Instant};
 
-/// Between tries to accept where the process or the machine has no descriptor left.
-const PAUSE: Duration = Duration::from_millis(20);
-/// For which the backlog is emptied at most where `accept` fails all the time.
-const EMPTYING: Duration = Duration::from_secs(1);
+/// Pause between calls of `accept` where the process or the machine has no descriptor left.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Limit of the time for which the backlog is emptied where `accept` fails all the time.
+const EMPTYING_LIMIT: Duration = Duration::from_secs(1);
 
-/// A connection out of the backlog.
+/// Connection out of the backlog.
 pub struct Accepted {
     /// The connection.
     pub socket: TcpStream,
-    /// It has waited this long at most; what its client has sent may be as old.
+    /// Upper bound of its time in the backlog; what its client has sent may be as old.
     pub waited: Duration,
 }
 
-/// The one way in which connections are accepted.
+/// Acceptor of one listener's connections.
 pub struct Acceptor {
     /// Since when nobody has seen the backlog empty; `None` while it is, as far as the kernel has told.
     unseen_since: Option<Instant>,
-    failures: u32,
-    pause: Option<Pin<Box<Sleep>>>,
+    backoff: FailureBackoff,
 }
 
 impl Default for Acceptor {
     fn default() -> Self {
-        Acceptor { unseen_since: Some(Instant::now()), failures: 0, pause: None }
+        Acceptor { unseen_since: Some(Instant::now()), backoff: FailureBackoff::default() }
     }
 }
 
 impl Acceptor {
-    /// Nobody looks at the backlog from now on until the next call.
+    /// Notes that nobody looks at the backlog from now on until the next call.
     pub fn backlog_unwatched(&mut self) {
         self.unseen_since.get_or_insert_with(Instant::now);
     }
 
-    /// The next connection. A call that is given up takes none.
+    /// Waits for the next connection. Cancel safe: a call that is dropped takes none.
     pub async fn next(&mut self, listener: &TcpListener) -> Accepted {
-        poll_fn(|cx| self.poll(listener, cx)).await
+        poll_fn(|context| self.poll_accept(listener, context)).await
     }
 
-    /// The next connection that lies in the backlog already.
+    /// Takes the next connection that lies in the backlog already; `None` once it is empty.
     pub async fn next_in_backlog(&mut self, listener: &TcpListener) -> Option<Accepted> {
         let started = Instant::now();
         loop {
-            // With no wait: the poller is asked all the same.
+            // A timeout of zero polls the listener once all the same.
             if let Ok(accepted) = timeout(Duration::ZERO, self.next(listener)).await {
                 return Some(accepted);
             }
-            let pause = self.pause.take();
-            if self.unseen_since.is_none() || started.elapsed() > EMPTYING {
+            let pause = self.backoff.take_pause();
+            if self.unseen_since.is_none() || started.elapsed() > EMPTYING_LIMIT {
                 return None;
             }
             if let Some(pause) = pause {
@@ -64,36 +64,33 @@
         }
     }
 
-    fn poll(&mut self, listener: &TcpListener, cx: &mut Context) -> Poll<Accepted> {
+    fn poll_accept(&mut self, listener: &TcpListener, context: &mut Context) -> Poll<Accepted> {
         loop {
-            if let Some(pause) = &mut self.pause {
-                ready!(pause.as_mut().poll(cx));
-                self.pause = None;
-            }
-            match listener.poll_accept(cx) {
+            ready!(self.backoff.poll_ready(context));
+            match listener.poll_accept(context) {
                 Poll::Pending => {
                     self.unseen_since = None;
                     return Poll::Pending;
                 }
-                Poll::Ready(Ok((socket, _))) => {
-                    let waited = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
-                    self.failures = 0;
-                    self.backlog_unwatched();
-                    return Poll::Ready(Accepted { socket, waited });
-                }
-                Poll::Ready(Err(e)) => {
-                    log::debug!("cannot accept: {e}");
-                    self.backlog_unwatched();
-                    self.failures += 1;
-                    // Guards against a spin where no descriptor is left: the connection stays in the backlog.
-                    if transient::accept_retry(&e) == Retry::AfterPause || self.failures >= IMMEDIATE_RETRIES
-                    {
-                        log::warn!("cannot accept: {e}");
-                        self.failures = 0;
-                        self.pause = Some(Box::pin(sleep(PAUSE)));
-                    }
-                }
+                Poll::Ready(Ok((socket, _))) => return Poll::Ready(self.accepted(socket)),
+                Poll::Ready(Err(error)) => self.record_failure(&error),
             }
         }
     }
+
+    fn accepted(&mut self, socket: TcpStream) -> Accepted {
+        let waited = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
+        self.backoff.reset();
+        self.backlog_unwatched();
+        Accepted { socket, waited }
+    }
+
+    fn record_failure(&mut self, error: &io::Error) {
+        log::debug!(event = "accept_failed", error:%; "no connection accepted");
+        self.backlog_unwatched();
+        // The connection stays in the backlog where no descriptor is left: without a pause, this would spin.
+        if self.backoff.record_failure(transient::accept_retry(error), ACCEPT_PAUSE) {
+            log::warn!(event = "accept_paused", error:%; "no connection accepted: next attempt after a pause");
+        }
+    }
 }
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -1,10 +1,9 @@
 //! TCP socket that may go to another process while it is in use: what this process does with it can be frozen at any
 //! moment, and what an earlier process has read of it comes first here.
 
-use crate::transient::{self, Retry, IMMEDIATE_RETRIES, PAUSE};
+use crate::transient::{self, FailureBackoff, Retry, IMMEDIATE_RETRIES, RETRY_PAUSE};
 use futures_util::FutureExt;
 use rustix::net::{recv, shutdown, RecvFlags, Shutdown};
-use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::os::fd::OwnedFd;
 use std::pin::Pin;
@@ -13,7 +12,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::time::{sleep, Sleep};
+use tokio::time::sleep;
 
 /// Interval between looks at a socket whose end may hide behind bytes that nobody reads.
 const PEER_CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -32,41 +31,21 @@
 struct Direction {
     /// Who waits for the socket to thaw.
     waker: Option<Waker>,
-    retry: CallRetry,
+    backoff: FailureBackoff,
 }
 
-/// Repetition of calls that fail for a passing reason: at once a few times, then after a pause.
-#[derive(Default)]
-struct CallRetry {
-    failures: u32,
-    pause: Option<Pin<Box<Sleep>>>,
-}
-
-impl CallRetry {
-    /// Ready once the call may be made.
-    fn poll_ready(&mut self, cx: &mut Context) -> Poll<()> {
-        if let Some(pause) = &mut self.pause {
-            ready!(pause.as_mut().poll(cx));
-            self.pause = None;
-        }
-        Poll::Ready(())
-    }
-
-    /// The call's final result; `None` where it is to be made again, by the next [`CallRetry::poll_ready`].
+impl Direction {
+    /// The call's final result; `None` where it is to be made again, once the backoff is ready.
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
-        let again = match &result {
+        let retry = match &result {
             Ok(_) => None,
             Err(e) => transient::transfer_retry(e),
         };
-        let Some(again) = again else {
-            self.failures = 0;
+        let Some(retry) = retry else {
+            self.backoff.reset();
             return Some(result);
         };
-        self.failures += 1;
-        if again == Retry::AfterPause || self.failures >= IMMEDIATE_RETRIES {
-            self.failures = 0;
-            self.pause = Some(Box::pin(sleep(PAUSE)));
-        }
+        self.backoff.record_failure(retry, RETRY_PAUSE);
         None
     }
 }
@@ -241,13 +220,13 @@
             }
         }
         loop {
-            ready!(self.0.state().read.retry.poll_ready(cx));
+            ready!(self.0.state().read.backoff.poll_ready(cx));
             ready!(self.0.stream.poll_read_ready(cx))?;
             let read = self.0.stream.try_read_buf(buf);
             if read.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 continue;
             }
-            if let Some(read) = self.0.state().read.retry.final_result(read) {
+            if let Some(read) = self.0.state().read.final_result(read) {
                 return Poll::Ready(read.map(|_| ()));
             }
         }
@@ -264,13 +243,13 @@
             }
         }
         loop {
-            ready!(self.0.state().write.retry.poll_ready(cx));
+            ready!(self.0.state().write.backoff.poll_ready(cx));
             ready!(self.0.stream.poll_write_ready(cx))?;
             let written = self.0.stream.try_write(bytes);
             if written.as_ref().is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
                 continue;
             }
-            if let Some(written) = self.0.state().write.retry.final_result(written) {
+            if let Some(written) = self.0.state().write.final_result(written) {
                 return Poll::Ready(written);
             }
         }
--- /dev/null
+++ b/node/tests/transient.rs
@@ -0,0 +1,51 @@
+//! Errors of system calls that pass, and the backoff of calls that meet them.
+
+use molevale::transient::{
+    accept_retry, is_local, transfer_retry, FailureBackoff, Retry, IMMEDIATE_RETRIES, RETRY_PAUSE,
+};
+use rustix::io::Errno;
+use std::future::poll_fn;
+use std::io;
+use tokio::time::Instant;
+
+fn error(errno: Errno) -> io::Error {
+    errno.into()
+}
+
+#[test]
+fn only_errors_of_this_machine_are_retried() {
+    assert_eq!(transfer_retry(&error(Errno::INTR)), Some(Retry::Immediately));
+    assert_eq!(transfer_retry(&error(Errno::NOBUFS)), Some(Retry::AfterPause));
+    assert_eq!(transfer_retry(&error(Errno::CONNRESET)), None, "the connection has ended");
+    assert_eq!(accept_retry(&error(Errno::CONNABORTED)), Retry::Immediately);
+    assert_eq!(accept_retry(&error(Errno::MFILE)), Retry::AfterPause);
+    assert!(is_local(&error(Errno::ADDRNOTAVAIL)));
+    assert!(!is_local(&error(Errno::CONNREFUSED)));
+}
+
+/// Time that a backoff asks to wait before the next call.
+async fn wait(backoff: &mut FailureBackoff) -> std::time::Duration {
+    let started = Instant::now();
+    poll_fn(|context| backoff.poll_ready(context)).await;
+    started.elapsed()
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_pause_follows_many_failures_in_a_row_or_one_for_want_of_a_resource() {
+    let mut backoff = FailureBackoff::default();
+    for _ in 0..2 {
+        for _ in 1..IMMEDIATE_RETRIES {
+            assert!(!backoff.record_failure(Retry::Immediately, RETRY_PAUSE));
+            assert!(wait(&mut backoff).await.is_zero());
+        }
+        backoff.reset();
+    }
+    for _ in 1..IMMEDIATE_RETRIES {
+        assert!(!backoff.record_failure(Retry::Immediately, RETRY_PAUSE));
+    }
+    assert!(backoff.record_failure(Retry::Immediately, RETRY_PAUSE), "so many in a row");
+    assert!(wait(&mut backoff).await >= RETRY_PAUSE);
+    assert!(wait(&mut backoff).await.is_zero(), "one pause only");
+    assert!(backoff.record_failure(Retry::AfterPause, RETRY_PAUSE));
+    assert!(wait(&mut backoff).await >= RETRY_PAUSE);
+}
