--- a/node/src/acceptor.rs
+++ b/node/src/acceptor.rs
@@ -19,7 +19,7 @@
     /// The connection.
     pub socket: TcpStream,
     /// Upper bound of its time in the backlog; what its client has sent may be as old.
-    pub waited: Duration,
+    pub backlog_wait: Duration,
 }
 
 /// Acceptor of one listener's connections.
@@ -37,21 +37,21 @@
 
 impl Acceptor {
     /// Notes that nobody looks at the backlog from now on until the next call.
-    pub fn backlog_unwatched(&mut self) {
+    pub fn stop_watching(&mut self) {
         self.unseen_since.get_or_insert_with(Instant::now);
     }
 
     /// Waits for the next connection. Cancel safe: a call that is dropped takes none.
-    pub async fn next(&mut self, listener: &TcpListener) -> Accepted {
+    pub async fn accept(&mut self, listener: &TcpListener) -> Accepted {
         poll_fn(|context| self.poll_accept(listener, context)).await
     }
 
     /// Takes the next connection that lies in the backlog already; `None` once it is empty.
-    pub async fn next_in_backlog(&mut self, listener: &TcpListener) -> Option<Accepted> {
+    pub async fn accept_queued(&mut self, listener: &TcpListener) -> Option<Accepted> {
         let started = Instant::now();
         loop {
             // A timeout of zero polls the listener once all the same.
-            if let Ok(accepted) = timeout(Duration::ZERO, self.next(listener)).await {
+            if let Ok(accepted) = timeout(Duration::ZERO, self.accept(listener)).await {
                 return Some(accepted);
             }
             let pause = self.backoff.take_pause();
@@ -79,15 +79,15 @@
     }
 
     fn accepted(&mut self, socket: TcpStream) -> Accepted {
-        let waited = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let backlog_wait = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
         self.backoff.reset();
-        self.backlog_unwatched();
-        Accepted { socket, waited }
+        self.stop_watching();
+        Accepted { socket, backlog_wait }
     }
 
     fn record_failure(&mut self, error: &io::Error) {
         log::debug!(event = "accept_failed", error:%; "no connection accepted");
-        self.backlog_unwatched();
+        self.stop_watching();
         // The connection stays in the backlog where no descriptor is left: without a pause, this would spin.
         if self.backoff.record_failure(transient::accept_retry(error), ACCEPT_PAUSE) {
             log::warn!(event = "accept_paused", error:%; "no connection accepted: next attempt after a pause");
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -26,12 +26,12 @@
 pub enum Command {
     /// Asks a node of its fleet.
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
 }
 
 /// What to ask.
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Shows a node's view of the fleet.
     Show {
         /// The node's management address, such as 127.0.0.1:9000.
@@ -50,7 +50,7 @@
     },
     /// Adds or removes one of those that grant the duties.
     #[command(subcommand)]
-    Voter(Voter),
+    Voter(VoterCommand),
     /// Has all nodes drain and end, one after another, to be started anew by whoever runs them.
     Roll {
         /// A node's management address.
@@ -66,7 +66,7 @@
 
 /// What to do with a voter.
 #[derive(Debug, Subcommand)]
-pub enum Voter {
+pub enum VoterCommand {
     /// Gives a node a seat; it runs with a state folder and the voters in its file.
     Add {
         /// A node's management address.
@@ -85,30 +85,30 @@
     },
 }
 
-impl Fleet {
+impl FleetCommand {
     /// Asks the node, and returns what to print.
     pub async fn run(self) -> Result<String, String> {
         match self {
-            Fleet::Show { address, json } => {
+            FleetCommand::Show { address, json } => {
                 membership::show(address, json).await.map_err(|error| error.to_string())
             }
-            Fleet::Duties { address, json } => {
+            FleetCommand::Duties { address, json } => {
                 coordination::print_status(address, json).await.map_err(|e| e.to_string())
             }
-            Fleet::Roll { address, stop: true, .. } => {
+            FleetCommand::Roll { address, stop: true, .. } => {
                 coordination::send_command(address, "/fleet/roll/stop").await.map_err(|e| e.to_string())
             }
-            Fleet::Roll { address, away, .. } => {
+            FleetCommand::Roll { address, away, .. } => {
                 coordination::send_command(address, &format!("/fleet/roll?away={away}"))
                     .await
                     .map_err(|e| e.to_string())
             }
-            Fleet::Voter(Voter::Add { address, name, at }) => {
+            FleetCommand::Voter(VoterCommand::Add { address, name, at }) => {
                 coordination::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}"))
                     .await
                     .map_err(|e| e.to_string())
             }
-            Fleet::Voter(Voter::Remove { address, name }) => {
+            FleetCommand::Voter(VoterCommand::Remove { address, name }) => {
                 coordination::send_command(address, &format!("/fleet/voter/remove?name={name}"))
                     .await
                     .map_err(|e| e.to_string())
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::endpoint_list::EndpointList;
 use crate::faktory::FaktoryConfig;
-use crate::names::read_settings;
+use crate::names::parse_settings;
 use crate::settings_merge::EffectiveSettings;
 use membership::file::FleetFile;
 use membership::keys::Keys;
@@ -230,7 +230,7 @@
     let place =
         |text: &String| text.parse().map_err(|_| format!("configuration: peers: {text} is not an address"));
     let peers = raw.peers.iter().map(place).collect::<Result<_, _>>()?;
-    let (settings, names) = read_settings(&raw.settings)?;
+    let (settings, names) = parse_settings(&raw.settings)?;
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
         text,
--- a/node/src/faktory/config.rs
+++ b/node/src/faktory/config.rs
@@ -1,6 +1,6 @@
 //! Operator's file of the Faktory front: see `deploy/faktory.toml`.
 
-use crate::names::read_settings;
+use crate::names::parse_settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
     pub fn parse(text: &str) -> Result<FaktoryConfig, ConfigError> {
         let config: FaktoryConfig =
             toml::from_str(text).map_err(|error| ConfigError::Syntax(Box::new(error)))?;
-        let (settings, _) = read_settings(&config.settings).map_err(ConfigError::Settings)?;
+        let (settings, _) = parse_settings(&config.settings).map_err(ConfigError::Settings)?;
         if settings.can_cancel {
             return Err(ConfigError::Cancelling);
         }
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -8,7 +8,7 @@
 use crate::acceptor::Acceptor;
 use crate::counters::Counters;
 use crate::dispatcher::{queue, Dispatcher};
-use crate::names::read_settings;
+use crate::names::parse_settings;
 use crate::phase::Phase;
 use crate::platform::socket::Socket;
 use crate::transient::retry_local_failures;
@@ -138,7 +138,7 @@
         counters: Arc<Counters>,
         phase: watch::Receiver<Phase>,
     ) -> Result<Server, Error> {
-        let (settings, names) = read_settings(&config.settings).map_err(Error::Settings)?;
+        let (settings, names) = parse_settings(&config.settings).map_err(Error::Settings)?;
         // A job may wait so long for a FETCH of the worker that it was assigned to.
         let settings = Settings { max_send_delay_us: OFFER_TIMEOUT.as_micros() as u64, ..settings };
         let limits = class_limits(&settings);
@@ -180,7 +180,7 @@
         let mut acceptor = Acceptor::default();
         // A slot is acquired before a connection is taken out of the backlog.
         while let Ok(slot) = slots.clone().acquire_owned().await {
-            let socket = acceptor.next(&listener).await.socket;
+            let socket = acceptor.accept(&listener).await.socket;
             let server = self.clone();
             tokio::spawn(async move {
                 if socket.set_nodelay(true).is_ok() {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -105,7 +105,7 @@
                     talk,
                     keys: reload.keys(),
                     planned: reload.effective_settings(),
-                    phase: phases.follow(),
+                    phase: phases.subscribe(),
                 });
                 Some(started.map_err(|error| error.to_string())?)
             }
@@ -115,7 +115,7 @@
         let mut shared = None;
         let duties = match (&fleet, &config, duties_file) {
             (Some(fleet), Some(config), Some((file, folder, fleet_name, zone, own))) => {
-                let (name, fleet, phase) = (config.name.clone(), fleet.clone(), phases.follow());
+                let (name, fleet, phase) = (config.name.clone(), fleet.clone(), phases.subscribe());
                 let (lists, theirs) = coordination::ListDelivery::pair(file.lists, reload.discovery());
                 shared = theirs;
                 let (phases, counters) = (phases.clone(), counters[0].clone());
@@ -211,7 +211,7 @@
         let faktory = async {
             match operator {
                 Some((listener, operator)) => {
-                    let served = faktory::serve(operator, listener, counters[1].clone(), phases.follow());
+                    let served = faktory::serve(operator, listener, counters[1].clone(), phases.subscribe());
                     served.await.map_err(|error| error.to_string())
                 }
                 None => Ok(()),
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 /// Callers at once. The platform's front keeps descriptors back for them.
-pub const CALLERS: usize = 8;
+pub const MAX_CALLERS: usize = 8;
 /// For which one call may take, from its connection on.
 const CALL_WAIT: Duration = Duration::from_secs(2);
 /// A call's head; more is refused.
@@ -47,10 +47,10 @@
         let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
         let mut acceptor = Acceptor::default();
         loop {
-            let socket = acceptor.next(&listener).await.socket;
+            let socket = acceptor.accept(&listener).await.socket;
             callers.retain(|c| !c.is_finished());
             // Guards calls against callers that hold all places and say nothing: the first one goes.
-            while callers.len() >= CALLERS {
+            while callers.len() >= MAX_CALLERS {
                 let Some(first) = callers.pop_front() else { break };
                 first.abort();
                 let _ = first.await; // ends with an error by design; its descriptor is free now
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -50,7 +50,7 @@
 }
 
 /// The module's settings and the names, from the nested form.
-pub fn read_settings(value: &Value) -> Result<(Settings, Names), String> {
+pub fn parse_settings(value: &Value) -> Result<(Settings, Names), String> {
     let mut text = String::new();
     flatten("", value, &mut text);
     let pairs = KeyValues::new(&text);
--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -65,7 +65,7 @@
 
 impl Phases {
     /// Receiver of the phase and its changes.
-    pub fn follow(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.current.subscribe()
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Notes that another process serves now, except in the last phase. Returns the phase before, for
-    /// [`Phases::take_back`].
+    /// [`Phases::undo_hand_over`].
     pub fn hand_over(&self) -> Phase {
         let before = *self.current.borrow();
         self.transition(|phase| (phase != Phase::Closing).then_some(Phase::HandedOver));
@@ -91,7 +91,7 @@
     }
 
     /// Notes that the other process has ended: this one goes on from the phase before, unless it was stopped since.
-    pub fn take_back(&self, before: Phase) {
+    pub fn undo_hand_over(&self, before: Phase) {
         self.transition(|phase| (phase == Phase::HandedOver).then_some(before));
     }
 
@@ -122,7 +122,7 @@
 
     /// Moment by which a request that arrives now needs its answer because SIGKILL may come before its own deadline;
     /// `None` where that is no concern.
-    pub fn shutdown_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
+    pub fn answer_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
         let stopped_at = self.stopped_at.get().filter(|at| at.elapsed() > UNANSWERED_ALLOWED)?;
         let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + UNANSWERED_ALLOWED;
         Some(*stopped_at + killed_after - KILL_RESERVE)
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Semaphore;
 
 /// Descriptors beside those of clients and workers: standard streams, poller, signals, listeners, discovery, a
-/// link to another process, and those of [`crate::management::CALLERS`].
+/// link to another process, and those of [`crate::management::MAX_CALLERS`].
 pub const FIXED_DESCRIPTORS: usize = 32;
 /// Connections beyond the budget that are held at once to be refused.
 pub const REJECTION_SLOTS: usize = 32;
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -110,10 +110,10 @@
     ) {
         let accepted = tokio::select! {
             biased;
-            accepted = acceptor.next(listener) => Some(accepted),
+            accepted = acceptor.accept(listener) => Some(accepted),
             _ = phase.wait_for(|p| !p.accepts_connections()) => None,
         };
-        acceptor.backlog_unwatched();
+        acceptor.stop_watching();
         if let Some(accepted) = accepted {
             self.handle_accepted(accepted).await;
         }
@@ -121,7 +121,7 @@
 
     /// Accepts what the backlog holds at the close: it counts as taken.
     async fn accept_backlog(self: &Arc<Self>, acceptor: &mut Acceptor, listener: &TcpListener) {
-        while let Some(accepted) = acceptor.next_in_backlog(listener).await {
+        while let Some(accepted) = acceptor.accept_queued(listener).await {
             self.handle_accepted(accepted).await;
         }
     }
@@ -138,7 +138,7 @@
     /// Serves a connection, or refuses its request where there is no slot for it.
     async fn handle_accepted(self: &Arc<Self>, accepted: Accepted) {
         let (server, arrived) = (self.clone(), Instant::now());
-        let Accepted { socket, waited } = accepted;
+        let Accepted { socket, backlog_wait: waited } = accepted;
         if let Err(e) = socket.set_nodelay(true) {
             log::debug!(event = "client_socket_option_failed", error:% = e; "TCP_NODELAY not set");
         }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -208,7 +208,7 @@
             names: self.names,
             counters: self.counters,
             budget: self.budget,
-            phase: self.phases.follow(),
+            phase: self.phases.subscribe(),
             phases: self.phases,
         })
     }
--- a/node/src/process_handover.rs
+++ b/node/src/process_handover.rs
@@ -272,7 +272,7 @@
         Ok(()) => follow_successor(&mut link, holder).await,
         Err(e) => e,
     };
-    phases.take_back(before);
+    phases.undo_hand_over(before);
     Err(ended)
 }
 
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -85,13 +85,13 @@
 pub async fn stop(phases: &Phases) {
     stopping(phases).await;
     tokio::time::advance(Duration::from_millis(720)).await;
-    let mut phase = phases.follow();
+    let mut phase = phases.subscribe();
     phase.wait_for(|p| *p == Phase::Closing).await.unwrap();
 }
 
 /// Tells a node to stop; it still takes what comes.
 pub async fn stopping(phases: &Phases) {
-    let (mut phase, phases) = (phases.follow(), phases.clone());
+    let (mut phase, phases) = (phases.subscribe(), phases.clone());
     tokio::spawn(async move { phases.stop().await });
     phase.wait_for(|p| *p == Phase::Stopping || *p == Phase::Closing).await.unwrap();
 }
@@ -110,8 +110,13 @@
 pub fn faktory(password: Option<&str>) -> (Server, Arc<Counters>, Phases) {
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
-    let node =
-        Server::start(&operator(1_000_000), 7, password.map(String::from), counters.clone(), phases.follow());
+    let node = Server::start(
+        &operator(1_000_000),
+        7,
+        password.map(String::from),
+        counters.clone(),
+        phases.subscribe(),
+    );
     (node.unwrap(), counters, phases)
 }
 
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 use dispatch_policy::api::{Availability, Endpoint, Outcome, Request, WorkerId};
 use molevale::counters::Counters;
 use molevale::dispatcher::{queue, Answer, AttemptId, Dispatcher, Frontend, Handle};
-use molevale::names::read_settings;
+use molevale::names::parse_settings;
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -102,7 +102,7 @@
 }
 
 async fn walk(steps: Vec<Step>) {
-    let (settings, _) = read_settings(&settings(true, 1_000_000)).unwrap();
+    let (settings, _) = parse_settings(&settings(true, 1_000_000)).unwrap();
     let notes = Arc::new(Mutex::new(Notes::default()));
     let counters = Arc::new(Counters::default());
     let (core, inbox) = queue();
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{one, request, stop, stopping, Client, Platform, Seen, Worker};
-use molevale::names::read_settings;
+use molevale::names::parse_settings;
 use molevale::phase::Phase;
 use molevale::settings_merge::EffectiveSettings;
 use serde_json::json;
@@ -79,9 +79,9 @@
         }
         stopping(&node.phases).await;
         node.phases.stop().await; // returns at once
-        assert_eq!(*node.phases.follow().borrow(), Phase::Stopping);
+        assert_eq!(*node.phases.subscribe().borrow(), Phase::Stopping);
         advance(Duration::from_millis(720)).await;
-        node.phases.follow().wait_for(|p| *p == Phase::Closing).await.unwrap();
+        node.phases.subscribe().wait_for(|p| *p == Phase::Closing).await.unwrap();
         node.phases.stop().await;
         seen.say(json!({"state": "done", "result": "r"})).await;
         assert_eq!(client.answer().await.unwrap().body, "r");
@@ -120,7 +120,7 @@
         let closes = at_ms.min(720);
         advance(Duration::from_millis(closes - 700)).await;
         if at_ms > 720 {
-            node.phases.follow().wait_for(|p| *p == Phase::Closing).await.unwrap();
+            node.phases.subscribe().wait_for(|p| *p == Phase::Closing).await.unwrap();
         }
         advance(Duration::from_millis(at_ms - closes)).await;
         client.add(end).await;
@@ -389,7 +389,7 @@
         let mut newer = common::settings(true, 60_000_000);
         newer["Profiles"].as_array_mut().unwrap().truncate(1);
         newer["Limits"]["MaxAttempts"] = 1.into();
-        let (settings, names) = read_settings(&newer).unwrap();
+        let (settings, names) = parse_settings(&newer).unwrap();
         node.effective_settings
             .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
         let mut late = Client::connect(&node).await;
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -181,8 +181,9 @@
         let mut settings = common::settings(false, 6_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 2_000_000.into();
         let (counters, phases) = (Arc::new(Counters::default()), Phases::default());
-        let node = Server::start(&common::operator_of(settings), 7, None, counters.clone(), phases.follow())
-            .unwrap();
+        let node =
+            Server::start(&common::operator_of(settings), 7, None, counters.clone(), phases.subscribe())
+                .unwrap();
         let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
         one.tell("FETCH lodge").await;
         client.push("lodge", "job-00001", "a").await;
@@ -291,7 +292,7 @@
     let _time = still();
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
-    let node = Server::start(&operator(60_000_000), 7, None, counters, phases.follow()).unwrap();
+    let node = Server::start(&operator(60_000_000), 7, None, counters, phases.subscribe()).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn({
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -221,7 +221,7 @@
 fn settings_of_the_files_that_come_along_are_as_recorded() {
     let mut all = String::new();
     let mut read = |name: &str, nested: &Value| {
-        let (settings, names) = molevale::names::read_settings(nested).unwrap();
+        let (settings, names) = molevale::names::parse_settings(nested).unwrap();
         writeln!(all, "== {name}").unwrap();
         rendering::settings(&mut all, &settings);
         rendering::names(&mut all, &names);
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -278,7 +278,7 @@
     let before = node.phases.hand_over();
     fresh.tell(UP).await;
     seen.add_answer("handed over", &mut fresh).await;
-    node.phases.take_back(before);
+    node.phases.undo_hand_over(before);
 
     let mut fresh = Client::connect(&node).await;
     let mut late = Client::connect(&node).await;
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{checker, holds, stop};
-use molevale::management::{Management, CALLERS};
+use molevale::management::{Management, MAX_CALLERS};
 use molevale::phase::{Phase, Phases};
 use quickcheck::{Arbitrary, Gen};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     assert_eq!(call(at, "GET", "/healthcheck").await, 503, "it can't serve yet");
     ready.send_replace(true);
     assert_eq!(call(at, "GET", "/healthcheck").await, 200);
-    let phase = phases.follow();
+    let phase = phases.subscribe();
     for (path, want) in [("fail", Phase::Draining), ("fail", Phase::Draining), ("ok", Phase::Serving)] {
         assert_eq!(call(at, "POST", &format!("/healthcheck/{path}")).await, 200);
         assert_eq!(*phase.borrow(), want);
@@ -70,7 +70,7 @@
     let (at, _phases, ready) = management().await;
     ready.send_replace(true);
     let mut silent = Vec::new();
-    for n in 0..2 * CALLERS {
+    for n in 0..2 * MAX_CALLERS {
         let mut socket = TcpStream::connect(at).await.unwrap();
         let part = &b"GET /healthcheck HTTP/1.1\r\nHost"[..n % 20];
         socket.write_all(part).await.unwrap();
@@ -78,7 +78,7 @@
     }
     assert_eq!(call(at, "GET", "/healthcheck").await, 200, "no time has passed");
     for (n, mut socket) in silent.into_iter().enumerate() {
-        if n == CALLERS {
+        if n == MAX_CALLERS {
             advance(Duration::from_secs(2)).await; // the first ones made way, these have had their time
         }
         let _ = socket.read_to_end(&mut Vec::new()).await; // a reset is an end too
@@ -137,12 +137,12 @@
             }
             Step::HandOver => {}
             Step::TakeBack => {
-                before.take().into_iter().for_each(|before| phases.take_back(before));
+                before.take().into_iter().for_each(|before| phases.undo_hand_over(before));
                 over = false;
             }
             Step::Wait(n) => tokio::time::sleep(Duration::from_millis(u64::from(n) * 4)).await,
         }
-        let (phase, late) = (*phases.follow().borrow(), stopped.map(|at| at.elapsed().as_millis()));
+        let (phase, late) = (*phases.subscribe().borrow(), stopped.map(|at| at.elapsed().as_millis()));
         if late > Some(722) {
             over = false; // no way back from the end; a timer may be a little late
         }
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -6,7 +6,7 @@
 
 use common::{one, request, Client, Platform, Worker, UP};
 use dispatch_policy::api::Outcome;
-use molevale::names::read_settings;
+use molevale::names::parse_settings;
 use molevale::settings_merge::EffectiveSettings;
 use serde_json::json;
 use std::time::Duration;
@@ -196,7 +196,7 @@
     newer["Profiles"][0]["Name"] = "audit".into();
     newer["Profiles"][0]["Semantics"] = "unsafe".into();
     newer["Limits"]["MaxAttempts"] = 1.into();
-    let (settings, names) = read_settings(&newer).unwrap();
+    let (settings, names) = parse_settings(&newer).unwrap();
     node.effective_settings
         .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
     let mut fresh = Client::connect(&node).await;
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -82,7 +82,7 @@
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(30)).await;
-    node.phases.follow().wait_for(|p| *p == Phase::Closing).await.unwrap();
+    node.phases.subscribe().wait_for(|p| *p == Phase::Closing).await.unwrap();
     while TcpStream::connect(node.address).await.is_ok() {
         tokio::task::yield_now().await; // until the listener is closed: from there on it waits for the last answer
     }
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -55,7 +55,7 @@
     }
     before.write("38\r\n{\"id\":\"9b1f03aa").await; // a line that is cut, here and there
     let found = find(&place).await.expect("the old process answers");
-    assert!(old.phases.follow().borrow().is_serving(), "it serves until the new one does");
+    assert!(old.phases.subscribe().borrow().is_serving(), "it serves until the new one does");
     let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some(found)).await;
     assert_eq!(new.address, old.address);
     assert!(idle.answer().await.is_none(), "an idle connection is closed");
@@ -96,7 +96,7 @@
     let (listener, before) = find(&place).await.expect("it answers again");
     let (held, remains) = before.take_over().await;
     assert!(held.descriptors > 0);
-    let mut phase = old.phases.follow();
+    let mut phase = old.phases.subscribe();
     assert_eq!(*phase.borrow(), Phase::HandedOver);
     let mut client = Client::connect(&old).await;
     client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
