--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,13 +1,53 @@
-//! From SIGHUP to what a new configuration changes in a running node.
+//! Reload of the configuration at SIGHUP: which changes take effect in a running node, and who is told of them.
 
 use crate::config::{ConfigSources, LoadedConfig};
 use crate::settings_merge::{first_missing_key, EffectiveSettings};
 use crate::signals::{Command, Signals};
+use dispatch_policy::api::SettingsError;
 use membership::keys::Keys;
+use std::fmt;
 use std::net::SocketAddr;
+use thiserror::Error;
 use tokio::sync::watch;
 
-/// Owns the configuration of a running node and what may change in it.
+/// Error of a reload: nothing has changed.
+#[derive(Debug, Error)]
+enum ReloadError {
+    /// A file can't be read or understood.
+    #[error("{0}")]
+    Configuration(String),
+    /// The newer configuration lacks a key that the running one has.
+    #[error("{key} is missing")]
+    MissingKey { key: String },
+    /// The newer settings, merged with the running ones, are outside the bounds of the decision module.
+    #[error("settings: {0}")]
+    Settings(#[source] SettingsError),
+}
+
+/// Change that a reload found.
+enum Change {
+    Settings { classes: Vec<String>, max_attempts: u32 },
+    Discovery(SocketAddr),
+    MembershipKeys,
+    RestartRequired(Vec<&'static str>),
+}
+
+impl fmt::Display for Change {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Change::Settings { classes, max_attempts } => {
+                write!(f, "new settings: classes {}; {max_attempts} attempts at most", classes.join(", "))
+            }
+            Change::Discovery(address) => write!(f, "discovery is now at {address}"),
+            Change::MembershipKeys => f.write_str("new keys for the talk between nodes"),
+            Change::RestartRequired(keys) => {
+                write!(f, "changed, but in force only after a restart: {}", keys.join(", "))
+            }
+        }
+    }
+}
+
+/// Configuration of a running node, and channels to the parts that follow its changes.
 pub struct Reload {
     sources: ConfigSources,
     running: LoadedConfig,
@@ -17,84 +57,132 @@
 }
 
 impl Reload {
-    /// Starts from what the fronts were told.
+    /// Starts from the configuration that the node was started with.
     pub fn new(sources: ConfigSources, started: LoadedConfig) -> Reload {
-        let at = started.config.as_ref().map(|c| c.discovery);
-        let effective_settings =
-            started.config.as_ref().map(|c| c.effective_settings.clone()).unwrap_or_default();
-        let (discovery, effective_settings) =
-            (watch::Sender::new(at), watch::Sender::new(effective_settings));
-        let keys = watch::Sender::new(started.fleet.as_ref().map(|t| t.keys.clone()));
-        Reload { sources, running: started, discovery, effective_settings, keys }
+        let config = started.config.as_ref();
+        let discovery = config.map(|config| config.discovery);
+        let settings = config.map(|config| config.effective_settings.clone()).unwrap_or_default();
+        Reload {
+            sources,
+            discovery: watch::Sender::new(discovery),
+            effective_settings: watch::Sender::new(settings),
+            keys: watch::Sender::new(membership_keys(&started)),
+            running: started,
+        }
     }
 
-    /// Where discovery listens, as of now; `None` where no front asks it.
+    /// Receiver of discovery's address; `None` where no front asks discovery.
     pub fn discovery(&self) -> watch::Receiver<Option<SocketAddr>> {
         self.discovery.subscribe()
     }
 
-    /// The settings, as of now.
+    /// Receiver of the settings.
     pub fn effective_settings(&self) -> watch::Receiver<EffectiveSettings> {
         self.effective_settings.subscribe()
     }
 
-    /// The keys of the talk between nodes, as of now; `None` where there is none.
+    /// Receiver of the keys of membership; `None` where it is off.
     pub fn keys(&self) -> watch::Receiver<Option<Keys>> {
         self.keys.subscribe()
     }
 
-    /// Reads everything again at each SIGHUP, as long as the process lives. Guards against a node that ends on
-    /// SIGHUP: from here on the signal has a handler, whichever fronts run and whatever phase it is.
+    /// Starts a task that reloads at each SIGHUP, for as long as the process lives. It also keeps SIGHUP from ending the
+    /// process, whichever fronts run and whatever the phase is.
     pub fn on_signal(mut self, signals: Signals) {
         tokio::spawn(async move {
             loop {
                 signals.received(Command::Reload).await;
-                // All or nothing: of a file that is not whole, nothing is taken.
-                match self.again() {
-                    Ok(changed) => log::info!("reload: {changed}"),
-                    Err(e) => log::error!("reload: the old configuration stays: {}", e.replace('\n', " ")),
-                }
+                log_outcome(self.reload());
             }
         });
     }
 
-    /// Checks all of it before anything changes; says what did.
-    fn again(&mut self) -> Result<String, String> {
-        let newer = self.sources.read_again()?;
-        let mut changed = Vec::new();
-        if let (Some(old), Some(new)) = (&mut self.running.config, &newer.config) {
-            if let Some(key) = first_missing_key(&old.text, &new.text, "configuration") {
-                return Err(format!("{key} is missing"));
-            }
-            let effective_settings = self.effective_settings.borrow().merged_with(&new.effective_settings);
-            effective_settings.settings.validate().map_err(|e| format!("settings: {e}"))?;
-            if self.effective_settings.send_if_modified(|old| {
-                std::mem::replace(old, effective_settings.clone()) != effective_settings
-            }) {
-                let offered = (0..effective_settings.names.classes.len())
-                    .filter(|n| !effective_settings.names.retired.contains(n));
-                let offered: Vec<&str> =
-                    offered.map(|n| effective_settings.names.classes[n].as_str()).collect();
-                let most = effective_settings.settings.max_attempts;
-                changed
-                    .push(format!("new settings: classes {}; {most} attempts at most", offered.join(", ")));
-            }
-            if old.discovery != new.discovery {
-                old.discovery = new.discovery;
-                self.discovery.send_replace(Some(new.discovery));
-                changed.push(format!("discovery is now at {}", new.discovery));
-            }
-            old.text = new.text.clone();
+    /// Reads the configuration again, and applies it whole or, where any of it is wrong, not at all.
+    fn reload(&mut self) -> Result<Vec<Change>, ReloadError> {
+        let newer = self.sources.read_again().map_err(ReloadError::Configuration)?;
+        let settings = self.checked_settings(&newer)?;
+        // Nothing fails from here on.
+        let changes = [
+            settings.and_then(|settings| self.apply_settings(settings)),
+            self.apply_discovery(&newer),
+            self.apply_keys(&newer),
+            self.restart_required(&newer),
+        ];
+        Ok(changes.into_iter().flatten().collect())
+    }
+
+    /// The newer settings merged with the running ones; `None` where the platform's front is off.
+    fn checked_settings(&self, newer: &LoadedConfig) -> Result<Option<EffectiveSettings>, ReloadError> {
+        let (Some(old), Some(new)) = (&self.running.config, &newer.config) else { return Ok(None) };
+        if let Some(key) = first_missing_key(&old.text, &new.text, "configuration") {
+            return Err(ReloadError::MissingKey { key });
+        }
+        let merged = self.effective_settings.borrow().merged_with(&new.effective_settings);
+        merged.settings.validate().map_err(ReloadError::Settings)?;
+        Ok(Some(merged))
+    }
+
+    fn apply_settings(&mut self, settings: EffectiveSettings) -> Option<Change> {
+        let change = described(&settings);
+        replace(&self.effective_settings, settings).then_some(change)
+    }
+
+    fn apply_discovery(&mut self, newer: &LoadedConfig) -> Option<Change> {
+        let (Some(old), Some(new)) = (&mut self.running.config, &newer.config) else { return None };
+        old.text = new.text.clone();
+        if old.discovery == new.discovery {
+            return None;
+        }
+        old.discovery = new.discovery;
+        self.discovery.send_replace(Some(new.discovery));
+        Some(Change::Discovery(new.discovery))
+    }
+
+    fn apply_keys(&mut self, newer: &LoadedConfig) -> Option<Change> {
+        replace(&self.keys, membership_keys(newer)).then_some(Change::MembershipKeys)
+    }
+
+    fn restart_required(&self, newer: &LoadedConfig) -> Option<Change> {
+        let keys = self.running.restart_required(newer);
+        (!keys.is_empty()).then_some(Change::RestartRequired(keys))
+    }
+}
+
+fn membership_keys(config: &LoadedConfig) -> Option<Keys> {
+    config.fleet.as_ref().map(|membership| membership.keys.clone())
+}
+
+/// Description of new settings: the classes that are offered, and the most attempts.
+fn described(settings: &EffectiveSettings) -> Change {
+    let names = &settings.names;
+    let offered = (0..names.classes.len()).filter(|number| !names.retired.contains(number));
+    Change::Settings {
+        classes: offered.map(|number| names.classes[number].clone()).collect(),
+        max_attempts: settings.settings.max_attempts,
+    }
+}
+
+/// Puts a value into a channel, and notifies its receivers where it differs. Returns whether it does.
+fn replace<T: PartialEq>(channel: &watch::Sender<T>, value: T) -> bool {
+    channel.send_if_modified(|current| {
+        let differs = *current != value;
+        *current = value;
+        differs
+    })
+}
+
+fn log_outcome(outcome: Result<Vec<Change>, ReloadError>) {
+    match outcome {
+        Ok(changes) if changes.is_empty() => {
+            log::info!(event = "configuration_unchanged"; "configuration read again: all as before");
         }
-        let keys = newer.fleet.as_ref().map(|t| t.keys.clone());
-        if self.keys.send_if_modified(|old| std::mem::replace(old, keys.clone()) != keys) {
-            changed.push("new keys for the talk between nodes".to_string());
+        Ok(changes) => {
+            let changes: Vec<String> = changes.iter().map(Change::to_string).collect();
+            log::info!(event = "configuration_reloaded", changes = changes.join("; "); "configuration reloaded");
         }
-        let restart_required = self.running.restart_required(&newer);
-        if !restart_required.is_empty() {
-            changed
-                .push(format!("changed, but in force only after a restart: {}", restart_required.join(", ")));
+        Err(error) => {
+            let error = error.to_string().replace('\n', " ");
+            log::error!(event = "configuration_rejected", error; "the old configuration stays");
         }
-        Ok(if changed.is_empty() { "all as before".to_string() } else { changed.join("; ") })
     }
 }
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -171,7 +171,7 @@
     assert!(call(&agents[0]).starts_with("GET /discovery/hosts HTTP/1.1"), "at the start the variable holds");
     std::fs::write(&path, "{").unwrap();
     node.signal("-HUP");
-    said("reload: the old configuration stays: configuration: EOF");
+    said("ERROR the old configuration stays event=configuration_rejected error=\"configuration: EOF");
     // All that a broken file says is left alone, where discovery is too.
     let good: serde_json::Value = serde_json::from_str(&text(2, "n1")).unwrap();
     for (place, broken, why) in [
@@ -190,9 +190,10 @@
         }
         std::fs::write(&path, bad.to_string()).unwrap();
         node.signal("-HUP");
-        said("reload: ");
+        said("event=configuration_");
+        let rejected = "ERROR the old configuration stays event=configuration_rejected error=\"";
         assert!(
-            last.borrow().contains("the old configuration stays") && last.borrow().ends_with(why),
+            last.borrow().contains(rejected) && last.borrow().ends_with(&format!("{why}\"")),
             "{}",
             last.borrow()
         );
@@ -201,7 +202,8 @@
     node.signal("-HUP");
     node.signal("-HUP");
     let moved = format!(
-        "reload: discovery is now at {}; changed, but in force only after a restart: name",
+        "event=configuration_reloaded changes=\"discovery is now at {}; changed, but in force only after a restart: \
+         name\"",
         address(2)
     );
     said(&moved);
@@ -209,7 +211,7 @@
     node.signal("-TERM");
     said("INFO stop requested by a signal event=stop_requested");
     node.signal("-HUP");
-    said("reload: changed, but in force only after a restart: name");
+    said("event=configuration_reloaded changes=\"changed, but in force only after a restart: name\"");
     assert!(node.0.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
 }
@@ -233,7 +235,7 @@
     said("serving");
     std::fs::write(&path, text(9)).unwrap();
     node.signal("-HUP");
-    said("in force only after a restart: the operator's file");
+    said("event=configuration_reloaded changes=\"changed, but in force only after a restart: the operator's file\"");
     node.signal("-TERM");
     assert!(node.0.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -211,7 +211,7 @@
     assert!(one.process.ended().is_none(), "it ended: {}", one.log());
     one.inject(Fault::RecvEintr, 0);
     one.was_met(Fault::RecvEintr);
-    assert!(one.log().contains("reload"), "no signal was heard");
+    assert!(one.log().contains("\"event\":\"configuration_"), "no signal was heard");
 }
 
 /// Guards the stop against a wake-up that is lost in the signal handler.
