--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -1,21 +1,23 @@
-//! Where operators call: a small HTTP front of its own, so that they are heard however full the clients' door
-//! is. One call a connection; it reads and turns the phase and decides nothing else.
+//! Management front: a small HTTP server at an address of its own, so that operators are heard however full the clients'
+//! front is. It serves one call a connection, reads state and passes commands on; it decides nothing itself.
 
 use crate::acceptor::Acceptor;
+use crate::coordination::{self, RestartRequest, RestartRequestError};
+use crate::membership;
 use crate::phase::Phases;
 use crate::platform::socket::Socket;
-use crate::{coordination, membership};
 use ::coordination::{Operation, Outcome, VoterMember, NAME_MAX};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -23,166 +25,310 @@
 
 /// Callers at once. The platform's front keeps descriptors back for them.
 pub const MAX_CALLERS: usize = 8;
-/// For which one call may take, from its connection on.
-const CALL_WAIT: Duration = Duration::from_secs(2);
-/// A call's head; more is refused.
-const BUFFER: usize = 8 * 1024;
+/// Time that one call may take, from its connection on.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest head of a call, in bytes.
+const MAX_HEAD: usize = 8 * 1024;
+/// Nodes of one zone that may be unavailable at once in a rolling restart, where the call does not say.
+const DEFAULT_MAX_UNAVAILABLE: u8 = 1;
 
-/// What operators may ask and change.
+/// What operators can read and change.
 #[derive(Clone)]
 pub struct Management {
     /// The phase of the process.
     pub phases: Phases,
     /// Whether the process can serve.
     pub ready: watch::Receiver<bool>,
-    /// The talk between nodes, where it is on.
+    /// Membership, where it is on.
     pub fleet: Option<membership::Handle>,
-    /// The duties, where they are on.
+    /// Coordination, where it is on.
     pub duties: Option<coordination::Handle>,
 }
 
+/// Call that the front knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Call {
+    Health,
+    Drain,
+    Resume,
+    MembershipStatus,
+    CoordinationStatus,
+    AddVoter,
+    RemoveVoter,
+    StartRestart,
+    StopRestart,
+}
+
+impl Call {
+    fn from_path(path: &str) -> Option<Call> {
+        Some(match path {
+            "/healthcheck" => Call::Health,
+            "/healthcheck/fail" => Call::Drain,
+            "/healthcheck/ok" => Call::Resume,
+            "/fleet" => Call::MembershipStatus,
+            "/fleet/duties" => Call::CoordinationStatus,
+            "/fleet/voter/add" => Call::AddVoter,
+            "/fleet/voter/remove" => Call::RemoveVoter,
+            "/fleet/roll" => Call::StartRestart,
+            "/fleet/roll/stop" => Call::StopRestart,
+            _ => return None,
+        })
+    }
+
+    fn method(self) -> Method {
+        match self {
+            Call::Health | Call::MembershipStatus | Call::CoordinationStatus => Method::GET,
+            Call::Drain
+            | Call::Resume
+            | Call::AddVoter
+            | Call::RemoveVoter
+            | Call::StartRestart
+            | Call::StopRestart => Method::POST,
+        }
+    }
+}
+
+/// Answer to a call that succeeded.
+enum Answer {
+    Text(String),
+    Json(String),
+}
+
+impl Answer {
+    fn text(text: &str) -> Answer {
+        Answer::Text(text.to_string())
+    }
+
+    fn into_response(self) -> Response<Full<Bytes>> {
+        match self {
+            Answer::Text(text) => response(StatusCode::OK, &text),
+            Answer::Json(text) => {
+                let mut response = response(StatusCode::OK, &text);
+                response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+                response
+            }
+        }
+    }
+}
+
+/// Reason for which a call failed; its text is the answer's body.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error("there is no such call")]
+    UnknownCall,
+    #[error("another method is wanted")]
+    MethodNotAllowed { allowed: Method },
+    #[error("starting")]
+    NotReady,
+    #[error("on its way to its end")]
+    CannotResume,
+    #[error("this node talks to no other: it was started without --fleet")]
+    MembershipOff,
+    #[error("the talk between nodes has ended")]
+    MembershipEnded,
+    #[error("this node knows no duties: its fleet file has no such section")]
+    CoordinationOff,
+    #[error("the duties have ended")]
+    CoordinationEnded,
+    #[error("a name is wanted, and to add one an address")]
+    InvalidVoter,
+    #[error("away is from 1 to 4")]
+    InvalidMaxUnavailable,
+    #[error("{0}")]
+    VoterChangeRejected(String),
+    #[error("no voter that leads answers")]
+    NoLeader,
+    #[error("{0}")]
+    RestartNotRequested(#[source] RestartRequestError),
+}
+
+impl CallError {
+    fn status(&self) -> StatusCode {
+        match self {
+            CallError::UnknownCall | CallError::MembershipOff | CallError::CoordinationOff => {
+                StatusCode::NOT_FOUND
+            }
+            CallError::MethodNotAllowed { .. } => StatusCode::METHOD_NOT_ALLOWED,
+            CallError::InvalidVoter | CallError::InvalidMaxUnavailable => StatusCode::BAD_REQUEST,
+            CallError::VoterChangeRejected(_) => StatusCode::CONFLICT,
+            CallError::NotReady
+            | CallError::CannotResume
+            | CallError::MembershipEnded
+            | CallError::CoordinationEnded
+            | CallError::NoLeader
+            | CallError::RestartNotRequested(_) => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    fn into_response(self) -> Response<Full<Bytes>> {
+        let mut response = response(self.status(), &self.to_string());
+        if let CallError::MethodNotAllowed { allowed } = &self {
+            let allowed = HeaderValue::from_str(allowed.as_str()).expect("a method is a header value");
+            response.headers_mut().insert(ALLOW, allowed);
+        }
+        response
+    }
+}
+
 impl Management {
-    /// Answers calls for as long as the process lives.
+    /// Serves calls for as long as the process lives.
     pub async fn serve(self, listener: TcpListener) {
         let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
         let mut acceptor = Acceptor::default();
         loop {
             let socket = acceptor.accept(&listener).await.socket;
-            callers.retain(|c| !c.is_finished());
-            // Guards calls against callers that hold all places and say nothing: the first one goes.
+            callers.retain(|caller| !caller.is_finished());
+            // Callers that hold all places and say nothing must not hold up others: the first one is closed.
             while callers.len() >= MAX_CALLERS {
                 let Some(first) = callers.pop_front() else { break };
                 first.abort();
-                let _ = first.await; // ends with an error by design; its descriptor is free now
+                let _ = first.await; // ends with an error because it was aborted; its descriptor is free now
             }
-            let own = self.clone();
-            callers.push_back(tokio::spawn(async move { own.call(socket).await }));
+            let management = self.clone();
+            callers.push_back(tokio::spawn(async move { management.serve_connection(socket).await }));
         }
     }
 
-    async fn call(&self, socket: TcpStream) {
-        let service = service_fn(|request| async move { Ok::<_, Infallible>(self.answer(&request).await) });
+    async fn serve_connection(&self, socket: TcpStream) {
+        let service = service_fn(|request| async move { Ok::<_, Infallible>(self.respond(&request).await) });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).header_read_timeout(None).max_buf_size(BUFFER);
+        builder.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD);
         let connection = builder.serve_connection(TokioIo::new(Socket::new(socket)), service);
-        match timeout(CALL_WAIT, connection).await {
+        match timeout(CALL_TIMEOUT, connection).await {
             Ok(Ok(())) => {}
-            Ok(Err(e)) => log::debug!("management: {e}"),
-            Err(_) => log::debug!("management: a call did not come in {CALL_WAIT:?}"),
-        }
-    }
-
-    async fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let (method, path) = (request.method(), request.uri().path());
-        let allowed = match path {
-            "/healthcheck" | "/fleet" | "/fleet/duties" => Method::GET,
-            "/healthcheck/fail"
-            | "/healthcheck/ok"
-            | "/fleet/voter/add"
-            | "/fleet/voter/remove"
-            | "/fleet/roll"
-            | "/fleet/roll/stop" => Method::POST,
-            _ => return say(StatusCode::NOT_FOUND, "there is no such call"),
-        };
-        if *method != allowed {
-            let mut reply = say(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted");
-            reply.headers_mut().insert(ALLOW, HeaderValue::from_str(allowed.as_str()).expect("a method"));
-            return reply;
-        }
-        match path {
-            "/fleet" => return self.view().await,
-            "/fleet/duties" => return self.duties().await,
-            "/fleet/voter/add" | "/fleet/voter/remove" => {
-                return self.seat(path, request.uri().query().unwrap_or("")).await;
+            Ok(Err(error)) => {
+                log::debug!(event = "management_call_failed", error:%; "management call failed")
             }
-            "/fleet/roll" | "/fleet/roll/stop" => {
-                return self.roll(path, request.uri().query().unwrap_or("")).await;
+            Err(_) => {
+                log::debug!(event = "management_call_timed_out", timeout_ms = CALL_TIMEOUT.as_millis() as u64;
+                "management call did not come in time")
             }
-            _ => {}
         }
-        let (yes, text) = match path {
-            "/healthcheck" if *self.ready.borrow() => (true, "ready"),
-            "/healthcheck" => (false, "starting"),
-            "/healthcheck/fail" => (self.phases.drain(), "draining"),
-            _ if self.phases.resume() => (true, "serving"),
-            _ => (false, "on its way to its end"),
+    }
+
+    async fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+        let outcome = match accepted_call(request) {
+            Ok(call) => self.answer(call, request.uri()).await,
+            Err(error) => Err(error),
         };
-        if allowed == Method::POST {
-            log::info!("management: {path}: {text}");
+        outcome.map_or_else(CallError::into_response, Answer::into_response)
+    }
+
+    async fn answer(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+        match call {
+            Call::Health if *self.ready.borrow() => Ok(Answer::text("ready")),
+            Call::Health => Err(CallError::NotReady),
+            Call::Drain | Call::Resume => self.change_phase(call, uri.path()),
+            Call::MembershipStatus => self.membership_status().await,
+            Call::CoordinationStatus => self.coordination_status().await,
+            Call::AddVoter | Call::RemoveVoter => self.change_voters(call, uri).await,
+            Call::StartRestart | Call::StopRestart => self.request_restart(call, uri).await,
         }
-        say(if yes { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, text)
     }
 
-    async fn view(&self) -> Response<Full<Bytes>> {
-        let Some(fleet) = &self.fleet else {
-            return say(StatusCode::NOT_FOUND, "this node talks to no other: it was started without --fleet");
+    fn change_phase(&self, call: Call, path: &str) -> Result<Answer, CallError> {
+        let (is_done, phase) = match call {
+            Call::Drain => (self.phases.drain(), "draining"),
+            _ => (self.phases.resume(), "serving"),
         };
-        match fleet.status().await.map(|status| serde_json::to_string(&status)) {
-            Some(Ok(text)) => json(&text),
-            _ => say(StatusCode::SERVICE_UNAVAILABLE, "the talk between nodes has ended"),
+        let outcome = if is_done { Ok(Answer::text(phase)) } else { Err(CallError::CannotResume) };
+        let result = outcome.as_ref().map_or_else(CallError::to_string, |_| phase.to_string());
+        log::info!(event = "management_call", path, result; "management call");
+        outcome
+    }
+
+    async fn membership_status(&self) -> Result<Answer, CallError> {
+        let membership = self.fleet.as_ref().ok_or(CallError::MembershipOff)?;
+        match membership.status().await.map(|status| serde_json::to_string(&status)) {
+            Some(Ok(text)) => Ok(Answer::Json(text)),
+            _ => Err(CallError::MembershipEnded),
         }
     }
 
-    async fn duties(&self) -> Response<Full<Bytes>> {
-        let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
-        match duties.status().await.map(|shown| serde_json::to_string(&shown)) {
-            Some(Ok(text)) => json(&text),
-            _ => say(StatusCode::SERVICE_UNAVAILABLE, "the duties have ended"),
+    async fn coordination_status(&self) -> Result<Answer, CallError> {
+        let coordination = self.coordination()?;
+        match coordination.status().await.map(|status| serde_json::to_string(&status)) {
+            Some(Ok(text)) => Ok(Answer::Json(text)),
+            _ => Err(CallError::CoordinationEnded),
         }
     }
 
-    /// An operator's word on a roll, `away=...`.
-    async fn roll(&self, path: &str, query: &str) -> Response<Full<Bytes>> {
-        let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
-        let away = query.strip_prefix("away=").map_or(Ok(1), str::parse);
-        let wanted = match (path, away) {
-            ("/fleet/roll/stop", _) => coordination::RestartRequest::Stop,
-            (_, Ok(away @ 1..=4)) => {
-                let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                coordination::RestartRequest::Begin { id: unix.as_millis() as u64, away }
-            }
-            _ => return say(StatusCode::BAD_REQUEST, "away is from 1 to 4"),
+    async fn request_restart(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+        let coordination = self.coordination()?;
+        let request = match call {
+            Call::StopRestart => RestartRequest::Stop,
+            _ => new_restart(query(uri))?,
         };
-        log::info!("management: {path}?{query}");
-        match duties.request_restart(wanted).await {
-            Ok(holder) => {
-                say(StatusCode::OK, &format!("{holder} was told; 'fleet duties' shows how it goes"))
-            }
-            Err(error) => say(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
+        log_command(uri);
+        match coordination.request_restart(request).await {
+            Ok(holder) => Ok(Answer::Text(format!("{holder} was told; 'fleet duties' shows how it goes"))),
+            Err(error) => Err(CallError::RestartNotRequested(error)),
         }
     }
 
-    /// An operator's word on the voters, `name=...` and for a new one `at=...`.
-    async fn seat(&self, path: &str, query: &str) -> Response<Full<Bytes>> {
-        let Some(duties) = &self.duties else { return say(StatusCode::NOT_FOUND, NO_DUTIES) };
-        let value = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
-        let name = value("name").filter(|n| !n.is_empty() && n.len() <= NAME_MAX).map(String::from);
-        let wish = match (path, name, value("at").map(str::parse)) {
-            ("/fleet/voter/add", Some(name), Some(Ok(address))) => {
-                Operation::AddVoter(VoterMember { name, address })
-            }
-            ("/fleet/voter/remove", Some(name), None) => Operation::RemoveVoter(name),
-            _ => return say(StatusCode::BAD_REQUEST, "a name is wanted, and to add one an address"),
-        };
-        log::info!("management: {path}?{query}");
-        match duties.request(wish).await {
-            Some(Outcome::Done) => say(StatusCode::OK, "done"),
-            Some(Outcome::Rejected(why)) => say(StatusCode::CONFLICT, &why),
-            _ => say(StatusCode::SERVICE_UNAVAILABLE, "no voter that leads answers"),
+    async fn change_voters(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+        let coordination = self.coordination()?;
+        let operation = voter_change(call, query(uri)).ok_or(CallError::InvalidVoter)?;
+        log_command(uri);
+        match coordination.request(operation).await {
+            Some(Outcome::Done) => Ok(Answer::text("done")),
+            Some(Outcome::Rejected(reason)) => Err(CallError::VoterChangeRejected(reason)),
+            _ => Err(CallError::NoLeader),
         }
     }
+
+    fn coordination(&self) -> Result<&coordination::Handle, CallError> {
+        self.duties.as_ref().ok_or(CallError::CoordinationOff)
+    }
 }
 
-const NO_DUTIES: &str = "this node knows no duties: its fleet file has no such section";
+/// The call that a request makes, where the method is the call's.
+fn accepted_call(request: &Request<Incoming>) -> Result<Call, CallError> {
+    let call = Call::from_path(request.uri().path()).ok_or(CallError::UnknownCall)?;
+    let allowed = call.method();
+    if *request.method() != allowed {
+        return Err(CallError::MethodNotAllowed { allowed });
+    }
+    Ok(call)
+}
 
-fn json(text: &str) -> Response<Full<Bytes>> {
-    let mut reply = say(StatusCode::OK, text);
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    reply
+fn query(uri: &Uri) -> &str {
+    uri.query().unwrap_or("")
+}
+
+fn log_command(uri: &Uri) {
+    log::info!(event = "management_call", path = uri.path(), query = query(uri); "management call");
+}
+
+/// A new rolling restart from `away=...`; its id is the time, so that it differs from earlier ones.
+fn new_restart(query: &str) -> Result<RestartRequest, CallError> {
+    let max_unavailable = match query.strip_prefix("away=") {
+        Some(text) => text.parse().map_err(|_| CallError::InvalidMaxUnavailable)?,
+        None => DEFAULT_MAX_UNAVAILABLE,
+    };
+    if !(1..=4).contains(&max_unavailable) {
+        return Err(CallError::InvalidMaxUnavailable);
+    }
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Ok(RestartRequest::Begin { id: unix.as_millis() as u64, away: max_unavailable })
+}
+
+/// A change of the voters from `name=...` and, for a new one, `at=...`; `None` where these do not fit the call.
+fn voter_change(call: Call, query: &str) -> Option<Operation> {
+    let value = |key: &str| query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
+    let name = value("name").filter(|name| !name.is_empty() && name.len() <= NAME_MAX)?.to_string();
+    match (call, value("at")) {
+        (Call::AddVoter, Some(address)) => {
+            let address = address.parse().ok()?;
+            Some(Operation::AddVoter(VoterMember { name, address }))
+        }
+        (Call::RemoveVoter, None) => Some(Operation::RemoveVoter(name)),
+        _ => None,
+    }
 }
 
-fn say(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
-    let mut reply = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
-    *reply.status_mut() = status;
-    reply
+fn response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
+    *response.status_mut() = status;
+    response
 }
