--- a/node/src/logger.rs
+++ b/node/src/logger.rs
@@ -1,164 +1,169 @@
-//! A small logger: a line a record on standard error, with the time, the node's name and the record's fields; as text,
-//! or as JSON where programs read it.
+//! Logger of the process: one line a record on standard error, with the time, the node's name and the record's fields;
+//! as text, or as JSON where programs read it.
 
 use log::kv::{Error, Key, Value, VisitSource};
-use log::{LevelFilter, Log, Metadata, Record};
+use log::{Level, LevelFilter, Log, Metadata, Record};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde_json::{json, Map};
 use std::fmt::Write as _;
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::{SystemTime, UNIX_EPOCH};
-
-/// The longest record, in bytes. A pipe that is ready takes so many without a wait (`PIPE_BUF`).
-const RECORD_MAX: usize = 3_500;
-
-struct Logger {
-    name: String,
-    json: bool,
-    /// Records that found no room since the last one that did.
-    dropped: AtomicU64,
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Longest record, in bytes: what a pipe that is ready takes without a wait (`PIPE_BUF`), less a reserve.
+const MAX_RECORD: usize = 3_500;
+/// Target of the records that are logged: this crate's.
+const TARGET: &str = "molevale";
+
+/// Format of the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Format {
+    /// Time, node, level and message, then each field as `key=value`.
+    Text,
+    /// An object with `at_ms`, `node`, `level`, `message` and the fields.
+    Json,
 }
 
-/// Whether standard error takes a record now. Guards the one thread: a pipe that nobody reads would hold it up.
-fn has_room() -> bool {
-    let stderr = std::io::stderr();
-    let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
-    match poll(&mut descriptors, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) {
-        Ok(0) => false,
-        // One that can't be asked is written to: files are always ready.
-        Ok(_) | Err(_) => true,
+impl Format {
+    /// One line, without its end, for a record of this node at this Unix time.
+    pub fn render(self, node: &str, at: Duration, record: &Record) -> String {
+        let mut fields = Fields::default();
+        // Fails only where a field does, and ours do not; those before it are kept.
+        let _ = record.key_values().visit(&mut fields);
+        match self {
+            Format::Text => render_text(node, at, record, &fields),
+            Format::Json => render_json(node, at, record, fields),
+        }
     }
 }
 
-/// Shortens a record to what a ready pipe takes.
-fn cut(line: &mut String) {
-    if line.len() > RECORD_MAX {
-        line.truncate(line.floor_char_boundary(RECORD_MAX));
+fn render_text(node: &str, at: Duration, record: &Record, fields: &Fields) -> String {
+    let (seconds, millis) = (at.as_secs(), at.subsec_millis());
+    let (level, message) = (record.level(), record.args());
+    let mut line = format!("{seconds}.{millis:03} {node} {level} {message}");
+    for (key, value) in &fields.0 {
+        // Writing to a string does not fail.
+        let _ = match value {
+            serde_json::Value::String(text) if is_plain(text) => write!(line, " {key}={text}"),
+            value => write!(line, " {key}={value}"),
+        };
     }
+    line
 }
 
-fn lost(args: std::fmt::Arguments) -> Record {
-    Record::builder().args(args).level(log::Level::Warn).target("molevale").build()
+/// Whether a field's text needs no quotes.
+fn is_plain(text: &str) -> bool {
+    !text.is_empty() && !text.contains([' ', '"', '=', '\n'])
+}
+
+fn render_json(node: &str, at: Duration, record: &Record, fields: Fields) -> String {
+    let at_ms = at.as_millis() as u64;
+    let mut object = Map::new();
+    object.insert("at_ms".to_string(), json!(at_ms));
+    object.insert("node".to_string(), json!(node));
+    object.insert("level".to_string(), json!(record.level().as_str()));
+    object.insert("message".to_string(), json!(record.args().to_string()));
+    for (key, value) in fields.0 {
+        // A field can't take the place of one of these four.
+        object.entry(key).or_insert(value);
+    }
+    serde_json::Value::Object(object).to_string()
 }
 
-/// A record's fields, in the order in which they stand there.
+/// Fields of a record, in their order.
 #[derive(Default)]
 struct Fields(Vec<(String, serde_json::Value)>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let plain = match (value.to_bool(), value.to_u64(), value.to_i64(), value.to_f64()) {
-            (Some(yes), ..) => json!(yes),
-            (_, Some(n), ..) => json!(n),
-            (_, _, Some(n), _) => json!(n),
-            (_, _, _, Some(x)) => json!(x),
+        let value = match (value.to_bool(), value.to_u64(), value.to_i64(), value.to_f64()) {
+            (Some(flag), ..) => json!(flag),
+            (_, Some(number), ..) => json!(number),
+            (_, _, Some(number), _) => json!(number),
+            (_, _, _, Some(number)) => json!(number),
             _ => json!(value.to_string()),
         };
-        self.0.push((key.to_string(), plain));
+        self.0.push((key.to_string(), value));
         Ok(())
     }
 }
 
+struct Logger {
+    node: String,
+    format: Format,
+    /// Records that were dropped since the last one that was written.
+    dropped: AtomicU64,
+}
+
 impl Logger {
-    fn line(&self, at: std::time::Duration, record: &Record) -> String {
-        let mut fields = Fields::default();
-        // Fails only where a field does, and ours don't; what came before it is kept.
-        let _ = record.key_values().visit(&mut fields);
-        let (s, ms) = (at.as_secs(), at.subsec_millis());
-        let (name, level, args) = (&self.name, record.level(), record.args());
-        if self.json {
-            let at_ms = at.as_millis() as u64;
-            let mut all = Map::new();
-            all.insert("at_ms".to_string(), json!(at_ms));
-            all.insert("node".to_string(), json!(name));
-            all.insert("level".to_string(), json!(level.as_str()));
-            all.insert("message".to_string(), json!(args.to_string()));
-            // Guards the four against fields that have their names.
-            for (key, value) in fields.0 {
-                all.entry(key).or_insert(value);
-            }
-            return serde_json::Value::Object(all).to_string();
-        }
-        let mut line = format!("{s}.{ms:03} {name} {level} {args}");
-        for (key, value) in &fields.0 {
-            let _ = match value {
-                serde_json::Value::String(text)
-                    if !text.contains([' ', '"', '=', '\n']) && !text.is_empty() =>
-                {
-                    write!(line, " {key}={text}")
-                }
-                value => write!(line, " {key}={value}"),
-            };
+    fn write(&self, record: &Record) {
+        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let mut line = self.format.render(&self.node, at, record);
+        shorten(&mut line);
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            line.push('\n');
+            line.push_str(&self.render_dropped(at, dropped));
         }
-        line
+        line.push('\n');
+        // A log that can't be written is no reason to stop serving.
+        let _ = std::io::stderr().write_all(line.as_bytes());
+    }
+
+    fn render_dropped(&self, at: Duration, dropped: u64) -> String {
+        let fields = [("event", Value::from("log_records_dropped")), ("records", Value::from(dropped))];
+        let mut record = Record::builder();
+        record.level(Level::Warn).target(TARGET).key_values(&fields);
+        let message = format_args!("log records were dropped: nobody reads the log");
+        self.format.render(&self.node, at, &record.args(message).build())
     }
 }
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        metadata.target().starts_with("molevale")
+        metadata.target().starts_with(TARGET)
     }
 
     fn log(&self, record: &Record) {
-        if self.enabled(record.metadata()) {
-            let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            if !has_room() {
-                self.dropped.fetch_add(1, Ordering::Relaxed);
-                return;
-            }
-            let mut line = self.line(at, record);
-            cut(&mut line);
-            let dropped = self.dropped.swap(0, Ordering::Relaxed);
-            if dropped > 0 {
-                let _ = write!(
-                    line,
-                    "\n{}",
-                    self.line(
-                        at,
-                        &lost(format_args!("{dropped} records were dropped: nobody reads the log"))
-                    )
-                );
-            }
-            line.push('\n');
-            // A log that can't be written is no reason to stop serving.
-            let _ = std::io::stderr().write_all(line.as_bytes());
+        if !self.enabled(record.metadata()) {
+            return;
+        }
+        if is_writable() {
+            self.write(record);
+        } else {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     fn flush(&self) {}
 }
 
-/// Starts the log of this process at the level that `MOLEVALE_LOG` names, else `info`; as JSON lines where
-/// `MOLEVALE_LOG_FORMAT` is `json`.
-pub fn start(name: &str) {
-    let level = std::env::var("MOLEVALE_LOG").ok().and_then(|v| v.parse().ok()).unwrap_or(LevelFilter::Info);
-    let json = std::env::var("MOLEVALE_LOG_FORMAT").is_ok_and(|v| v == "json");
-    if log::set_boxed_logger(Box::new(Logger { name: name.to_string(), json, dropped: AtomicU64::new(0) }))
-        .is_ok()
-    {
-        log::set_max_level(level);
+/// Whether standard error takes a record now. A pipe that nobody reads would hold up the one thread.
+fn is_writable() -> bool {
+    let stderr = std::io::stderr();
+    let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
+    match poll(&mut descriptors, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) {
+        Ok(0) => false,
+        // What can't be polled is written to: files are always ready.
+        Ok(_) | Err(_) => true,
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn line(json: bool) -> String {
-        let fields = [("member", Value::from("n 2")), ("count", Value::from(3)), ("node", Value::from("x"))];
-        let logger = Logger { name: "n1".to_string(), json, dropped: AtomicU64::new(0) };
-        let args = format_args!("a \"member\"");
-        let record = Record::builder().args(args).level(log::Level::Warn).key_values(&fields).build();
-        logger.line(std::time::Duration::from_millis(1_002), &record)
+/// Shortens a record to what a ready pipe takes.
+fn shorten(line: &mut String) {
+    if line.len() > MAX_RECORD {
+        line.truncate(line.floor_char_boundary(MAX_RECORD));
     }
+}
 
-    #[test]
-    fn a_record_is_one_line_with_its_fields() {
-        assert_eq!(line(false), "1.002 n1 WARN a \"member\" member=\"n 2\" count=3 node=x");
-        let read: serde_json::Value = serde_json::from_str(&line(true)).unwrap();
-        let want = json!({"at_ms": 1002, "node": "n1", "level": "WARN", "message": "a \"member\"",
-            "member": "n 2", "count": 3});
-        assert_eq!(read, want, "a field can't take another's place");
+/// Starts the log of this process at the level that `MOLEVALE_LOG` names, else `info`; as JSON lines where
+/// `MOLEVALE_LOG_FORMAT` is `json`. A second call changes nothing.
+pub fn start(node: &str) {
+    let level = std::env::var("MOLEVALE_LOG").ok().and_then(|v| v.parse().ok()).unwrap_or(LevelFilter::Info);
+    let is_json = std::env::var("MOLEVALE_LOG_FORMAT").is_ok_and(|v| v == "json");
+    let format = if is_json { Format::Json } else { Format::Text };
+    let logger = Logger { node: node.to_string(), format, dropped: AtomicU64::new(0) };
+    if log::set_boxed_logger(Box::new(logger)).is_ok() {
+        log::set_max_level(level);
     }
 }
