--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -230,7 +230,7 @@
     let place =
         |text: &String| text.parse().map_err(|_| format!("configuration: peers: {text} is not an address"));
     let peers = raw.peers.iter().map(place).collect::<Result<_, _>>()?;
-    let (settings, names) = parse_settings(&raw.settings)?;
+    let (settings, names) = parse_settings(&raw.settings).map_err(|error| error.to_string())?;
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
         text,
--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -120,7 +120,7 @@
         self.update_source();
         let entry = |member: &EndpointRecord| {
             let bytes = serde_json::to_vec(member).ok()?;
-            Some(Entry { key: member.id().to_string(), removed: member.is_gone(), bytes })
+            Some(Entry { key: member.id().to_string(), removed: member.is_terminated(), bytes })
         };
         let entries = list.members.iter().filter_map(entry).collect();
         let delta = ListDelta { version: list.revision, complete: list.complete, entries };
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The worker list, as discovery tells it and as configurations and upgrades carry it.
+//! Endpoint list: the workers that discovery names, as configurations and hand-overs carry them, too.
 
 use crate::dispatcher::stable_hash;
 use crate::names::Names;
@@ -7,95 +7,122 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// An answer of discovery.
+// The names in `serde(expecting)` are part of the text that operators read where a configuration's list is wrong.
+
+/// Microseconds of a millisecond.
+const US_PER_MS: u64 = 1000;
+
+/// Answer of discovery: all endpoints, or those that have changed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(expecting = "struct ListBody")]
 pub struct EndpointList {
-    /// The version of the list.
+    /// Version of the list.
     pub revision: u64,
-    /// Whether these are all workers, or the changed ones.
+    /// Whether these are all endpoints, or only the changed ones.
     pub complete: bool,
-    /// The lines.
+    /// The endpoints.
     pub members: Vec<EndpointRecord>,
 }
 
-/// A line of the worker list.
+/// Endpoint in the list: one worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(expecting = "struct Member")]
 pub struct EndpointRecord {
     id: String,
-    host_port: SocketAddr,
-    locality: String,
-    flavor: String,
+    #[serde(rename = "host_port")]
+    address: SocketAddr,
+    #[serde(rename = "locality")]
+    zone: String,
+    #[serde(rename = "flavor")]
+    machine_type: String,
     #[serde(default)]
     cell: u32,
-    phase: Phase,
-    #[serde(default = "one")]
+    phase: EndpointPhase,
+    /// Relative capacity; 1 where the list does not say.
+    #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
     up_since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
+/// Phase of an endpoint's life.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-#[serde(rename_all = "snake_case")]
-enum Phase {
+#[serde(rename_all = "snake_case", expecting = "enum Phase")]
+enum EndpointPhase {
     InService,
     Terminating,
     Terminated,
 }
 
+impl From<EndpointPhase> for Availability {
+    fn from(phase: EndpointPhase) -> Availability {
+        match phase {
+            EndpointPhase::InService => Availability::Ready,
+            EndpointPhase::Terminating => Availability::Draining,
+            EndpointPhase::Terminated => Availability::Gone,
+        }
+    }
+}
+
 impl EndpointList {
-    /// Takes a newer list in: changed lines, or all of them. Who is gone has no line.
+    /// Merges a newer list into this one, which is complete afterwards. Terminated endpoints are left out.
     pub fn merge(&mut self, newer: &EndpointList) {
         if newer.complete {
             self.members.clear();
         }
-        // Guards the one thread against long lists: no line is compared with each other one.
-        let told: HashSet<&str> = newer.members.iter().map(|m| m.id.as_str()).collect();
-        self.members.retain(|m| !told.contains(m.id.as_str()));
-        self.members.extend(newer.members.iter().filter(|m| !m.is_gone()).cloned());
-        (self.revision, self.complete) = (newer.revision, true);
+        // A set, because comparing each pair of a long list would hold up the one thread.
+        let changed: HashSet<&str> = newer.members.iter().map(EndpointRecord::id).collect();
+        self.members.retain(|endpoint| !changed.contains(endpoint.id()));
+        self.members.extend(newer.members.iter().filter(|endpoint| !endpoint.is_terminated()).cloned());
+        self.revision = newer.revision;
+        self.complete = true;
     }
 }
 
 impl EndpointRecord {
-    /// Its id.
+    /// Id of the worker.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Where it listens.
+    /// Number of the worker, and the address at which it listens.
     pub fn address(&self) -> (WorkerId, SocketAddr) {
-        (WorkerId(stable_hash(&self.id)), self.host_port)
+        (self.worker_id(), self.address)
     }
 
-    /// Whether it says that the worker is gone.
-    pub fn is_gone(&self) -> bool {
-        matches!(self.phase, Phase::Terminated)
+    /// Whether the worker has ended.
+    pub fn is_terminated(&self) -> bool {
+        matches!(self.phase, EndpointPhase::Terminated)
     }
 
-    /// Whether it says that the worker wants jobs.
-    pub fn is_ready(&self) -> bool {
-        matches!(self.phase, Phase::InService)
+    /// Whether the worker accepts jobs.
+    pub fn is_in_service(&self) -> bool {
+        matches!(self.phase, EndpointPhase::InService)
     }
 
-    /// The line as the module takes it.
-    pub fn entry(&self, names: &Names) -> Endpoint {
-        let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|i| i as u8);
+    /// The endpoint in the numbers of the decision module.
+    pub fn endpoint(&self, names: &Names) -> Endpoint {
         Endpoint {
-            worker: WorkerId(stable_hash(&self.id)),
-            kind: place(&names.kinds, &self.flavor).unwrap_or(0),
-            zone: place(&names.zones, &self.locality).unwrap_or(u8::MAX),
+            worker: self.worker_id(),
+            kind: number_in(&names.kinds, &self.machine_type).unwrap_or(0),
+            zone: number_in(&names.zones, &self.zone).unwrap_or(u8::MAX),
             cell: self.cell,
-            availability: match self.phase {
-                Phase::InService => Availability::Ready,
-                Phase::Terminating => Availability::Draining,
-                Phase::Terminated => Availability::Gone,
-            },
+            availability: self.phase.into(),
             weight: self.size,
-            started_at: self.up_since_ms * 1000,
+            started_at: self.up_since_ms * US_PER_MS,
         }
     }
+
+    fn worker_id(&self) -> WorkerId {
+        WorkerId(stable_hash(&self.id))
+    }
+}
+
+/// Number of a name in a list of names.
+fn number_in(names: &[String], name: &str) -> Option<u8> {
+    names.iter().position(|known| known == name).map(|number| number as u8)
 }
--- a/node/src/faktory/config.rs
+++ b/node/src/faktory/config.rs
@@ -1,6 +1,6 @@
 //! Operator's file of the Faktory front: see `deploy/faktory.toml`.
 
-use crate::names::parse_settings;
+use crate::names::{self, parse_settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -34,7 +34,7 @@
     Syntax(#[source] Box<toml::de::Error>),
     /// The settings are invalid.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[source] names::ParseError),
     /// The settings require that attempts can be cancelled.
     #[error("operator's file: attempts can't be called off (Limits.Cancelling)")]
     Cancelling,
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -8,7 +8,7 @@
 use crate::acceptor::Acceptor;
 use crate::counters::Counters;
 use crate::dispatcher::{queue, Dispatcher};
-use crate::names::parse_settings;
+use crate::names::{self, parse_settings};
 use crate::phase::Phase;
 use crate::platform::socket::Socket;
 use crate::transient::retry_local_failures;
@@ -48,7 +48,7 @@
     PasswordNotSet(String),
     /// The settings can't be read.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[source] names::ParseError),
     /// The dispatcher rejects the settings.
     #[error("settings: {0}")]
     InvalidSettings(#[source] InvalidSettings),
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -1,112 +1,159 @@
-//! The settings as the module takes them, and the names and figures that the wires need beside them.
+//! Settings as the decision module takes them, and the names and durations that the wires need beside them.
 
-use dispatch_policy::api::Settings;
+use dispatch_policy::api::{Idempotency, Settings};
 use dispatch_policy::settings::{self, KeyValues, ReportField};
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
+use thiserror::Error;
 
-/// The names and figures that the wires need beside the module's settings.
+/// Time for a connection to a worker to come up, where the settings do not say.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which workers close idle connections, where the settings do not say.
+const DEFAULT_CONNECTION_IDLE: Duration = Duration::from_secs(60);
+/// Time after which nothing new may go to a draining worker, where the settings do not say.
+const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(500);
+
+/// Names and durations that the wires need beside the settings of the decision module. A name's place in its list is its
+/// number in the module.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The classes, in the module's order.
+    /// The classes.
     pub classes: Vec<String>,
-    /// Which of them, by number, are offered no more.
+    /// Numbers of the classes that are no longer offered.
     pub retired: Vec<usize>,
-    /// For each of them, the one that had its name before, if any.
+    /// For each class, the number of the one that had its name before, if any.
     pub continues: Vec<Option<usize>>,
-    /// Which of them carry a key.
+    /// For each class, whether its requests carry an idempotency key.
     pub keyed: Vec<bool>,
     /// The tenants.
     pub tenants: Vec<String>,
-    /// Which of them, by number, are named no more.
+    /// Numbers of the tenants that are no longer named.
     pub gone_tenants: Vec<usize>,
     /// The zones.
     pub zones: Vec<String>,
-    /// The kinds of machine.
+    /// The types of machine.
     pub kinds: Vec<String>,
     /// The values of a load report, by name.
     pub report: Vec<(String, ReportField)>,
-    /// The time for a connection to come up.
+    /// Time for a connection to a worker to come up.
     pub connect_timeout: Duration,
-    /// The time after which workers close idle connections.
+    /// Time after which workers close idle connections.
     pub conn_idle: Duration,
-    /// The time after which nothing new may go to a worker that is told to drain.
+    /// Time after which nothing new may go to a draining worker.
     pub drain_grace: Duration,
-    /// The longest deadline of a class, also of those that are offered no more.
+    /// Longest deadline of a class, also of those that are no longer offered.
     pub longest: Duration,
 }
 
 impl Names {
-    /// The number of the class that is offered under this name.
+    /// Number of the class that is offered under this name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        (0..self.classes.len()).find(|n| self.classes[*n] == name && !self.retired.contains(n))
+        let is_offered = |number: &usize| !self.retired.contains(number);
+        (0..self.classes.len()).find(|number| self.classes[*number] == name && is_offered(number))
     }
 
-    /// The number of the tenant of this name.
+    /// Number of the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        (0..self.tenants.len()).find(|n| self.tenants[*n] == name && !self.gone_tenants.contains(n))
+        let is_named = |number: &usize| !self.gone_tenants.contains(number);
+        (0..self.tenants.len()).find(|number| self.tenants[*number] == name && is_named(number))
     }
 }
 
-/// The module's settings and the names, from the nested form.
-pub fn parse_settings(value: &Value) -> Result<(Settings, Names), String> {
+/// Error in the nested form of the settings.
+#[derive(Debug, Error)]
+pub enum ParseError {
+    /// A value is missing or outside its bounds.
+    #[error("{0}")]
+    Value(String),
+    /// An item of a list has no name, or one that another item has.
+    #[error("settings: each of {list} needs a Name of its own")]
+    Name {
+        /// Key of the list.
+        list: &'static str,
+    },
+}
+
+/// Parses the nested form of the settings: those of the decision module, and the names beside them.
+///
+/// # Errors
+/// Where a value is missing or outside its bounds, or a class or tenant has no name of its own.
+pub fn parse_settings(value: &Value) -> Result<(Settings, Names), ParseError> {
     let mut text = String::new();
     flatten("", value, &mut text);
     let pairs = KeyValues::new(&text);
-    let (settings, fields) = settings::read(&pairs).map_err(|e| e.to_string())?;
-    // Names as they were written, not as the flat text has them: they are compared with what comes on wires, and a
-    // space or a comma in one is its own.
-    let list = |key: &str| value.get(key).and_then(Value::as_array).into_iter().flatten().map(name).collect();
-    let named = |at: &str, n: usize| -> Vec<String> {
-        let name =
-            |i: usize| value.get(at).and_then(|items| items.get(i)?.get("Name")).map_or("".into(), name);
-        (0..n).map(name).collect()
-    };
-    let keyed = |c: &dispatch_policy::api::ClassSettings| {
-        matches!(c.idempotency, dispatch_policy::api::Idempotency::WithKey(_))
-    };
-    let report = value.get("Stats").and_then(|stats| stats.get("Fields")).and_then(Value::as_array);
-    let report = report.into_iter().flatten().map(name);
-    let classes: Vec<String> = named("Profiles", settings.classes.len());
-    let tenants: Vec<String> = named("Parties", settings.tenants.len());
-    for (i, names) in [&classes, &tenants].into_iter().enumerate() {
-        let odd = |(n, name): (usize, &String)| name.is_empty() || names[..n].contains(name);
-        if names.iter().enumerate().any(odd) {
-            let what = ["Profiles", "Parties"][i];
-            return Err(format!("settings: each of {what} needs a Name of its own"));
-        }
-    }
-    let span = |path: &str, absent_us| {
-        pairs.span(path, absent_us).map(Duration::from_micros).map_err(|e| e.to_string())
+    let (settings, fields) = settings::read(&pairs).map_err(value_error)?;
+    let names = parse_names(value, &pairs, &settings, fields)?;
+    Ok((settings, names))
+}
+
+fn parse_names(
+    value: &Value,
+    pairs: &KeyValues,
+    settings: &Settings,
+    report_fields: Vec<ReportField>,
+) -> Result<Names, ParseError> {
+    let classes = item_names(value, "Profiles", settings.classes.len())?;
+    let tenants = item_names(value, "Parties", settings.tenants.len())?;
+    let report_names = value.get("Stats").and_then(|stats| stats.get("Fields")).map(plain_names);
+    let longest = settings.classes.iter().map(|class| class.deadline_us).max().unwrap_or(0);
+    let duration = |key: &str, absent: Duration| {
+        let micros = pairs.span(key, absent.as_micros() as u64).map_err(value_error)?;
+        Ok(Duration::from_micros(micros))
     };
-    let names = Names {
+    Ok(Names {
         continues: vec![None; classes.len()],
         classes,
         retired: Vec::new(),
-        keyed: settings.classes.iter().map(keyed).collect(),
+        keyed: settings
+            .classes
+            .iter()
+            .map(|class| matches!(class.idempotency, Idempotency::WithKey(_)))
+            .collect(),
         tenants,
         gone_tenants: Vec::new(),
-        zones: list("Azs"),
-        kinds: list("HostTypes"),
-        report: report.zip(fields).collect(),
-        connect_timeout: span("Limits.ConnectTimeoutUs", 1_000_000)?,
-        conn_idle: span("Limits.ConnIdleUs", 60_000_000)?,
-        drain_grace: span("Invariants.DrainGraceUs", 500_000)?,
-        longest: Duration::from_micros(settings.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0)),
-    };
-    Ok((settings, names))
+        zones: value.get("Azs").map(plain_names).unwrap_or_default(),
+        kinds: value.get("HostTypes").map(plain_names).unwrap_or_default(),
+        report: report_names.unwrap_or_default().into_iter().zip(report_fields).collect(),
+        connect_timeout: duration("Limits.ConnectTimeoutUs", DEFAULT_CONNECT_TIMEOUT)?,
+        conn_idle: duration("Limits.ConnIdleUs", DEFAULT_CONNECTION_IDLE)?,
+        drain_grace: duration("Invariants.DrainGraceUs", DEFAULT_DRAIN_GRACE)?,
+        longest: Duration::from_micros(longest),
+    })
+}
+
+fn value_error(error: impl ToString) -> ParseError {
+    ParseError::Value(error.to_string())
+}
+
+/// Names of a list of plain values, as they are written: they are compared with what comes over wires, and a space or a
+/// comma is part of a name, which the flat text replaces.
+fn plain_names(list: &Value) -> Vec<String> {
+    list.as_array().into_iter().flatten().map(name).collect()
+}
+
+/// Names of the first `count` items of a list of objects, as they are written.
+fn item_names(value: &Value, list: &'static str, count: usize) -> Result<Vec<String>, ParseError> {
+    let items = value.get(list);
+    let item_name = |number: usize| items.and_then(|items| items.get(number)?.get("Name")).map(name);
+    let names: Vec<String> = (0..count).map(|number| item_name(number).unwrap_or_default()).collect();
+    let is_unusable = |(number, name): (usize, &String)| name.is_empty() || names[..number].contains(name);
+    if names.iter().enumerate().any(is_unusable) {
+        return Err(ParseError::Name { list });
+    }
+    Ok(names)
 }
 
-/// Nested settings as the `path=value` lines of the simulator's first message: a list of plain values is
-/// joined by commas, a list of objects gives its length under `.count` and its items under their numbers.
+/// Appends nested settings as the `path=value` lines of the simulator's first message: a list of plain values is joined by
+/// commas, a list of objects gives its length under `.count` and its items under their numbers.
 fn flatten(path: &str, value: &Value, out: &mut String) {
-    let at = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    // Writing to a string does not fail.
     match value {
-        Value::Object(map) => map.iter().for_each(|(k, v)| flatten(&at(k), v, out)),
+        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(&below(key), value, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            let _ = writeln!(out, "{}={}", at("count"), items.len());
-            items.iter().enumerate().for_each(|(i, v)| flatten(&at(&i.to_string()), v, out));
+            let _ = writeln!(out, "{}={}", below("count"), items.len());
+            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, out));
         }
         Value::Array(items) => {
             let plain: Vec<String> = items.iter().map(plain).collect();
@@ -118,10 +165,12 @@
     }
 }
 
+/// A name as it is written.
 fn name(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), String::from)
 }
 
+/// A plain value in the flat text, which separates values by spaces, commas and line ends.
 fn plain(value: &Value) -> String {
     match value {
         Value::String(s) => s.replace([' ', ',', '\n'], "_"),
--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -75,7 +75,7 @@
         self.pool.update_endpoints(&list.members, list.complete);
         // Also a list without changes: a worker that appears in the next one has started since this one.
         let names = self.names.borrow().clone();
-        let entries = list.members.iter().map(|member| member.entry(&names)).collect();
+        let entries = list.members.iter().map(|member| member.endpoint(&names)).collect();
         self.handle.update_endpoints(entries, list.complete);
     }
 }
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -205,8 +205,8 @@
                 draining_since: None,
                 idle: vec![],
             });
-            endpoint.is_listed = !member.is_gone();
-            endpoint.set_ready(member.is_ready());
+            endpoint.is_listed = !member.is_terminated();
+            endpoint.set_ready(member.is_in_service());
             if endpoint.address != address {
                 endpoint.address = address;
                 endpoint.idle.clear();
