--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config::{ConfigSources, LoadedConfig};
 use crate::settings_merge::{first_missing_key, EffectiveSettings};
 use crate::signals::{Command, Signals};
-use dispatch_policy::api::SettingsError;
+use dispatch_policy::api::InvalidSettings;
 use membership::keys::Keys;
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     MissingKey { key: String },
     /// The newer settings, merged with the running ones, are outside the bounds of the decision module.
     #[error("settings: {0}")]
-    Settings(#[source] SettingsError),
+    Settings(#[source] InvalidSettings),
 }
 
 /// Change that a reload found.
