--- a/src/class_backoff.rs
+++ b/src/class_backoff.rs
@@ -35,6 +35,9 @@
 impl ClassBackoff {
     /// Whether a request stays away from a worker.
     pub fn excludes(&self, request: &RequestState, worker: WorkerIndex, now: Micros) -> bool {
+        if self.backoffs.is_empty() {
+            return false;
+        }
         let excludes = |attribute| self.backoffs.get(&(worker, attribute)).is_some_and(|b| now < b.until);
         Attribute::of(request).any(excludes)
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -64,6 +64,38 @@
     pub sender: Sender,
     /// What the fleet can do.
     pub fleet: Fleet,
+    /// Where loads come from.
+    pub load_source: LoadSource,
+    /// Whether workers are chosen at random, by their loads as weights.
+    pub chooses_at_random: bool,
+}
+
+/// Where the loads of workers come from that are not ejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LoadSource {
+    /// Load reports, of which only fresh ones count.
+    FreshReports,
+    /// Live weights: there are so many dispatchers that one sees little of a worker by itself.
+    LiveWeights,
+    /// Load reports of any age.
+    EstimatedRoom,
+    /// This dispatcher's own requests in flight.
+    OwnRequests,
+}
+
+impl LoadSource {
+    /// The source under these settings.
+    pub fn of(settings: &Settings, reports: &ReportQuality) -> LoadSource {
+        if reports.requires_fresh_reports(settings) {
+            LoadSource::FreshReports
+        } else if relies_on_live_weights(settings) {
+            LoadSource::LiveWeights
+        } else if reports.estimates_room(settings) {
+            LoadSource::EstimatedRoom
+        } else {
+            LoadSource::OwnRequests
+        }
+    }
 }
 
 impl Placement<'_> {
@@ -88,7 +120,7 @@
 
     /// Whether a worker's load is known well enough to send to it.
     pub fn is_known(&self, index: WorkerIndex) -> bool {
-        !self.requires_fresh_reports() || self.endpoints.workers[index].load.is_fresh(self.now)
+        self.load_source != LoadSource::FreshReports || self.endpoints.workers[index].load.is_fresh(self.now)
     }
 
     /// All workers that have room for a small request of any class.
@@ -105,13 +137,13 @@
             return None;
         }
         let price = self.price(worker);
-        if relies_on_live_weights(self.settings) {
+        if self.chooses_at_random {
             let draw = -unit(self.seed ^ worker.id.0 ^ self.now).ln();
             let draw = draw * (PRICE_IN_CHOICE * (price.zone + price.connection)).exp();
             return self.load(worker, request).map(|load| draw * load * load);
         }
         let tie_break = unit(self.seed ^ worker.id.0) * TIE_BREAK;
-        let crowding = if self.estimates_room() {
+        let crowding = if self.load_source == LoadSource::EstimatedRoom {
             0.0
         } else {
             worker.concurrency.rejection_ratio + f64::from(worker.concurrency.overdue)
@@ -182,29 +214,30 @@
 
     /// How full a worker would be with this request; none where it has no room for it.
     fn load(&self, worker: &Worker, request: &RequestState) -> Option<f64> {
-        let settings = self.settings;
         let is_ejected = worker.health.is_ejected();
         let requests_wait =
-            worker.concurrency.overdue > 0 && !worker.health.is_unresponsive() && settings.reports_start;
+            worker.concurrency.overdue > 0 && !worker.health.is_unresponsive() && self.settings.reports_start;
         let warmth = self.warmth(worker);
         let is_barred = warmth < 1.0 && !self.slow_start_allows(worker, request);
         if requests_wait || worker.health.is_paused(self.now) || is_barred {
             return None;
         }
         if is_ejected {
-            self.probing_load(worker, request)
-        } else if self.requires_fresh_reports() {
-            self.reported_load(worker, request)
-        } else if relies_on_live_weights(settings) {
-            self.weighted_load(worker, request, warmth)
-        } else if self.estimates_room() {
-            self.estimated_load(worker, request)
-        } else {
-            let load = self.slots_with(worker, request) / worker.concurrency.limit().max(MIN_LIMIT);
-            Some(load).filter(|&load| load <= 1.0 || worker.concurrency.is_idle())
+            return self.probing_load(worker, request);
+        }
+        match self.load_source {
+            LoadSource::FreshReports => self.reported_load(worker, request),
+            LoadSource::LiveWeights => self.weighted_load(worker, request, warmth),
+            LoadSource::EstimatedRoom => self.estimated_load(worker, request),
+            LoadSource::OwnRequests => self.own_load(worker, request),
         }
     }
 
+    fn own_load(&self, worker: &Worker, request: &RequestState) -> Option<f64> {
+        let load = self.slots_with(worker, request) / worker.concurrency.limit().max(MIN_LIMIT);
+        Some(load).filter(|&load| load <= 1.0 || worker.concurrency.is_idle())
+    }
+
     fn slots_with(&self, worker: &Worker, request: &RequestState) -> f64 {
         worker.concurrency.in_flight + request.slots
     }
@@ -215,7 +248,7 @@
         let settings = self.settings;
         let is_idempotent = |class| settings.class(class).idempotency == Idempotency::Idempotent;
         let may_be_lost = is_idempotent(request.class) || !settings.offered_classes().any(is_idempotent);
-        let load = if relies_on_live_weights(settings) { 1.0 / worker.weight.max(0.1) } else { 0.0 };
+        let load = if self.chooses_at_random { 1.0 / worker.weight.max(0.1) } else { 0.0 };
         let is_due = worker.concurrency.is_idle() && worker.health.is_probe_due(self.now);
         Some(load).filter(|_| may_be_lost && is_due)
     }
@@ -236,10 +269,11 @@
         let cores = self.live_weights.cores(worker.kind) * warmth;
         let served = self.classes[request.class].served_ratio;
         let is_worse = |class: ClassId| self.classes[class].served_ratio + CLASS_GAIN < served;
-        let yields = settings.worst_class_weight > 0.0 && settings.offered_classes().any(is_worse);
         let weight = if warmth < 1.0 { worker.weight / SLOW_START_LOAD } else { worker.weight };
         let load = (1.0 + worker.fleet_in_flight / cores) / weight;
-        Some(load).filter(|_| !yields || worker.fleet_in_flight + 0.5 <= cores)
+        let is_full = worker.fleet_in_flight + 0.5 > cores;
+        let yields = is_full && settings.worst_class_weight > 0.0 && settings.offered_classes().any(is_worse);
+        Some(load).filter(|_| !yields)
     }
 
     /// Load by the room estimated from reports of any age: the older the report, the more like the fleet's
@@ -253,21 +287,11 @@
         Some(slots / room.max(MIN_ROOM)).filter(|_| slots <= room + risk)
     }
 
-    /// Whether requests are sent only where a fresh report shows room.
-    pub fn requires_fresh_reports(&self) -> bool {
-        self.reports.requires_fresh_reports(self.settings)
-    }
-
-    fn estimates_room(&self) -> bool {
-        self.reports.estimates_room(self.settings)
-    }
-
     /// Whether live weights tell that requests of other dispatchers fill a worker, so that a request waits
     /// there for a reason.
     pub fn is_filled_by_others(&self, index: WorkerIndex) -> bool {
         let worker = &self.endpoints.workers[index];
-        relies_on_live_weights(self.settings)
-            && worker.fleet_in_flight >= self.live_weights.cores(worker.kind)
+        self.chooses_at_random && worker.fleet_in_flight >= self.live_weights.cores(worker.kind)
     }
 
     /// Whether a request would exceed this dispatcher's part of the budget of a worker that warms up.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -26,12 +26,12 @@
 use crate::api::{Action, Event, InvalidSettings, Micros, Notice, Reason, RequestId, Settings, SECOND};
 use crate::class_backoff::ClassBackoff;
 use crate::concurrency_limit::Saturation;
-use crate::endpoints::Endpoints;
+use crate::endpoints::{relies_on_live_weights, Endpoints};
 use crate::gossip::Gossip;
 use crate::latency_objective;
 use crate::live_weights::LiveWeights;
 use crate::load_report::ReportQuality;
-use crate::placement::Placement;
+use crate::placement::{LoadSource, Placement};
 use crate::poison::PoisonDetector;
 use crate::probe::ProbeBudget;
 use crate::rate_control::RateControl;
@@ -254,6 +254,8 @@
                 work: self.mean_work.seconds(),
                 size: self.endpoints.peak_weight(),
             },
+            load_source: LoadSource::of(&self.settings, &self.reports),
+            chooses_at_random: relies_on_live_weights(&self.settings),
         }
     }
 
