--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -64,8 +64,8 @@
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// A value is missing or outside its bounds.
-    #[error("{0}")]
-    Value(String),
+    #[error(transparent)]
+    Value(#[from] settings::Error),
     /// An item of a list has no name, or one that another item has.
     #[error("settings: each of {list} needs a Name of its own")]
     Name {
@@ -82,7 +82,7 @@
     let mut text = String::new();
     flatten("", value, &mut text);
     let pairs = KeyValues::new(&text);
-    let (settings, fields) = settings::read(&pairs).map_err(value_error)?;
+    let (settings, fields) = settings::read(&pairs)?;
     let names = parse_names(value, &pairs, &settings, fields)?;
     Ok((settings, names))
 }
@@ -97,10 +97,8 @@
     let tenants = item_names(value, "Parties", settings.tenants.len())?;
     let report_names = value.get("Stats").and_then(|stats| stats.get("Fields")).map(plain_names);
     let longest = settings.classes.iter().map(|class| class.deadline_us).max().unwrap_or(0);
-    let duration = |key: &str, absent: Duration| {
-        let micros = pairs.span(key, absent.as_micros() as u64).map_err(value_error)?;
-        Ok(Duration::from_micros(micros))
-    };
+    let duration =
+        |key: &str, absent: Duration| pairs.span(key, absent.as_micros() as u64).map(Duration::from_micros);
     Ok(Names {
         continues: vec![None; classes.len()],
         classes,
@@ -122,10 +120,6 @@
     })
 }
 
-fn value_error(error: impl ToString) -> ParseError {
-    ParseError::Value(error.to_string())
-}
-
 /// Names of a list of plain values, as they are written: they are compared with what comes over wires, and a space or a
 /// comma is part of a name, which the flat text replaces.
 fn plain_names(list: &Value) -> Vec<String> {
