--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -5,6 +5,7 @@
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use thiserror::Error;
 
 /// Dispatches declaration jobs. Without a command it runs a node, as RELAY_CONFIG tells it.
 #[derive(Debug, Parser)]
@@ -85,52 +86,72 @@
     },
 }
 
+/// Error of a command to a node.
+#[derive(Debug, Error)]
+pub enum CommandError {
+    /// The status of membership could not be shown.
+    #[error(transparent)]
+    Membership(#[from] membership::ShowError),
+    /// The status of coordination could not be shown, or the command was not obeyed.
+    #[error(transparent)]
+    Coordination(#[from] coordination::PrintError),
+}
+
 impl FleetCommand {
-    /// Asks the node, and returns what to print.
-    pub async fn run(self) -> Result<String, String> {
-        match self {
-            FleetCommand::Show { address, json } => {
-                membership::show(address, json).await.map_err(|error| error.to_string())
-            }
+    /// Calls the node, and returns the text to print.
+    ///
+    /// # Errors
+    /// Where the node can't be reached, rejects the command, or gives an answer that can't be read.
+    pub async fn run(self) -> Result<String, CommandError> {
+        let (address, path) = match self {
+            FleetCommand::Show { address, json } => return Ok(membership::show(address, json).await?),
             FleetCommand::Duties { address, json } => {
-                coordination::print_status(address, json).await.map_err(|e| e.to_string())
-            }
-            FleetCommand::Roll { address, stop: true, .. } => {
-                coordination::send_command(address, "/fleet/roll/stop").await.map_err(|e| e.to_string())
-            }
-            FleetCommand::Roll { address, away, .. } => {
-                coordination::send_command(address, &format!("/fleet/roll?away={away}"))
-                    .await
-                    .map_err(|e| e.to_string())
+                return Ok(coordination::print_status(address, json).await?);
             }
+            FleetCommand::Roll { address, stop: true, .. } => (address, "/fleet/roll/stop".to_string()),
+            FleetCommand::Roll { address, away, .. } => (address, format!("/fleet/roll?away={away}")),
             FleetCommand::Voter(VoterCommand::Add { address, name, at }) => {
-                coordination::send_command(address, &format!("/fleet/voter/add?name={name}&at={at}"))
-                    .await
-                    .map_err(|e| e.to_string())
+                (address, format!("/fleet/voter/add?name={name}&at={at}"))
             }
             FleetCommand::Voter(VoterCommand::Remove { address, name }) => {
-                coordination::send_command(address, &format!("/fleet/voter/remove?name={name}"))
-                    .await
-                    .map_err(|e| e.to_string())
+                (address, format!("/fleet/voter/remove?name={name}"))
             }
-        }
+        };
+        Ok(coordination::send_command(address, &path).await?)
     }
 }
 
-/// Reads the command line; `Err` holds one line. Help and version are printed here, and then there is nothing to do.
-pub fn parse(arguments: impl Iterator<Item = std::ffi::OsString>) -> Result<Option<Cli>, String> {
+/// Error in the command line, in one line.
+#[derive(Debug, Error)]
+#[error("{message}")]
+pub struct ArgumentError {
+    message: String,
+    /// Error of the parser, with its hints on usage.
+    source: clap::Error,
+}
+
+impl From<clap::Error> for ArgumentError {
+    fn from(source: clap::Error) -> ArgumentError {
+        let text = source.to_string();
+        let before_usage = text.lines().take_while(|line| !line.starts_with("Usage"));
+        let line = before_usage.map(str::trim).collect::<Vec<&str>>().join(" ");
+        let message = line.trim().trim_start_matches("error: ").to_string();
+        ArgumentError { message, source }
+    }
+}
+
+/// Parses the command line. Help and version are printed here; then there is nothing left to do, and the result is
+/// `None`.
+///
+/// # Errors
+/// Where an argument is unknown, missing or invalid.
+pub fn parse(arguments: impl Iterator<Item = std::ffi::OsString>) -> Result<Option<Cli>, ArgumentError> {
     match Cli::try_parse_from(arguments) {
         Ok(cli) => Ok(Some(cli)),
         Err(e) if matches!(e.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion) => {
             print!("{e}");
             Ok(None)
         }
-        Err(e) => {
-            let text = e.to_string();
-            let lines: Vec<&str> =
-                text.lines().take_while(|l| !l.starts_with("Usage")).map(str::trim).collect();
-            let line = lines.join(" ");
-            Err(line.trim().trim_start_matches("error: ").to_string())
-        }
+        Err(e) => Err(e.into()),
     }
 }
--- a/node/src/coordination/print.rs
+++ b/node/src/coordination/print.rs
@@ -1,7 +1,7 @@
 //! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: ask a node's management address and print the answer.
 
 use super::status::Status;
-use crate::operator_client::call;
+use crate::operator_client::{call, CallError};
 use ::coordination::{ChangeKind, ClusterStatus, LeaseTable, RestartProgress, VoterState};
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
@@ -17,8 +17,8 @@
 #[derive(Debug, Error)]
 pub enum PrintError {
     /// The node does not answer.
-    #[error("{0}")]
-    Unreachable(String),
+    #[error(transparent)]
+    Unreachable(#[from] CallError),
     /// The node rejected the command, for this reason.
     #[error("{address}: {reason}")]
     Rejected {
@@ -45,7 +45,7 @@
 /// [`PrintError`] if the node does not answer, or not with a status.
 pub async fn print_status(address: SocketAddr, json: bool) -> Result<String, PrintError> {
     let call = call(address, Method::GET, "/fleet/duties").await;
-    let (status, body) = call.map_err(|e| PrintError::Unreachable(e.to_string()))?;
+    let (status, body) = call?;
     if status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
         return Err(PrintError::Rejected { address, reason });
@@ -65,7 +65,7 @@
 /// [`PrintError`] if the node does not answer or rejects the command.
 pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, PrintError> {
     let call = call(address, Method::POST, path).await;
-    let (status, body) = call.map_err(|e| PrintError::Unreachable(e.to_string()))?;
+    let (status, body) = call?;
     let answer = String::from_utf8_lossy(&body).trim().to_string();
     match status {
         StatusCode::OK => Ok(format!("{answer}\n")),
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod membership;
 pub mod metrics;
 pub mod names;
-mod operator_client;
+pub mod operator_client;
 pub mod phase;
 pub mod platform;
 pub mod process_handover;
@@ -51,16 +51,18 @@
     let cli = match cli::parse(std::env::args_os()) {
         Ok(Some(cli)) => cli,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(message) => return fail(&message, 2),
+        Err(error) => return fail(&error.to_string(), 2),
     };
     match cli.command {
-        Some(cli::Command::Fleet(command)) => match asked(command.run()) {
-            Ok(text) => {
-                print!("{text}");
-                ExitCode::SUCCESS
+        Some(cli::Command::Fleet(command)) => {
+            match asked(async { command.run().await.map_err(|error| error.to_string()) }) {
+                Ok(text) => {
+                    print!("{text}");
+                    ExitCode::SUCCESS
+                }
+                Err(message) => fail(&message, 1),
             }
-            Err(message) => fail(&message, 1),
-        },
+        }
         None => match start(cli.faktory, cli.fleet) {
             Ok(()) => ExitCode::SUCCESS,
             Err(message) => fail(&message, 2),
--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -1,6 +1,6 @@
 //! Command `molevale fleet show`: requests a node's status report from its management address and formats it.
 
-use crate::operator_client::call;
+use crate::operator_client::{call, CallError};
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
 use hyper::{Method, StatusCode};
@@ -11,8 +11,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ShowError {
     /// The node can't be reached, or does not answer.
-    #[error("{0}")]
-    Request(String),
+    #[error(transparent)]
+    Request(#[from] CallError),
     /// The node rejects the request.
     #[error("{address}: {reason}")]
     Rejected {
@@ -38,7 +38,7 @@
 ///
 /// Fails if the node can't be reached, rejects the request, or returns no status report.
 pub async fn show(address: SocketAddr, json: bool) -> Result<String, ShowError> {
-    let (code, body) = call(address, Method::GET, "/fleet").await.map_err(ShowError::Request)?;
+    let (code, body) = call(address, Method::GET, "/fleet").await?;
     if code != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
         return Err(ShowError::Rejected { address, reason });
