--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -1,6 +1,8 @@
-//! Duties on many real processes, with faults between them. What counts is what a stand-in resource saw. Steps wait for what
+//! Leases on many real processes, with faults between them. What counts is what a stand-in resource saw. Steps wait for what
 //! is seen, with generous limits.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -62,7 +64,8 @@
     async fn acts_after(&self, token: u64) -> u64 {
         let start = Instant::now();
         loop {
-            let newest = self.resource.acts().iter().filter(|a| a.taken).map(|a| a.token).max().unwrap_or(0);
+            let newest =
+                self.resource.acts().iter().filter(|a| a.accepted).map(|a| a.token).max().unwrap_or(0);
             if newest > token {
                 return newest;
             }
@@ -79,8 +82,8 @@
     /// Who acted last, and under which token.
     fn last(&self) -> (usize, u64) {
         let acts = self.resource.acts();
-        let act = acts.iter().rev().find(|a| a.taken).expect("somebody acted");
-        (act.who.trim_start_matches('n').parse().unwrap(), act.token)
+        let act = acts.iter().rev().find(|a| a.accepted).expect("somebody acted");
+        (act.process.trim_start_matches('n').parse().unwrap(), act.token)
     }
 
     /// The voter that leads.
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -1,6 +1,8 @@
 //! Bytes between nodes about coordination, and the status that operators see, compared with those recorded from version
 //! 6e5c6e9. `GOLDEN_RECORD=1` writes the file anew and fails.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
 use coordination::{
     BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Holder, LeaseRecord, LeaseTable, Message,
     Outcome, Response, RestartProgress, VoterMember, VoterMetrics, VoterState,
--- /dev/null
+++ b/testbed/src/coordination/node.rs
@@ -0,0 +1,75 @@
+//! Node of an emulated cluster, and the process that runs there.
+
+use crate::disk::MemDisk;
+use crate::emulated_network::node_address;
+use crate::history_check::Act;
+use ::coordination::{Client, Message, Store, Voter};
+use rand::rngs::SmallRng;
+use rand::RngExt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Emulated network of the cluster.
+const NETWORK: u8 = 8;
+
+/// Returns the address of a node.
+pub fn address(node: usize) -> SocketAddr {
+    node_address(NETWORK, node)
+}
+
+/// Returns the name of a node.
+pub fn name(node: usize) -> String {
+    format!("n{node:03}")
+}
+
+/// Process of a node.
+pub(super) struct Process {
+    pub(super) process_id: u64,
+    pub(super) client: Client,
+    pub(super) voter: Option<(Voter, Store)>,
+    pub(super) is_stalled: bool,
+    /// Messages that arrived while it was stalled.
+    pub(super) inbox: Vec<(usize, Message)>,
+    /// Act that had passed its check and not left when the process was stalled.
+    pub(super) stalled_act: Option<Act>,
+    pub(super) wake_at: Option<Duration>,
+}
+
+/// Node of an emulated cluster.
+pub(super) struct Node {
+    pub(super) process: Option<Process>,
+    /// Speed of its clock, which survives restarts.
+    pub(super) clock_rate: f64,
+    pub(super) disk: MemDisk,
+    /// What tells its disk from a copy.
+    pub(super) location: u64,
+}
+
+impl Node {
+    /// Node without a process, whose clock drifts by a drawn fraction.
+    pub(super) fn drawn(drift: f64, rng: &mut SmallRng) -> Node {
+        Node {
+            process: None,
+            clock_rate: 1.0 + drift * (2.0 * rng.random::<f64>() - 1.0),
+            disk: MemDisk::new(),
+            location: rng.random(),
+        }
+    }
+
+    /// Global time at which the node's clock shows this time.
+    pub(super) fn global_time(&self, local: Duration) -> Duration {
+        if local == Duration::MAX {
+            return Duration::MAX;
+        }
+        local.div_f64(self.clock_rate) + Duration::from_nanos(100)
+    }
+}
+
+impl Process {
+    /// Act whose lease is valid now.
+    pub(super) fn act(&self, node: usize, now: Duration, local: Duration) -> Option<Act> {
+        let token = self.client.may_act(local, super::LEASE)?;
+        let process = format!("{} {}", name(node), self.process_id);
+        Some(Act { started_at: now, arrived_at: now, process, token, accepted: false })
+    }
+}
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -177,28 +177,28 @@
         for seed in 0..plays {
             let spec =
                 emulated::Spec { timing: ::coordination::Timing::default(), ..emulated::Spec::new(seed) };
-            let mut world = emulated::World::started(spec);
-            world.until_held(Duration::from_secs(60)).expect("somebody holds it");
-            world.run(Duration::from_millis(10_000 + seed * 317 % 5000));
-            let (holder, token) = world.holder().expect("it is held");
-            let start = world.now();
+            let mut cluster = emulated::EmulatedCluster::started(spec);
+            cluster.run_until_held(Duration::from_secs(60)).expect("somebody holds it");
+            cluster.run(Duration::from_millis(10_000 + seed * 317 % 5000));
+            let (holder, token) = cluster.holder().expect("it is held");
+            let start = cluster.now();
             match way {
-                "handed on" => world.seek(holder, false),
-                "killed" => world.kill(holder),
+                "handed on" => cluster.release_lease(holder),
+                "killed" => cluster.crash(holder),
                 "cut off" => (0..3).for_each(|v| {
                     let cut = LinkRule { cut: true, ..LinkRule::default() };
-                    world.rules.set_rule(holder, v, cut);
-                    world.rules.set_rule(v, holder, cut);
+                    cluster.rules.set_rule(holder, v, cut);
+                    cluster.rules.set_rule(v, holder, cut);
                 }),
                 _ => {
-                    world.kill(holder);
-                    world.kill(world.leader().expect("one leads"));
+                    cluster.crash(holder);
+                    cluster.crash(cluster.leader().expect("one leads"));
                 }
             }
-            while world.holder().is_none_or(|(_, t)| t == token) {
-                world.run(Duration::from_millis(2));
+            while cluster.holder().is_none_or(|(_, t)| t == token) {
+                cluster.run(Duration::from_millis(2));
             }
-            record(&mut spans, world.now() - start);
+            record(&mut spans, cluster.now() - start);
         }
         let span = |v: u64| v as f64 / 1e3;
         ways.push(format!(
@@ -208,15 +208,15 @@
         ));
     }
     let spec = emulated::Spec { timing: ::coordination::Timing::default(), ..emulated::Spec::new(1) };
-    let mut world = emulated::World::started(spec);
-    world.run(Duration::from_secs(30));
-    let writes = |w: &emulated::World| (0..3).map(|i| w.figures(i).writes).sum::<u64>();
-    let (words, before) = (world.words, writes(&world));
-    world.run(Duration::from_secs(100));
+    let mut cluster = emulated::EmulatedCluster::started(spec);
+    cluster.run(Duration::from_secs(30));
+    let writes = |w: &emulated::EmulatedCluster| (0..3).map(|i| w.voter_metrics(i).writes).sum::<u64>();
+    let (words, before) = (cluster.messages_sent, writes(&cluster));
+    cluster.run(Duration::from_secs(100));
     ways.push(format!(
         "calm, one duty, 3 voters, 2 that ask: {:.1} words a second in all, {:.2} writes",
-        (world.words - words) as f64 / 100.0,
-        (writes(&world) - before) as f64 / 100.0
+        (cluster.messages_sent - words) as f64 / 100.0,
+        (writes(&cluster) - before) as f64 / 100.0
     ));
     ways
 }
--- a/testbed/src/resource.rs
+++ b/testbed/src/resource.rs
@@ -1,5 +1,5 @@
-//! A stand-in for something that only one node may act on at a time: it takes calls with a token, refuses one that is lower
-//! than it has seen, and records them all.
+//! Stand-in for a resource that only one node may act on at a time: it accepts calls with a fencing token, rejects a token
+//! lower than it has seen, and records all calls.
 
 use crate::history_check::Act;
 use crate::wire::{field, head};
@@ -18,9 +18,9 @@
     highest: u64,
 }
 
-/// A resource; it ends with this value.
+/// A resource; its task ends with this value.
 pub struct Resource {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
@@ -37,10 +37,11 @@
 }
 
 impl Resource {
-    /// Starts one.
+    /// Starts a resource at this address.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    ///
+    /// If the address can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Resource> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -55,8 +56,8 @@
         Ok(Resource { address, state, task })
     }
 
-    /// All calls so far, in the order in which they came. When each was begun is not known here: one that was taken counts as
-    /// begun when it came, one that was refused as begun long before.
+    /// Returns all calls in the order of their arrival. When each was started is not known here: an accepted one counts as
+    /// started when it arrived, a rejected one as started long before.
     pub fn acts(&self) -> Vec<Act> {
         lock(&self.state).acts.clone()
     }
@@ -67,16 +68,16 @@
     loop {
         let head = head(&mut stream).await?;
         let token: u64 = field(&head, "x-token")?.parse().ok()?;
-        let who = field(&head, "x-node")?;
-        let taken = {
-            let (mut s, came) = (lock(&state), start.elapsed());
-            let taken = token >= s.highest;
+        let process = field(&head, "x-node")?;
+        let accepted = {
+            let (mut s, arrived_at) = (lock(&state), start.elapsed());
+            let accepted = token >= s.highest;
             s.highest = s.highest.max(token);
-            let begun = if taken { came } else { Duration::ZERO };
-            s.acts.push(Act { begun, came, who, token, taken });
-            taken
+            let started_at = if accepted { arrived_at } else { Duration::ZERO };
+            s.acts.push(Act { started_at, arrived_at, process, token, accepted });
+            accepted
         };
-        let status = if taken { "204 No Content" } else { "409 Conflict" };
+        let status = if accepted { "204 No Content" } else { "409 Conflict" };
         stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await.ok()?;
     }
 }
--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -1,11 +1,12 @@
-//! Duties in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
+//! Leases in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
+
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use coordination::{LeaseLost, Operation, Store, VoterEvent, VoterMember, VoterState};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
-use testbed::coordination::{address, name, Spec, World};
+use testbed::coordination::{address, name, EmulatedCluster, Spec};
 use testbed::disk::MemDisk;
 use testbed::fault_proxy::LinkRule;
 use testbed::history_check::violations;
@@ -14,24 +15,24 @@
 /// After the last fault: a lease, elections, and what clients wait between two asks.
 const BOUND: Duration = Duration::from_secs(15);
 
-fn world(seed: u64) -> World {
-    let mut world = World::started(Spec::new(seed));
-    held(&mut world);
-    world
+fn cluster(seed: u64) -> EmulatedCluster {
+    let mut cluster = EmulatedCluster::started(Spec::new(seed));
+    held(&mut cluster);
+    cluster
 }
 
-fn held(world: &mut World) -> (usize, u64) {
-    let took = world.until_held(BOUND);
+fn held(cluster: &mut EmulatedCluster) -> (usize, u64) {
+    let took = cluster.run_until_held(BOUND);
     assert!(
         took.is_some(),
         "nobody holds it after {BOUND:?}: {:?}",
-        (0..3).map(|i| world.standing(i)).collect::<Vec<_>>()
+        (0..3).map(|i| cluster.voter_state(i)).collect::<Vec<_>>()
     );
-    world.holder().unwrap()
+    cluster.holder().unwrap()
 }
 
-fn right(world: &World) {
-    assert_eq!(violations(&world.acts), []);
+fn right(cluster: &EmulatedCluster) {
+    assert_eq!(violations(&cluster.acts), []);
 }
 
 fn other(holder: usize) -> usize {
@@ -43,218 +44,221 @@
 }
 
 #[test]
-fn voters_found_themselves_and_one_node_holds_the_duty() {
-    let mut world = world(1);
-    let first = world.holder().unwrap();
-    world.run(60 * S);
-    assert_eq!(world.holder(), Some(first), "it holds on to it");
-    assert!(world.acts.len() > 1000 && world.refused == 0);
-    right(&world);
+fn voters_form_a_cluster_and_one_node_holds_the_lease() {
+    let mut cluster = cluster(1);
+    let first = cluster.holder().unwrap();
+    cluster.run(60 * S);
+    assert_eq!(cluster.holder(), Some(first), "it holds on to it");
+    assert!(cluster.acts.len() > 1000 && cluster.rejected_acts == 0);
+    right(&cluster);
     // Renewals cost no write: they are a majority's word.
-    let writes: u64 = (0..3).map(|i| world.figures(i).writes).sum();
+    let writes: u64 = (0..3).map(|i| cluster.voter_metrics(i).writes).sum();
     assert!(writes < 60, "{writes}");
 }
 
 #[test]
-fn a_planned_hand_over_is_at_once_and_a_crash_costs_a_lease() {
-    let mut world = world(2);
-    let (holder, token) = world.holder().unwrap();
-    world.run(3 * S);
-    let before = world.now();
-    world.seek(holder, false);
-    let (next, newer) = held(&mut world);
+fn a_release_hands_over_at_once_and_a_crash_costs_a_lease() {
+    let mut cluster = cluster(2);
+    let (holder, token) = cluster.holder().unwrap();
+    cluster.run(3 * S);
+    let before = cluster.now();
+    cluster.release_lease(holder);
+    let (next, newer) = held(&mut cluster);
     assert!(next == other(holder) && newer > token);
-    assert!(world.now() - before < S / 2, "{:?}", world.now() - before);
-    world.seek(holder, true);
-    world.run(3 * S);
-    let before = world.now();
-    world.kill(next);
-    assert_eq!(held(&mut world).0, holder);
-    let took = world.now() - before;
+    assert!(cluster.now() - before < S / 2, "{:?}", cluster.now() - before);
+    cluster.request_lease(holder);
+    cluster.run(3 * S);
+    let before = cluster.now();
+    cluster.crash(next);
+    assert_eq!(held(&mut cluster).0, holder);
+    let took = cluster.now() - before;
     assert!(took > 3 * S && took < 8 * S, "{took:?}");
-    right(&world);
+    right(&cluster);
 }
 
-/// Guards against a token that was given back and is taken again: the word of giving it back, or a renewal's answer, comes
-/// late, and another holds it by then.
+/// The message of a release, or the response to a renewal, may arrive late, when another process holds the lease.
 #[test]
-fn a_token_that_was_given_back_is_never_acted_on_again() {
+fn a_released_token_is_never_used_again() {
     for seed in 70..90 {
-        let mut world = world(seed);
-        let (holder, token) = world.holder().unwrap();
-        world.rules.set_default_rule(LinkRule { jitter_ms: 1500, ..LinkRule::default() });
-        world.run(Duration::from_millis(2000 + seed * 37 % 1000));
-        if world.holder() != Some((holder, token)) {
+        let mut cluster = cluster(seed);
+        let (holder, token) = cluster.holder().unwrap();
+        cluster.rules.set_default_rule(LinkRule { jitter_ms: 1500, ..LinkRule::default() });
+        cluster.run(Duration::from_millis(2000 + seed * 37 % 1000));
+        if cluster.holder() != Some((holder, token)) {
             continue;
         }
-        world.seek(holder, false);
-        let since = world.now();
-        world.run(S / 50);
-        world.seek(holder, true);
-        world.run(20 * S);
-        assert!(world.acts.iter().all(|a| a.token != token || a.begun <= since), "seed {seed}");
-        right(&world);
+        cluster.release_lease(holder);
+        let since = cluster.now();
+        cluster.run(S / 50);
+        cluster.request_lease(holder);
+        cluster.run(20 * S);
+        assert!(cluster.acts.iter().all(|a| a.token != token || a.started_at <= since), "seed {seed}");
+        right(&cluster);
     }
 }
 
-/// Guards a process against an answer that was for the one before it. Seed 11322 of the drawn faults found it: a leader that
-/// stood still answers, when it goes on, what was asked long ago.
+/// Seed 11322 of the drawn faults found it: a leader that was stalled responds, when it goes on, to requests from long ago.
 #[test]
-fn an_answer_for_the_process_before_gives_the_next_one_nothing() {
+fn a_late_response_gives_the_next_process_no_lease() {
     walk(11322);
     for seed in 90..110 {
-        let mut world = world(seed);
-        let (holder, token) = world.holder().unwrap();
-        world.rules.set_default_rule(LinkRule { jitter_ms: 2500, ..LinkRule::default() });
-        world.run(Duration::from_millis(3000 + seed * 53 % 2000));
-        world.kill(holder);
-        world.start(holder);
-        world.run(20 * S);
-        right(&world);
-        assert!(world.holder().is_none_or(|(_, t)| t > token));
+        let mut cluster = cluster(seed);
+        let (holder, token) = cluster.holder().unwrap();
+        cluster.rules.set_default_rule(LinkRule { jitter_ms: 2500, ..LinkRule::default() });
+        cluster.run(Duration::from_millis(3000 + seed * 53 % 2000));
+        cluster.crash(holder);
+        cluster.start(holder);
+        cluster.run(20 * S);
+        right(&cluster);
+        assert!(cluster.holder().is_none_or(|(_, t)| t > token));
     }
 }
 
-/// The holder is stopped in the middle of an act, past its lease, and goes on: nobody takes that act.
+/// The holder is stalled in the middle of an act, past its lease, and goes on: the resource rejects that act.
 #[test]
-fn an_act_of_a_holder_that_stood_still_is_refused() {
-    let mut world = world(3);
-    let (holder, token) = world.holder().unwrap();
-    world.run(S);
-    world.stop(holder);
-    let (next, newer) = held(&mut world);
+fn an_act_of_a_stalled_holder_is_rejected() {
+    let mut cluster = cluster(3);
+    let (holder, token) = cluster.holder().unwrap();
+    cluster.run(S);
+    cluster.stall(holder);
+    let (next, newer) = held(&mut cluster);
     assert!(next != holder && newer > token);
-    world.run(S);
-    let refused = world.refused;
-    world.go_on(holder);
-    world.run(S);
-    assert_eq!(world.refused, refused + 1);
-    let lost =
-        world.holds.iter().find(|(_, i, t, why)| (*i, *t) == (holder, token) && why.is_some()).unwrap();
-    assert!(matches!(lost.3, Some(LeaseLost::Expired | LeaseLost::TakenOver)));
-    right(&world);
+    cluster.run(S);
+    let refused = cluster.rejected_acts;
+    cluster.resume(holder);
+    cluster.run(S);
+    assert_eq!(cluster.rejected_acts, refused + 1);
+    let lost = cluster
+        .lease_events
+        .iter()
+        .find(|e| (e.node, e.token) == (holder, token) && e.lost.is_some())
+        .unwrap();
+    assert!(matches!(lost.lost, Some(LeaseLost::Expired | LeaseLost::TakenOver)));
+    right(&cluster);
 }
 
 #[test]
-fn one_that_is_cut_off_from_the_voters_stops_before_another_begins() {
+fn a_partitioned_holder_stops_before_the_next_one_acts() {
     for seed in 10..16 {
         // The holder may be a voter itself, and hears that one.
-        let seekers = if seed % 2 == 0 { vec![3, 4] } else { vec![0, 1, 2] };
-        let mut world = World::started(Spec { seekers, ..Spec::new(seed) });
-        held(&mut world);
-        let (holder, _) = world.holder().unwrap();
+        let candidates = if seed % 2 == 0 { vec![3, 4] } else { vec![0, 1, 2] };
+        let mut cluster = EmulatedCluster::started(Spec { candidates, ..Spec::new(seed) });
+        held(&mut cluster);
+        let (holder, _) = cluster.holder().unwrap();
         // Both ways, then each way alone.
         for way in 0..3 {
-            let (holder, token) = if way == 0 { (holder, 0) } else { held(&mut world) };
+            let (holder, token) = if way == 0 { (holder, 0) } else { held(&mut cluster) };
             for voter in 0..3 {
                 let cut = LinkRule { cut: true, ..LinkRule::default() };
                 if way != 1 {
-                    world.rules.set_rule(holder, voter, cut);
+                    cluster.rules.set_rule(holder, voter, cut);
                 }
                 if way != 2 {
-                    world.rules.set_rule(voter, holder, cut);
+                    cluster.rules.set_rule(voter, holder, cut);
                 }
             }
-            world.run(10 * S);
-            assert!(world.holder().is_some_and(|(i, t)| i != holder && t > token));
-            world.rules.heal();
-            world.run(2 * S);
+            cluster.run(10 * S);
+            assert!(cluster.holder().is_some_and(|(i, t)| i != holder && t > token));
+            cluster.rules.heal();
+            cluster.run(2 * S);
         }
-        right(&world);
+        right(&cluster);
     }
 }
 
 #[test]
-fn holder_and_leader_die_together_and_two_of_three_voters_are_dead_for_a_while() {
-    let mut world = World::started(Spec { seekers: vec![0, 1, 2], ..Spec::new(20) });
-    held(&mut world);
-    let leader = world.leader().unwrap();
+fn a_lease_survives_crashes_of_holder_and_leader_and_waits_for_a_majority() {
+    let mut cluster = EmulatedCluster::started(Spec { candidates: vec![0, 1, 2], ..Spec::new(20) });
+    held(&mut cluster);
+    let leader = cluster.leader().unwrap();
     // The leader holds it.
     for i in (0..3).filter(|i| *i != leader) {
-        world.seek(i, false);
+        cluster.release_lease(i);
     }
-    world.seek(leader, true);
-    world.run(6 * S);
-    assert_eq!(world.holder().map(|h| h.0), Some(leader));
-    (0..3).for_each(|i| world.seek(i, true));
-    world.kill(leader);
-    let (next, _) = held(&mut world);
+    cluster.request_lease(leader);
+    cluster.run(6 * S);
+    assert_eq!(cluster.holder().map(|h| h.0), Some(leader));
+    (0..3).for_each(|i| cluster.request_lease(i));
+    cluster.crash(leader);
+    let (next, _) = held(&mut cluster);
     // Another dies: no majority, and so nobody holds it beyond its lease.
     let last = (0..3).find(|i| *i != leader && *i != next).unwrap();
-    world.kill(last);
-    world.run(8 * S);
-    assert_eq!(world.holder(), None);
-    world.start(leader);
-    world.start(last);
-    held(&mut world);
-    right(&world);
+    cluster.crash(last);
+    cluster.run(8 * S);
+    assert_eq!(cluster.holder(), None);
+    cluster.start(leader);
+    cluster.start(last);
+    held(&mut cluster);
+    right(&cluster);
 }
 
-/// A voter that lost its disk, or got an older copy of it, is noticed and does not vote.
+/// A voter that lost its disk, or whose disk was replaced by an older copy, does not vote.
 #[test]
-fn an_empty_or_an_older_folder_does_not_vote() {
-    let mut world = world(30);
-    let old = world.disk(2).copy();
+fn an_empty_or_stale_store_does_not_vote() {
+    let mut cluster = cluster(30);
+    let old = cluster.disk(2).copy();
     // It was started since.
-    world.kill(2);
-    world.start(2);
-    world.run(3 * S);
-    assert!(matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader)));
-    world.kill(2);
-    world.set_disk(2, old);
-    world.start(2);
-    world.run(3 * S);
-    assert_eq!(world.standing(2), Some(VoterState::StaleCopy));
-    assert!(world.notes.iter().any(|(_, i, n)| *i == 2 && *n == VoterEvent::StaleCopy));
+    cluster.crash(2);
+    cluster.start(2);
+    cluster.run(3 * S);
+    assert!(matches!(cluster.voter_state(2), Some(VoterState::Follower | VoterState::Leader)));
+    cluster.crash(2);
+    cluster.set_disk(2, old);
+    cluster.start(2);
+    cluster.run(3 * S);
+    assert_eq!(cluster.voter_state(2), Some(VoterState::StaleCopy));
+    assert!(cluster.voter_events.iter().any(|(_, i, n)| *i == 2 && *n == VoterEvent::StaleCopy));
     // Nor after more starts, when its count is no longer behind.
     for _ in 0..4 {
-        world.kill(2);
-        world.start(2);
-        world.run(2 * S);
+        cluster.crash(2);
+        cluster.start(2);
+        cluster.run(2 * S);
     }
-    assert_eq!(world.standing(2), Some(VoterState::StaleCopy));
+    assert_eq!(cluster.voter_state(2), Some(VoterState::StaleCopy));
     // An empty one is another voter, and has no seat.
-    world.kill(2);
-    world.set_disk(2, MemDisk::new());
-    world.start(2);
-    world.run(3 * S);
-    assert_eq!(world.standing(2), Some(VoterState::NotMember));
+    cluster.crash(2);
+    cluster.set_disk(2, MemDisk::new());
+    cluster.start(2);
+    cluster.run(3 * S);
+    assert_eq!(cluster.voter_state(2), Some(VoterState::NotMember));
     // Without it a majority needs both others, and has them.
-    held(&mut world);
+    held(&mut cluster);
     // Its place is given up, and it gets it anew.
-    let voted = |world: &World| matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader));
+    let voted = |cluster: &EmulatedCluster| {
+        matches!(cluster.voter_state(2), Some(VoterState::Follower | VoterState::Leader))
+    };
     let seat = VoterMember { name: name(2), address: address(2) };
     for _ in 0..20 {
-        world.wish(4, Operation::RemoveVoter(name(2)));
-        world.run(S / 2);
-        world.wish(4, Operation::AddVoter(seat.clone()));
-        world.run(S / 2);
+        cluster.request(4, Operation::RemoveVoter(name(2)));
+        cluster.run(S / 2);
+        cluster.request(4, Operation::AddVoter(seat.clone()));
+        cluster.run(S / 2);
     }
-    assert!(voted(&world), "{:?}", world.standing(2));
-    assert_eq!(world.seats(world.leader().unwrap()).len(), 3);
+    assert!(voted(&cluster), "{:?}", cluster.voter_state(2));
+    assert_eq!(cluster.voter_names(cluster.leader().unwrap()).len(), 3);
     // And counts: with another one dead there still is a majority.
-    let dead = (0..2).find(|i| Some(*i) != world.leader()).unwrap();
-    world.kill(dead);
-    world.run(10 * S);
-    held(&mut world);
-    right(&world);
+    let dead = (0..2).find(|i| Some(*i) != cluster.leader()).unwrap();
+    cluster.crash(dead);
+    cluster.run(10 * S);
+    held(&mut cluster);
+    right(&cluster);
 }
 
-/// Guards a voter against an answer that was for the process before it: 'there was a later start' is then this one.
+/// The answer 'there was a later start' may be for the process before: the later start is then this one.
 #[test]
-fn a_word_that_overtakes_the_next_start_marks_nobody() {
-    let mut world = world(31);
+fn a_late_handshake_answer_does_not_disqualify_the_next_process() {
+    let mut cluster = cluster(31);
     for round in 0..12 {
         for to in 0..2 {
-            world.rules.set_rule(2, to, LinkRule { delay_ms: 1000, ..LinkRule::default() });
+            cluster.rules.set_rule(2, to, LinkRule { delay_ms: 1000, ..LinkRule::default() });
         }
-        world.run(Duration::from_millis(700 + 170 * round));
-        world.kill(2);
-        world.rules.heal();
-        world.start(2);
-        world.run(3 * S);
+        cluster.run(Duration::from_millis(700 + 170 * round));
+        cluster.crash(2);
+        cluster.rules.heal();
+        cluster.start(2);
+        cluster.run(3 * S);
         assert!(
-            matches!(world.standing(2), Some(VoterState::Follower | VoterState::Leader)),
+            matches!(cluster.voter_state(2), Some(VoterState::Follower | VoterState::Leader)),
             "round {round}"
         );
     }
@@ -263,136 +267,137 @@
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = || {
-        let mut world = world(32);
-        world.rules.set_default_rule(LinkRule {
+        let mut cluster = cluster(32);
+        cluster.rules.set_default_rule(LinkRule {
             loss: 0.2,
             jitter_ms: 300,
             twice: 0.1,
             ..LinkRule::default()
         });
-        world.run(20 * S);
-        world.kill(world.leader().unwrap_or(0));
-        world.run(20 * S);
-        (world.words, world.acts)
+        cluster.run(20 * S);
+        cluster.crash(cluster.leader().unwrap_or(0));
+        cluster.run(20 * S);
+        (cluster.messages_sent, cluster.acts)
     };
     assert_eq!(run(), run());
 }
 
 #[test]
-fn a_disk_that_refuses_grants_nothing() {
-    let mut world = world(40);
-    let leader = world.leader().unwrap();
-    world.disk(leader).refuse(true);
-    let (holder, _) = world.holder().unwrap();
-    world.seek(holder, false);
-    held(&mut world);
-    assert!(matches!(world.standing(leader), Some(VoterState::StorageFailed(_))));
-    assert!(world.leader().is_some_and(|l| l != leader));
-    right(&world);
+fn a_voter_whose_disk_fails_grants_nothing() {
+    let mut cluster = cluster(40);
+    let leader = cluster.leader().unwrap();
+    cluster.disk(leader).refuse(true);
+    let (holder, _) = cluster.holder().unwrap();
+    cluster.release_lease(holder);
+    held(&mut cluster);
+    assert!(matches!(cluster.voter_state(leader), Some(VoterState::StorageFailed(_))));
+    assert!(cluster.leader().is_some_and(|l| l != leader));
+    right(&cluster);
 }
 
 /// A voter is replaced while another is cut off, one step at a time.
 #[test]
 fn a_voter_is_replaced_during_a_partition() {
-    let mut world = world(50);
-    world.start_with_disk(4);
-    let cut = (0..3).find(|i| Some(*i) != world.leader()).unwrap();
+    let mut cluster = cluster(50);
+    cluster.start_with_disk(4);
+    let cut = (0..3).find(|i| Some(*i) != cluster.leader()).unwrap();
     let parts: Vec<u32> = (0..5).map(|i| u32::from(i == cut)).collect();
-    world.rules.partition(&parts);
-    world.run(2 * S);
+    cluster.rules.partition(&parts);
+    cluster.run(2 * S);
     for _ in 0..20 {
-        world.wish(3, Operation::AddVoter(VoterMember { name: name(4), address: address(4) }));
-        world.run(S / 2);
-        world.wish(3, Operation::RemoveVoter(name(cut)));
-        world.run(S / 2);
+        cluster.request(3, Operation::AddVoter(VoterMember { name: name(4), address: address(4) }));
+        cluster.run(S / 2);
+        cluster.request(3, Operation::RemoveVoter(name(cut)));
+        cluster.run(S / 2);
     }
-    let seats = world.seats(world.leader().unwrap());
+    let seats = cluster.voter_names(cluster.leader().unwrap());
     assert!(seats.len() == 3 && !seats.contains(&name(cut)) && seats.contains(&name(4)), "{seats:?}");
-    world.rules.heal();
-    world.run(5 * S);
-    assert_eq!(world.standing(cut), Some(VoterState::NotMember), "it hears that it has no seat");
-    held(&mut world);
-    right(&world);
+    cluster.rules.heal();
+    cluster.run(5 * S);
+    assert_eq!(cluster.voter_state(cut), Some(VoterState::NotMember), "it hears that it has no seat");
+    held(&mut cluster);
+    right(&cluster);
 }
 
-/// Faults drawn by seed.
-#[allow(
-    clippy::too_many_lines,
-    reason = "one drawn run: a match over the kinds of faults, and what must hold after it"
-)]
+/// Injects a drawn fault at a drawn node.
+fn inject_fault(cluster: &mut EmulatedCluster, nodes: usize, rng: &mut SmallRng) {
+    let i = rng.random_range(0..nodes);
+    // Those that have something to lose are hit more often.
+    let i = match rng.random_range(0..4) {
+        0 => cluster.holder().map_or(i, |h| h.0),
+        1 => cluster.leader().unwrap_or(i),
+        _ => i,
+    };
+    match rng.random_range(0..13) {
+        0 | 1 => cluster.crash(i),
+        2 => {
+            cluster.crash(i);
+            cluster.start(i);
+        }
+        3 if cluster.is_running(i) => cluster.stall(i),
+        4 | 5 if cluster.has_process(i) && !cluster.is_running(i) => cluster.resume(i),
+        6 => {
+            let parts: Vec<u32> = (0..nodes).map(|_| rng.random_range(0..2)).collect();
+            cluster.rules.partition(&parts);
+        }
+        7 => cluster.rules.heal(),
+        8 => {
+            let to = rng.random_range(0..nodes);
+            cluster.rules.set_rule(i, to, LinkRule { cut: true, ..LinkRule::default() });
+        }
+        9 => {
+            let (loss, jitter_ms) = (rng.random::<f64>() * 0.3, rng.random_range(0..1500));
+            cluster.rules.set_default_rule(LinkRule { loss, jitter_ms, twice: 0.1, ..LinkRule::default() });
+        }
+        10 => {
+            cluster.release_lease(i);
+            cluster.run(Duration::from_millis(rng.random_range(0..300)));
+            cluster.request_lease(i);
+        }
+        11 => cluster.shut_down(i),
+        _ => cluster.start(i),
+    }
+}
+
+/// A run with faults drawn by seed.
 fn walk(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let voters = [3, 5][rng.random_range(0..2)];
     let nodes = voters + rng.random_range(0..4);
-    let seekers = (0..nodes).filter(|_| rng.random_bool(0.6)).chain([nodes - 1]).collect();
-    let mut world = World::started(Spec { nodes, voters, seekers, ..Spec::new(seed) });
-    world.run(Duration::from_millis(rng.random_range(0..10_000)));
+    let candidates = (0..nodes).filter(|_| rng.random_bool(0.6)).chain([nodes - 1]).collect();
+    let mut cluster = EmulatedCluster::started(Spec { nodes, voters, candidates, ..Spec::new(seed) });
+    cluster.run(Duration::from_millis(rng.random_range(0..10_000)));
     for _ in 0..rng.random_range(5..25) {
-        let i = rng.random_range(0..nodes);
-        // Those that have something to lose are hit more often.
-        let i = match rng.random_range(0..4) {
-            0 => world.holder().map_or(i, |h| h.0),
-            1 => world.leader().unwrap_or(i),
-            _ => i,
-        };
-        match rng.random_range(0..13) {
-            0 | 1 => world.kill(i),
-            2 => {
-                world.kill(i);
-                world.start(i);
-            }
-            3 if world.runs(i) => world.stop(i),
-            4 | 5 if world.is_there(i) && !world.runs(i) => world.go_on(i),
-            6 => {
-                let parts: Vec<u32> = (0..nodes).map(|_| rng.random_range(0..2)).collect();
-                world.rules.partition(&parts);
-            }
-            7 => world.rules.heal(),
-            8 => {
-                let to = rng.random_range(0..nodes);
-                world.rules.set_rule(i, to, LinkRule { cut: true, ..LinkRule::default() });
-            }
-            9 => {
-                let (loss, jitter_ms) = (rng.random::<f64>() * 0.3, rng.random_range(0..1500));
-                world.rules.set_default_rule(LinkRule { loss, jitter_ms, twice: 0.1, ..LinkRule::default() });
-            }
-            10 => {
-                world.seek(i, false);
-                world.run(Duration::from_millis(rng.random_range(0..300)));
-                world.seek(i, true);
-            }
-            11 => world.end(i),
-            _ => world.start(i),
-        }
-        world.run(Duration::from_millis(rng.random_range(0..6000)));
+        inject_fault(&mut cluster, nodes, &mut rng);
+        cluster.run(Duration::from_millis(rng.random_range(0..6000)));
     }
-    world.rules.heal();
+    cluster.rules.heal();
     for i in 0..nodes {
-        if world.is_there(i) {
-            world.go_on(i);
+        if cluster.has_process(i) {
+            cluster.resume(i);
         } else {
-            world.start(i);
+            cluster.start(i);
         }
     }
-    world.run(6 * S);
-    let took = world.until_held(BOUND);
-    let stand: Vec<_> = (0..voters).map(|i| world.standing(i)).collect();
+    cluster.run(6 * S);
+    let took = cluster.run_until_held(BOUND);
+    let stand: Vec<_> = (0..voters).map(|i| cluster.voter_state(i)).collect();
     assert!(took.is_some(), "seed {seed}: nobody holds it: {stand:?}");
-    let wrong = violations(&world.acts);
+    let wrong = violations(&cluster.acts);
     assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
 }
 
 #[test]
-fn drawn_faults_never_let_two_act_and_end_with_a_holder() {
+fn drawn_faults_never_give_two_holders_and_end_with_one() {
     (0..40).for_each(walk);
     if std::env::var_os("TESTBED_LONG").is_some() {
         (40..20_000).for_each(walk);
     }
 }
 
-/// A voter dies at every step of its writing: it comes back with all that it had acknowledged, or more.
+/// A store crashes at every step of its writing: it opens with all that it had acknowledged, or more.
 #[test]
-fn a_voter_that_is_killed_at_any_step_of_a_write_keeps_what_it_acknowledged() {
+fn a_store_that_crashes_at_any_step_of_a_write_keeps_what_it_acknowledged() {
     let mut rng = SmallRng::seed_from_u64(60);
     let whole = history(&MemDisk::that_crashes(), u64::MAX);
     let mut deaths = 0;
@@ -428,9 +433,9 @@
     (acknowledged, disk.steps())
 }
 
-/// Whatever is wrong with the disk, it is said in a line, and no voter is made of it.
+/// Whatever is wrong with the disk, it is reported in one line, and no voter uses it.
 #[test]
-fn a_damaged_foreign_or_later_folder_is_told() {
+fn a_corrupt_or_foreign_store_is_reported() {
     let disk = MemDisk::new();
     drop(Store::open(disk.clone(), "f", "v", 9, 1).unwrap());
     let told = |disk: MemDisk, fleet: &str, name: &str| match Store::open(disk, fleet, name, 8, 1) {
--- a/testbed/tests/history_check.rs
+++ b/testbed/tests/history_check.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use testbed::history_check::{violations, Act, Violation};
 
-fn act(begun: u64, came: u64, who: &str, token: u64, taken: bool) -> Act {
+fn act(started: u64, arrived: u64, process: &str, token: u64, accepted: bool) -> Act {
     let ms = Duration::from_millis;
-    Act { begun: ms(begun), came: ms(came), who: who.into(), token, taken }
+    Act { started_at: ms(started), arrived_at: ms(arrived), process: process.into(), token, accepted }
 }
 
 /// Each planted violation is told, and nothing else is.
@@ -19,8 +19,8 @@
         change(&mut acts);
         violations(&acts)
     };
-    assert_eq!(with(&|a| a[2].taken = true), [Violation::WentBack(1, 2)]);
-    assert_eq!(with(&|a| a[2].begun = Duration::from_millis(11)), [Violation::Overlap(1, 2)]);
-    assert_eq!(with(&|a| a[2].who = "c".into()), [Violation::Shared(1, "a".into(), "c".into())]);
-    assert_eq!(with(&|a| a[1].taken = false), [Violation::Refused(2)]);
+    assert_eq!(with(&|a| a[2].accepted = true), [Violation::TokenWentBack(1, 2)]);
+    assert_eq!(with(&|a| a[2].started_at = Duration::from_millis(11)), [Violation::HoldersOverlap(1, 2)]);
+    assert_eq!(with(&|a| a[2].process = "c".into()), [Violation::TokenShared(1, "a".into(), "c".into())]);
+    assert_eq!(with(&|a| a[1].accepted = false), [Violation::RejectedWithoutCause(2)]);
 }
