--- /dev/null
+++ b/src/bin/simulator-adapter/encode.rs
@@ -0,0 +1,68 @@
+//! Records of actions.
+
+use super::frame::Reply;
+use dispatch_policy::api::{Action, Notice, WorkerId};
+
+/// Adds an action of an instance to the reply. That a request is given up is not told: there is one such
+/// notice for each, more than a report holds.
+pub fn action(reply: &mut Reply, instance: u32, action: &Action) {
+    match action {
+        Action::Send { id, worker } => {
+            reply.push(0, instance, &[&short(*id), &worker_field(*worker), &[0; 4]]);
+        }
+        Action::Reject { id, retry_after_us } => {
+            reply.push(1, instance, &[&short(*id), &short(*retry_after_us)]);
+        }
+        Action::Fail { id } => reply.push(2, instance, &[&short(*id)]),
+        Action::Cancel { id, attempt } => {
+            reply.push(3, instance, &[&short(*id), &(*attempt as u16).to_be_bytes()]);
+        }
+        Action::SetTimer { after_us } => {
+            reply.push(4, instance, &[&short(*after_us), &0u64.to_be_bytes()]);
+        }
+        Action::Probe { worker } => reply.push(5, instance, &[&worker_field(*worker)]),
+        Action::CloseIdleConnections { worker } => reply.push(6, instance, &[&worker_field(*worker)]),
+        Action::SendPeerMessage { to, bytes } => {
+            let at = reply.tail(bytes);
+            reply.push(7, instance, &[&to.to_be_bytes(), &at]);
+        }
+        Action::Notify(Notice::RequestGivenUp { .. }) => {}
+        Action::Notify(notice) => {
+            let at = reply.tail(notice_text(notice).as_bytes());
+            reply.push(8, instance, &[&at]);
+        }
+        Action::WatchEndpoints => reply.push(10, instance, &[&[1]]),
+    }
+}
+
+fn short(value: u64) -> [u8; 4] {
+    (value.min(u64::from(u32::MAX)) as u32).to_be_bytes()
+}
+
+fn worker_field(worker: WorkerId) -> [u8; 6] {
+    let [_, _, field @ ..] = worker.0.to_be_bytes();
+    field
+}
+
+/// A worker's address and port.
+fn address(worker: WorkerId) -> String {
+    let [a, b, c, d, high, low] = worker_field(worker);
+    format!("{a}.{b}.{c}.{d}:{}", u16::from_be_bytes([high, low]))
+}
+
+fn notice_text(notice: &Notice) -> String {
+    match notice {
+        Notice::WorkerUnresponsive { worker } => {
+            format!("worker {} is silent: no new jobs but a trickle", address(*worker))
+        }
+        Notice::WorkerFailing { worker } => {
+            format!("worker {} fails jobs: no new jobs but a trickle", address(*worker))
+        }
+        Notice::WorkerRecovered { worker } => format!("worker {} is trusted again", address(*worker)),
+        Notice::Throttling { admitted_per_s, offered_per_s } => {
+            format!("throttling: {admitted_per_s:.1} jobs/s admitted of {offered_per_s:.1} offered")
+        }
+        Notice::RequestGivenUp { request, reason } => format!("request {request} is given up: {reason:?}"),
+        Notice::EndpointListUnavailable => "worker list not to be had: asking again".to_string(),
+    }
+}
