--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -9,7 +9,7 @@
 use testbed::check::Truth;
 use testbed::cluster::{Cluster, Spec, TENANTS};
 use testbed::fault_proxy::LinkRule;
-use testbed::load::{play, Load};
+use testbed::load::{play, Load, Report};
 use testbed::process::call;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout, Instant};
@@ -309,9 +309,90 @@
     settled(&cluster, 0..5).await;
 }
 
-/// Whoever has no key, the wrong one, or old datagrams, changes nothing; a flood costs no job its time.
+/// Sends datagrams of several lengths, none of them valid, for a time. Returns how many.
+fn flood(target: SocketAddr, length: Duration) -> u64 {
+    let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let start = std::time::Instant::now();
+    let mut sent = 0u64;
+    while start.elapsed() < length {
+        let bytes = [sent as u8; 1800];
+        let length = [3, 60, 1399, 1800][sent as usize % 4];
+        let _ = socket.send_to(&bytes[..length], target);
+        sent += 1;
+        if sent.is_multiple_of(64) {
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+    sent
+}
+
+/// Jobs of one load that were due, and that were served in time.
+#[derive(Clone, Copy, Debug, Default)]
+struct Served {
+    due: u64,
+    in_time: u64,
+}
+
+impl Served {
+    fn add(&mut self, report: &Report) {
+        self.due += report.due;
+        self.in_time += report.in_time;
+    }
+
+    fn share(self) -> f64 {
+        self.in_time as f64 / self.due as f64
+    }
+}
+
+/// Plays a load against a node that is flooded, and one of the same rate against a node that is not, at the same time.
+/// Checks the resources that the flood costs.
+async fn play_flooded_and_calm(cluster: &mut Cluster, [hit, spared]: [usize; 2], seed: u64) -> [Report; 2] {
+    let load = |seed| Load { rate: 15.0, length: 5 * S, seed, tenants: TENANTS.map(String::from).to_vec() };
+    let (memory, ticks) = (cluster.node(hit).memory_kib().unwrap(), cluster.node(hit).ticks().unwrap());
+    let target = cluster.gossip_address(hit);
+    let flooding = std::thread::spawn(move || flood(target, 6 * S));
+    let plays = async {
+        tokio::join!(
+            play(load(seed), vec![cluster.listen(hit)]),
+            play(load(seed + 1), vec![cluster.listen(spared)])
+        )
+    };
+    let (flooded, calm) = timeout(BOUND, plays).await.unwrap();
+    let sent = flooding.join().unwrap();
+    assert!(sent > 20_000, "{sent}");
+    let grown = cluster.node(hit).memory_kib().unwrap().saturating_sub(memory);
+    assert!(grown < 8 * 1024, "{grown} KiB more");
+    let used = cluster.node(hit).ticks().unwrap() - ticks;
+    assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
+    [flooded, calm]
+}
+
+/// Two nodes, one flooded and one not, have the same load in the same seconds, so that whatever else the machine and the
+/// workers do concerns both alike. Then they swap.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn strangers_replays_and_floods_change_nothing() {
+async fn flood_of_datagrams_costs_no_job_its_deadline() {
+    let _slot = cluster_slot().await;
+    let mut cluster = started(Spec { workers: 6, quota: 100.0, ..spec(6) }).await;
+    sleep(9 * S).await; // the workers are warm then
+    let (mut flooded, mut calm) = (Served::default(), Served::default());
+    for (nodes, seed) in [([0, 1], 3), ([1, 0], 5)] {
+        let [of_flooded, of_calm] = play_flooded_and_calm(&mut cluster, nodes, seed).await;
+        flooded.add(&of_flooded);
+        calm.add(&of_calm);
+    }
+    assert!(calm.share() > 0.5, "{calm:?}");
+    assert!(flooded.share() + 0.1 >= calm.share(), "flooded {flooded:?}, at the same time calm {calm:?}");
+    settled(&cluster, 0..6).await;
+    for node in [0, 1] {
+        let status = status_of(&cluster, node).await.unwrap();
+        let rejected = status.counters.rejected;
+        assert!(rejected.oversized > 0 && rejected.malformed > 0 && status.floods > 0, "{rejected:?}");
+    }
+}
+
+/// A process without the key, or with datagrams of earlier, changes nothing.
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn replayed_datagrams_and_processes_with_another_key_change_nothing() {
     let _slot = cluster_slot().await;
     let mut cluster = started(Spec { workers: 3, quota: 100.0, ..spec(6) }).await;
     cluster.proxies.start_recording();
@@ -326,39 +407,8 @@
         }
     }
     settled(&cluster, 0..5).await;
-    let load = Load { rate: 15.0, length: 5 * S, seed: 3, tenants: TENANTS.map(String::from).to_vec() };
-    let calm = timeout(BOUND, play(load.clone(), vec![cluster.listen(0)])).await.unwrap();
-    // A flood, from here on, of whatever.
-    let target = cluster.gossip_address(0);
-    let flood = std::thread::spawn(move || {
-        let start = std::time::Instant::now();
-        let mut sent = 0u64;
-        while start.elapsed() < 6 * S {
-            let bytes = [sent as u8; 1800];
-            let length = [3, 60, 1399, 1800][sent as usize % 4];
-            let _ = socket.send_to(&bytes[..length], target);
-            sent += 1;
-            if sent.is_multiple_of(64) {
-                std::thread::sleep(Duration::from_millis(1));
-            }
-        }
-        sent
-    });
-    let memory = cluster.node(0).memory_kib().unwrap();
-    let ticks = cluster.node(0).ticks().unwrap();
-    let report = timeout(BOUND, play(load, vec![cluster.listen(0)])).await.unwrap();
-    let sent = flood.join().unwrap();
-    assert!(sent > 20_000, "{sent}");
-    assert!(report.in_time + report.due / 10 >= calm.in_time, "{report}, and before that {calm}");
-    let grown = cluster.node(0).memory_kib().unwrap() - memory.min(cluster.node(0).memory_kib().unwrap());
-    assert!(grown < 8 * 1024, "{grown} KiB more");
-    let used = cluster.node(0).ticks().unwrap() - ticks;
-    assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
-    settled(&cluster, 0..5).await;
-    let told = status_of(&cluster, 0).await.unwrap();
-    let refused = told.counters.rejected;
-    assert!(refused.replayed + refused.misdirected + refused.without_session > 0, "{refused:?}");
-    assert!(refused.oversized > 0 && refused.malformed > 0 && told.floods > 0, "{refused:?}");
+    let rejected = status_of(&cluster, 0).await.unwrap().counters.rejected;
+    assert!(rejected.replayed + rejected.misdirected + rejected.without_session > 0, "{rejected:?}");
 
     // Another key: neither side takes what the other sends.
     std::fs::write(cluster.folder().join("fleet.key"), "current 00112233445566778899aabbccddeeff").unwrap();
