--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -1,5 +1,6 @@
 //! Membership of real processes with faults between them: their views become equal and true, and stay so. Each step waits
 //! for what it needs to see, with a generous limit; the timing of the protocol is set short.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::{MemberStatus, Status};
 use rustix::process::Signal;
@@ -349,7 +350,7 @@
 async fn play_flooded_and_calm(cluster: &mut Cluster, [hit, spared]: [usize; 2], seed: u64) -> [Report; 2] {
     let load = |seed| Load { rate: 15.0, length: 5 * S, seed, tenants: TENANTS.map(String::from).to_vec() };
     let (memory, ticks) = (cluster.node(hit).memory_kib().unwrap(), cluster.node(hit).ticks().unwrap());
-    let target = cluster.talk(hit);
+    let target = cluster.gossip_address(hit);
     let flooding = std::thread::spawn(move || flood(target, 6 * S));
     let plays = async {
         tokio::join!(
@@ -407,44 +408,8 @@
         }
     }
     settled(&cluster, 0..5).await;
-<<<<<<< HEAD
-    let load = Load { rate: 15.0, length: 5 * S, seed: 3, tenants: TENANTS.map(String::from).to_vec() };
-    let calm = timeout(BOUND, play(load.clone(), vec![cluster.listen(0)])).await.unwrap();
-    // A flood, from here on, of whatever.
-    let target = cluster.gossip_address(0);
-    let flood = std::thread::spawn(move || {
-        let start = std::time::Instant::now();
-        let mut sent = 0u64;
-        while start.elapsed() < 6 * S {
-            let bytes = [sent as u8; 1800];
-            let length = [3, 60, 1399, 1800][sent as usize % 4];
-            let _ = socket.send_to(&bytes[..length], target);
-            sent += 1;
-            if sent.is_multiple_of(64) {
-                std::thread::sleep(Duration::from_millis(1));
-            }
-        }
-        sent
-    });
-    let memory = cluster.node(0).memory_kib().unwrap();
-    let ticks = cluster.node(0).ticks().unwrap();
-    let report = timeout(BOUND, play(load, vec![cluster.listen(0)])).await.unwrap();
-    let sent = flood.join().unwrap();
-    assert!(sent > 20_000, "{sent}");
-    assert!(report.in_time + report.due / 10 >= calm.in_time, "{report}, and before that {calm}");
-    let grown = cluster.node(0).memory_kib().unwrap() - memory.min(cluster.node(0).memory_kib().unwrap());
-    assert!(grown < 8 * 1024, "{grown} KiB more");
-    let used = cluster.node(0).ticks().unwrap() - ticks;
-    assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
-    settled(&cluster, 0..5).await;
-    let told = status_of(&cluster, 0).await.unwrap();
-    let refused = told.counters.rejected;
-    assert!(refused.replayed + refused.misdirected + refused.without_session > 0, "{refused:?}");
-    assert!(refused.oversized > 0 && refused.malformed > 0 && told.floods > 0, "{refused:?}");
-=======
     let rejected = status_of(&cluster, 0).await.unwrap().counters.rejected;
     assert!(rejected.replayed + rejected.misdirected + rejected.without_session > 0, "{rejected:?}");
->>>>>>> 54ef83a (Measure the cost of a flood of datagrams on two nodes in the same seconds)
 
     // Another key: neither side takes what the other sends.
     std::fs::write(cluster.folder().join("fleet.key"), "current 00112233445566778899aabbccddeeff").unwrap();
