--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -436,7 +436,7 @@
         scheduled_calls: Vec::new(),
     });
     (0..10).for_each(|i| yard.start_node(i).unwrap());
-    yard.settled(&Cluster::truth(0..10), BOUND).await.unwrap();
+    yard.settled(&Cluster::expected_views(0..10), BOUND).await.unwrap();
     let begun = |yard: &Cluster, arguments: &[&str]| {
         let at = yard.nodes[9].as_ref().unwrap().management.to_string();
         run(&[&["fleet", "roll", &at], arguments].concat()).0 == Some(0)
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -105,7 +105,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_running_node_serves_a_status_of_the_recorded_shape() {
     let cluster = Cluster::start(Spec::new(env!("CARGO_BIN_EXE_molevale"), 1)).await.unwrap();
-    cluster.settled(&Cluster::truth([0]), Duration::from_secs(60)).await.unwrap();
+    cluster.settled(&Cluster::expected_views([0]), Duration::from_secs(60)).await.unwrap();
     let at = cluster.nodes[0].as_ref().unwrap().management;
     let (code, body) = call(at, "GET", "/fleet").await.unwrap();
     assert_eq!(code, 200);
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
-use testbed::check::Truth;
+use testbed::check::ExpectedViews;
 use testbed::cluster::{Cluster, Spec, TENANTS};
 use testbed::fault_proxy::LinkRule;
 use testbed::load::{play, Load, Report};
@@ -38,11 +38,11 @@
 
 /// Waits until the views of all running nodes hold each other, and nobody else.
 async fn settled(cluster: &Cluster, running: impl IntoIterator<Item = usize>) -> Duration {
-    truly(cluster, &Cluster::truth(running)).await
+    truly(cluster, &Cluster::expected_views(running)).await
 }
 
-async fn truly(cluster: &Cluster, truth: &Truth) -> Duration {
-    match cluster.settled(truth, BOUND).await {
+async fn truly(cluster: &Cluster, expected: &ExpectedViews) -> Duration {
+    match cluster.settled(expected, BOUND).await {
         Ok(took) => took,
         Err(wrong) => panic!("not settled after {BOUND:?}: {wrong:?}"),
     }
@@ -105,9 +105,9 @@
     let cluster = started(spec(8)).await;
     let parts = [0, 1, 0, 1, 0, 1, 0, 1];
     cluster.proxies.partition(&parts);
-    let mut truth = Cluster::truth(0..8);
-    truth.parts.values_mut().zip(parts).for_each(|(part, p)| *part = p);
-    truly(&cluster, &truth).await;
+    let mut expected = Cluster::expected_views(0..8);
+    expected.partitions.values_mut().zip(parts).for_each(|(part, p)| *part = p);
+    truly(&cluster, &expected).await;
     sleep(3 * S).await; // both go on for a while, each for itself
     for (name, shown) in cluster.statuses().await {
         let stand = shown.unwrap().fleet_size;
--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -1,21 +1,21 @@
-//! Says what is wrong with the views of many nodes, beside what the rig knows to be true. It knows nothing of how nodes
+//! Checker of membership views: compares the views of many nodes with what must be true. It does not depend on how nodes
 //! come to their views.
 
 use membership::View;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What the rig knows of a node: which others it can talk to, if it runs at all.
+/// The right views: which nodes run, and which of them reach each other.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Truth {
-    /// The part of the fleet that each running node is in, by its name. Those of one part reach each other.
-    pub parts: BTreeMap<String, u32>,
+pub struct ExpectedViews {
+    /// Network partition of each running node, by its name. Nodes of one partition reach each other.
+    pub partitions: BTreeMap<String, u32>,
 }
 
-impl Truth {
-    /// Of a fleet in one part.
-    pub fn whole<'a>(names: impl IntoIterator<Item = &'a str>) -> Truth {
-        Truth { parts: names.into_iter().map(|n| (n.to_string(), 0)).collect() }
+impl ExpectedViews {
+    /// Expected views of nodes that all reach each other.
+    pub fn whole<'a>(names: impl IntoIterator<Item = &'a str>) -> ExpectedViews {
+        ExpectedViews { partitions: names.into_iter().map(|n| (n.to_string(), 0)).collect() }
     }
 }
 
@@ -47,10 +47,10 @@
 }
 
 /// All that is wrong; empty where the views of all that run are equal and true.
-pub fn faults(truth: &Truth, views: &BTreeMap<String, Option<View>>) -> Vec<Fault> {
+pub fn faults(expected: &ExpectedViews, views: &BTreeMap<String, Option<View>>) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut lives: BTreeMap<(u32, &str), (&str, u64)> = BTreeMap::new();
-    for (name, part) in &truth.parts {
+    for (name, part) in &expected.partitions {
         let Some(view) = views.get(name).and_then(Option::as_ref) else {
             faults.push(Fault::Silent(name.clone()));
             continue;
@@ -63,7 +63,7 @@
         }
         let there: BTreeSet<&str> = view.present_names().collect();
         let reached: BTreeSet<&str> =
-            truth.parts.iter().filter(|(_, p)| *p == part).map(|(n, _)| n.as_str()).collect();
+            expected.partitions.iter().filter(|(_, p)| *p == part).map(|(n, _)| n.as_str()).collect();
         faults.extend(reached.difference(&there).map(|o| Fault::Lost(name.clone(), o.to_string())));
         faults.extend(there.difference(&reached).map(|o| Fault::Kept(name.clone(), o.to_string())));
         for m in view.members.iter().filter(|m| m.status.is_present()) {
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -8,7 +8,7 @@
 pub use addresses::{free_block, Block};
 pub use spec::{CoordinationSpec, Spec};
 
-use crate::check::{faults, Fault, Truth};
+use crate::check::{faults, ExpectedViews, Fault};
 use crate::discovery::Discovery;
 use crate::fault_proxy::FaultProxies;
 use crate::process::Process;
@@ -295,19 +295,19 @@
     }
 
     /// The right views where these nodes run, in one partition.
-    pub fn truth(running: impl IntoIterator<Item = usize>) -> Truth {
-        Truth { parts: running.into_iter().map(|i| (Cluster::name(i), 0)).collect() }
+    pub fn expected_views(running: impl IntoIterator<Item = usize>) -> ExpectedViews {
+        ExpectedViews { partitions: running.into_iter().map(|i| (Cluster::name(i), 0)).collect() }
     }
 
     /// Waits until the views are equal and true, and have been for [`Spec::settle_time`]. Returns how long that took.
     ///
     /// # Errors
     /// What was wrong last, where they are not within `bound`.
-    pub async fn settled(&self, truth: &Truth, bound: Duration) -> Result<Duration, Vec<Fault>> {
+    pub async fn settled(&self, expected: &ExpectedViews, bound: Duration) -> Result<Duration, Vec<Fault>> {
         let start = Instant::now();
         let (mut right_since, mut last): (Option<Instant>, Vec<Fault>) = (None, Vec::new());
         loop {
-            let wrong = faults(truth, &self.views().await);
+            let wrong = faults(expected, &self.views().await);
             if wrong.is_empty() {
                 let since = *right_since.get_or_insert_with(Instant::now);
                 if since.elapsed() >= self.spec.settle_time() {
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -94,9 +94,9 @@
 
 /// Waits until the views are right where these nodes run, each with its partition, and prints them.
 async fn settle(cluster: &Cluster, step: &str, running: &[(usize, u32)]) -> Result<(), DemoError> {
-    let mut expected = Cluster::truth(running.iter().map(|(node, _)| *node));
+    let mut expected = Cluster::expected_views(running.iter().map(|(node, _)| *node));
     for (node, partition) in running {
-        expected.parts.insert(Cluster::name(*node), *partition);
+        expected.partitions.insert(Cluster::name(*node), *partition);
     }
     let settled = cluster.settled(&expected, SETTLE_LIMIT).await;
     let took = settled.map_err(|faults| DemoError::NotSettled { step: step.to_string(), faults })?;
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -1,7 +1,7 @@
 //! Fleet of machines in emulated time, in one thread: the same seed gives the same run to the last byte. What
-//! passes between them goes by the rules that the relays of real processes have, too.
+//! passes between them goes by the rules that the fault proxies of real processes have, too.
 
-use crate::check::{faults, Fault, Truth};
+use crate::check::{faults, ExpectedViews, Fault};
 use crate::fault_proxy::LinkRules;
 use membership::keys::Keys;
 use membership::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Timing, View};
@@ -245,12 +245,12 @@
     ///
     /// # Errors
     /// What was wrong last, where it still was after `most`.
-    pub fn until(&mut self, most: Duration, truth: &Truth) -> Result<Duration, Vec<Fault>> {
+    pub fn until(&mut self, most: Duration, expected: &ExpectedViews) -> Result<Duration, Vec<Fault>> {
         let start = self.now;
         let steady = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
         let mut right_since = None;
         loop {
-            let wrong = if self.differ(truth) { None } else { Some(self.faults_of_one(truth)) };
+            let wrong = if self.differ(expected) { None } else { Some(self.faults_of_one(expected)) };
             if wrong.as_ref().is_some_and(Vec::is_empty) {
                 let since = *right_since.get_or_insert(self.now);
                 if self.now - since >= steady {
@@ -260,7 +260,7 @@
                 right_since = None;
             }
             if right_since.is_none() && self.now - start >= most {
-                return Err(self.faults(truth));
+                return Err(self.faults(expected));
             }
             self.run(Duration::from_millis(50));
         }
@@ -268,38 +268,38 @@
 
     /// Whether any two that reach each other differ. Guards the emulator against views that are told in full, a thousand
     /// times a thousand lines, where a number does.
-    fn differ(&self, truth: &Truth) -> bool {
+    fn differ(&self, expected: &ExpectedViews) -> bool {
         let mut digests: HashMap<u32, Option<u64>> = HashMap::new();
         (0..self.nodes.len()).any(|i| {
-            let Some(part) = truth.parts.get(&name(i)) else { return false };
+            let Some(part) = expected.partitions.get(&name(i)) else { return false };
             let digest = self.nodes[i].machine.as_ref().and_then(Machine::digest);
             digest.is_none() || *digests.entry(*part).or_insert(digest) != digest
         })
     }
 
     /// What is wrong with the view of the first node of each part: enough, where none differs from it.
-    fn faults_of_one(&self, truth: &Truth) -> Vec<Fault> {
+    fn faults_of_one(&self, expected: &ExpectedViews) -> Vec<Fault> {
         let mut firsts: BTreeMap<u32, usize> = BTreeMap::new();
         for i in 0..self.nodes.len() {
-            if let Some(part) = truth.parts.get(&name(i)) {
+            if let Some(part) = expected.partitions.get(&name(i)) {
                 firsts.entry(*part).or_insert(i);
             }
         }
         let views = firsts.values().map(|i| (name(*i), self.view(*i)));
         let lone = |f: &Fault| !matches!(f, Fault::Silent(_));
-        faults(truth, &views.collect()).into_iter().filter(lone).collect()
+        faults(expected, &views.collect()).into_iter().filter(lone).collect()
     }
 
     /// What is wrong with the views beside this.
-    pub fn faults(&self, truth: &Truth) -> Vec<Fault> {
+    pub fn faults(&self, expected: &ExpectedViews) -> Vec<Fault> {
         let views = (0..self.nodes.len()).filter_map(|i| Some((i, self.view(i)?)));
-        faults(truth, &views.map(|(_, v)| (v.node.clone(), Some(v))).collect())
+        faults(expected, &views.map(|(_, v)| (v.node.clone(), Some(v))).collect())
     }
 
     /// All that run, in one part.
-    pub fn truth(&self) -> Truth {
+    pub fn expected_views(&self) -> ExpectedViews {
         let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.runs(*i)).map(name).collect();
-        Truth::whole(names.iter().map(String::as_str))
+        ExpectedViews::whole(names.iter().map(String::as_str))
     }
 
     /// A node's view; `None` where it does not run.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -75,8 +75,8 @@
     let mut figures = figures(nodes, plays, "emulated");
     let mut world = World::started(Spec { nodes, ..Spec::default() });
     world.run(Duration::from_secs(60));
-    let truth = world.truth();
-    let settled = world.until(Duration::from_secs(120), &truth);
+    let expected = world.expected_views();
+    let settled = world.until(Duration::from_secs(120), &expected);
     assert!(settled.is_ok(), "the fleet does not settle: {settled:?}");
     let total =
         |w: &World| (0..nodes).map(|i| w.counters(i)).fold((0, 0), |t, f| (t.0 + f.sent, t.1 + f.sent_bytes));
@@ -93,16 +93,16 @@
         world.events.clear();
         let killed = world.now();
         world.kill(victim);
-        let truth = world.truth();
-        let all = world.until(Duration::from_secs(120), &truth);
+        let expected = world.expected_views();
+        let all = world.until(Duration::from_secs(120), &expected);
         let Ok(all) = all else { panic!("the fleet does not settle: {all:?}") };
         let down = |n: &&(Duration, usize, MembershipEvent)| matches!(&n.2, MembershipEvent::Down(id) if id.name == name(victim));
         let first = world.events.iter().find(down).map_or(all, |n| n.0 - killed);
         record(&mut figures.detected, first);
         record(&mut figures.all, all);
         world.start(victim);
-        let truth = world.truth();
-        let joined = world.until(Duration::from_secs(120), &truth);
+        let expected = world.expected_views();
+        let joined = world.until(Duration::from_secs(120), &expected);
         let Ok(joined) = joined else { panic!("the fleet does not settle: {joined:?}") };
         record(&mut figures.joined, joined);
         figures.false_deaths += world
@@ -125,7 +125,7 @@
         Cluster::start(cluster::Spec { probe_ms: 1000, ..cluster::Spec::new(binary, nodes) }).await?;
     let fail = |wrong: Vec<crate::check::Fault>| io::Error::other(format!("not settled: {}", wrong[0]));
     let bound = Duration::from_secs(60);
-    cluster.settled(&Cluster::truth(0..nodes), bound).await.map_err(fail)?;
+    cluster.settled(&Cluster::expected_views(0..nodes), bound).await.map_err(fail)?;
     let ticks = |cluster: &Cluster| cluster.nodes.iter().flatten().filter_map(|p| p.ticks()).sum::<u64>();
     let (before, calm) = ((ticks(&cluster), cluster.proxies.counters()), Duration::from_secs(20));
     tokio::time::sleep(calm).await;
@@ -138,7 +138,7 @@
         let victim = (play as usize * 7 + 3) % nodes;
         let killed = Instant::now();
         cluster.kill(victim);
-        let truth = Cluster::truth((0..nodes).filter(|i| *i != victim));
+        let expected = Cluster::expected_views((0..nodes).filter(|i| *i != victim));
         let mut first = None;
         while first.is_none() && killed.elapsed() < bound {
             let views = cluster.views().await;
@@ -149,11 +149,11 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let since = killed.elapsed();
-        let all = since + cluster.settled(&truth, bound).await.map_err(fail)?;
+        let all = since + cluster.settled(&expected, bound).await.map_err(fail)?;
         record(&mut figures.detected, first.unwrap_or(all));
         record(&mut figures.all, all);
         cluster.start_node(victim)?;
-        let joined = cluster.settled(&Cluster::truth(0..nodes), bound).await.map_err(fail)?;
+        let joined = cluster.settled(&Cluster::expected_views(0..nodes), bound).await.map_err(fail)?;
         record(&mut figures.joined, joined);
         let views = cluster.views().await;
         figures.false_deaths += views
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -194,7 +194,7 @@
     let mut cluster = Cluster::start(plan.cluster_spec(binary)).await?;
     let mut running = vec![true; plan.nodes];
     if plan.fleet {
-        let settled = cluster.settled(&Cluster::truth(0..plan.nodes), SETTLE_LIMIT).await;
+        let settled = cluster.settled(&Cluster::expected_views(0..plan.nodes), SETTLE_LIMIT).await;
         report_step(&match &settled {
             Ok(took) => format!("the views of {} nodes are equal and true after {took:.1?}", plan.nodes),
             Err(wrong) => format!("the views did not settle: {}", wrong[0]),
@@ -214,7 +214,7 @@
     }
     watch(&cluster, start, Duration::from_secs_f64(plan.length_s), &mut history).await;
     let report = load.await.map_err(io::Error::other)?;
-    let expected = Cluster::truth((0..plan.nodes).filter(|i| running[*i]));
+    let expected = Cluster::expected_views((0..plan.nodes).filter(|i| running[*i]));
     let settled = match plan.fleet {
         true => cluster.settled(&expected, SETTLE_LIMIT).await,
         false => Ok(Duration::ZERO),
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -3,7 +3,7 @@
 
 use membership::{MemberInfo, MemberStatus, View};
 use std::collections::BTreeMap;
-use testbed::check::{faults, Fault, Truth};
+use testbed::check::{faults, ExpectedViews, Fault};
 
 fn view(node: &str, members: &[(&str, MemberStatus, u64)]) -> View {
     let line = |(name, status, incarnation): &(&str, MemberStatus, u64)| MemberInfo {
@@ -28,12 +28,12 @@
 #[test]
 fn planted_faults_are_told() {
     use MemberStatus::*;
-    let truth = Truth::whole(["a", "b", "c"]);
+    let expected = ExpectedViews::whole(["a", "b", "c"]);
     let good = [("a", Alive, 1), ("b", Suspect, 1), ("c", Draining, 1), ("d", Dead, 1)];
     let all = |change: &dyn Fn(&mut Vec<View>)| {
         let mut all = ["a", "b", "c"].map(|n| view(n, &good)).to_vec();
         change(&mut all);
-        faults(&truth, &views(all))
+        faults(&expected, &views(all))
     };
     assert_eq!(all(&|_| {}), []);
     assert_eq!(
@@ -58,7 +58,7 @@
             v[0].members.push(twice);
         },
     ] {
-        let told = faults(&truth, &{
+        let told = faults(&expected, &{
             let mut all = ["a", "b", "c"].map(|n| view(n, &good)).to_vec();
             lie(&mut all);
             ["a", "b", "c"].into_iter().map(String::from).zip(all.into_iter().map(Some)).collect()
@@ -70,12 +70,12 @@
 #[test]
 fn the_halves_of_a_partition_are_judged_by_what_each_can_reach() {
     use MemberStatus::*;
-    let mut truth = Truth::whole(["a", "b"]);
-    truth.parts.insert("c".into(), 1);
+    let mut expected = ExpectedViews::whole(["a", "b"]);
+    expected.partitions.insert("c".into(), 1);
     let half = [("a", Alive, 1), ("b", Alive, 1), ("c", Dead, 1)];
     let alone = [("a", Dead, 1), ("b", Dead, 1), ("c", Alive, 7)];
     let all = views(vec![view("a", &half), view("b", &half), view("c", &alone)]);
-    assert_eq!(faults(&truth, &all), []);
-    let whole = Truth::whole(["a", "b", "c"]);
+    assert_eq!(faults(&expected, &all), []);
+    let whole = ExpectedViews::whole(["a", "b", "c"]);
     assert_eq!(faults(&whole, &all).len(), 4, "and as one fleet each lacks the others");
 }
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
-use testbed::check::Truth;
+use testbed::check::ExpectedViews;
 use testbed::emulated::{address, key, name, Spec, World};
 use testbed::fault_proxy::LinkRule;
 
@@ -20,16 +20,16 @@
 
 /// All that run come to equal and true views within this time, and keep them.
 fn settled(world: &mut World, bound: Duration) -> Duration {
-    let truth = world.truth();
-    let took = world.until(bound, &truth).unwrap_or_else(|wrong| panic!("after {bound:?}: {wrong:?}"));
-    stays(world, &truth);
+    let expected = world.expected_views();
+    let took = world.until(bound, &expected).unwrap_or_else(|wrong| panic!("after {bound:?}: {wrong:?}"));
+    stays(world, &expected);
     took
 }
 
-fn stays(world: &mut World, truth: &Truth) {
+fn stays(world: &mut World, expected: &ExpectedViews) {
     for _ in 0..20 {
         world.run(S / 2);
-        assert_eq!(world.faults(truth), [], "it settled and did not stay so");
+        assert_eq!(world.faults(expected), [], "it settled and did not stay so");
     }
 }
 
@@ -70,10 +70,10 @@
     let mut world = fleet(10, 3);
     let parts: Vec<u32> = (0..10).map(|i| i % 2).collect();
     world.rules.partition(&parts);
-    let mut truth = world.truth();
-    truth.parts.values_mut().enumerate().for_each(|(i, part)| *part = i as u32 % 2);
-    world.until(60 * S, &truth).unwrap();
-    stays(&mut world, &truth);
+    let mut expected = world.expected_views();
+    expected.partitions.values_mut().enumerate().for_each(|(i, part)| *part = i as u32 % 2);
+    world.until(60 * S, &expected).unwrap();
+    stays(&mut world, &expected);
     world.rules.heal();
     settled(&mut world, 20 * S);
 }
@@ -119,8 +119,8 @@
 fn a_process_that_stood_still_learns_that_it_was_held_dead_and_comes_back() {
     let mut world = fleet(8, 6);
     world.stop(5);
-    let truth = world.truth();
-    world.until(40 * S, &truth).unwrap();
+    let expected = world.expected_views();
+    world.until(40 * S, &expected).unwrap();
     assert_eq!(status(&world, 0, 5), Some(MemberStatus::Dead));
     world.run(30 * S);
     world.events.clear();
@@ -290,8 +290,8 @@
     (0..7).for_each(|i| world.start(i));
     world.run(10 * S);
     let names: Vec<String> = (0..6).map(name).collect();
-    let truth = Truth::whole(names.iter().map(String::as_str));
-    world.until(10 * S, &truth).unwrap();
+    let expected = ExpectedViews::whole(names.iter().map(String::as_str));
+    world.until(10 * S, &expected).unwrap();
     let refused = |world: &World| (0..6).map(|i| world.counters(i).rejected.unauthenticated).sum::<u64>();
     assert!(refused(&world) > 0, "what the one with the wrong key sends");
     world.rules.set_default_rule(LinkRule { mutated: 0.1, ..LinkRule::default() });
@@ -302,7 +302,7 @@
         world.inject(rng.random_range(0..6), &bytes);
         world.run(S / 10);
     }
-    assert_eq!(world.faults(&truth), []);
+    assert_eq!(world.faults(&expected), []);
     let refused = world.counters(0).rejected;
     assert!(refused.oversized > 0 && refused.malformed > 0, "{refused:?}");
 }
@@ -321,17 +321,17 @@
     settled(&mut world, 20 * S);
     let tape = world.tape.take().unwrap();
     let lives = |world: &World| (0..7).map(|i| world.view(i).unwrap().incarnation).collect::<Vec<_>>();
-    let (truth, before) = (world.truth(), lives(&world));
+    let (expected, before) = (world.expected_views(), lives(&world));
     for (n, (to, bytes)) in tape.iter().enumerate().filter(|(_, (to, _))| *to != 7) {
         world.inject(*to, bytes);
         world.inject((*to + 1) % 7, bytes); // and to somebody that it was not for
         if n % 20 == 0 {
             world.run(S / 20);
-            assert_eq!(world.faults(&truth), []);
+            assert_eq!(world.faults(&expected), []);
         }
     }
     world.run(10 * S);
-    assert_eq!((world.faults(&truth), lives(&world)), (vec![], before));
+    assert_eq!((world.faults(&expected), lives(&world)), (vec![], before));
     assert!(world.counters(0).rejected.replayed > 100);
 }
 
@@ -406,10 +406,10 @@
         .collect::<Vec<_>>()
         .into_iter()
         .for_each(|i| world.go_on(i));
-    let truth = world.truth();
-    let took = world.until(60 * S, &truth);
+    let expected = world.expected_views();
+    let took = world.until(60 * S, &expected);
     assert!(took.is_ok(), "seed {seed}, {n} nodes: {:?}", took.unwrap_err());
-    stays(&mut world, &truth);
+    stays(&mut world, &expected);
 }
 
 #[test]
