--- a/testbed/src/scale/dispatcher.rs
+++ b/testbed/src/scale/dispatcher.rs
@@ -84,14 +84,14 @@
     let dispatcher = dispatcher.into_iter().flatten().collect();
     recorder.measured(Role::Dispatcher, Condition::LiveWeights, dispatcher);
     let per_message = Sealer::new().rates(load.tenants).bytes as f64;
-    let tellers = [
-        over(Quantity::MessagesOut, &|r| r.tells as f64 / seconds),
-        over(Quantity::BytesOut, &|r| r.tells as f64 * per_message / seconds),
-        // All nodes tell as many: as much comes in.
-        over(Quantity::MessagesIn, &|r| r.tells as f64 / seconds),
-        over(Quantity::BytesIn, &|r| r.tells as f64 * per_message / seconds),
+    let publishers = [
+        over(Quantity::MessagesOut, &|r| r.peer_messages as f64 / seconds),
+        over(Quantity::BytesOut, &|r| r.peer_messages as f64 * per_message / seconds),
+        // All nodes publish as many: as much comes in.
+        over(Quantity::MessagesIn, &|r| r.peer_messages as f64 / seconds),
+        over(Quantity::BytesIn, &|r| r.peer_messages as f64 * per_message / seconds),
     ];
-    recorder.measured(Role::RateTeller, Condition::Calm, tellers.into_iter().flatten().collect());
+    recorder.measured(Role::RateTeller, Condition::Calm, publishers.into_iter().flatten().collect());
     let to_all = over(Quantity::BytesOut, &|r| r.list_bytes as f64 / seconds * load.nodes as f64);
     let discovery: Figures = to_all.into_iter().collect();
     recorder.measured(Role::Discovery, Condition::LiveWeights, discovery);
@@ -101,7 +101,7 @@
     span.as_secs_f64() * 1e6
 }
 
-/// What one dispatcher did.
+/// Counts and times of one dispatcher.
 #[derive(Clone, Debug, Default)]
 struct Report {
     state_bytes: usize,
@@ -111,27 +111,28 @@
     list_time: Duration,
     job_time: Duration,
     sends: u64,
-    tells: u64,
+    peer_messages: u64,
 }
 
-/// What is to happen.
+/// Event of the emulation that is due at a time.
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Arrival,
-    List,
-    Timer,
-    Starts(RequestId, u32),
-    Ends(RequestId, u32),
+enum DueEvent {
+    RequestArrives,
+    ListRenewed,
+    TimerExpires,
+    AttemptStarts(RequestId, u32),
+    AttemptEnds(RequestId, u32),
 }
 
-/// One decision module, and a driver that keeps its time.
+/// A decision module with an emulated clock, requests, workers and peers.
 struct Dispatcher<'a> {
     load: &'a Load,
     policy: Policy,
     rng: SmallRng,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,
-    order: u64,
+    due: BTreeMap<(Micros, u64), DueEvent>,
+    /// Events that were scheduled so far.
+    scheduled: u64,
     next_request: RequestId,
     /// The number of the last attempt of each open request.
     attempts: HashMap<RequestId, u32>,
@@ -151,14 +152,14 @@
             rng,
             now: 0,
             due: BTreeMap::new(),
-            order: 0,
+            scheduled: 0,
             next_request: 0,
             attempts: HashMap::new(),
             list,
             report: Report::default(),
         };
-        dispatcher.put(0, Due::List);
-        dispatcher.put(SECOND, Due::Arrival);
+        dispatcher.schedule(0, DueEvent::ListRenewed);
+        dispatcher.schedule(SECOND, DueEvent::RequestArrives);
         dispatcher
     }
 
@@ -167,8 +168,8 @@
         let end = self.load.length.as_micros() as Micros;
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
-            let due = entry.remove();
-            self.carry_out(due);
+            let event = entry.remove();
+            self.handle_due(event);
             limits.check()?;
         }
         Ok(self.measured_state(limits.memory()))
@@ -181,26 +182,26 @@
         report
     }
 
-    fn put(&mut self, after: Micros, due: Due) {
-        self.order += 1;
-        self.due.insert((self.now + after, self.order), due);
+    fn schedule(&mut self, delay: Micros, event: DueEvent) {
+        self.scheduled += 1;
+        self.due.insert((self.now + delay, self.scheduled), event);
     }
 
-    fn carry_out(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrival(),
-            Due::List => self.list_renewed(),
-            Due::Timer => self.tell(&Event::TimerExpired),
-            Due::Starts(id, attempt) => self.starts(id, attempt),
-            Due::Ends(id, attempt) => self.ends(id, attempt, Outcome::Success),
+    fn handle_due(&mut self, event: DueEvent) {
+        match event {
+            DueEvent::RequestArrives => self.request_arrives(),
+            DueEvent::ListRenewed => self.renew_list(),
+            DueEvent::TimerExpires => self.handle(&Event::TimerExpired),
+            DueEvent::AttemptStarts(id, attempt) => self.attempt_starts(id, attempt),
+            DueEvent::AttemptEnds(id, attempt) => self.attempt_ends(id, attempt, Outcome::Success),
         }
     }
 
-    fn arrival(&mut self) {
+    fn request_arrives(&mut self) {
         let rate = self.load.starts / self.load.nodes as f64;
         let uniform: f64 = self.rng.random();
         let gap = -(1.0 - uniform).ln() / rate;
-        self.put((gap * SECOND as f64) as Micros + 1, Due::Arrival);
+        self.schedule((gap * SECOND as f64) as Micros + 1, DueEvent::RequestArrives);
         self.next_request += 1;
         let job = self.load.job.as_micros() as f64;
         let request = Request {
@@ -210,11 +211,11 @@
             slots: 1.0,
             ..Request::default()
         };
-        self.tell(&Event::RequestReceived(request));
+        self.handle(&Event::RequestReceived(request));
     }
 
-    fn list_renewed(&mut self) {
-        self.put(LIST_PERIOD, Due::List);
+    fn renew_list(&mut self) {
+        self.schedule(LIST_PERIOD, DueEvent::ListRenewed);
         let revision = self.report.lists + 1;
         let drawn = ListBody::drawn(revision, self.load.workers, self.load.zones, &mut self.rng);
         let body = drawn.to_json();
@@ -233,17 +234,17 @@
         self.report.lists += 1;
         self.report.list_bytes += body.len();
         self.report.list_time += time;
-        self.act(actions);
+        self.carry_out(actions);
     }
 
-    fn starts(&mut self, id: RequestId, attempt: u32) {
+    fn attempt_starts(&mut self, id: RequestId, attempt: u32) {
         if self.attempts.get(&id) == Some(&attempt) {
-            self.tell(&Event::Acknowledged { id, attempt });
-            self.tell(&Event::Started { id, attempt });
+            self.handle(&Event::Acknowledged { id, attempt });
+            self.handle(&Event::Started { id, attempt });
         }
     }
 
-    fn ends(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
+    fn attempt_ends(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         if self.attempts.get(&id) != Some(&attempt) {
             return;
         }
@@ -253,27 +254,27 @@
         }
         let ending =
             AttemptEnd { id, attempt, outcome, request_done: last, not_attributable: false, report: None };
-        self.tell(&Event::AttemptEnded(ending));
+        self.handle(&Event::AttemptEnded(ending));
     }
 
-    fn tell(&mut self, event: &Event) {
+    fn handle(&mut self, event: &Event) {
         let mut actions = Vec::new();
         let (now, policy) = (self.now, &mut self.policy);
         let ((), time) = timed(|| policy.handle(now, event, &mut actions));
         self.report.job_time += time;
-        self.act(actions);
+        self.carry_out(actions);
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, .. } => self.send(id),
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.attempts.remove(&id);
                 }
-                Action::Cancel { id, attempt } => self.ends(id, attempt, Outcome::Cancelled),
-                Action::SetTimer { after_us } => self.put(after_us, Due::Timer),
-                Action::SendPeerMessage { bytes, .. } => self.told(bytes),
+                Action::Cancel { id, attempt } => self.attempt_ends(id, attempt, Outcome::Cancelled),
+                Action::SetTimer { after_us } => self.schedule(after_us, DueEvent::TimerExpires),
+                Action::SendPeerMessage { bytes, .. } => self.exchange_peer_message(bytes),
                 Action::Probe { .. }
                 | Action::WatchEndpoints
                 | Action::CloseIdleConnections { .. }
@@ -287,15 +288,15 @@
         let attempt = self.attempts.get(&id).map_or(0, |last| last + 1);
         self.attempts.insert(id, attempt);
         let job = self.load.job.as_micros() as f64 * self.rng.random_range(0.5..1.5);
-        self.put(START_DELAY, Due::Starts(id, attempt));
-        self.put(START_DELAY + job as Micros, Due::Ends(id, attempt));
+        self.schedule(START_DELAY, DueEvent::AttemptStarts(id, attempt));
+        self.schedule(START_DELAY + job as Micros, DueEvent::AttemptEnds(id, attempt));
     }
 
-    /// All nodes tell as many others as this one does, so as many messages come in.
-    fn told(&mut self, bytes: Vec<u8>) {
-        self.report.tells += 1;
+    /// All nodes publish to as many others as this one does, so as many messages come in.
+    fn exchange_peer_message(&mut self, bytes: Vec<u8>) {
+        self.report.peer_messages += 1;
         let from = self.rng.random_range(0..self.load.nodes) as u32;
-        self.tell(&Event::PeerMessage { from, bytes });
+        self.handle(&Event::PeerMessage { from, bytes });
     }
 }
 
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -6,6 +6,7 @@
 //! events, so a seed fixes the faults and not the run.
 
 pub mod client;
+mod cold_load;
 pub mod discovery;
 pub mod driver;
 pub mod history;
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! Judges a history by the protocol's rules. It knows nothing of how a node works.
+//! Oracle of a soak run: judges a history by the protocol's rules. It does not depend on how a node works.
 
 use super::history::{
     AttemptEnd, AttemptRecord, Effect, History, ProcessRecord, RequestEnd, RequestRecord, Time,
@@ -168,7 +168,7 @@
     }
 }
 
-/// All broken rules of a history.
+/// Returns all broken rules of a history.
 pub fn judge(history: &History, limits: &Limits) -> Vec<Violation> {
     let tolerance = limits.tolerance + history.stand_in_lag;
     let mut violations = Vec::new();
@@ -199,6 +199,7 @@
     violations
 }
 
+/// A request has one genuine answer in time, unless the protocol excuses it.
 fn judge_answer(
     request: &RequestRecord,
     processes: &[ProcessRecord],
@@ -242,6 +243,7 @@
     })
 }
 
+/// Judges all attempts of one request.
 fn judge_attempts(
     requests: &[&RequestRecord],
     attempts: &[&AttemptRecord],
@@ -250,7 +252,6 @@
     tolerance: Duration,
 ) -> Vec<Violation> {
     let (first_request, mut violations) = (requests[0], Vec::new());
-    let id = || first_request.id.clone();
     let mut attempts = attempts.to_vec();
     attempts.sort_by_key(|attempt| attempt.first_byte);
     for (n, attempt) in attempts.iter().enumerate() {
@@ -262,38 +263,63 @@
         }
         // A request that crossed a close is sent once more with the same id: the last one counts.
         let request = requests.iter().rev().find(|r| r.begun <= attempt.first_byte).unwrap_or(&first_request);
-        if let Some(left) = request.left {
-            let late = attempt.first_byte.saturating_sub(left);
-            if late > limits.after_leaving + tolerance {
-                violations.push(Violation::AfterLeaving { id: id(), late });
-            }
-        }
-        if let (Some(told), Some(written)) = (attempt.told_deadline, request.written) {
-            let left = (written + request.deadline).saturating_sub(attempt.first_byte);
-            let excess = Duration::from_secs_f64(told.max(0.0)).saturating_sub(left);
-            if excess > limits.deadline_slack + tolerance {
-                violations.push(Violation::Deadline { id: id(), excess });
-            }
-        }
-        let told =
-            history.withdrawals.iter().filter(|w| w.node == request.node && w.worker == attempt.worker);
-        if let Some(told) = told.map(|w| w.told).min() {
-            // A new process counts as told from its first moment on, and has its requests once it is ready.
-            let process =
-                history.processes.iter().rfind(|l| l.node == request.node && l.started <= attempt.first_byte);
-            let list_from = process.map_or(Some(Time::ZERO), |l| l.list_from);
-            let from = told.max(process.and_then(|l| l.ready).unwrap_or_default());
-            let Some(from) = list_from.map(|list_from| from.max(list_from)) else { continue };
-            let late = attempt.first_byte.saturating_sub(from);
-            if late > limits.drain_grace + tolerance {
-                let (node, worker) = (request.node, attempt.worker);
-                violations.push(Violation::Drained { id: id(), node, worker, told: from, late });
-            }
-        }
+        violations.extend(judge_disconnect(request, attempt, limits, tolerance));
+        violations.extend(judge_deadline(request, attempt, limits, tolerance));
+        violations.extend(judge_drain(request, attempt, history, limits, tolerance));
     }
     violations
 }
 
+/// An attempt must not begin after its client has left.
+fn judge_disconnect(
+    request: &RequestRecord,
+    attempt: &AttemptRecord,
+    limits: &Limits,
+    tolerance: Duration,
+) -> Option<Violation> {
+    let late = attempt.first_byte.saturating_sub(request.left?);
+    let is_late = late > limits.after_leaving + tolerance;
+    is_late.then(|| Violation::AfterLeaving { id: request.id.clone(), late })
+}
+
+/// A worker must not be given more time than the client has left.
+fn judge_deadline(
+    request: &RequestRecord,
+    attempt: &AttemptRecord,
+    limits: &Limits,
+    tolerance: Duration,
+) -> Option<Violation> {
+    let (told, written) = (attempt.told_deadline?, request.written?);
+    let left = (written + request.deadline).saturating_sub(attempt.first_byte);
+    let excess = Duration::from_secs_f64(told.max(0.0)).saturating_sub(left);
+    let is_too_long = excess > limits.deadline_slack + tolerance;
+    is_too_long.then(|| Violation::Deadline { id: request.id.clone(), excess })
+}
+
+/// An attempt must not begin after its node knows that the worker is out of service.
+fn judge_drain(
+    request: &RequestRecord,
+    attempt: &AttemptRecord,
+    history: &History,
+    limits: &Limits,
+    tolerance: Duration,
+) -> Option<Violation> {
+    let withdrawals = history.withdrawals.iter();
+    let of_worker = withdrawals.filter(|w| w.node == request.node && w.worker == attempt.worker);
+    let withdrawn = of_worker.map(|withdrawal| withdrawal.told).min()?;
+    // A new process counts as told from its first moment on, and has its requests once it is ready.
+    let mut processes = history.processes.iter();
+    let process = processes.rfind(|p| p.node == request.node && p.started <= attempt.first_byte);
+    let list_from = process.map_or(Some(Time::ZERO), |process| process.list_from)?;
+    let ready = process.and_then(|process| process.ready).unwrap_or_default();
+    let from = withdrawn.max(ready).max(list_from);
+    let late = attempt.first_byte.saturating_sub(from);
+    let (node, worker) = (request.node, attempt.worker);
+    let is_late = late > limits.drain_grace + tolerance;
+    is_late.then(|| Violation::Drained { id: request.id.clone(), node, worker, told: from, late })
+}
+
+/// Two attempts must not be out at once, and a request that may have run is repeated only as its class allows.
 fn judge_pair(
     request: &RequestRecord,
     earlier: &AttemptRecord,
@@ -323,6 +349,7 @@
     })
 }
 
+/// A process is ready in time, and ends only when it is told to.
 fn judge_process(process: &ProcessRecord, limits: &Limits) -> Option<Violation> {
     let by_itself = process.ended.is_some() && !process.killed;
     if by_itself && (process.code != Some(0) || process.terminated.is_none()) {
--- a/testbed/src/soak/worker.rs
+++ b/testbed/src/soak/worker.rs
@@ -1,12 +1,12 @@
 //! Workers of a soak run: stand-ins that record each attempt, and misbehave by their mode.
 
+use super::cold_load::ColdLoad;
 use super::history::{AttemptEnd, AttemptRecord, Recorder};
-use super::settings::{worker_capacity, COLD_SHARE, FALL_MULTIPLE, FALL_SPAN, MEAN_WORK, SLOTS, WARM_UP};
+use super::settings::{MEAN_WORK, SLOTS};
 use crate::wire::{field, head, length};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
-use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -74,35 +74,7 @@
     slots: Semaphore,
     held: AtomicU64,
     random: Mutex<SmallRng>,
-    cold: Option<Mutex<Cold>>,
-}
-
-/// Load of a cold worker within the last [`FALL_SPAN`].
-struct Cold {
-    since: Instant,
-    lately: VecDeque<(Instant, f64)>,
-    has_fallen: bool,
-}
-
-impl Cold {
-    /// Adds a job's work, in mean jobs; returns what came and what is allowed where that is too much.
-    fn add_load(&mut self, work: f64) -> Option<(f64, f64)> {
-        let now = Instant::now();
-        self.lately.push_back((now, work));
-        while self.lately.front().is_some_and(|(at, _)| now - *at > FALL_SPAN) {
-            self.lately.pop_front();
-        }
-        let grown = (now - self.since).as_secs_f64() / WARM_UP.as_secs_f64();
-        if grown >= 1.0 || self.has_fallen {
-            return None;
-        }
-        let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * grown;
-        let n = FALL_MULTIPLE * worker_capacity() * warmth * FALL_SPAN.as_secs_f64();
-        let allowed = if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 };
-        let came: f64 = self.lately.iter().map(|(_, work)| work).sum();
-        self.has_fallen = came > allowed;
-        self.has_fallen.then_some((came, allowed))
-    }
+    cold: Option<Mutex<ColdLoad>>,
 }
 
 impl SoakWorker {
@@ -123,8 +95,7 @@
         socket.bind(address)?;
         let listener = socket.listen(if late { SHORT_BACKLOG } else { BACKLOG })?;
         let mode = watch::Sender::new(WorkerMode::Normal);
-        let since = Instant::now();
-        let cold = cold.then(|| Mutex::new(Cold { since, lately: VecDeque::new(), has_fallen: false }));
+        let cold = cold.then(|| Mutex::new(ColdLoad::new()));
         let shared = Arc::new(Shared {
             number,
             recorder: recorder.clone(),
@@ -271,7 +242,7 @@
     fn record_load(&self, work: f64) {
         let Some(cold) = &self.cold else { return };
         let mut cold = cold.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((came, allowed)) = cold.add_load(work / MEAN_WORK.as_secs_f64()) {
+        if let Some((came, allowed)) = cold.add(work / MEAN_WORK.as_secs_f64()) {
             self.recorder.history().overloads.push((self.number, came, allowed));
         }
     }
