--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -21,7 +21,7 @@
     /// The classes.
     pub classes: Vec<String>,
     /// Numbers of the classes that are no longer offered.
-    pub retired: Vec<usize>,
+    pub retired_classes: Vec<usize>,
     /// For each class, the number of the one that had its name before, if any.
     pub continues: Vec<Option<usize>>,
     /// For each class, whether its requests carry an idempotency key.
@@ -29,7 +29,7 @@
     /// The tenants.
     pub tenants: Vec<String>,
     /// Numbers of the tenants that are no longer named.
-    pub gone_tenants: Vec<usize>,
+    pub retired_tenants: Vec<usize>,
     /// The zones.
     pub zones: Vec<String>,
     /// The types of machine.
@@ -39,23 +39,23 @@
     /// Time for a connection to a worker to come up.
     pub connect_timeout: Duration,
     /// Time after which workers close idle connections.
-    pub conn_idle: Duration,
+    pub worker_idle_timeout: Duration,
     /// Time after which nothing new may go to a draining worker.
     pub drain_grace: Duration,
     /// Longest deadline of a class, also of those that are no longer offered.
-    pub longest: Duration,
+    pub longest_deadline: Duration,
 }
 
 impl Names {
     /// Number of the class that is offered under this name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        let is_offered = |number: &usize| !self.retired.contains(number);
+        let is_offered = |number: &usize| !self.retired_classes.contains(number);
         (0..self.classes.len()).find(|number| self.classes[*number] == name && is_offered(number))
     }
 
     /// Number of the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        let is_named = |number: &usize| !self.gone_tenants.contains(number);
+        let is_named = |number: &usize| !self.retired_tenants.contains(number);
         (0..self.tenants.len()).find(|number| self.tenants[*number] == name && is_named(number))
     }
 }
@@ -102,21 +102,21 @@
     Ok(Names {
         continues: vec![None; classes.len()],
         classes,
-        retired: Vec::new(),
+        retired_classes: Vec::new(),
         keyed: settings
             .classes
             .iter()
             .map(|class| matches!(class.idempotency, Idempotency::WithKey(_)))
             .collect(),
         tenants,
-        gone_tenants: Vec::new(),
+        retired_tenants: Vec::new(),
         zones: value.get("Azs").map(plain_names).unwrap_or_default(),
         kinds: value.get("HostTypes").map(plain_names).unwrap_or_default(),
         report: report_names.unwrap_or_default().into_iter().zip(report_fields).collect(),
         connect_timeout: duration("Limits.ConnectTimeoutUs", DEFAULT_CONNECT_TIMEOUT)?,
-        conn_idle: duration("Limits.ConnIdleUs", DEFAULT_CONNECTION_IDLE)?,
+        worker_idle_timeout: duration("Limits.ConnIdleUs", DEFAULT_CONNECTION_IDLE)?,
         drain_grace: duration("Invariants.DrainGraceUs", DEFAULT_DRAIN_GRACE)?,
-        longest: Duration::from_micros(longest),
+        longest_deadline: Duration::from_micros(longest),
     })
 }
 
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -114,7 +114,7 @@
     fn new(names: &Names) -> Timeouts {
         Timeouts {
             connect: names.connect_timeout,
-            keep: names.conn_idle.mul_f64(IDLE_LIMIT_USED),
+            keep: names.worker_idle_timeout.mul_f64(IDLE_LIMIT_USED),
             drain_grace: names.drain_grace,
         }
     }
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -129,7 +129,7 @@
     /// Returns once no client is left. After the wait all deadlines have passed and their answers had time to go out. A
     /// request that came just before the close counts as taken, so the process may not end earlier.
     async fn wait_for_last_answers(&self) {
-        let longest_deadline = self.names.borrow().longest;
+        let longest_deadline = self.names.borrow().longest_deadline;
         if timeout(longest_deadline + LAST_ANSWER_WAIT, self.budget.clients_closed()).await.is_err() {
             log::warn!(event = "connections_open_at_exit"; "some client connections stayed open to the end");
         }
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -152,7 +152,7 @@
         // The client's wait ran while its connection could not be accepted; workers are told what is left of it.
         let left = stated_us.saturating_sub(connection.accept_delay().as_micros() as u64);
         // SIGKILL would cut off the answer to a request that was written while the node stops.
-        match self.phases.answer_deadline(names.longest) {
+        match self.phases.answer_deadline(names.longest_deadline) {
             Some(last) => left.min(last.saturating_duration_since(Instant::now()).as_micros() as u64),
             None => left,
         }
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -155,7 +155,7 @@
 /// Description of new settings: the classes that are offered, and the most attempts.
 fn described(settings: &EffectiveSettings) -> Change {
     let names = &settings.names;
-    let offered = (0..names.classes.len()).filter(|number| !names.retired.contains(number));
+    let offered = (0..names.classes.len()).filter(|number| !names.retired_classes.contains(number));
     Change::Settings {
         classes: offered.map(|number| names.classes[number].clone()).collect(),
         max_attempts: settings.settings.max_attempts,
--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -31,10 +31,10 @@
                 keyed: old.keyed.clone(),
                 continues: old.continues.clone(),
                 tenants: old.tenants.clone(),
-                gone_tenants: Vec::new(),
+                retired_tenants: Vec::new(),
                 zones: merged(&old.zones, &newer.names.zones),
                 kinds: merged(&old.kinds, &newer.names.kinds),
-                longest: old.longest.max(newer.names.longest),
+                longest_deadline: old.longest_deadline.max(newer.names.longest_deadline),
                 ..newer.names.clone()
             },
         };
@@ -63,7 +63,7 @@
         }
         new.settings.retired_classes =
             (0..new.settings.classes.len()).filter(|n| !offered.contains(n)).collect();
-        new.names.retired = new.settings.retired_classes.clone();
+        new.names.retired_classes = new.settings.retired_classes.clone();
         let none = TenantSettings { quota_per_s: 0.0, share: 0.0 };
         new.settings.tenants.fill(none);
         for (i, name) in newer.names.tenants.iter().enumerate() {
@@ -77,7 +77,7 @@
             }
         }
         let gone = |n: &usize| !newer.names.tenants.contains(&new.names.tenants[*n]);
-        new.names.gone_tenants = (0..new.names.tenants.len()).filter(gone).collect();
+        new.names.retired_tenants = (0..new.names.tenants.len()).filter(gone).collect();
         new
     }
 }
--- a/node/tests/golden/node/rendering.rs
+++ b/node/tests/golden/node/rendering.rs
@@ -156,18 +156,18 @@
 pub fn names(out: &mut String, names: &Names) {
     let Names {
         classes,
-        retired,
+        retired_classes: retired,
         continues,
         keyed,
         tenants,
-        gone_tenants,
+        retired_tenants: gone_tenants,
         zones,
         kinds,
         report,
         connect_timeout,
-        conn_idle,
+        worker_idle_timeout: conn_idle,
         drain_grace,
-        longest,
+        longest_deadline: longest,
     } = names;
     let report: Vec<String> = report.iter().map(|(name, f)| format!("{name}: {}", field(*f))).collect();
     let all: [(&str, &dyn Debug); 13] = [
