--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_say_and_turn_the_phase_and_unknown_ones_are_refused() {
+async fn calls_report_and_change_the_phase_and_unknown_ones_are_rejected() {
     let _time = common::still();
     let (at, phases, ready) = management().await;
     assert_eq!(call(at, "GET", "/healthcheck").await, 503, "it can't serve yet");
@@ -65,7 +65,7 @@
 
 /// Guards calls against callers that connect and finish none: they neither hold up others nor stay.
 #[tokio::test(start_paused = true)]
-async fn silent_callers_hold_nobody_up_and_are_closed() {
+async fn silent_callers_delay_no_other_call_and_are_closed() {
     let _time = common::still();
     let (at, _phases, ready) = management().await;
     ready.send_replace(true);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn random_calls_and_signals_leave_no_way_back_from_the_end() {
+fn a_stopping_process_never_serves_again_after_random_calls_and_signals() {
     fn property(steps: Vec<Step>) -> bool {
         holds(walk(steps))
     }
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn bad_input_ends_it_with_one_line_and_code_2() {
+fn invalid_input_ends_the_program_with_one_line_and_code_2() {
     let good = serde_json::json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
         "seed": "1", "settings": common::settings(true, 1_000_000)});
     let with = |key: &str, value: serde_json::Value| {
@@ -59,7 +59,7 @@
 
 /// Each bad file is told with its name and line; the one that comes along is read.
 #[test]
-fn a_bad_fleet_file_or_key_is_told_by_its_line() {
+fn errors_in_the_fleet_file_or_its_keys_name_file_and_line() {
     let folder = std::env::temp_dir().join(format!("molevale-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let good = serde_json::json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn variables_come_before_the_file() {
+fn environment_variables_override_the_file() {
     let text = serde_json::json!({"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
         "seed": "ff", "settings": common::settings(true, 1_000_000)});
     let read = |var: &dyn Fn(&str) -> Option<String>| config::parse(&text.to_string(), var).unwrap();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_operators_file_that_comes_along_is_read_and_a_changed_one_is_checked() {
+fn the_deployed_operators_file_is_valid_and_invalid_changes_are_rejected() {
     let text = include_str!("../../deploy/faktory.toml");
     let operator = FaktoryConfig::parse(text).unwrap();
     assert_eq!((operator.listen.port(), operator.connections), (7419, 256));
@@ -149,7 +149,7 @@
 
 /// Guards against a node that dies of SIGHUP, that takes a bad file, or that goes on asking the old address.
 #[test]
-fn at_sighup_discovery_moves_and_a_bad_file_changes_nothing() {
+fn sighup_moves_discovery_and_an_invalid_file_changes_nothing() {
     let agents: Vec<_> = (0..3).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let address = |i: usize| agents[i].local_addr().unwrap().to_string();
     let text = |i: usize, name: &str| {
@@ -218,7 +218,7 @@
 
 /// Guards against SIGHUP that is handled with the platform's front only.
 #[test]
-fn a_node_with_the_faktory_front_alone_outlives_sighup() {
+fn a_node_with_only_the_faktory_front_survives_sighup() {
     let path = std::env::temp_dir().join(format!("molevale-{}-operator", std::process::id()));
     let text = |connections| {
         let settings = common::settings(false, 1_000_000);
@@ -244,7 +244,7 @@
 /// Guards the way from one process to the next: the same start again takes over, and one that can't start changes
 /// nothing.
 #[test]
-fn started_again_a_new_process_takes_over_or_leaves_the_old_one_serving() {
+fn a_new_process_takes_over_and_one_that_fails_leaves_the_old_one_serving() {
     let pid = std::process::id();
     let (high, low) = (pid / 256 % 256, pid % 256);
     let folder = std::env::temp_dir().join(format!("molevale-{pid}-upgrade"));
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -29,8 +29,8 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// One node with its workers and discovery.
-struct One {
+/// A node with faults injected into its system calls, its workers and discovery.
+struct FaultyNode {
     folder: PathBuf,
     control: Control,
     process: Process,
@@ -43,9 +43,9 @@
     _block: std::net::TcpListener,
 }
 
-impl One {
-    async fn start(workers: usize) -> One {
-        One::with(workers, true, |_| {}, |_| {}).await
+impl FaultyNode {
+    async fn start(workers: usize) -> FaultyNode {
+        FaultyNode::with(workers, true, |_| {}, |_| {}).await
     }
 
     /// Starts one that may call attempts off or not; `prepare` sets what is injected from the process's first call on, and
@@ -55,7 +55,7 @@
         cancelling: bool,
         prepare: impl Fn(&Control),
         meanwhile: impl Fn(&Control),
-    ) -> One {
+    ) -> FaultyNode {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let (block, lock) = free_block(std::process::id() + number * 37).unwrap();
         let folder = std::env::temp_dir().join(format!("calls-{}-{number}", std::process::id()));
@@ -87,18 +87,28 @@
         let variables = [("LD_PRELOAD", library.as_path()), ("SOAK_CONTROL", control.path.as_path())];
         let binary = Path::new(env!("CARGO_BIN_EXE_molevale"));
         let process = Process::start_with(binary, &folder.join("n1"), &config, &[], &variables).unwrap();
-        let one =
-            One { folder, control, process, config, address, agent, list, workers, recorder, _block: lock };
+        let node = FaultyNode {
+            folder,
+            control,
+            process,
+            config,
+            address,
+            agent,
+            list,
+            workers,
+            recorder,
+            _block: lock,
+        };
         let started = Instant::now();
-        while call(one.process.management, "GET", "/healthcheck")
+        while call(node.process.management, "GET", "/healthcheck")
             .await
             .is_none_or(|(status, _)| status != 200)
         {
-            assert!(started.elapsed() < LIMIT, "it is not ready: {}", one.log());
-            meanwhile(&one.control);
+            assert!(started.elapsed() < LIMIT, "it is not ready: {}", node.log());
+            meanwhile(&node.control);
             sleep(Duration::from_millis(10)).await;
         }
-        one
+        node
     }
 
     fn log(&self) -> String {
@@ -109,7 +119,7 @@
         self.control.set_rate(fault, per_million).unwrap();
     }
 
-    fn was_met(&self, fault: Fault) {
+    fn assert_injected(&self, fault: Fault) {
         assert!(self.control.injected(fault).unwrap() > 0, "{fault:?} was never met");
     }
 
@@ -118,7 +128,7 @@
     }
 
     /// The status of one request; `None` where the connection ends without an answer.
-    async fn ask(&self, stream: &mut BufReader<TcpStream>, id: &str) -> Option<u16> {
+    async fn status_of(&self, stream: &mut BufReader<TcpStream>, id: &str) -> Option<u16> {
         stream.write_all(request("check", id).as_bytes()).await.ok()?;
         answer(stream).await
     }
@@ -128,7 +138,7 @@
     }
 }
 
-impl Drop for One {
+impl Drop for FaultyNode {
     fn drop(&mut self) {
         self.process.kill();
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -152,123 +162,123 @@
 }
 
 /// Sends requests, most on kept connections, and expects an answer to each.
-async fn each_is_answered(fault: Fault, per_million: u64) -> One {
-    let one = One::start(3).await;
-    one.inject(fault, per_million);
+async fn assert_each_request_is_answered(fault: Fault, per_million: u64) -> FaultyNode {
+    let node = FaultyNode::start(3).await;
+    node.inject(fault, per_million);
     for n in 0..12 {
-        let mut stream = one.connect().await;
+        let mut stream = node.connect().await;
         for k in 0..4 {
-            let status = one.ask(&mut stream, &format!("{fault:?}-{n}-{k}")).await;
+            let status = node.status_of(&mut stream, &format!("{fault:?}-{n}-{k}")).await;
             // One that fails was forwarded nowhere: all workers here are well.
             assert!(matches!(status, Some(200 | 503)), "request {n}.{k}: {status:?}");
         }
     }
-    one.inject(fault, 0);
-    one.was_met(fault);
-    one
+    node.inject(fault, 0);
+    node.assert_injected(fault);
+    node
 }
 
 /// Guards answers and attempts against an interrupted `send`.
 #[tokio::test]
 async fn an_interrupted_send_ends_no_connection() {
-    each_is_answered(Fault::SendEintr, HALF).await;
+    assert_each_request_is_answered(Fault::SendEintr, HALF).await;
 }
 
 /// Guards answers against a `send` for which the kernel has no memory just then.
 #[tokio::test]
 async fn a_send_without_buffers_ends_no_connection() {
-    each_is_answered(Fault::SendEnobufs, HALF).await;
+    assert_each_request_is_answered(Fault::SendEnobufs, HALF).await;
 }
 
 /// Guards requests against an interrupted `recv`.
 #[tokio::test]
 async fn an_interrupted_read_ends_no_connection() {
-    each_is_answered(Fault::RecvEintr, HALF).await;
+    assert_each_request_is_answered(Fault::RecvEintr, HALF).await;
 }
 
 /// Guards requests against an interrupted look ahead, which is no client that leaves.
 #[tokio::test]
-async fn an_interrupted_look_ahead_is_no_end() {
-    each_is_answered(Fault::PeekEintr, HALF).await;
+async fn an_interrupted_peek_is_not_taken_for_the_end_of_a_connection() {
+    assert_each_request_is_answered(Fault::PeekEintr, HALF).await;
 }
 
 /// Guards requests against reads and writes of single bytes.
 #[tokio::test]
 async fn short_reads_and_writes_lose_nothing() {
-    each_is_answered(Fault::RecvShort, ALL).await;
-    each_is_answered(Fault::SendShort, ALL).await;
+    assert_each_request_is_answered(Fault::RecvShort, ALL).await;
+    assert_each_request_is_answered(Fault::SendShort, ALL).await;
 }
 
 /// Guards the process against an interrupted read of its own signal pipe.
 #[tokio::test]
-async fn signals_are_heard_where_reads_are_interrupted() {
-    let mut one = One::start(1).await;
-    one.inject(Fault::RecvEintr, HALF);
+async fn signals_are_received_while_reads_are_interrupted() {
+    let mut node = FaultyNode::start(1).await;
+    node.inject(Fault::RecvEintr, HALF);
     for _ in 0..30 {
-        one.process.signal(Signal::HUP);
+        node.process.signal(Signal::HUP);
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(one.process.ended().is_none(), "it ended: {}", one.log());
-    one.inject(Fault::RecvEintr, 0);
-    one.was_met(Fault::RecvEintr);
-    assert!(one.log().contains("\"event\":\"configuration_"), "no signal was heard");
+    assert!(node.process.ended().is_none(), "it ended: {}", node.log());
+    node.inject(Fault::RecvEintr, 0);
+    node.assert_injected(Fault::RecvEintr);
+    assert!(node.log().contains("\"event\":\"configuration_"), "no signal was heard");
 }
 
 /// Guards the stop against a wake-up that is lost in the signal handler.
 #[tokio::test]
-async fn sigterm_is_heard_where_no_write_succeeds() {
-    let mut one = One::start(1).await;
-    one.inject(Fault::SendEintr, ALL);
-    one.process.signal(Signal::TERM);
+async fn sigterm_is_received_while_no_write_succeeds() {
+    let mut node = FaultyNode::start(1).await;
+    node.inject(Fault::SendEintr, ALL);
+    node.process.signal(Signal::TERM);
     sleep(Duration::from_millis(500)).await;
-    one.inject(Fault::SendEintr, 0);
+    node.inject(Fault::SendEintr, 0);
     let started = Instant::now();
-    while one.process.ended().is_none() {
-        assert!(started.elapsed() < LIMIT, "it never stopped: {}", one.log());
+    while node.process.ended().is_none() {
+        assert!(started.elapsed() < LIMIT, "it never stopped: {}", node.log());
         sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// Guards what lies in the backlog when the node closes its door against failing calls of `accept`.
 #[tokio::test]
-async fn the_backlog_is_emptied_at_the_close_whatever_accept_says() {
+async fn the_backlog_is_emptied_at_the_close_while_accept_fails() {
     for fault in [Fault::AcceptEconnaborted, Fault::AcceptEnfile, Fault::AcceptEintr] {
-        let mut one = One::start(3).await;
-        one.process.signal(Signal::TERM);
+        let mut node = FaultyNode::start(3).await;
+        node.process.signal(Signal::TERM);
         sleep(Duration::from_millis(400)).await;
-        one.process.stop();
+        node.process.stop();
         let mut streams = Vec::new();
         for n in 0..8 {
-            let mut stream = one.connect().await;
+            let mut stream = node.connect().await;
             stream.write_all(request("check", &format!("{fault:?}-{n}")).as_bytes()).await.unwrap();
             streams.push(stream);
         }
-        one.inject(fault, MOST);
+        node.inject(fault, MOST);
         sleep(Duration::from_millis(400)).await;
-        one.process.go_on();
+        node.process.go_on();
         for (n, stream) in streams.iter_mut().enumerate() {
             assert!(answer(stream).await.is_some(), "{fault:?}: request {n} had no answer");
         }
-        one.was_met(fault);
+        node.assert_injected(fault);
     }
 }
 
 /// Guards the deadline that workers are told against the time in a backlog that could not be accepted.
 #[tokio::test]
-async fn time_in_the_backlog_is_gone_from_the_deadline() {
-    let one = One::start(1).await;
+async fn time_in_the_backlog_is_subtracted_from_the_deadline() {
+    let node = FaultyNode::start(1).await;
     // Seen to be empty before: what is accepted first has waited no longer than since then.
-    one.inject(Fault::AcceptEnfile, ALL);
-    let mut first = one.connect().await;
+    node.inject(Fault::AcceptEnfile, ALL);
+    let mut first = node.connect().await;
     first.write_all(request("check", "first").as_bytes()).await.unwrap();
-    let mut second = one.connect().await;
+    let mut second = node.connect().await;
     second.write_all(request("check", "second").as_bytes()).await.unwrap();
-    let sent = one.recorder.now();
+    let sent = node.recorder.now();
     sleep(Duration::from_millis(600)).await;
-    one.inject(Fault::AcceptEnfile, 0);
+    node.inject(Fault::AcceptEnfile, 0);
     assert_eq!((answer(&mut first).await, answer(&mut second).await), (Some(200), Some(200)));
-    one.was_met(Fault::AcceptEnfile);
-    for attempt in one.history().attempts {
+    node.assert_injected(Fault::AcceptEnfile);
+    for attempt in node.history().attempts {
         let left = (sent + Duration::from_millis(1_500)).saturating_sub(attempt.first_byte).as_secs_f64();
         let told = attempt.told_deadline.unwrap();
         assert!(told <= left + 0.15, "{} was told {told:.3} s with {left:.3} s left", attempt.id);
@@ -286,24 +296,24 @@
         Fault::SocketEnobufs,
     ];
     for fault in faults {
-        let mut one = One::start(2).await;
-        one.inject(fault, HALF);
-        for worker in &one.workers {
+        let mut node = FaultyNode::start(2).await;
+        node.inject(fault, HALF);
+        for worker in &node.workers {
             worker.set_mode(WorkerMode::ClosingIdle); // so that most requests need a new connection
         }
         let mut n = 0;
-        while one.control.injected(fault).unwrap() < 3 {
+        while node.control.injected(fault).unwrap() < 3 {
             assert!(n < 200, "{fault:?} was not met three times");
-            let mut stream = one.connect().await;
-            let status = one.ask(&mut stream, &format!("{fault:?}-{n}")).await;
+            let mut stream = node.connect().await;
+            let status = node.status_of(&mut stream, &format!("{fault:?}-{n}")).await;
             assert!(status.is_some(), "{fault:?}: request {n} had no answer");
             sleep(Duration::from_millis(60)).await;
             n += 1;
         }
-        one.inject(fault, 0);
-        one.process.signal(Signal::USR1);
+        node.inject(fault, 0);
+        node.process.signal(Signal::USR1);
         sleep(Duration::from_millis(200)).await;
-        let log = one.log();
+        let log = node.log();
         let counters = log.lines().find(|line| line.contains("counters: platform")).expect("its counters");
         assert!(counters.contains(" connect_failed=0 "), "{fault:?}: {counters}");
     }
@@ -311,7 +321,7 @@
 
 /// Guards a start against a machine that has no descriptor or buffer for a moment.
 #[tokio::test]
-async fn a_start_outlives_a_moment_without_descriptors() {
+async fn a_start_succeeds_after_a_moment_without_descriptors() {
     for fault in [Fault::SocketEnfile, Fault::SocketEnobufs] {
         let fails = |control: &Control| control.set_rate(fault, ALL).unwrap();
         let passes = |control: &Control| {
@@ -319,35 +329,35 @@
                 control.set_rate(fault, 0).unwrap();
             }
         };
-        let one = One::with(1, true, fails, passes).await;
-        one.was_met(fault);
-        let mut stream = one.connect().await;
-        assert_eq!(one.ask(&mut stream, "after").await, Some(200));
+        let node = FaultyNode::with(1, true, fails, passes).await;
+        node.assert_injected(fault);
+        let mut stream = node.connect().await;
+        assert_eq!(node.status_of(&mut stream, "after").await, Some(200));
     }
 }
 
 /// Guards the drain's grace against a standstill between the look at the clock and the write: the connection comes up
 /// within the grace, and the process is held up then.
 #[tokio::test]
-async fn nothing_goes_to_a_drained_worker_after_a_standstill() {
-    let mut one = One::with(0, false, |_| {}, |_| {}).await;
-    one.control.set_stall(Duration::from_millis(150)).unwrap();
+async fn no_request_goes_to_a_draining_worker_after_a_stall() {
+    let mut node = FaultyNode::with(0, false, |_| {}, |_| {}).await;
+    node.control.set_stall(Duration::from_millis(150)).unwrap();
     // A worker whose connections come up a second after they are asked for.
     let (listener, fills) = late_listener();
     let at = listener.local_addr().unwrap();
-    one.list.set("late", wire::line("late", at, "in_service", 0), false);
-    one.agent.feed(Arc::new(one.list.clone()));
+    node.list.set("late", wire::line("late", at, "in_service", 0), false);
+    node.agent.feed(Arc::new(node.list.clone()));
     sleep(Duration::from_millis(100)).await;
-    let mut client = one.connect().await;
+    let mut client = node.connect().await;
     client.write_all(request("check", "late").as_bytes()).await.unwrap();
     sleep(Duration::from_millis(530)).await;
-    one.list.set("late", wire::line("late", at, "terminating", 0), false);
+    node.list.set("late", wire::line("late", at, "terminating", 0), false);
     let told = Instant::now();
-    one.agent.feed(Arc::new(one.list.clone()));
+    node.agent.feed(Arc::new(node.list.clone()));
     drop(fills);
     // Heard by now: the next thing that it writes is the request.
     sleep(Duration::from_millis(100)).await;
-    one.inject(Fault::StallBeforeSend, ALL);
+    node.inject(Fault::StallBeforeSend, ALL);
     let accepted = timeout(Duration::from_secs(2), async {
         let listener = tokio::net::TcpListener::from_std(listener).unwrap();
         loop {
@@ -361,8 +371,8 @@
     if let Ok(after) = accepted.await {
         assert!(after < Duration::from_millis(550), "it was sent {after:?} after the drain was told");
     }
-    assert!(one.process.ended().is_none());
-    let _ = &one.config;
+    assert!(node.process.ended().is_none());
+    let _ = &node.config;
 }
 
 /// A listener whose backlog is full until what fills it is dropped; the kernel tries a connection again after a second.
@@ -376,12 +386,12 @@
 
 /// Guards jobs against a log that nobody reads: its pipe is full, and the node serves on.
 #[tokio::test]
-async fn a_log_that_nobody_reads_holds_nothing_up() {
-    let one = One::start(1).await;
-    let folder = one.folder.join("n2");
+async fn a_log_that_nobody_reads_blocks_no_request() {
+    let node = FaultyNode::start(1).await;
+    let folder = node.folder.join("n2");
     std::fs::create_dir_all(&folder).unwrap();
-    let mut config = one.config.clone();
-    let place = |port| SocketAddr::from((one.address.ip(), port));
+    let mut config = node.config.clone();
+    let place = |port| SocketAddr::from((node.address.ip(), port));
     config["listen"] = place(8002).to_string().into();
     config["management"] = place(9002).to_string().into();
     let file = folder.join("config.json");
