--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -1,6 +1,8 @@
 //! System calls of a real process fail in the ways that Linux documents, by a preloaded library: every rule holds all
 //! the same. Each test checks that the fault was met, for without that it shows nothing.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -99,16 +101,20 @@
             recorder,
             _block: lock,
         };
+        node.wait_until_ready(meanwhile).await;
+        node
+    }
+
+    async fn wait_until_ready(&self, meanwhile: impl Fn(&Control)) {
         let started = Instant::now();
-        while call(node.process.management, "GET", "/healthcheck")
+        while call(self.process.management, "GET", "/healthcheck")
             .await
             .is_none_or(|(status, _)| status != 200)
         {
-            assert!(started.elapsed() < LIMIT, "it is not ready: {}", node.log());
-            meanwhile(&node.control);
+            assert!(started.elapsed() < LIMIT, "it is not ready: {}", self.log());
+            meanwhile(&self.control);
             sleep(Duration::from_millis(10)).await;
         }
-        node
     }
 
     fn log(&self) -> String {
