--- a/node/tests/asked.rs
+++ b/node/tests/asked.rs
@@ -1,5 +1,6 @@
 //! Discovery that is one service for all nodes and answers when asked: overbooked, down, back; and a node that starts with
 //! nothing but its last list, whose workers are gone.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -1,6 +1,6 @@
 //! Leases on many real processes, with faults between them. What counts is what a stand-in resource saw. Steps wait for what
 //! is seen, with generous limits.
-
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use rand::rngs::SmallRng;
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -1,4 +1,6 @@
 //! The core with a front that only takes notes, against random steps on paused time.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
 mod common;
 
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -1,5 +1,7 @@
 //! What is still owed when something ends: answers while the node stops, connections that a late answer is still to come
 //! on, places that are given up, settings that go while their requests are there.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
 mod common;
 
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -1,4 +1,5 @@
 //! The Faktory front, with stand-in clients and workers.
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -1,6 +1,8 @@
 //! What others read of the program, byte for byte as it was recorded: its help, what it says of bad input, the answers of
 //! the management address, the messages between the two processes of a hand-over, and the settings that are read from the
 //! files that come with it. `GOLDEN_RECORD=1` records anew.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
 mod common;
 #[path = "golden/node/process.rs"]
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -1,6 +1,7 @@
 //! No attempt begins for a client that has gone, also where its leaving could not be seen when it happened: while its
 //! socket was frozen for a move to another process, or in the middle of that move. Each time the worker hands the job back
 //! meanwhile, so that a further attempt is due at once.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -1,6 +1,7 @@
 //! Clients that leave while their request waits: it is not sent on. What counts as leaving is the end of what comes from
 //! the client, however it comes: a close, a half-close or a reset, with or without bytes behind the request. Judged
 //! by what the stand-in for the worker got.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -1,5 +1,6 @@
 //! Lists and drains at bad moments: a worker told to drain while a connection to it comes up, a watch that falls
 //! silent, discovery that forgets who called, a list older than the one before.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/logger.rs
+++ b/node/tests/logger.rs
@@ -1,4 +1,5 @@
 //! Lines of the log.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use log::kv::Value;
 use log::{Level, Record};
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -1,5 +1,6 @@
 //! Membership of real processes with faults between them: their views become equal and true, and stay so. Each step waits
 //! for what it needs to see, with a generous limit; the timing of the protocol is set short.
+#![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::{MemberStatus, Status};
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -1,5 +1,6 @@
 //! The program as one process among many, on real connections and under its own limits: descriptors that idle clients fill
 //! while discovery is down, restarts while discovery is of no use, and 1,024 nodes and workers in little memory.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/told.rs
+++ b/node/tests/told.rs
@@ -2,6 +2,7 @@
 //! calls before: refused, reset, cut, half an answer, a bad one, none at all, a watch that fell silent, discovery that moved, another
 //! process that took over, a start with an old list. The change is there in the worst moment: right after the call that
 //! was lost.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -1,4 +1,5 @@
 //! Two processes as one node: here both are nodes of one process, on one Unix socket.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
 
