--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_node_acts_and_hands_on_and_a_holder_that_stood_still_is_refused() {
+async fn one_node_acts_and_hands_over_and_a_stalled_holder_is_rejected() {
     let _place = place().await;
     let mut stage = stage(6, 3).await;
     // A planned hand-over: the holder drains.
@@ -200,7 +200,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn with_the_leader_or_a_majority_gone_nothing_is_granted_twice_and_it_goes_on_after() {
+async fn without_leader_or_majority_nothing_is_granted_twice_and_grants_resume_after() {
     let _place = place().await;
     let mut stage = stage(6, 5).await;
     let (holder, token) = stage.last();
@@ -259,7 +259,7 @@
 
 /// What docs/DUTIES.md tells operators to do, step by step.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_voter_with_an_empty_older_or_copied_folder_is_noticed_and_replaced() {
+async fn a_voter_with_an_empty_stale_or_copied_store_is_noticed_and_replaced() {
     let _place = place().await;
     let mut stage = stage(5, 3).await;
     let token = stage.last().1;
@@ -313,7 +313,7 @@
 
 /// The holder, a voter, is upgraded: the new process gets the folder, and the duty is handed on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_upgrade_hands_the_folder_and_the_duty_on() {
+async fn a_process_handover_passes_on_the_store_and_the_lease() {
     let _place = place().await;
     let mut stage = stage(3, 3).await;
     for _ in 0..2 {
@@ -352,6 +352,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+#[allow(clippy::too_many_lines, reason = "one run of a fleet, step by step")]
 async fn one_node_of_each_zone_follows_discovery_and_drains_are_kept_by_all() {
     let _place = place().await;
     let spec = Spec { workers: 4, quota: 60.0, ..Spec::new(env!("CARGO_BIN_EXE_molevale"), 8) };
@@ -424,7 +425,8 @@
 
 /// Ten nodes under load, drained and started anew one after another; the holder is killed in the middle.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_roll_takes_all_nodes_through_a_restart_and_loses_no_job() {
+#[allow(clippy::too_many_lines, reason = "one run of a fleet, step by step")]
+async fn a_rolling_restart_restarts_all_nodes_and_loses_no_job() {
     let _place = place().await;
     let spec = Spec { workers: 5, quota: 60.0, ..Spec::new(env!("CARGO_BIN_EXE_molevale"), 10) };
     let mut yard = Cluster::prepare(spec).await.unwrap();
@@ -493,7 +495,7 @@
 
 /// Faults drawn by seed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn drawn_faults_never_let_two_act_and_end_with_a_holder() {
+async fn drawn_faults_never_give_two_holders_and_end_with_one() {
     let _place = place().await;
     let (seeds, steps) = if std::env::var_os("TESTBED_LONG").is_some() { (1..13, 30) } else { (1..2, 12) };
     for seed in seeds {
