--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::retry::Locality;
 use crate::rng::{mix, Rng};
 use crate::run_time::{KindHistory, Kinds, RelativeRunTime};
-use crate::slow_start::Used;
+use crate::slow_start::SlotUsage;
 use crate::start_time::{local_start, ListHistory};
 use crate::table::{KindId, RowId, Table, WorkerIndex};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
     /// Its last load report.
     pub load: ReportedLoad,
     /// What was used of its budget while it warms up.
-    pub slow_start: Used,
+    pub slow_start: SlotUsage,
     /// When an attempt there was last begun or ended; 0 for never.
     pub last_used_at: Micros,
     /// Its health.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::retry;
 use crate::rng::{mix, unit};
 use crate::run_time::{ClassHistory, Kinds, CLASS_GAIN};
-use crate::slow_start::{self, Fleet, Sender, Start};
+use crate::slow_start::{self, FleetCapacity, Sender, WorkerStart};
 use crate::table::{ClassId, RowId, Table, WorkerIndex};
 
 /// Load over price: 0.04 of a request's value is a whole worker's load.
@@ -63,7 +63,7 @@
     /// Who this dispatcher is to workers that warm up.
     pub sender: Sender,
     /// What the fleet can do.
-    pub fleet: Fleet,
+    pub fleet: FleetCapacity,
     /// Where loads come from.
     pub load_source: LoadSource,
     /// Whether workers are chosen at random, by their loads as weights.
@@ -305,9 +305,9 @@
     }
 
     fn slow_start_allows(&self, worker: &Worker, request: &RequestState) -> bool {
-        let capacity = self.fleet.capacity(self.settings, worker.weight);
-        let start = Start { worker: worker.id, at: worker.started_at, capacity };
-        let size = request.work_us / SECOND as f64 / self.fleet.work;
+        let capacity_per_s = self.fleet.capacity(self.settings, worker.weight);
+        let start = WorkerStart { worker: worker.id, started_at: worker.started_at, capacity_per_s };
+        let size = request.work_us / SECOND as f64 / self.fleet.mean_work_s;
         slow_start::may_send(&self.settings.rules, self.sender, start, worker.slow_start, self.now, size)
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,6 @@
 //! Decisions of a dispatcher, in the order of a request's life.
 //!
-//! - Received and queued by tenant (`policy/receiving.rs`): [`latency_objective`](crate::latency_objective),
+//! - Received and queued by tenant (`policy/receiving.rs`): [`latency_objective`],
 //!   [`poison`](crate::poison).
 //! - Admitted: [`admission`](crate::admission), [`rate_control`](crate::rate_control).
 //! - Placed on a worker and sent (`policy/sending.rs`): [`placement`](crate::placement),
@@ -39,7 +39,7 @@
 use crate::retry::RetryUsage;
 use crate::rng::Rng;
 use crate::run_time::{ClassHistory, Kinds, MeanWork};
-use crate::slow_start::{Fleet, Sender};
+use crate::slow_start::{FleetCapacity, Sender};
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
 use crate::window::Window;
@@ -249,10 +249,10 @@
             reports: &self.reports,
             backoff: &self.backoff,
             sender: Sender::of(&self.settings, self.started_at),
-            fleet: Fleet {
-                served: self.rate.served_per_s(),
-                work: self.mean_work.seconds(),
-                size: self.endpoints.peak_weight(),
+            fleet: FleetCapacity {
+                served_per_s: self.rate.served_per_s(),
+                mean_work_s: self.mean_work.seconds(),
+                total_weight: self.endpoints.peak_weight(),
             },
             load_source: LoadSource::of(&self.settings, &self.reports),
             chooses_at_random: relies_on_live_weights(&self.settings),
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -1,9 +1,9 @@
 //! Start times of workers, by the dispatcher's own clock.
 //!
-//! Starts are told as times of day. A dispatcher's clock may have been stepped, by seconds or an hour, before
-//! it started; then a worker that has just started would pass for a warm one, or stay cold for an hour. What
-//! the dispatcher has seen itself bounds the start: it lies in the past, and where a worker begins to stand
-//! in the list, not long before the last list that lacked it.
+//! Starts are reported as times of day. A dispatcher's clock may have been stepped, by seconds or an hour,
+//! before it started; then a worker that has just started would pass for a warm one, or stay cold for an
+//! hour. What the dispatcher has seen itself bounds the start: it lies in the past, and where a worker begins
+//! to stand in the list, not long before the last list that lacked it.
 
 use crate::api::Micros;
 
@@ -31,11 +31,11 @@
     }
 }
 
-/// When a worker started that is told to have started at `told` (0 for long ago). `earliest` is known of one
-/// that the last list lacked.
-pub fn local_start(told: Micros, now: Micros, earliest: Option<Micros>) -> Micros {
-    if told == 0 {
+/// When a worker started that is reported to have started at `reported` (0 for long ago). `earliest` is known
+/// of one that the last list lacked.
+pub fn local_start(reported: Micros, now: Micros, earliest: Option<Micros>) -> Micros {
+    if reported == 0 {
         return 0;
     }
-    told.max(earliest.unwrap_or(0)).min(now)
+    reported.max(earliest.unwrap_or(0)).min(now)
 }
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,47 +1,47 @@
-//! The window: how many jobs one dispatcher may have at workers at once, where it can't see what others' jobs
-//! fill.
+//! The window: how many requests one dispatcher may have at workers at once, where it can't see what others'
+//! requests fill.
 //!
-//! The cap of each worker is at least one job, so a fleet of many dispatchers could fill every worker many
-//! times over. The window bounds a dispatcher's jobs at all workers together. It grows and shrinks in
-//! proportion, so that dispatchers with more traffic keep more of it, and settles where about one start in
-//! four is prompt: with workers chosen unseen, that uses most of them.
+//! The cap of each worker is at least one request, so a fleet of many dispatchers could fill every worker
+//! many times over. The window bounds a dispatcher's requests at all workers together. It grows and shrinks
+//! in proportion, so that dispatchers with more traffic keep more of it, and settles where about one start in
+//! four is prompt: with workers chosen without knowing their load, that uses most of them.
 
 /// The part that a prompt start adds to a window that is full ...
 const GAIN: f64 = 0.05;
-/// ... and the part that a late start, or a job turned away, takes.
+/// ... and the part that a late start, or a request rejected, takes.
 const LOSS: f64 = 0.015;
 /// The first window, over the least one.
 const FIRST: f64 = 2.0;
-/// The largest window, in jobs.
+/// The largest window, in requests.
 const LARGEST: f64 = 1e6;
 
-/// The jobs of one dispatcher that are at workers, in slots, and how many may be.
+/// The requests of one dispatcher that are at workers, in slots, and how many may be.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Window {
-    out: f64,
+    in_flight: f64,
     least: f64,
     size: f64,
 }
 
 impl Window {
-    /// Whether one more job of so many slots fits; the first always does.
+    /// Whether one more request of so many slots fits; the first always does.
     pub fn has_room(&self, slots: f64) -> bool {
-        self.out <= 0.0 || self.out + slots <= self.size
+        self.in_flight <= 0.0 || self.in_flight + slots <= self.size
     }
 
-    /// A job was sent.
+    /// A request was sent.
     pub fn sent(&mut self, slots: f64) {
-        self.out += slots;
+        self.in_flight += slots;
     }
 
-    /// A job has ended, or is given up.
+    /// A request has ended, or is given up.
     pub fn freed(&mut self, slots: f64) {
-        self.out -= slots;
+        self.in_flight -= slots;
     }
 
-    /// A job started at once (`prompt`), or it had to wait or was turned away.
+    /// A request started at once (`prompt`), or it had to wait or was rejected.
     pub fn learn(&mut self, prompt: bool) {
-        let is_full = self.out + 1.0 >= self.size;
+        let is_full = self.in_flight + 1.0 >= self.size;
         if prompt && is_full {
             self.size *= 1.0 + GAIN;
         }
@@ -51,8 +51,8 @@
         self.size = self.size.clamp(self.least, LARGEST);
     }
 
-    /// Sets the least window: this dispatcher's part of one job at each worker, and as many more as chance
-    /// makes one of them have at a time.
+    /// Sets the least window: this dispatcher's part of one request at each worker, and as many more as
+    /// chance makes one of them have at a time.
     pub fn resize(&mut self, workers: usize, dispatchers: u32) {
         let part = workers as f64 / f64::from(dispatchers.max(1));
         self.least = part + part.sqrt().max(1.0);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in emulated time.
 
 use dispatch_policy::api::{Micros, Rules, Settings, TenantSettings, WorkerId};
-use dispatch_policy::slow_start::{may_send, warmth, Fleet, Sender, Start, Used};
+use dispatch_policy::slow_start::{may_send, warmth, FleetCapacity, Sender, SlotUsage, WorkerStart};
 use rand_free::Sequence;
 
 const MS: Micros = 1_000;
@@ -59,12 +59,12 @@
     let rules = rules();
     let started = 1_000 * S;
     let mut random = Sequence(worker * 7919 + u64::from(count));
-    let mut senders: Vec<(Sender, Start, Used, Micros)> = (0..count)
+    let mut senders: Vec<(Sender, WorkerStart, SlotUsage, Micros)> = (0..count)
         .map(|ordinal| {
             let guess = capacity * (1.0 + behaviour.guess_error * (2.0 * random.part() - 1.0));
-            let start = Start { worker: WorkerId(worker), at: started, capacity: guess };
+            let start = WorkerStart { worker: WorkerId(worker), started_at: started, capacity_per_s: guess };
             let told = (random.part() * behaviour.told_within as f64) as Micros;
-            (Sender { ordinal, count, started: 0 }, start, Used::default(), told)
+            (Sender { ordinal, count, started_at: 0 }, start, SlotUsage::default(), told)
         })
         .collect();
     let mut sent = Vec::new();
@@ -72,11 +72,11 @@
         let now = started + age;
         for (sender, start, used, told) in &mut senders {
             if behaviour.restart_at == Some(age) && sender.ordinal % 2 == 0 {
-                (sender.started, *used) = (now, Used::default());
+                (sender.started_at, *used) = (now, SlotUsage::default());
             }
             let wants = age >= *told && random.part() < (behaviour.traffic)(sender.ordinal, age);
             if wants && may_send(&rules, *sender, *start, *used, now, 1.0) {
-                *used = used.record(&rules, start.at, now);
+                *used = used.record(&rules, start.started_at, now);
                 sent.push(age);
             }
         }
@@ -174,12 +174,15 @@
 #[test]
 fn a_dispatcher_that_restarts_waits_for_its_next_slot() {
     let rules = rules();
-    let start = Start { worker: WorkerId(1), at: 10 * S, capacity: 20.0 };
-    let now = start.at + rules.overload_window_us / 3 + 500 * MS; // in the middle of the second slot
-    let sender = |started| Sender { ordinal: 0, count: 1, started };
-    assert!(may_send(&rules, sender(0), start, Used::default(), now, 1.0));
-    assert!(!may_send(&rules, sender(now - MS), start, Used::default(), now, 1.0));
-    assert!(may_send(&rules, sender(now - MS), start, Used::default(), now + S, 1.0), "in the next slot");
+    let start = WorkerStart { worker: WorkerId(1), started_at: 10 * S, capacity_per_s: 20.0 };
+    let now = start.started_at + rules.overload_window_us / 3 + 500 * MS; // in the middle of the second slot
+    let sender = |started| Sender { ordinal: 0, count: 1, started_at: started };
+    assert!(may_send(&rules, sender(0), start, SlotUsage::default(), now, 1.0));
+    assert!(!may_send(&rules, sender(now - MS), start, SlotUsage::default(), now, 1.0));
+    assert!(
+        may_send(&rules, sender(now - MS), start, SlotUsage::default(), now + S, 1.0),
+        "in the next slot"
+    );
 }
 
 /// Guards against one job that is worth many: it goes to the worker the seldomer the larger it is, and not while it
@@ -187,15 +190,22 @@
 #[test]
 fn a_job_of_many_times_the_mean_waits_for_a_warmer_worker() {
     let rules = rules();
-    let start = Start { worker: WorkerId(1), at: 10 * S, capacity: 20.0 };
+    let start = WorkerStart { worker: WorkerId(1), started_at: 10 * S, capacity_per_s: 20.0 };
     let owners_while_cold = |size: f64| {
         let mut owners = 0;
         for (worker, slot, ordinal) in
             (0..10).flat_map(|w| (0..3).flat_map(move |s| (0..40).map(move |o| (w, s, o))))
         {
-            let start = Start { worker: WorkerId(worker), ..start };
-            let sender = Sender { ordinal, count: 40, started: 0 };
-            owners += u32::from(may_send(&rules, sender, start, Used::default(), start.at + slot * S, size));
+            let start = WorkerStart { worker: WorkerId(worker), ..start };
+            let sender = Sender { ordinal, count: 40, started_at: 0 };
+            owners += u32::from(may_send(
+                &rules,
+                sender,
+                start,
+                SlotUsage::default(),
+                start.started_at + slot * S,
+                size,
+            ));
         }
         owners
     };
@@ -203,9 +213,11 @@
     assert_eq!(owners_while_cold(14.0), 0, "over a quarter of what makes it fall");
     let all = |size: f64| {
         let owned = |ordinal| {
-            let sender = Sender { ordinal, count: 40, started: 0 };
+            let sender = Sender { ordinal, count: 40, started_at: 0 };
             (12..22)
-                .filter(|slot| may_send(&rules, sender, start, Used::default(), start.at + slot * S, size))
+                .filter(|slot| {
+                    may_send(&rules, sender, start, SlotUsage::default(), start.started_at + slot * S, size)
+                })
                 .count()
         };
         (0..40).map(owned).sum::<usize>() as f64
@@ -221,13 +233,21 @@
 /// serves nothing still warms its workers up.
 #[test]
 fn quotas_tell_what_a_worker_can_do() {
-    let fleet = Fleet { served: 0.0, work: 1.0, size: 8.0 };
+    let fleet = FleetCapacity { served_per_s: 0.0, mean_work_s: 1.0, total_weight: 8.0 };
     let tenants = vec![TenantSettings { quota_per_s: 20.0, share: 0.5 }; 2];
     let settings = Settings { tenants, dispatchers: 300, ..Settings::default() };
     assert_eq!(fleet.capacity(&settings, 2.0), 10.0);
     let without = Settings { dispatchers: 300, ..Settings::default() };
     assert_eq!(fleet.capacity(&without, 2.0), 0.0);
-    assert_eq!(Fleet { served: 0.1, ..fleet }.capacity(&without, 2.0), 7.5, "each of 300 serves as much");
+    assert_eq!(
+        FleetCapacity { served_per_s: 0.1, ..fleet }.capacity(&without, 2.0),
+        7.5,
+        "each of 300 serves as much"
+    );
     let live = Settings { live_weights: true, ..without };
-    assert_eq!(Fleet { work: 0.5, ..fleet }.capacity(&live, 2.0), 4.0, "sizes are in standard cores");
+    assert_eq!(
+        FleetCapacity { mean_work_s: 0.5, ..fleet }.capacity(&live, 2.0),
+        4.0,
+        "sizes are in standard cores"
+    );
 }
