--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,7 +55,6 @@
 //! An embedder sets the timers that [`api::Action::SetTimer`] asks for, gives each attempt the time that the
 //! client has left as its limit, and reports an attempt that reaches it as [`api::Outcome::Timeout`].
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod admission;
 pub mod api;
