--- a/node/tests/asked.rs
+++ b/node/tests/asked.rs
@@ -30,7 +30,7 @@
 /// Turned away, it asks ever seldomer and from the version that it knows; when the service goes down under a watch, and while
 /// it gives no answer at all, it asks again; and what is told at its return counts at once.
 #[tokio::test(start_paused = true)]
-async fn an_overbooked_service_is_asked_ever_seldomer_and_one_that_was_down_is_heard_again() {
+async fn rejected_polls_back_off_and_discovery_that_returns_is_applied() {
     let (old, new) = (Worker::start().await, Worker::start().await);
     let mut node =
         Platform::told(json!({"settings": asked(), "known": [old.line("s-1", "in_service")]})).await;
@@ -62,7 +62,7 @@
 
 /// All that the last list names is gone: a job that never ran there waits for a list that names somebody, and runs once.
 #[tokio::test(start_paused = true)]
-async fn a_node_whose_last_lists_workers_are_gone_serves_once_it_hears_of_others() {
+async fn node_serves_once_discovery_names_reachable_workers() {
     let (gone, here) = (Worker::start().await, Worker::start().await);
     let known = [gone.line("s-1", "in_service")];
     drop(gone);
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -16,7 +16,7 @@
 use tokio::time::{advance, sleep};
 
 #[tokio::test(start_paused = true)]
-async fn a_job_goes_the_whole_way_and_its_bytes_stay() {
+async fn job_is_delivered_unchanged_and_ends_served() {
     let (node, counters, _phase) = faktory(None);
     let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
     worker.tell("FETCH check").await;
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_that_fetches_and_then_drains_finishes_and_gets_nothing_new() {
+async fn draining_worker_finishes_its_job_and_gets_no_other() {
     let (node, counters, _phase) = faktory(None);
     let (mut client, mut old) = (Peer::client(&node).await, Peer::worker(&node, "old").await);
     old.tell("FETCH lodge").await;
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_waiting_fetch_of_a_worker_that_drains_gets_nothing() {
+async fn waiting_fetch_of_a_draining_worker_ends_without_a_job() {
     let (node, _, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
     let (mut waits, mut beats) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_ends_while_its_fetch_waits_takes_no_job() {
+async fn closed_connection_with_a_waiting_fetch_takes_no_job() {
     let (node, counters, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
     let (mut goes, mut stays) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn commands_sent_ahead_wait_for_their_turn() {
+async fn pipelined_commands_are_answered_in_order() {
     let (node, _, _phase) = faktory(None);
     let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
     worker.tell("FETCH lodge\r\nACK {\"jid\":\"job-00001\"}\r\nFETCH lodge").await;
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lodge_pushed_again_after_a_reconnect_runs_once() {
+async fn duplicate_push_after_a_reconnect_runs_once() {
     let (node, counters, _phase) = faktory(None);
     let mut first = Peer::client(&node).await;
     first.tell(&format!("PUSH {}", job("lodge", "job-00001", "consignment"))).await;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_jid_stands_for_one_job_and_keys_are_a_tenants_own() {
+async fn invalid_pushes_and_a_jid_in_use_are_rejected() {
     let (node, _, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
     let _worker = Peer::worker(&node, "w1").await;
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_lost_with_its_workers_connections_goes_elsewhere_and_the_old_answer_is_stale() {
+async fn lost_lease_is_retried_elsewhere_and_its_late_ack_is_rejected() {
     let (node, counters, _phase) = faktory(None);
     let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
     one.tell("FETCH lodge").await;
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_of_two_connections_lost_loses_no_job() {
+async fn worker_keeps_its_leases_while_one_connection_remains() {
     let (node, counters, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
     let (mut fetches, mut stays) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_a_worker_fails_is_tried_elsewhere() {
+async fn failed_job_is_retried_on_another_worker() {
     let (node, counters, _phase) = faktory(None);
     let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
     one.tell("FETCH check").await;
@@ -177,7 +177,7 @@
 
 /// A job that may have run waits for no FETCH that may come after its key's window.
 #[tokio::test(start_paused = true)]
-async fn a_failed_job_is_offered_again_only_where_it_surely_goes_out_inside_its_window() {
+async fn failed_keyed_job_is_retried_only_within_its_window() {
     for (failed_ms, again) in [(1_700, true), (1_800, false)] {
         let mut settings = common::settings(false, 6_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 2_000_000.into();
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_ends_at_the_deadline_and_the_job_has_its_one_end_state() {
+async fn lease_ends_at_the_deadline_with_one_final_state() {
     let (node, counters, _phase) = faktory(None);
     let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
     worker.tell("FETCH lodge").await;
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_never_found_a_worker_is_refused_and_may_come_again() {
+async fn job_without_a_worker_is_rejected_and_may_be_pushed_again() {
     let (node, counters, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
@@ -234,7 +234,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_no_command_gets_an_error_and_the_session_goes_on() {
+async fn invalid_command_gets_an_error_and_the_session_continues() {
     let (node, _, _phase) = faktory(None);
     let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
     assert!(client.ask("PUSH {\"jid\":").await.starts_with("-MALFORMED"));
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_who_knows_the_password_comes_in() {
+async fn wrong_password_is_rejected() {
     let (node, _, _phase) = faktory(Some("secret"));
     for (right, want) in [(true, "+OK"), (false, "-ERR invalid password")] {
         let (near, far) = tokio::io::duplex(4096);
@@ -272,7 +272,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_that_goes_silent_is_let_go() {
+async fn silent_worker_is_disconnected() {
     let (node, _, _phase) = faktory(None);
     let mut worker = Peer::worker(&node, "w1").await;
     sleep(Duration::from_secs(50)).await;
@@ -289,7 +289,8 @@
 
 /// On loopback: many jobs, repeats pushed on new connections, one answer for each and no double lodging.
 #[tokio::test(start_paused = true)]
-async fn on_loopback_every_job_has_one_answer_and_none_is_lodged_twice() {
+#[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
+async fn every_job_over_loopback_has_one_answer_and_runs_at_most_once() {
     let _time = still();
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
@@ -381,6 +382,7 @@
     draining: bool,
 }
 
+#[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn walk(steps: Vec<Step>) {
     let (node, _, _phase) = faktory(None);
     let mut client = Peer::client(&node).await;
@@ -448,7 +450,7 @@
 }
 
 #[test]
-fn random_steps_keep_one_lease_a_job_and_one_end_state() {
+fn random_steps_keep_one_lease_and_one_final_state_per_job() {
     fn property(steps: Vec<Step>) -> bool {
         holds(walk(steps))
     }
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Lists and drains at bad moments: a worker told to drain while a connection to it comes up, a watch that falls
+//! Endpoint lists and drains at bad moments: a worker told to drain while a connection to it comes up, a watch that falls
 //! silent, discovery that forgets who called, a list older than the one before.
 
 mod common;
@@ -15,7 +15,7 @@
 /// A worker is told to drain while a connection to it comes up: within the settings' time the request may still be
 /// written, after it it goes elsewhere, though the settings give connections far longer.
 #[tokio::test(start_paused = true)]
-async fn what_comes_up_after_a_drains_time_is_not_written() {
+async fn connection_established_after_the_drain_grace_gets_no_request() {
     // Less what a process may be held up between the look and the write, 0.15 s.
     for (after_ms, grace_us, late) in [(90, 250_000, false), (110, 250_000, true), (340, 500_000, false)] {
         let ((slow, _fills), other) = (late_worker().await, Worker::start().await);
@@ -53,7 +53,7 @@
 /// Guards drains against pauses that grow: where lists are pushed, what the agent has counts as told at once, also behind
 /// calls that it turned away.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_turns_calls_away_is_asked_again_soon() {
+async fn pushed_discovery_is_polled_soon_after_a_rejection() {
     let (_worker, mut node, _client) = common::one().await;
     node.call().await;
     for n in 0..12 {
@@ -71,7 +71,7 @@
 /// A watch that falls silent at once after start is made anew, soon and short, until one is answered; then it
 /// waits as ever. The agent may have forgotten every call made while it was down.
 #[tokio::test(start_paused = true)]
-async fn silence_is_met_with_short_calls_until_one_is_answered() {
+async fn unanswered_watches_are_repeated_with_short_waits() {
     let worker = Worker::start().await;
     let mut node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
     let wait = |head: &str| {
@@ -101,7 +101,7 @@
 /// An answer that ends in the middle of a list, and one with an older list: what was told stays told. A whole list that
 /// was asked for counts whatever its version: discovery may have begun anew.
 #[tokio::test(start_paused = true)]
-async fn an_older_list_takes_no_drain_back() {
+async fn older_endpoint_list_reverts_no_drain() {
     let (old, new) = (Worker::start().await, Worker::start().await);
     let mut node =
         Platform::start(vec![old.line("s-1", "in_service"), new.line("s-2", "in_service")], 1024).await;
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -242,6 +242,7 @@
 
 /// Both processes of a node at an upgrade, either killed or stopped at each step: the node keeps its place.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+#[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn process_handover_keeps_the_member_whichever_process_fails() {
     let _slot = cluster_slot().await;
     let mut cluster = started(spec(5)).await;
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -26,7 +26,7 @@
 
 /// Each planted fault is told, and nothing else is.
 #[test]
-fn planted_faults_are_told() {
+fn each_planted_fault_is_reported() {
     use MemberStatus::*;
     let expected = ExpectedViews::whole(["a", "b", "c"]);
     let good = [("a", Alive, 1), ("b", Suspect, 1), ("c", Draining, 1), ("d", Dead, 1)];
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_halves_of_a_partition_are_judged_by_what_each_can_reach() {
+fn partitions_are_judged_by_what_each_can_reach() {
     use MemberStatus::*;
     let mut expected = ExpectedViews::whole(["a", "b"]);
     expected.partitions.insert("c".into(), 1);
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn nodes_find_each_other_through_seeds_and_a_restart_is_a_new_life() {
+fn restart_before_detection_takes_a_higher_incarnation() {
     let mut world = fleet(10, 1);
     let before = world.view(3).unwrap().incarnation;
     // Restarted before anybody noticed that it died.
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_third_killed_at_once_is_noticed_and_all_restarted_at_once_come_back() {
+fn views_converge_after_a_third_is_killed_and_after_all_restart() {
     let mut world = fleet(12, 2);
     (0..4).for_each(|i| world.kill(i)); // all seeds are among them
     settled(&mut world, 40 * S);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn halves_hold_each_other_dead_and_find_each_other_again() {
+fn partitioned_halves_declare_each_other_dead_and_merge_after_healing() {
     let mut world = fleet(10, 3);
     let parts: Vec<u32> = (0..10).map(|i| i % 2).collect();
     world.rules.partition(&parts);
@@ -80,7 +80,7 @@
 
 /// Both in one cut: one direction only, and a node that reaches half of the others.
 #[test]
-fn a_node_that_others_reach_in_part_or_one_way_only_is_lost_to_nobody_for_good() {
+fn partially_reachable_member_stays_and_one_way_partition_heals() {
     let mut world = fleet(9, 4);
     for to in 1..9 {
         let half = to % 2 == 0;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_fifth_of_all_datagrams_lost_for_a_minute_holds_nobody_dead_for_good() {
+fn views_converge_after_a_fifth_of_datagrams_was_lost() {
     let mut world = fleet(10, 5);
     world.rules.set_default_rule(LinkRule { loss: 0.2, twice: 0.1, jitter_ms: 50, ..LinkRule::default() });
     world.run(60 * S);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_learns_that_it_was_held_dead_and_comes_back() {
+fn paused_process_rejoins_and_declares_nobody_dead() {
     let mut world = fleet(8, 6);
     world.stop(5);
     let expected = world.expected_views();
@@ -137,7 +137,7 @@
 
 /// Guards the living against a process that stood still while it suspected one of them, and had no ear for its answer.
 #[test]
-fn a_suspicion_of_one_that_stands_still_waits_for_it() {
+fn paused_process_declares_no_suspect_dead_when_it_resumes() {
     // Whether it goes on before the others hold it dead, and would have to be wrong, depends on who probed when.
     for seed in 100..130 {
         let mut world = fleet(4, seed);
@@ -163,7 +163,7 @@
 
 /// Guards the halves of a partition where no seed is there to bring them together.
 #[test]
-fn halves_find_each_other_again_with_all_seeds_gone() {
+fn partitioned_halves_merge_without_seeds() {
     let mut world = World::started(Spec { nodes: 9, seed: 17, seeds: 1, ..Spec::default() });
     settled(&mut world, 20 * S);
     world.kill(0);
@@ -178,7 +178,7 @@
 
 /// Guards against a dead name that newcomers hand on to each other, each counting its death from when it heard of it.
 #[test]
-fn a_death_is_as_old_for_a_newcomer_as_for_those_that_saw_it() {
+fn age_of_a_death_is_passed_to_new_members() {
     let timing = Timing { forget_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 18, timing, seeds: 2 });
     settled(&mut world, 20 * S);
@@ -196,7 +196,7 @@
 /// Guards against a second process that is started under a name by mistake: the newer one counts, the older one says so
 /// and keeps out, and comes back when the newer one has gone.
 #[test]
-fn of_two_processes_with_one_name_one_yields_and_the_views_do_not_flap() {
+fn older_of_two_processes_with_one_name_yields_without_flapping() {
     let mut world = World::new(Spec { nodes: 8, seed: 7, ..Spec::default() });
     (0..7).for_each(|i| world.start(i));
     world.run(20 * S);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_clock_that_was_set_back_between_two_starts_costs_a_moment() {
+fn restart_with_a_clock_set_back_rejoins() {
     let mut world = fleet(6, 8);
     world.kill(2);
     world.set_skew(2, -86_400_000);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_node_that_leaves_on_purpose_is_not_held_to_have_crashed() {
+fn member_that_leaves_is_not_declared_dead() {
     let mut world = fleet(8, 9);
     world.with(3, |m, now| m.set_draining(now, true));
     world.run(5 * S);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn names_that_come_and_go_are_forgotten() {
+fn members_that_come_and_go_are_removed() {
     let timing = Timing { forget_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 10, timing, ..Spec::default() });
     world.run(10 * S);
@@ -284,7 +284,7 @@
 
 /// A datagram that is not what it seems changes nothing, whatever is wrong with it.
 #[test]
-fn forged_foreign_and_mutated_datagrams_change_nothing() {
+fn forged_foreign_and_mutated_datagrams_are_rejected() {
     let mut world = World::new(Spec { nodes: 7, seed: 11, ..Spec::default() });
     world.set_key(6, key(2)); // the wrong one
     (0..7).for_each(|i| world.start(i));
@@ -309,7 +309,7 @@
 
 /// All that a fleet ever said, said again after some have died and some were restarted: nothing comes of it.
 #[test]
-fn a_whole_day_that_is_played_back_revives_and_kills_nobody() {
+fn replay_of_a_whole_day_revives_and_kills_nobody() {
     let mut world = World::new(Spec { nodes: 8, seed: 12, ..Spec::default() });
     world.tape = Some(Vec::new());
     (0..8).for_each(|i| world.start(i));
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn random_schedules_settle_after_the_last_fault() {
+fn views_converge_after_random_faults() {
     (0..60).for_each(|seed| walk(seed, 12));
     (1000..1004).for_each(|seed| walk(seed, 60));
     // The long set.
