--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Availability, Endpoint, Micros, Settings, WorkerId};
 use crate::concurrency_limit::ConcurrencyLimit;
-use crate::live_weights::{LiveWeights, Seen};
+use crate::live_weights::{LiveWeights, WeightReading};
 use crate::load_report::ReportedLoad;
 use crate::outlier::Health;
 use crate::retry::Locality;
@@ -114,7 +114,7 @@
 }
 
 /// What changes along with the workers.
-pub struct Learned<'a> {
+pub struct FleetModels<'a> {
     /// What is known of each kind.
     pub kinds: &'a mut Kinds,
     /// What live weights tell.
@@ -163,7 +163,7 @@
         endpoints: &[Endpoint],
         is_full: bool,
         settings: &Settings,
-        learned: Learned<'_>,
+        models: FleetModels<'_>,
         now: Micros,
     ) {
         let soft_removal = settings.rules.soft_removal;
@@ -174,13 +174,13 @@
         }
         for endpoint in endpoints {
             let kind = KindId::new(usize::from(endpoint.kind));
-            learned.kinds.grow_to(kind, KindHistory::default);
+            models.kinds.grow_to(kind, KindHistory::default);
             let worker = self.entry(endpoint, earliest_start, now);
             worker.apply(endpoint.availability, soft_removal, now);
             let is_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
             worker.weight = if is_weight { endpoint.weight } else { 1.0 };
             if settings.live_weights {
-                let Seen { in_flight, size } = learned.live_weights.learn(kind, worker.weight);
+                let WeightReading { in_flight, size } = models.live_weights.learn(kind, worker.weight);
                 worker.weight = size;
                 worker.fleet_in_flight = if relies_on_live_weights(settings) { in_flight } else { 0.0 };
             }
--- a/src/live_weights.rs
+++ b/src/live_weights.rs
@@ -21,7 +21,7 @@
 
 /// What a live weight says about its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct WeightReading {
     /// Requests that it holds, from all dispatchers.
     pub in_flight: f64,
     /// Its size.
@@ -34,7 +34,7 @@
 
 impl LiveWeights {
     /// Takes a worker's weight into account.
-    pub fn learn(&mut self, kind: KindId, weight: f64) -> Seen {
+    pub fn learn(&mut self, kind: KindId, weight: f64) -> WeightReading {
         self.0.grow_to(kind, || Kind { size: 0.0, step: 0.0 });
         let kind = &mut self.0[kind];
         if weight > kind.size * (1.0 + NOISE) {
@@ -42,12 +42,12 @@
         }
         let per_core = kind.size / weight - 1.0;
         if per_core <= NOISE {
-            return Seen { in_flight: 0.0, size: kind.size };
+            return WeightReading { in_flight: 0.0, size: kind.size };
         }
         if kind.step == 0.0 || per_core < kind.step {
             kind.step = per_core.max(1.0 / MAX_CORES);
         }
-        Seen { in_flight: per_core / kind.step, size: kind.size }
+        WeightReading { in_flight: per_core / kind.step, size: kind.size }
     }
 
     /// The cores of a worker of this kind; as many as its size where none was seen that held anything.
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -37,21 +37,21 @@
 
 /// What a load report shows.
 #[derive(Clone, Copy, Debug)]
-pub struct Shown {
+pub struct ReportedRoom {
     free: f64,
     queued: f64,
     /// Whether the worker has room, as far as its queue tells, or else its free slots.
     pub has_room: bool,
 }
 
-impl Shown {
+impl ReportedRoom {
     /// What a report shows; nothing where it lacks free slots.
-    pub fn by(report: LoadReport) -> Option<Shown> {
+    pub fn by(report: LoadReport) -> Option<ReportedRoom> {
         let free = report.free_slots?;
         let queued = report.queued.unwrap_or(0.0).max(0.0);
         let free = free.min(report.free_memory.unwrap_or(free));
         let has_room = if report.queued.is_some() { queued < 0.5 } else { free >= 0.5 };
-        Some(Shown { free, queued, has_room })
+        Some(ReportedRoom { free, queued, has_room })
     }
 
     /// Whether slots are free beside those that waiting requests will take.
@@ -60,7 +60,7 @@
     }
 
     /// The report as it is kept of its worker.
-    pub fn kept(&self, report: LoadReport, in_flight: f64, now: Micros) -> ReportedLoad {
+    pub fn as_load(&self, report: LoadReport, in_flight: f64, now: Micros) -> ReportedLoad {
         ReportedLoad { free: self.free.max(0.0) - self.queued, received_at: now, report, in_flight }
     }
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -5,7 +5,7 @@
 use crate::concurrency_limit::MAX_LIMIT;
 use crate::endpoints::{has_many_senders, probe_interval_factor, relies_on_live_weights};
 use crate::latency_objective::latest_start;
-use crate::load_report::{Shown, FRESH_FOR};
+use crate::load_report::{ReportedRoom, FRESH_FOR};
 use crate::requests::{Attempt, Phase, Rank, RequestState};
 use crate::table::WorkerIndex;
 
@@ -65,14 +65,14 @@
     /// Takes a worker's load report.
     pub(super) fn load_reported(&mut self, index: WorkerIndex, report: Option<LoadReport>) {
         let Some(report) = report else { return };
-        let Some(shown) = Shown::by(report) else { return };
+        let Some(room_report) = ReportedRoom::by(report) else { return };
         let worker = &mut self.endpoints.workers[index];
         let in_flight = worker.concurrency.in_flight;
         self.reports.record(&worker.load, report, in_flight, self.now);
-        self.saturation.record_room(shown.has_room);
-        worker.concurrency.record_room(shown.has_room);
-        self.kinds[worker.kind].record_room(shown.has_free_slots());
-        worker.load = shown.kept(report, in_flight, self.now);
+        self.saturation.record_room(room_report.has_room);
+        worker.concurrency.record_room(room_report.has_room);
+        self.kinds[worker.kind].record_room(room_report.has_free_slots());
+        worker.load = room_report.as_load(report, in_flight, self.now);
         let room = (in_flight + worker.load.free).clamp(0.0, MAX_LIMIT);
         worker.concurrency.adjust_to_report(room);
         self.reports.record_room(room);
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -2,7 +2,7 @@
 
 use super::{Due, Policy};
 use crate::api::{Action, Endpoint, Notice, Settings, SECOND};
-use crate::endpoints::Learned;
+use crate::endpoints::FleetModels;
 use crate::gossip::Gossip;
 use crate::run_time::ClassHistory;
 use crate::table::{ClassId, RowId};
@@ -61,8 +61,8 @@
     }
 
     pub(super) fn update_endpoints(&mut self, endpoints: &[Endpoint], is_full: bool) {
-        let learned = Learned { kinds: &mut self.kinds, live_weights: &mut self.live_weights };
-        self.endpoints.update(endpoints, is_full, &self.settings, learned, self.now);
+        let models = FleetModels { kinds: &mut self.kinds, live_weights: &mut self.live_weights };
+        self.endpoints.update(endpoints, is_full, &self.settings, models, self.now);
         self.window.resize(self.endpoints.ready(), self.settings.senders());
     }
 
--- a/tests/live_weights.rs
+++ b/tests/live_weights.rs
@@ -1,6 +1,6 @@
 //! Sizes and cores learned from live weights.
 
-use dispatch_policy::live_weights::{LiveWeights, Seen};
+use dispatch_policy::live_weights::{LiveWeights, WeightReading};
 use dispatch_policy::table::{KindId, RowId};
 
 #[test]
@@ -15,7 +15,7 @@
     assert!((w.cores(KindId::new(1)) - 5.0).abs() < 0.01);
     assert!((w.speed(KindId::new(1)) - 1.2).abs() < 0.01);
     for (weight, requests) in [(6.0, 0.0), (5.99, 0.0), (5.0, 1.0), (3.0, 5.0), (1.5, 15.0)] {
-        let Seen { in_flight, size } = w.learn(KindId::new(1), weight);
+        let WeightReading { in_flight, size } = w.learn(KindId::new(1), weight);
         assert!((in_flight - requests).abs() < 0.05, "{weight}");
         assert_eq!(size, 6.0);
     }
