--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,21 +1,88 @@
-//! What a node is told at its start and when it is to read that again: environment, JSON configuration and an
-//! operator's file.
+//! Configuration of a node, at its start and when it is reloaded: environment, JSON configuration and the operators'
+//! files.
 
+use crate::dispatcher::stable_hash;
 use crate::endpoint_list::EndpointList;
-use crate::faktory::FaktoryConfig;
-use crate::names::parse_settings;
+use crate::faktory::{self, FaktoryConfig};
+use crate::names::{parse_settings, ParseError};
 use crate::settings_merge::EffectiveSettings;
-use membership::file::FleetFile;
-use membership::keys::Keys;
+use membership::file::{FileError, FleetFile};
+use membership::keys::{KeyError, Keys};
 use membership::NAME_MAX;
 use serde::Deserialize;
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The descriptors that the platform's front needs at least.
+/// Descriptors that the platform's front end needs at least.
 const SOCKETS_MIN: usize = 128;
 
+/// Error in the configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// Neither front end is configured.
+    #[error("RELAY_CONFIG is not set")]
+    NoConfig,
+    /// The fleet's file is given without the configuration that names the node.
+    #[error("--fleet: RELAY_CONFIG is not set, so the node has no name")]
+    FleetWithoutConfig,
+    /// The node's name is unfit for the fleet.
+    #[error("--fleet: the node needs a name of 1 to {NAME_MAX} bytes")]
+    Name,
+    /// A file cannot be read.
+    #[error("cannot read {}: {source}", path.display())]
+    Read {
+        /// Path of the file.
+        path: PathBuf,
+        /// Error of the system call.
+        source: io::Error,
+    },
+    /// The configuration is not JSON, or has a missing or mistyped key.
+    #[error("configuration: {0}")]
+    Syntax(#[from] serde_json::Error),
+    /// A value is not an address.
+    #[error("configuration: {key}={text} is not an address")]
+    Address {
+        /// Environment variable or key.
+        key: &'static str,
+        /// The value.
+        text: String,
+    },
+    /// An address that is needed is missing.
+    #[error("configuration: no {0}")]
+    NoAddress(&'static str),
+    /// The address of another node is malformed.
+    #[error("configuration: peers: {0} is not an address")]
+    PeerAddress(String),
+    /// The settings are invalid.
+    #[error(transparent)]
+    Settings(#[from] ParseError),
+    /// The operator's file of the Faktory front end is invalid.
+    #[error(transparent)]
+    Faktory(#[from] faktory::ConfigError),
+    /// The Faktory front end's connections and the platform's do not fit the descriptor limit.
+    #[error("operator's file: connections leave the platform too few sockets")]
+    TooFewSockets,
+    /// The fleet's file is invalid.
+    #[error("{}: {source}", path.display())]
+    FleetFile {
+        /// Path of the file.
+        path: PathBuf,
+        /// The line and what is wrong with it.
+        source: FileError,
+    },
+    /// The fleet's key file is invalid.
+    #[error("{}: {source}", path.display())]
+    KeyFile {
+        /// Path of the file.
+        path: PathBuf,
+        /// The line and what is wrong with it.
+        source: KeyError,
+    },
+}
+
+/// The configuration file as written. The parser's messages to operators name this type: the name stays.
 #[derive(Deserialize)]
 struct Raw {
     #[serde(default)]
@@ -116,16 +183,14 @@
 }
 
 impl MembershipConfig {
-    fn read(
-        path: &Path,
-        text: impl Fn(&PathBuf) -> Result<String, String>,
-    ) -> Result<MembershipConfig, String> {
-        let file =
-            FleetFile::parse(&text(&path.to_path_buf())?).map_err(|e| format!("{}: {e}", path.display()))?;
+    fn read(path: &Path) -> Result<MembershipConfig, Error> {
+        let file = FleetFile::parse(&read_file(path)?);
+        let file = file.map_err(|source| Error::FleetFile { path: path.to_path_buf(), source })?;
         // A relative name is meant from where the file stands, wherever the node was started.
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
-        let at = folder.join(&file.key_file);
-        let keys = Keys::parse(&text(&at)?).map_err(|e| format!("{}: {e}", at.display()))?;
+        let key_path = folder.join(&file.key_file);
+        let keys = Keys::parse(&read_file(&key_path)?);
+        let keys = keys.map_err(|source| Error::KeyFile { path: key_path, source })?;
         Ok(MembershipConfig { file, keys, folder })
     }
 }
@@ -158,54 +223,58 @@
 }
 
 impl ConfigSources {
-    /// From the command line's files and the environment.
-    pub fn new(operator: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<ConfigSources, String> {
+    /// Sources from the command line's files and the environment.
+    ///
+    /// # Errors
+    /// If no front end is configured, or a fleet's file stands without the node's configuration.
+    pub fn new(operator: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<ConfigSources, Error> {
         let config = variable("RELAY_CONFIG").map(PathBuf::from);
-        // Without a platform configuration, the second front may run alone.
+        // Without a platform configuration, the Faktory front end may run alone.
         if config.is_none() && operator.is_none() {
-            return Err("RELAY_CONFIG is not set".to_string());
+            return Err(Error::NoConfig);
         }
         if config.is_none() && fleet.is_some() {
-            return Err("--fleet: RELAY_CONFIG is not set, so the node has no name".to_string());
+            return Err(Error::FleetWithoutConfig);
         }
         Ok(ConfigSources { config, operator, fleet })
     }
 
-    /// Reads all of it for the start: variables, where set, come before the platform's file.
-    pub fn read(&self) -> Result<LoadedConfig, String> {
+    /// Reads all files for the start: variables, where set, come before the platform's file.
+    ///
+    /// # Errors
+    /// The first error in a file or variable.
+    pub fn read(&self) -> Result<LoadedConfig, Error> {
         self.read_with(variable)
     }
 
-    /// Reads all of it again: the file's discovery now holds, also against the environment.
-    pub fn read_again(&self) -> Result<LoadedConfig, String> {
+    /// Reads all files again: the file's address of discovery now holds, also against the environment.
+    ///
+    /// # Errors
+    /// The first error in a file or variable.
+    pub fn read_again(&self) -> Result<LoadedConfig, Error> {
         self.read_with(|name| variable(name).filter(|_| name != "RELAY_DISCOVERY"))
     }
 
-    fn read_with(&self, var: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, String> {
-        let text = |path: &PathBuf| {
-            std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))
-        };
+    fn read_with(&self, variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, Error> {
         let operator = match &self.operator {
-            Some(path) => Some(FaktoryConfig::parse(&text(path)?).map_err(|error| error.to_string())?),
+            Some(path) => Some(FaktoryConfig::parse(&read_file(path)?)?),
             None => None,
         };
         let mut config = match &self.config {
-            Some(path) => Some(parse(&text(path)?, var)?),
+            Some(path) => Some(parse(&read_file(path)?, variable)?),
             None => None,
         };
         if let (Some(config), Some(operator)) = (&mut config, &operator) {
-            // Guards the descriptor limit where both fronts run: it is the process's.
+            // The descriptor limit is the process's: the platform gets what the Faktory front end leaves.
             let left = config.limits.sockets.checked_sub(operator.connections);
-            config.limits.sockets = left
-                .filter(|left| *left >= SOCKETS_MIN)
-                .ok_or("operator's file: connections leave the platform too few sockets")?;
+            config.limits.sockets = left.filter(|left| *left >= SOCKETS_MIN).ok_or(Error::TooFewSockets)?;
         }
         let fleet = match &self.fleet {
-            Some(path) => Some(MembershipConfig::read(path, text)?),
+            Some(path) => Some(MembershipConfig::read(path)?),
             None => None,
         };
         if fleet.is_some() && config.as_ref().is_some_and(|c| c.name.is_empty() || c.name.len() > NAME_MAX) {
-            return Err(format!("--fleet: the node needs a name of 1 to {NAME_MAX} bytes"));
+            return Err(Error::Name);
         }
         Ok(LoadedConfig { config, operator, fleet })
     }
@@ -215,34 +284,40 @@
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
 
-/// Reads a configuration's text.
-pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let mut text: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-    let raw: Raw = serde_json::from_value(text.clone()).map_err(|e| format!("configuration: {e}"))?;
+fn read_file(path: &Path) -> Result<String, Error> {
+    std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.to_path_buf(), source })
+}
+
+/// Parses the platform's configuration; a variable, where set, comes before the key of the same meaning.
+///
+/// # Errors
+/// The first value that is wrong.
+pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Error> {
+    let mut text: Value = serde_json::from_str(text)?;
+    let file: Raw = serde_json::from_value(text.clone())?;
     if let Some(keys) = text.as_object_mut() {
         keys.retain(|key, _| key != "known" && key != "seed");
     }
-    let optional = |name: &str, given: Option<String>| -> Result<Option<SocketAddr>, String> {
-        let Some(text) = var(name).or(given) else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| format!("configuration: {name}={text} is not an address"))
+    let optional = |key: &'static str, given: Option<String>| match variable(key).or(given) {
+        Some(text) => text.parse().map(Some).map_err(|_| Error::Address { key, text }),
+        None => Ok(None),
     };
-    let address = |name, given| optional(name, given)?.ok_or_else(|| format!("configuration: no {name}"));
-    let place =
-        |text: &String| text.parse().map_err(|_| format!("configuration: peers: {text} is not an address"));
-    let peers = raw.peers.iter().map(place).collect::<Result<_, _>>()?;
-    let (settings, names) = parse_settings(&raw.settings).map_err(|error| error.to_string())?;
+    let address =
+        |key, given| -> Result<SocketAddr, Error> { optional(key, given)?.ok_or(Error::NoAddress(key)) };
+    let peer = |text: &String| text.parse().map_err(|_| Error::PeerAddress(text.clone()));
+    let peers = file.peers.iter().map(peer).collect::<Result<_, _>>()?;
+    let (settings, names) = parse_settings(&file.settings)?;
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
         text,
-        listen: address("RELAY_LISTEN", raw.listen)?,
-        discovery: address("RELAY_DISCOVERY", raw.discovery)?,
-        management: optional("RELAY_MANAGEMENT", raw.management)?,
-        name: var("RELAY_NAME").unwrap_or(raw.name),
-        seed: u64::from_str_radix(&raw.seed, 16)
-            .unwrap_or_else(|_| crate::dispatcher::stable_hash(&raw.seed)),
-        limits: raw.limits,
-        known: raw.known,
-        peer_listen: optional("peer_listen", raw.peer_listen)?,
+        listen: address("RELAY_LISTEN", file.listen)?,
+        discovery: address("RELAY_DISCOVERY", file.discovery)?,
+        management: optional("RELAY_MANAGEMENT", file.management)?,
+        name: variable("RELAY_NAME").unwrap_or(file.name),
+        seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| stable_hash(&file.seed)),
+        limits: file.limits,
+        known: file.known,
+        peer_listen: optional("peer_listen", file.peer_listen)?,
         peers,
     })
 }
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,6 +1,6 @@
 //! Reload of the configuration at SIGHUP: which changes take effect in a running node, and who is told of them.
 
-use crate::config::{ConfigSources, LoadedConfig};
+use crate::config::{self, ConfigSources, LoadedConfig};
 use crate::settings_merge::{first_missing_key, EffectiveSettings};
 use crate::signals::{Command, Signals};
 use dispatch_policy::api::InvalidSettings;
@@ -14,8 +14,8 @@
 #[derive(Debug, Error)]
 enum ReloadError {
     /// A file can't be read or understood.
-    #[error("{0}")]
-    Configuration(String),
+    #[error(transparent)]
+    Configuration(config::Error),
     /// The newer configuration lacks a key that the running one has.
     #[error("{key} is missing")]
     MissingKey { key: String },
--- /dev/null
+++ b/node/src/startup.rs
@@ -0,0 +1,304 @@
+//! Start of a node: each part by a step of its own, in the order in which they come up.
+
+use crate::config::{self, Config, ConfigSources, LoadedConfig, MembershipConfig};
+use crate::counters::Counters;
+use crate::faktory::FaktoryConfig;
+use crate::management::Management;
+use crate::phase::Phases;
+use crate::platform::ListSharing;
+use crate::process_handover::{self, Predecessor, PredecessorLookup};
+use crate::reload::Reload;
+use crate::settings_merge::EffectiveSettings;
+use crate::signals::{Command, Signals};
+use crate::transient::retry_local_failures;
+use crate::{coordination, faktory, logger, membership, platform};
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::runtime::Runtime;
+use tokio::sync::watch;
+
+/// Time for which a start outlasts a machine that has no descriptor or buffer left.
+pub(crate) const START_WAIT: Duration = Duration::from_secs(4);
+
+/// Error that prevents the start of a node, or ends it.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The configuration cannot be read.
+    #[error(transparent)]
+    Config(#[from] config::Error),
+    /// The runtime cannot be created.
+    #[error("no runtime: {0}")]
+    Runtime(#[source] io::Error),
+    /// The signal handlers cannot be installed.
+    #[error("no signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The management address cannot be bound.
+    #[error("cannot listen on {address} (management): {source}")]
+    BindManagement {
+        /// Address in the configuration.
+        address: SocketAddr,
+        /// Error of the system call.
+        source: io::Error,
+    },
+    /// The address for clients cannot be bound.
+    #[error("cannot listen on {address}: {source}")]
+    BindClients {
+        /// Address in the configuration.
+        address: SocketAddr,
+        /// Error of the system call.
+        source: io::Error,
+    },
+    /// Membership cannot start.
+    #[error(transparent)]
+    Membership(#[from] membership::StartError),
+    /// The platform's front end cannot start, or has ended early.
+    #[error(transparent)]
+    Platform(#[from] platform::Error),
+    /// The Faktory front end cannot start, or has ended early.
+    #[error(transparent)]
+    Faktory(#[from] faktory::Error),
+}
+
+/// Creates the runtime of the process: one thread.
+///
+/// # Errors
+/// [`Error::Runtime`] if the event queue cannot be created.
+pub fn runtime() -> Result<Runtime, Error> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Error::Runtime)
+}
+
+/// Runs a node until it is told to stop and all that it took is answered.
+///
+/// # Errors
+/// If the configuration is invalid, a part cannot start, or a front end ends early.
+pub fn run_node(faktory_file: Option<PathBuf>, fleet_file: Option<PathBuf>) -> Result<(), Error> {
+    let sources = ConfigSources::new(faktory_file, fleet_file)?;
+    let loaded = sources.read()?;
+    logger::start(loaded.config.as_ref().map_or("faktory", |c| &c.name));
+    runtime()?.block_on(start_and_serve(sources, loaded))
+}
+
+async fn start_and_serve(sources: ConfigSources, loaded: LoadedConfig) -> Result<(), Error> {
+    let LoadedConfig { config, operator, fleet } = loaded.clone();
+    let reload = Reload::new(sources, loaded);
+    let (ready, is_ready) = watch::channel(false);
+    let mut startup = Startup::new(&reload).await?;
+    startup.start_membership(config.as_ref(), fleet.as_ref(), &reload)?;
+    startup.start_coordination(config.as_ref(), fleet.as_ref());
+    reload.on_signal(startup.signals.clone());
+    startup.bind_management(config.as_ref(), is_ready).await?;
+    startup.report_counters_on_signal();
+    // Before another process is asked for its place: a start that fails must leave that one serving.
+    let faktory_listener = bind_faktory(operator).await?;
+    log::info!("serving");
+    let served = startup.serve_frontends(config, faktory_listener, ready).await;
+    startup.shut_down().await;
+    served
+}
+
+async fn bind_faktory(config: Option<FaktoryConfig>) -> Result<Option<(TcpListener, FaktoryConfig)>, Error> {
+    match config {
+        Some(config) => Ok(Some((faktory::listen(&config).await?, config))),
+        None => Ok(None),
+    }
+}
+
+/// Counters of the front ends.
+#[derive(Clone, Default)]
+struct FrontendCounters {
+    platform: Arc<Counters>,
+    faktory: Arc<Counters>,
+}
+
+impl FrontendCounters {
+    fn log(&self) {
+        log::info!("counters: platform {}", self.platform);
+        log::info!("counters: faktory {}", self.faktory);
+    }
+}
+
+/// The parts of the node that are up, and what later ones need.
+struct Startup {
+    phases: Phases,
+    signals: Signals,
+    counters: FrontendCounters,
+    discovery: watch::Receiver<Option<SocketAddr>>,
+    effective_settings: watch::Receiver<EffectiveSettings>,
+    membership: Option<membership::Handle>,
+    coordination: Option<coordination::Handle>,
+    list_sharing: Option<ListSharing>,
+}
+
+impl Startup {
+    /// Takes the signals over; from here on SIGTERM stops the node in an orderly way.
+    async fn new(reload: &Reload) -> Result<Startup, Error> {
+        let phases = Phases::default();
+        let signals = retry_local_failures(START_WAIT, || async { Signals::start() }).await;
+        let signals = signals.map_err(Error::Signals)?;
+        phases.stop_on_signal(signals.clone());
+        Ok(Startup {
+            phases,
+            signals,
+            counters: FrontendCounters::default(),
+            discovery: reload.discovery(),
+            effective_settings: reload.effective_settings(),
+            membership: None,
+            coordination: None,
+            list_sharing: None,
+        })
+    }
+
+    /// Starts membership where the node has a name and the fleet's file.
+    fn start_membership(
+        &mut self,
+        config: Option<&Config>,
+        fleet: Option<&MembershipConfig>,
+        reload: &Reload,
+    ) -> Result<(), Error> {
+        let (Some(config), Some(fleet)) = (config, fleet) else { return Ok(()) };
+        self.membership = Some(membership::start(membership::Dependencies {
+            name: config.name.clone(),
+            talk: fleet.clone(),
+            keys: reload.keys(),
+            planned: self.effective_settings.clone(),
+            phase: self.phases.subscribe(),
+        })?);
+        Ok(())
+    }
+
+    /// Starts coordination where the fleet's file has that section.
+    fn start_coordination(&mut self, config: Option<&Config>, fleet: Option<&MembershipConfig>) {
+        let (Some(membership), Some(config), Some(fleet)) = (&self.membership, config, fleet) else { return };
+        let Some(settings) = fleet.file.duties.clone() else { return };
+        let (list_delivery, list_sharing) =
+            coordination::ListDelivery::pair(settings.lists, self.discovery.clone());
+        self.list_sharing = list_sharing;
+        self.coordination = Some(coordination::start(coordination::Dependencies {
+            name: config.name.clone(),
+            fleet_name: fleet.file.fleet.clone(),
+            zone: fleet.file.zone.clone(),
+            address: fleet.file.advertise,
+            folder: settings.state.as_ref().map(|state| fleet.folder.join(state)),
+            settings,
+            fleet: membership.clone(),
+            phase: self.phases.subscribe(),
+            list_delivery,
+            phases: self.phases.clone(),
+            counters: self.counters.platform.clone(),
+        }));
+    }
+
+    /// Serves the management address, where the configuration has one.
+    async fn bind_management(
+        &self,
+        config: Option<&Config>,
+        ready: watch::Receiver<bool>,
+    ) -> Result<(), Error> {
+        let Some(address) = config.and_then(|c| c.management) else { return Ok(()) };
+        let listener = retry_local_failures(START_WAIT, || TcpListener::bind(address)).await;
+        let listener = listener.map_err(|source| Error::BindManagement { address, source })?;
+        let management = Management {
+            phases: self.phases.clone(),
+            ready,
+            fleet: self.membership.clone(),
+            duties: self.coordination.clone(),
+        };
+        tokio::spawn(management.serve(listener));
+        Ok(())
+    }
+
+    /// Logs the counters at each SIGUSR1.
+    fn report_counters_on_signal(&self) {
+        let (signals, counters, membership) =
+            (self.signals.clone(), self.counters.clone(), self.membership.clone());
+        tokio::spawn(async move {
+            loop {
+                signals.received(Command::Report).await;
+                counters.log();
+                if let Some(membership) = &membership {
+                    membership.log_counters().await;
+                }
+            }
+        });
+    }
+
+    /// Serves both front ends, as far as they are configured, until both have ended or one fails.
+    async fn serve_frontends(
+        &mut self,
+        config: Option<Config>,
+        faktory: Option<(TcpListener, FaktoryConfig)>,
+        ready: watch::Sender<bool>,
+    ) -> Result<(), Error> {
+        let list_sharing = self.list_sharing.take();
+        let platform = async {
+            match config {
+                Some(config) => self.serve_platform(config, ready, list_sharing).await,
+                None => Ok(()),
+            }
+        };
+        let faktory = async {
+            match faktory {
+                Some((listener, config)) => {
+                    let (counters, phase) = (self.counters.faktory.clone(), self.phases.subscribe());
+                    Ok(faktory::serve(config, listener, counters, phase).await?)
+                }
+                None => Ok(()),
+            }
+        };
+        tokio::try_join!(platform, faktory).map(|_| ())
+    }
+
+    /// Takes over from the process that serves now, if there is one, and serves the platform's clients.
+    async fn serve_platform(
+        &self,
+        config: Config,
+        ready: watch::Sender<bool>,
+        list_sharing: Option<ListSharing>,
+    ) -> Result<(), Error> {
+        let address = config.listen;
+        let handover_path = process_handover::socket_path(address);
+        let lookup = match &handover_path {
+            Some(path) => Predecessor::look_up(path).await,
+            None => PredecessorLookup::Absent,
+        };
+        let (listener, predecessor) = match lookup {
+            PredecessorLookup::Serving(listener, predecessor) => (listener, Some(predecessor)),
+            PredecessorLookup::Unresponsive => (bind_clients(address, true).await?, None),
+            PredecessorLookup::Absent => (bind_clients(address, false).await?, None),
+        };
+        let dependencies = platform::Dependencies {
+            counters: self.counters.platform.clone(),
+            phases: self.phases.clone(),
+            discovery: self.discovery.clone(),
+            effective_settings: self.effective_settings.clone(),
+            ready,
+            predecessor,
+            handover_path,
+            fleet: self.membership.clone(),
+            list_sharing,
+        };
+        Ok(platform::serve(config, listener, dependencies).await?)
+    }
+
+    /// Logs the counters, gives up what the node holds for others and leaves the fleet.
+    async fn shut_down(&self) {
+        self.counters.log();
+        if let Some(coordination) = &self.coordination {
+            coordination.shutdown().await;
+        }
+        if let Some(membership) = &self.membership {
+            membership.log_counters().await;
+            membership.leave().await;
+        }
+    }
+}
+
+/// Binds the address for clients; `beside` another process that hangs, if so.
+async fn bind_clients(address: SocketAddr, beside: bool) -> Result<TcpListener, Error> {
+    let listener = retry_local_failures(START_WAIT, async || platform::listen(address, beside)).await;
+    listener.map_err(|source| Error::BindClients { address, source })
+}
