--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -1,77 +1,94 @@
-//! Checker of membership views: compares the views of many nodes with what must be true. It does not depend on how nodes
-//! come to their views.
+//! Checker of membership views: compares the views of many nodes with what the test bed expects. It knows nothing of how
+//! nodes come to their views.
 
 use membership::View;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The right views: which nodes run, and which of them reach each other.
+/// Views that the test bed expects: of each running node, the nodes that it can reach.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ExpectedViews {
-    /// Network partition of each running node, by its name. Nodes of one partition reach each other.
+    /// Partition that each running node is in, by its name. Nodes of one partition reach each other.
     pub partitions: BTreeMap<String, u32>,
 }
 
 impl ExpectedViews {
     /// Expected views of nodes that all reach each other.
     pub fn whole<'a>(names: impl IntoIterator<Item = &'a str>) -> ExpectedViews {
-        ExpectedViews { partitions: names.into_iter().map(|n| (n.to_string(), 0)).collect() }
+        ExpectedViews { partitions: names.into_iter().map(|name| (name.to_string(), 0)).collect() }
+    }
+
+    /// Names of the nodes in a partition, in order.
+    fn members_of(&self, partition: u32) -> BTreeSet<&str> {
+        let members = self.partitions.iter().filter(|(_, other)| **other == partition);
+        members.map(|(name, _)| name.as_str()).collect()
     }
 }
 
-/// What is wrong with a view.
+/// Fault in the views of the nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// A running node tells nothing.
-    Silent(String),
-    /// A node's view lacks one that runs and that it can reach.
-    Lost(String, String),
-    /// A node's view holds one to be there that isn't, or that it can't reach.
-    Kept(String, String),
-    /// Two nodes that reach each other know different lives of a third.
-    Differ(String, String, String),
-    /// A view has one name twice, or says something of the node itself that is not so.
-    Twisted(String),
+pub enum ViewFault {
+    /// A running node reports no view.
+    NoView(String),
+    /// The view of the first node lacks the second, which runs and is reachable.
+    Missing(String, String),
+    /// The view of the first node holds the second to be present, which does not run or is not reachable.
+    Stale(String, String),
+    /// The first two nodes, which reach each other, know different incarnations of the third.
+    IncarnationMismatch(String, String, String),
+    /// The view of a node has a name twice, or contradicts the node itself.
+    Inconsistent(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ViewFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Silent(n) => write!(f, "{n} tells nothing"),
-            Fault::Lost(n, other) => write!(f, "{n} lacks {other}"),
-            Fault::Kept(n, other) => write!(f, "{n} holds {other} to be there"),
-            Fault::Differ(n, m, other) => write!(f, "{n} and {m} know different lives of {other}"),
-            Fault::Twisted(n) => write!(f, "{n}'s view is at odds with itself"),
+            ViewFault::NoView(node) => write!(f, "{node} reports no view"),
+            ViewFault::Missing(node, other) => write!(f, "the view of {node} lacks {other}"),
+            ViewFault::Stale(node, other) => write!(f, "the view of {node} holds {other} to be present"),
+            ViewFault::IncarnationMismatch(node, other, member) => {
+                write!(f, "{node} and {other} know different incarnations of {member}")
+            }
+            ViewFault::Inconsistent(node) => write!(f, "the view of {node} is inconsistent"),
         }
     }
 }
 
-/// All that is wrong; empty where the views of all that run are equal and true.
-pub fn faults(expected: &ExpectedViews, views: &BTreeMap<String, Option<View>>) -> Vec<Fault> {
+/// Returns all faults; none if the views of all running nodes are equal and as expected.
+pub fn view_faults(expected: &ExpectedViews, views: &BTreeMap<String, Option<View>>) -> Vec<ViewFault> {
     let mut faults = Vec::new();
-    let mut lives: BTreeMap<(u32, &str), (&str, u64)> = BTreeMap::new();
-    for (name, part) in &expected.partitions {
+    let mut incarnations: BTreeMap<(u32, &str), (&str, u64)> = BTreeMap::new();
+    for (name, partition) in &expected.partitions {
         let Some(view) = views.get(name).and_then(Option::as_ref) else {
-            faults.push(Fault::Silent(name.clone()));
+            faults.push(ViewFault::NoView(name.clone()));
             continue;
         };
-        let names: BTreeSet<&str> = view.members.iter().map(|m| m.name.as_str()).collect();
-        let own = view.members.iter().find(|m| m.name == *name);
-        let own_is_so = own.is_some_and(|m| m.status.is_present() && m.incarnation == view.incarnation);
-        if names.len() != view.members.len() || view.node != *name || !own_is_so {
-            faults.push(Fault::Twisted(name.clone()));
+        if !is_consistent(name, view) {
+            faults.push(ViewFault::Inconsistent(name.clone()));
         }
-        let there: BTreeSet<&str> = view.present_names().collect();
-        let reached: BTreeSet<&str> =
-            expected.partitions.iter().filter(|(_, p)| *p == part).map(|(n, _)| n.as_str()).collect();
-        faults.extend(reached.difference(&there).map(|o| Fault::Lost(name.clone(), o.to_string())));
-        faults.extend(there.difference(&reached).map(|o| Fault::Kept(name.clone(), o.to_string())));
-        for m in view.members.iter().filter(|m| m.status.is_present()) {
-            let (first, life) = *lives.entry((*part, &m.name)).or_insert((name, m.incarnation));
-            if life != m.incarnation {
-                faults.push(Fault::Differ(first.to_string(), name.clone(), m.name.clone()));
+        let present: BTreeSet<&str> = view.present_names().collect();
+        let reachable = expected.members_of(*partition);
+        let missing = reachable.difference(&present);
+        faults.extend(missing.map(|other| ViewFault::Missing(name.clone(), other.to_string())));
+        let stale = present.difference(&reachable);
+        faults.extend(stale.map(|other| ViewFault::Stale(name.clone(), other.to_string())));
+        for member in view.members.iter().filter(|member| member.status.is_present()) {
+            let seen = (name.as_str(), member.incarnation);
+            let (first, incarnation) = *incarnations.entry((*partition, &member.name)).or_insert(seen);
+            if incarnation != member.incarnation {
+                let (first, name) = (first.to_string(), name.clone());
+                faults.push(ViewFault::IncarnationMismatch(first, name, member.name.clone()));
             }
         }
     }
     faults
 }
+
+/// Whether a view has each name once, and agrees with the node that it is of.
+fn is_consistent(name: &str, view: &View) -> bool {
+    let names: BTreeSet<&str> = view.members.iter().map(|member| member.name.as_str()).collect();
+    let own = view.members.iter().find(|member| member.name == name);
+    let own_agrees =
+        own.is_some_and(|member| member.status.is_present() && member.incarnation == view.incarnation);
+    names.len() == view.members.len() && view.node == name && own_agrees
+}
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -8,7 +8,7 @@
 pub use addresses::{free_block, Block};
 pub use spec::{CoordinationSpec, Spec};
 
-use crate::check::{faults, ExpectedViews, Fault};
+use crate::check::{view_faults, ExpectedViews, ViewFault};
 use crate::discovery::Discovery;
 use crate::fault_proxy::FaultProxies;
 use crate::process::Process;
@@ -50,7 +50,7 @@
     pub nodes: Vec<Option<Process>>,
     /// Processes that were taken over from and are on their way to their end.
     pub predecessors: Vec<Process>,
-    /// Fault proxies between them.
+    /// ViewFault proxies between them.
     pub proxies: FaultProxies,
     /// The workers, by number; `None` where one is gone.
     pub workers: Vec<Option<(Worker, u64)>>,
@@ -303,11 +303,15 @@
     ///
     /// # Errors
     /// What was wrong last, where they are not within `bound`.
-    pub async fn settled(&self, expected: &ExpectedViews, bound: Duration) -> Result<Duration, Vec<Fault>> {
+    pub async fn settled(
+        &self,
+        expected: &ExpectedViews,
+        bound: Duration,
+    ) -> Result<Duration, Vec<ViewFault>> {
         let start = Instant::now();
-        let (mut right_since, mut last): (Option<Instant>, Vec<Fault>) = (None, Vec::new());
+        let (mut right_since, mut last): (Option<Instant>, Vec<ViewFault>) = (None, Vec::new());
         loop {
-            let wrong = faults(expected, &self.views().await);
+            let wrong = view_faults(expected, &self.views().await);
             if wrong.is_empty() {
                 let since = *right_since.get_or_insert_with(Instant::now);
                 if since.elapsed() >= self.spec.settle_time() {
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -1,6 +1,6 @@
 //! Demonstration of membership (`make fleet`).
 
-use crate::check::Fault;
+use crate::check::ViewFault;
 use crate::cluster::{Cluster, Spec, TENANTS};
 use crate::load::{play, Load};
 use membership::{MemberStatus, Status};
@@ -42,15 +42,15 @@
         /// What had happened.
         step: String,
         /// What was wrong with the views last.
-        faults: Vec<Fault>,
+        faults: Vec<ViewFault>,
     },
     /// The load's task failed.
     #[error(transparent)]
     Load(#[from] JoinError),
 }
 
-fn list(faults: &[Fault]) -> String {
-    faults.iter().map(Fault::to_string).collect::<Vec<_>>().join(", ")
+fn list(faults: &[ViewFault]) -> String {
+    faults.iter().map(ViewFault::to_string).collect::<Vec<_>>().join(", ")
 }
 
 /// Starts five nodes with workers and load, kills one, cuts one off, and prints what each sees.
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -1,7 +1,7 @@
 //! Fleet of machines in emulated time, in one thread: the same seed gives the same run to the last byte. What
 //! passes between them goes by the rules that the fault proxies of real processes have, too.
 
-use crate::check::{faults, ExpectedViews, Fault};
+use crate::check::{view_faults, ExpectedViews, ViewFault};
 use crate::fault_proxy::LinkRules;
 use membership::keys::Keys;
 use membership::{Action, Config, Counters, Machine, MembershipEvent, ProcessStart, Timing, View};
@@ -245,7 +245,7 @@
     ///
     /// # Errors
     /// What was wrong last, where it still was after `most`.
-    pub fn until(&mut self, most: Duration, expected: &ExpectedViews) -> Result<Duration, Vec<Fault>> {
+    pub fn until(&mut self, most: Duration, expected: &ExpectedViews) -> Result<Duration, Vec<ViewFault>> {
         let start = self.now;
         let steady = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
         let mut right_since = None;
@@ -278,7 +278,7 @@
     }
 
     /// What is wrong with the view of the first node of each part: enough, where none differs from it.
-    fn faults_of_one(&self, expected: &ExpectedViews) -> Vec<Fault> {
+    fn faults_of_one(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
         let mut firsts: BTreeMap<u32, usize> = BTreeMap::new();
         for i in 0..self.nodes.len() {
             if let Some(part) = expected.partitions.get(&name(i)) {
@@ -286,14 +286,14 @@
             }
         }
         let views = firsts.values().map(|i| (name(*i), self.view(*i)));
-        let lone = |f: &Fault| !matches!(f, Fault::Silent(_));
-        faults(expected, &views.collect()).into_iter().filter(lone).collect()
+        let lone = |f: &ViewFault| !matches!(f, ViewFault::NoView(_));
+        view_faults(expected, &views.collect()).into_iter().filter(lone).collect()
     }
 
     /// What is wrong with the views beside this.
-    pub fn faults(&self, expected: &ExpectedViews) -> Vec<Fault> {
+    pub fn faults(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
         let views = (0..self.nodes.len()).filter_map(|i| Some((i, self.view(i)?)));
-        faults(expected, &views.map(|(_, v)| (v.node.clone(), Some(v))).collect())
+        view_faults(expected, &views.map(|(_, v)| (v.node.clone(), Some(v))).collect())
     }
 
     /// All that run, in one part.
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -123,7 +123,7 @@
     // The times that a node has by default.
     let mut cluster =
         Cluster::start(cluster::Spec { probe_ms: 1000, ..cluster::Spec::new(binary, nodes) }).await?;
-    let fail = |wrong: Vec<crate::check::Fault>| io::Error::other(format!("not settled: {}", wrong[0]));
+    let fail = |wrong: Vec<crate::check::ViewFault>| io::Error::other(format!("not settled: {}", wrong[0]));
     let bound = Duration::from_secs(60);
     cluster.settled(&Cluster::expected_views(0..nodes), bound).await.map_err(fail)?;
     let ticks = |cluster: &Cluster| cluster.nodes.iter().flatten().filter_map(|p| p.ticks()).sum::<u64>();
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,6 +1,6 @@
-//! Fault plans: faults injected into nodes at given times, from a TOML file, and the outcome of running one.
+//! ViewFault plans: faults injected into nodes at given times, from a TOML file, and the outcome of running one.
 
-use crate::check::Fault;
+use crate::check::ViewFault;
 use crate::cluster::{Cluster, CoordinationSpec, Spec, NODES_MAX, TENANTS};
 use crate::fault_proxy::LinkRule;
 use crate::load::{play, Load, Report};
@@ -175,7 +175,7 @@
     /// How the jobs ended.
     pub report: Report,
     /// How long after the load's end the views of all that ran were equal and true, or what was wrong.
-    pub settled: Result<Duration, Vec<Fault>>,
+    pub settled: Result<Duration, Vec<ViewFault>>,
     /// Status reports of the nodes each half second from the load's start on.
     pub history: History,
     /// Workers that failed under overload while they were warming up.
@@ -226,7 +226,7 @@
 fn outcome(
     cluster: &Cluster,
     report: Report,
-    settled: Result<Duration, Vec<Fault>>,
+    settled: Result<Duration, Vec<ViewFault>>,
     history: History,
 ) -> Outcome {
     let seen: Vec<_> = cluster.workers.iter().flatten().map(|(worker, _)| worker.seen()).collect();
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -3,7 +3,7 @@
 
 use membership::{MemberInfo, MemberStatus, View};
 use std::collections::BTreeMap;
-use testbed::check::{faults, ExpectedViews, Fault};
+use testbed::check::{view_faults, ExpectedViews, ViewFault};
 
 fn view(node: &str, members: &[(&str, MemberStatus, u64)]) -> View {
     let line = |(name, status, incarnation): &(&str, MemberStatus, u64)| MemberInfo {
@@ -33,22 +33,22 @@
     let all = |change: &dyn Fn(&mut Vec<View>)| {
         let mut all = ["a", "b", "c"].map(|n| view(n, &good)).to_vec();
         change(&mut all);
-        faults(&expected, &views(all))
+        view_faults(&expected, &views(all))
     };
     assert_eq!(all(&|_| {}), []);
     assert_eq!(
         all(&|v| v[0].members[3].status = Alive),
-        [Fault::Kept("a".into(), "d".into())],
+        [ViewFault::Stale("a".into(), "d".into())],
         "a dead one kept"
     );
     assert_eq!(
         all(&|v| v[1].members[0].status = Dead),
-        [Fault::Lost("b".into(), "a".into())],
+        [ViewFault::Missing("b".into(), "a".into())],
         "a live one lost"
     );
-    assert_eq!(all(&|v| drop(v[1].members.remove(0))), [Fault::Lost("b".into(), "a".into())]);
-    assert_eq!(all(&|v| drop(v.remove(2))), [Fault::Silent("c".into())]);
-    let differ = Fault::Differ("a".into(), "c".into(), "b".into());
+    assert_eq!(all(&|v| drop(v[1].members.remove(0))), [ViewFault::Missing("b".into(), "a".into())]);
+    assert_eq!(all(&|v| drop(v.remove(2))), [ViewFault::NoView("c".into())]);
+    let differ = ViewFault::IncarnationMismatch("a".into(), "c".into(), "b".into());
     assert_eq!(all(&|v| v[2].members[1].incarnation = 2), [differ]);
     for lie in [
         |v: &mut Vec<View>| v[0].incarnation = 9,
@@ -58,12 +58,12 @@
             v[0].members.push(twice);
         },
     ] {
-        let told = faults(&expected, &{
+        let told = view_faults(&expected, &{
             let mut all = ["a", "b", "c"].map(|n| view(n, &good)).to_vec();
             lie(&mut all);
             ["a", "b", "c"].into_iter().map(String::from).zip(all.into_iter().map(Some)).collect()
         });
-        assert_eq!(told, [Fault::Twisted("a".into())]);
+        assert_eq!(told, [ViewFault::Inconsistent("a".into())]);
     }
 }
 
@@ -75,7 +75,7 @@
     let half = [("a", Alive, 1), ("b", Alive, 1), ("c", Dead, 1)];
     let alone = [("a", Dead, 1), ("b", Dead, 1), ("c", Alive, 7)];
     let all = views(vec![view("a", &half), view("b", &half), view("c", &alone)]);
-    assert_eq!(faults(&expected, &all), []);
+    assert_eq!(view_faults(&expected, &all), []);
     let whole = ExpectedViews::whole(["a", "b", "c"]);
-    assert_eq!(faults(&whole, &all).len(), 4, "and as one fleet each lacks the others");
+    assert_eq!(view_faults(&whole, &all).len(), 4, "and as one fleet each lacks the others");
 }
