--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -2,6 +2,8 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
 mod common;
 
 use molevale::config;
@@ -149,6 +151,28 @@
     lines.take_while(|l| !l.is_empty()).collect::<Vec<_>>().join("\n")
 }
 
+/// Invalid variants of a good configuration, each with the end of the error that it meets.
+fn invalid_variants(good: &serde_json::Value) -> Vec<(String, &'static str)> {
+    let changes = [
+        ("/settings/Limits/MaxAttempts", None, "configuration.settings.Limits.MaxAttempts is missing"),
+        ("/settings/Profiles/1/Semantics", None, "configuration.settings.Profiles.1.Semantics is missing"),
+        ("/settings/Profiles/0/DeadlineUs", Some(0), "the deadline must be above zero"),
+        ("/settings/Limits/MaxAttempts", Some(0), "a request needs at least one attempt"),
+        ("/name", None, "configuration.name is missing"),
+    ];
+    let variant = |(place, broken, why): (&str, Option<u32>, &'static str)| {
+        let mut bad = good.clone();
+        let (parent, key) = place.rsplit_once('/').unwrap();
+        let parent = bad.pointer_mut(parent).and_then(|p| p.as_object_mut()).unwrap();
+        match broken {
+            Some(value) => drop(parent.insert(key.to_string(), serde_json::json!(value))),
+            None => drop(parent.remove(key)),
+        }
+        (bad.to_string(), why)
+    };
+    changes.into_iter().map(variant).collect()
+}
+
 /// Guards against a node that dies of SIGHUP, that takes a bad file, or that goes on asking the old address.
 #[test]
 fn sighup_moves_discovery_and_an_invalid_file_changes_nothing() {
@@ -176,21 +200,8 @@
     said("ERROR the old configuration stays event=configuration_rejected error=\"configuration: EOF");
     // All that a broken file says is left alone, where discovery is too.
     let good: serde_json::Value = serde_json::from_str(&text(2, "n1")).unwrap();
-    for (place, broken, why) in [
-        ("/settings/Limits/MaxAttempts", None, "configuration.settings.Limits.MaxAttempts is missing"),
-        ("/settings/Profiles/1/Semantics", None, "configuration.settings.Profiles.1.Semantics is missing"),
-        ("/settings/Profiles/0/DeadlineUs", Some(0), "the deadline must be above zero"),
-        ("/settings/Limits/MaxAttempts", Some(0), "a request needs at least one attempt"),
-        ("/name", None, "configuration.name is missing"),
-    ] {
-        let mut bad = good.clone();
-        let (parent, key) = place.rsplit_once('/').unwrap();
-        let parent = bad.pointer_mut(parent).and_then(|p| p.as_object_mut()).unwrap();
-        match broken {
-            Some(value) => drop(parent.insert(key.to_string(), serde_json::json!(value))),
-            None => drop(parent.remove(key)),
-        }
-        std::fs::write(&path, bad.to_string()).unwrap();
+    for (text, why) in invalid_variants(&good) {
+        std::fs::write(&path, text).unwrap();
         node.signal("-HUP");
         said("event=configuration_");
         let rejected = "ERROR the old configuration stays event=configuration_rejected error=\"";
