--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -1,8 +1,6 @@
 //! Where operators call, and the phases that their calls and signals go through.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
-#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
-
 mod common;
 
 use common::{checker, holds, stop};
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -2,8 +2,6 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
-#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
-
 mod common;
 
 use molevale::config;
