--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -1,6 +1,5 @@
 //! Where operators call, and the phases that their calls and signals go through.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
-
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -1,7 +1,6 @@
 //! The program as it is started: what it says of bad input, and the files that come with it.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
-
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
