--- /dev/null
+++ b/node/tests/settings_merge.rs
@@ -0,0 +1,99 @@
+//! New settings over the running ones: a number keeps its meaning, and a missing key is named.
+
+use dispatch_policy::api::{ClassSettings, Idempotency, KeyScope, Settings, TenantSettings};
+use molevale::names::Names;
+use molevale::settings_merge::{first_missing_key, EffectiveSettings};
+use quickcheck::{Gen, QuickCheck};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+
+/// Settings that offer these classes: a name and which of three effects.
+fn effective_settings(classes: &BTreeMap<u8, u8>, zones: [&str; 2]) -> EffectiveSettings {
+    let effects =
+        [Idempotency::Idempotent, Idempotency::WithKey(KeyScope::Fleet), Idempotency::NotIdempotent];
+    let class = |effect: &u8| ClassSettings {
+        objective_us: 1,
+        objective_per_work: 0.0,
+        deadline_us: 1 + u64::from(*effect),
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effects[usize::from(*effect)],
+        deduplication_window_us: 0,
+        required_kind: None,
+    };
+    let settings = Settings {
+        classes: classes.values().map(class).collect(),
+        max_attempts: 3,
+        zone: 1,
+        ..Settings::default()
+    };
+    let names = Names {
+        classes: classes.keys().map(u8::to_string).collect(),
+        keyed: classes.values().map(|e| *e == 1).collect(),
+        continues: vec![None; classes.len()],
+        zones: zones.map(String::from).to_vec(),
+        ..Names::default()
+    };
+    EffectiveSettings { settings, names }
+}
+
+/// Guards jobs that are open: whatever settings come, a number keeps its rules, and a name is looked up under
+/// the newest ones.
+#[test]
+fn random_settings_never_change_what_a_number_means() {
+    fn property(steps: Vec<Vec<(u8, u8)>>) -> bool {
+        let model = |step: &Vec<(u8, u8)>| -> BTreeMap<u8, u8> {
+            step.iter().map(|(n, e)| (n % 4, e % 3)).chain([(9, 0)]).collect()
+        };
+        let mut running = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
+        for step in &steps {
+            let wanted = model(step);
+            let new = running.merged_with(&effective_settings(&wanted, ["b", "c"]));
+            let (old, now) = (&running.settings.classes, &new.settings.classes);
+            assert_eq!(old[..], now[..old.len()], "numbers keep their rules");
+            for name in 0..10_u8 {
+                let number = new.names.class(&name.to_string());
+                let effect = number.map(|n| (now[n].deadline_us - 1) as u8);
+                assert_eq!(effect, wanted.get(&name).copied());
+                assert!(number.is_none_or(|n| new.names.keyed[n] == (wanted[&name] == 1)));
+            }
+            assert!(now.len() <= 1 + 4 * 3, "a class that comes back has its number again");
+            assert_eq!((new.names.continues.len(), new.settings.validate()), (now.len(), Ok(())));
+            assert_eq!(new.names.zones[usize::from(new.settings.zone)], "c");
+            running = new;
+        }
+        true
+    }
+    let generator = Gen::from_size_and_seed(12, 5); // the same in every run
+    QuickCheck::new().rng(generator).quickcheck(property as fn(Vec<Vec<(u8, u8)>>) -> bool);
+}
+
+#[test]
+fn tenants_keep_their_numbers_and_one_that_goes_has_no_share() {
+    let with = |names: &[&str]| {
+        let mut effective_settings = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
+        effective_settings.names.tenants = names.iter().map(ToString::to_string).collect();
+        let tenant = |i| TenantSettings { quota_per_s: f64::from(i), share: 0.5 };
+        effective_settings.settings.tenants = (1..=names.len() as u32).map(tenant).collect();
+        effective_settings
+    };
+    let new = with(&["sava", "drava"]).merged_with(&with(&["drava", "mura"]));
+    let quota = |n: usize| new.settings.tenants[n].quota_per_s;
+    assert_eq!(
+        (new.names.tenant("sava"), new.names.tenant("drava"), new.names.tenant("mura")),
+        (None, Some(1), Some(2))
+    );
+    assert_eq!((quota(0), quota(1), quota(2)), (0.0, 1.0, 2.0));
+}
+
+#[test]
+fn a_key_that_is_missing_is_named_and_one_that_only_some_items_had_is_not() {
+    let running = json!({"a": {"b": 1}, "list": [{"x": 1, "y": 1}, {"x": 2}], "plain": [1, 2]});
+    let lacking = |newer: Value| first_missing_key(&running, &newer, "c").unwrap_or_default();
+    assert_eq!(lacking(running.clone()), "");
+    assert_eq!(lacking(json!({"a": {"b": 2, "n": 1}, "list": [{"x": 5}], "plain": []})), "");
+    assert_eq!(lacking(json!({"a": {}, "list": [], "plain": []})), "c.a.b");
+    assert_eq!(lacking(json!({"a": 1, "list": [], "plain": []})), "c.a");
+    assert_eq!(lacking(json!({"a": {"b": 1}, "list": [{"x": 1}, {"y": 1}], "plain": []})), "c.list.1.x");
+    assert_eq!(lacking(json!({"a": {"b": 1}, "list": []})), "c.plain");
+}
