--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -64,21 +64,26 @@
         new.settings.retired_classes =
             (0..new.settings.classes.len()).filter(|n| !offered.contains(n)).collect();
         new.names.retired_classes = new.settings.retired_classes.clone();
+        new.merge_tenants(newer);
+        let gone = |n: &usize| !newer.names.tenants.contains(&new.names.tenants[*n]);
+        new.names.retired_tenants = (0..new.names.tenants.len()).filter(gone).collect();
+        new
+    }
+
+    /// Gives the tenants of the newer settings their numbers; one that is no longer named has no share.
+    fn merge_tenants(&mut self, newer: &EffectiveSettings) {
         let none = TenantSettings { quota_per_s: 0.0, share: 0.0 };
-        new.settings.tenants.fill(none);
+        self.settings.tenants.fill(none);
         for (i, name) in newer.names.tenants.iter().enumerate() {
             let tenant = newer.settings.tenants[i].clone();
-            match old.tenants.iter().position(|n| n == name) {
-                Some(n) => new.settings.tenants[n] = tenant,
+            match self.names.tenants.iter().position(|n| n == name) {
+                Some(n) => self.settings.tenants[n] = tenant,
                 None => {
-                    new.settings.tenants.push(tenant);
-                    new.names.tenants.push(name.clone());
+                    self.settings.tenants.push(tenant);
+                    self.names.tenants.push(name.clone());
                 }
             }
         }
-        let gone = |n: &usize| !newer.names.tenants.contains(&new.names.tenants[*n]);
-        new.names.retired_tenants = (0..new.names.tenants.len()).filter(gone).collect();
-        new
     }
 }
 
