--- a/node/src/process_handover/predecessor.rs
+++ b/node/src/process_handover/predecessor.rs
@@ -33,7 +33,8 @@
         match asked.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
             Ok((listener, before)) => PredecessorLookup::Serving(listener, before),
             Err(e) => {
-                log::warn!("upgrade: the process before gives no answer, starting without it: {e}");
+                log::warn!(event = "predecessor_unresponsive", error:% = e;
+                    "the process before gives no answer: starting beside it");
                 PredecessorLookup::Unresponsive
             }
         }
@@ -57,10 +58,12 @@
         };
         let held = timeout(ANSWER_TIMEOUT, told).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let held = held.unwrap_or_else(|e| {
-            log::warn!("upgrade: the process before has fallen silent: {e}");
+            log::warn!(event = "predecessor_silent", error:% = e;
+                "the process before has fallen silent: it is taken to hold nothing");
             HeldResources::default()
         });
-        log::info!("upgrade: took over from the process before, which still holds {held:?}");
+        log::info!(event = "handover_taken_over", descriptors = held.descriptors, bodies_kib = held.bodies_kib;
+            "took over from the process before, which still holds this much");
         (held, PredecessorLink(self.link))
     }
 }
@@ -80,7 +83,7 @@
         while !ended {
             ended = self.word(&mut hear, &mut adopt).await.is_err();
         }
-        log::info!("upgrade: the process before has ended");
+        log::info!(event = "predecessor_ended"; "the process before has ended");
         hear(HeldResources::default());
     }
 
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -1,4 +1,4 @@
-//! Hand-over to the next process, as the one that serves sees it.
+//! Processes that take over from this one: the socket at which they ask, and the transfer of running jobs to one.
 
 use super::link::{Link, Message};
 use super::{HandoverSource, ANSWER_TIMEOUT};
@@ -34,31 +34,40 @@
     let mut socket = match bind(place) {
         Ok(socket) => socket,
         // Where there are no such sockets, a new version starts as after a stop.
-        Err(e) => return log::warn!("upgrade: off: {}: {e}", place.display()),
+        Err(error) => {
+            return log::warn!(event = "handover_unavailable", path:% = place.display(), error:%;
+                "no process can take over from this one");
+        }
     };
     let mut own = inode(place);
-    log::info!("upgrade: the next process may take over at {}", place.display());
+    log::info!(event = "handover_offered", path:% = place.display(); "another process may take over");
     while listener.strong_count() > 0 {
         match socket.accept().await {
             Ok((link, _)) => {
-                let Err(e) = hand_over(link, &listener, phases, holder).await else { continue };
-                log::warn!("upgrade: this process serves on: {e}");
+                let Err(error) = hand_over(link, &listener, phases, holder).await else { continue };
+                log::warn!(event = "handover_failed", error:%;
+                    "handover failed: this process continues to serve");
                 // Guards the next upgrade: the process that failed may have waited at this place already.
                 if inode(place) == own {
                     continue;
                 }
                 if UnixStream::connect(place).await.is_ok() {
-                    log::warn!("upgrade: another process has taken this one's place");
+                    log::warn!(event = "handover_socket_replaced";
+                        "another process has taken this one's place");
                     displaced();
                     continue;
                 }
                 match bind(place) {
                     Ok(again) => (socket, own) = (again, inode(place)),
-                    Err(e) => log::warn!("upgrade: {}: {e}", place.display()),
+                    Err(error) => {
+                        log::warn!(event = "handover_socket_lost", path:% = place.display(), error:%;
+                            "handover socket not bound again");
+                    }
                 }
             }
-            Err(e) => {
-                log::warn!("upgrade: cannot accept: {e}");
+            Err(error) => {
+                log::warn!(event = "handover_accept_failed", error:%;
+                    "no process accepted at the handover socket");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -93,7 +102,7 @@
         link.send_json(&holder.node_state()).await
     };
     timeout(ANSWER_TIMEOUT, told).await??;
-    log::info!("upgrade: a new process starts");
+    log::info!(event = "handover_started"; "a new process starts");
     timeout(START_TIMEOUT, link.expect(Message::Serving)).await??;
     let before = phases.hand_over();
     holder.close_idle();
@@ -138,7 +147,7 @@
     }
     // Guards those that are left where the other process has failed: they go on here.
     jobs.for_each(|job| (job.finish)(false));
-    log::info!("upgrade: {moved} running jobs went over");
+    log::info!(event = "jobs_transferred", jobs = moved; "running jobs transferred to the new process");
     result
 }
 
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -94,7 +94,7 @@
     startup.report_counters_on_signal();
     // Before another process is asked for its place: a start that fails must leave that one serving.
     let faktory_listener = bind_faktory(operator).await?;
-    log::info!("serving");
+    log::info!(event = "serving"; "serving");
     let served = startup.serve_frontends(config, faktory_listener, ready).await;
     startup.shut_down().await;
     served
