--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -63,7 +63,7 @@
     pub zone: String,
     /// Address at which the other nodes reach this node.
     pub address: SocketAddr,
-    /// CoordinationSection of coordination in the operator's file.
+    /// Section on coordination in the operators' file.
     pub settings: CoordinationSection,
     /// Folder of the voter's store; `None` if this node is no voter.
     pub folder: Option<PathBuf>,
