--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -19,7 +19,7 @@
                 self.execute(action);
             }
         }
-        let overdrafts = self.policy.slow_start_overdrafts();
+        let overdrafts = self.policy.slow_start_violations();
         if overdrafts > self.overdrafts {
             self.overdrafts = overdrafts;
             self.counters.violations.add(Invariant::ColdBudget, overdrafts);
--- a/src/window.rs
+++ b/src/in_flight_window.rs
@@ -17,30 +17,30 @@
 
 /// The requests of one dispatcher that are at workers, in slots, and how many may be.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct InFlightWindow {
     in_flight: f64,
     least: f64,
     size: f64,
 }
 
-impl Window {
+impl InFlightWindow {
     /// Whether one more request of so many slots fits; the first always does.
-    pub fn has_room(&self, slots: f64) -> bool {
+    pub fn has_capacity(&self, slots: f64) -> bool {
         self.in_flight <= 0.0 || self.in_flight + slots <= self.size
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, slots: f64) {
+    pub fn record_sent(&mut self, slots: f64) {
         self.in_flight += slots;
     }
 
     /// A request has ended, or is given up.
-    pub fn freed(&mut self, slots: f64) {
+    pub fn release(&mut self, slots: f64) {
         self.in_flight -= slots;
     }
 
     /// A request started at once (`prompt`), or it had to wait or was rejected.
-    pub fn learn(&mut self, prompt: bool) {
+    pub fn record_start(&mut self, prompt: bool) {
         let is_full = self.in_flight + 1.0 >= self.size;
         if prompt && is_full {
             self.size *= 1.0 + GAIN;
@@ -53,7 +53,7 @@
 
     /// Sets the least window: this dispatcher's part of one request at each worker, and as many more as
     /// chance makes one of them have at a time.
-    pub fn resize(&mut self, workers: usize, dispatchers: u32) {
+    pub fn set_fleet_size(&mut self, workers: usize, dispatchers: u32) {
         let part = workers as f64 / f64::from(dispatchers.max(1));
         self.least = part + part.sqrt().max(1.0);
         if self.size == 0.0 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -63,6 +63,7 @@
 pub mod concurrency_limit;
 pub mod endpoints;
 pub mod gossip;
+pub mod in_flight_window;
 pub mod latency_objective;
 pub mod least_squares;
 pub mod live_weights;
@@ -84,6 +85,5 @@
 pub mod start_time;
 pub mod table;
 pub mod timer_queue;
-pub mod window;
 
 pub use policy::Policy;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,7 +4,7 @@
 //!   [`poison`](crate::poison).
 //! - Admitted: [`admission`](crate::admission), [`rate_control`](crate::rate_control).
 //! - Placed on a worker and sent (`policy/sending.rs`): [`placement`](crate::placement),
-//!   [`slow_start`](crate::slow_start), [`window`](crate::window), [`probe`](crate::probe).
+//!   [`slow_start`](crate::slow_start), [`in_flight_window`](crate::in_flight_window), [`probe`](crate::probe).
 //! - In flight (`policy/in_flight.rs`): [`attempt_timeout`](crate::attempt_timeout),
 //!   [`outlier`](crate::outlier).
 //! - Attempt ended (`policy/ending.rs`): [`concurrency_limit`](crate::concurrency_limit),
@@ -28,6 +28,7 @@
 use crate::concurrency_limit::Saturation;
 use crate::endpoints::{relies_on_live_weights, Endpoints};
 use crate::gossip::Gossip;
+use crate::in_flight_window::InFlightWindow;
 use crate::latency_objective;
 use crate::live_weights::LiveWeights;
 use crate::load_report::ReportQuality;
@@ -42,7 +43,6 @@
 use crate::slow_start::{FleetCapacity, Sender};
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
-use crate::window::Window;
 
 /// Interval at which room is looked for while requests wait: well under a run time, and cheap.
 const ROOM_INTERVAL: Micros = 20_000;
@@ -91,9 +91,9 @@
     reports: ReportQuality,
     probes: ProbeBudget,
     saturation: Saturation,
-    window: Window,
+    window: InFlightWindow,
     backoff: ClassBackoff,
-    slow_start_overdrafts: u64,
+    slow_start_violations: u64,
 }
 
 impl Policy {
@@ -128,9 +128,9 @@
             reports: ReportQuality::default(),
             probes: ProbeBudget::default(),
             saturation: Saturation::default(),
-            window: Window::default(),
+            window: InFlightWindow::default(),
             backoff: ClassBackoff::default(),
-            slow_start_overdrafts: 0,
+            slow_start_violations: 0,
         };
         policy.configure(settings, &[]);
         let phase = policy.rng.below(SECOND);
@@ -139,8 +139,8 @@
     }
 
     /// Requests sent to workers that warm up beyond this dispatcher's part of their budget. Any is a fault.
-    pub fn slow_start_overdrafts(&self) -> u64 {
-        self.slow_start_overdrafts
+    pub fn slow_start_violations(&self) -> u64 {
+        self.slow_start_violations
     }
 
     /// Handles an event and appends the actions that follow from it.
--- a/src/policy/ending.rs
+++ b/src/policy/ending.rs
@@ -43,7 +43,7 @@
         worker.concurrency.in_flight -= freed;
         worker.fleet_in_flight = (worker.fleet_in_flight - request.slots).max(0.0);
         worker.last_used_at = self.now;
-        self.window.freed(freed);
+        self.window.release(freed);
         // Idle connections of many dispatchers would fill the workers' tables; where new ones cost nothing,
         // none stays.
         let closes = self.settings.handshake_price <= 0.0 && has_many_senders(&self.settings);
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -77,7 +77,7 @@
         let concurrency = &mut self.endpoints.workers[index].concurrency;
         self.saturation.record_room(has_room);
         concurrency.record_room(has_room);
-        self.window.learn(has_room);
+        self.window.record_start(has_room);
         concurrency.adjust(has_room);
     }
 
@@ -184,7 +184,7 @@
         let concurrency = &mut self.endpoints.workers[request.attempt.worker].concurrency;
         concurrency.in_flight -= request.slots;
         concurrency.overdue -= u32::from(was_overdue);
-        self.window.freed(request.slots);
+        self.window.release(request.slots);
     }
 
     /// Whether an attempt is cancelled, so that its request is sent elsewhere: where the request may be
--- a/src/policy/receiving.rs
+++ b/src/policy/receiving.rs
@@ -99,7 +99,7 @@
         let worker = &mut self.endpoints.workers[index];
         worker.concurrency.in_flight += slots;
         worker.last_used_at = now;
-        self.window.sent(slots);
+        self.window.record_sent(slots);
         self.schedule(self.attempt_timeout(received.id), Due::AttemptTimeout { id: received.id, attempt: 0 });
     }
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -13,7 +13,7 @@
     /// The worker that suits a request best, if any has room.
     pub(super) fn select_worker(&mut self, request: &RequestState) -> Option<WorkerIndex> {
         let is_windowed = self.settings.reports_start && !self.settings.live_weights;
-        if is_windowed && !self.window.has_room(request.slots) {
+        if is_windowed && !self.window.has_capacity(request.slots) {
             return None;
         }
         let candidates = self.candidates(request);
@@ -82,7 +82,7 @@
     /// Sends a waiting request to a worker.
     pub(super) fn send(&mut self, rank: Rank, index: WorkerIndex, out: &mut Vec<Action>) {
         let overdraws = self.placement().exceeds_slow_start(index, &self.requests[rank.id]);
-        self.slow_start_overdrafts += u64::from(overdraws);
+        self.slow_start_violations += u64::from(overdraws);
         let Some(request) = self.requests.take(rank) else { return };
         let worker = &mut self.endpoints.workers[index];
         worker.slow_start = worker.slow_start.record(&self.settings.rules, worker.started_at, self.now);
@@ -91,7 +91,7 @@
         worker.last_used_at = self.now;
         worker.fleet_in_flight += request.slots; // the next list counts it
         worker.health.record_sent(self.now, worker.is_listed, probe_interval_factor(&self.settings));
-        self.window.sent(request.slots);
+        self.window.record_sent(request.slots);
         if self.settings.live_weights && has_many_senders(&self.settings) {
             let class = self.settings.class(request.class);
             let speed = self.live_weights.speed(worker.kind);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -113,7 +113,7 @@
             fleet.now = fleet.now.max(at);
             fleet.step(step);
         }
-        let faults = fleet.policy.slow_start_overdrafts();
+        let faults = fleet.policy.slow_start_violations();
         assert_eq!(faults, 0, "jobs beyond the budget of a cold worker");
         fleet.recorded
     }
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -4,19 +4,19 @@
 
 use common::*;
 use dispatch_policy::api::*;
-use dispatch_policy::window::Window;
+use dispatch_policy::in_flight_window::InFlightWindow;
 
 /// A window for 60 workers and as many dispatchers.
-fn window() -> Window {
-    let mut window = Window::default();
-    window.resize(60, 60);
+fn window() -> InFlightWindow {
+    let mut window = InFlightWindow::default();
+    window.set_fleet_size(60, 60);
     window
 }
 
-fn fill(window: &mut Window) -> usize {
+fn fill(window: &mut InFlightWindow) -> usize {
     let mut jobs = 0;
-    while window.has_room(1.0) {
-        window.sent(1.0);
+    while window.has_capacity(1.0) {
+        window.record_sent(1.0);
         jobs += 1;
     }
     jobs
@@ -29,25 +29,25 @@
     assert_eq!(first, 4, "twice a part of one and one more");
     let grown: usize = (0..30)
         .map(|_| {
-            window.learn(true);
+            window.record_start(true);
             fill(&mut window)
         })
         .sum();
     assert!(grown > 8, "{grown}");
-    (0..first + grown).for_each(|_| window.freed(1.0));
-    (0..30).for_each(|_| window.learn(true));
+    (0..first + grown).for_each(|_| window.release(1.0));
+    (0..30).for_each(|_| window.record_start(true));
     assert_eq!(fill(&mut window), first + grown, "while it stands empty it does not grow");
-    (0..1000).for_each(|_| window.learn(false));
-    (0..first + grown).for_each(|_| window.freed(1.0));
+    (0..1000).for_each(|_| window.record_start(false));
+    (0..first + grown).for_each(|_| window.release(1.0));
     assert_eq!(fill(&mut window), 2, "the least");
 }
 
 #[test]
 fn a_job_larger_than_the_window_goes_alone() {
     let mut window = window();
-    assert!(window.has_room(64.0));
-    window.sent(64.0);
-    assert!(!window.has_room(1.0));
+    assert!(window.has_capacity(64.0));
+    window.record_sent(64.0);
+    assert!(!window.has_capacity(1.0));
 }
 
 /// Guards against workers that many dispatchers fill many times over: each one's cap at a worker is a job at least.
