--- a/coordination/src/client.rs
+++ b/coordination/src/client.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the fencing token of a lease if it is valid at this moment. To be called right before each act.
-    pub fn may_act(&self, now: Duration, lease: &str) -> Option<u64> {
+    pub fn valid_token(&self, now: Duration, lease: &str) -> Option<u64> {
         self.leases.get(lease)?.valid_grant(now).map(|grant| grant.token)
     }
 
@@ -127,7 +127,7 @@
         let request = Request {
             id: self.last_request_id,
             client: self.process.clone(),
-            silence_ms: self.silence_ms(now),
+            last_response_age_ms: self.last_response_age_ms(now),
             operation,
         };
         self.actions.push_back(ClientAction::Send { to, request: request.clone() });
@@ -266,7 +266,7 @@
         }
     }
 
-    fn silence_ms(&self, now: Duration) -> u64 {
+    fn last_response_age_ms(&self, now: Duration) -> u64 {
         self.last_response.map_or(u64::MAX, |at| (now - at).as_millis() as u64)
     }
 
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -43,11 +43,11 @@
 //!     let (store, contents) = Store::open(InMemoryBackend::new(), "fleet", &member(i).name, disk_id, 0)?;
 //!     let config = VoterConfig {
 //!         member: member(i),
-//!         founders: (0..3).map(member).collect(),
+//!         initial_voters: (0..3).map(member).collect(),
 //!         timing: Timing::default(),
 //!         process_id: disk_id,
 //!         seed: disk_id,
-//!         unix_ms: 1_700_000_000_000,
+//!         clock_origin_unix_ms: 1_700_000_000_000,
 //!     };
 //!     voters.push((Voter::new(config, contents, now), store));
 //! }
@@ -56,7 +56,7 @@
 //! client.acquire(now, "lists/zone-a");
 //!
 //! let mut messages: VecDeque<(SocketAddr, SocketAddr, Message)> = VecDeque::new();
-//! while client.may_act(now, "lists/zone-a").is_none() {
+//! while client.valid_token(now, "lists/zone-a").is_none() {
 //!     now += Duration::from_millis(10);
 //!     client.tick(now);
 //!     voters.iter_mut().for_each(|(voter, _)| voter.tick(now));
@@ -85,7 +85,7 @@
 //!         }
 //!     }
 //! }
-//! assert!(client.may_act(now, "lists/zone-a").is_some_and(|token| token >= 1_700_000_000_000));
+//! assert!(client.valid_token(now, "lists/zone-a").is_some_and(|token| token >= 1_700_000_000_000));
 //! # Ok::<(), coordination::StoreError>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -109,15 +109,15 @@
     LEASES_MAX, STATE_MAX,
 };
 pub use list_broadcast::{
-    BroadcastAction, BroadcastMessage, BroadcastMetrics, Entry, ListBroadcast, ListDelta,
+    BroadcastAction, BroadcastMessage, BroadcastMetrics, ListBroadcast, ListDelta, ListEntry,
 };
 pub use message::{
     ClusterStatus, Handshake, HandshakeAnswer, Message, Operation, Outcome, Request, Response, VoterStatus,
     MESSAGE_MAX, NAME_MAX,
 };
 pub use rolling_restart::{
-    Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX, MISSING_TOLERANCE,
-    RETURN_TIMEOUT,
+    FleetMember, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX,
+    MISSING_TOLERANCE, RETURN_TIMEOUT,
 };
 pub use store::{DiskIdentity, ProcessStart, Store, StoreContents, StoreError, WriteBatch};
 pub use timing::Timing;
--- a/coordination/src/list_broadcast.rs
+++ b/coordination/src/list_broadcast.rs
@@ -16,7 +16,7 @@
 mod state_transfer;
 mod tree;
 
-pub use message::{BroadcastAction, BroadcastMessage, BroadcastMetrics, Entry, ListDelta};
+pub use message::{BroadcastAction, BroadcastMessage, BroadcastMetrics, ListDelta, ListEntry};
 
 use heartbeat::{HeartbeatTimer, KnownHolder};
 use state_transfer::{ChunkAssembly, VersionedList};
@@ -79,7 +79,7 @@
     }
 
     /// Returns the entries of the list here, by key.
-    pub fn entries(&self) -> impl ExactSizeIterator<Item = &Entry> {
+    pub fn entries(&self) -> impl ExactSizeIterator<Item = &ListEntry> {
         self.list.entries()
     }
 
--- a/coordination/src/list_broadcast/message.rs
+++ b/coordination/src/list_broadcast/message.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Entry of a list.
+/// ListEntry of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ListEntry {
     /// Key, such as an endpoint's id.
     pub key: String,
     /// The entry is removed.
@@ -23,7 +23,7 @@
     /// `entries` is the complete list.
     pub complete: bool,
     /// Changed entries, or all of them.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
 }
 
 /// Message between nodes of a zone.
@@ -64,7 +64,7 @@
         /// Number of chunks.
         count: u16,
         /// Entries of the chunk.
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
 }
 
--- a/coordination/src/list_broadcast/state_transfer.rs
+++ b/coordination/src/list_broadcast/state_transfer.rs
@@ -1,7 +1,7 @@
 //! Versions of the list, and their transfer between nodes in chunks.
 
 use super::heartbeat::HOLDER_TIMEOUT;
-use super::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use super::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,14 +19,14 @@
 struct KeptDelta {
     from: u64,
     to: u64,
-    entries: Vec<Entry>,
+    entries: Vec<ListEntry>,
 }
 
 /// The list with its last deltas.
 #[derive(Default)]
 pub(super) struct VersionedList {
     version: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, ListEntry>,
     deltas: VecDeque<KeptDelta>,
 }
 
@@ -35,7 +35,7 @@
         self.version
     }
 
-    pub(super) fn entries(&self) -> impl ExactSizeIterator<Item = &Entry> {
+    pub(super) fn entries(&self) -> impl ExactSizeIterator<Item = &ListEntry> {
         self.entries.values()
     }
 
@@ -80,9 +80,9 @@
     }
 
     /// Entries that changed after this version, if all deltas since then are kept.
-    fn changed_since(&self, version: u64) -> Option<Vec<Entry>> {
+    fn changed_since(&self, version: u64) -> Option<Vec<ListEntry>> {
         let first = self.deltas.iter().position(|delta| delta.from == version)?;
-        let mut changed: BTreeMap<&str, &Entry> = BTreeMap::new();
+        let mut changed: BTreeMap<&str, &ListEntry> = BTreeMap::new();
         for delta in self.deltas.iter().skip(first) {
             changed.extend(delta.entries.iter().map(|entry| (entry.key.as_str(), entry)));
         }
@@ -103,12 +103,18 @@
 /// Chunks of one transfer that were received.
 pub(super) struct ChunkAssembly {
     id: TransferId,
-    chunks: Vec<Option<Vec<Entry>>>,
+    chunks: Vec<Option<Vec<ListEntry>>>,
 }
 
 impl ListBroadcast {
     /// Handles a chunk of the discovery service that this node follows.
-    pub(super) fn receive_chunk(&mut self, now: Duration, id: TransferId, index: u16, entries: Vec<Entry>) {
+    pub(super) fn receive_chunk(
+        &mut self,
+        now: Duration,
+        id: TransferId,
+        index: u16,
+        entries: Vec<ListEntry>,
+    ) {
         let applies = id.base_version == 0 || id.base_version == self.list.version();
         if id.version <= self.list.version() || !applies {
             return;
@@ -126,7 +132,7 @@
     }
 
     /// Adds a chunk to its transfer; returns all entries once the transfer is complete.
-    fn assemble(&mut self, id: TransferId, index: u16, entries: Vec<Entry>) -> Option<Vec<Entry>> {
+    fn assemble(&mut self, id: TransferId, index: u16, entries: Vec<ListEntry>) -> Option<Vec<ListEntry>> {
         let count = usize::from(id.count);
         if usize::from(index) >= count || count > CHUNKS_MAX {
             return None;
@@ -160,14 +166,14 @@
         match changed {
             Some(entries) => self.send_chunks(to, token, version, &entries),
             None => {
-                let entries: Vec<Entry> = self.list.entries().cloned().collect();
+                let entries: Vec<ListEntry> = self.list.entries().cloned().collect();
                 self.send_chunks(to, token, 0, &entries);
             }
         }
     }
 
     /// Sends entries in chunks, unless there are too many: then each node polls discovery.
-    fn send_chunks(&mut self, to: SocketAddr, token: u64, base_version: u64, entries: &[Entry]) {
+    fn send_chunks(&mut self, to: SocketAddr, token: u64, base_version: u64, entries: &[ListEntry]) {
         let chunks = split(entries);
         if chunks.len() > CHUNKS_MAX {
             return;
@@ -183,9 +189,9 @@
 }
 
 /// Splits entries into chunks of at most [`CHUNK_BYTES_MAX`]; one larger entry is a chunk of its own.
-fn split(entries: &[Entry]) -> Vec<Vec<Entry>> {
+fn split(entries: &[ListEntry]) -> Vec<Vec<ListEntry>> {
     let mut chunks = Vec::new();
-    let mut chunk: Vec<Entry> = Vec::new();
+    let mut chunk: Vec<ListEntry> = Vec::new();
     let mut room = CHUNK_BYTES_MAX;
     for entry in entries {
         let size = entry.bytes.len() + entry.key.len() + ENTRY_OVERHEAD_BYTES;
--- a/coordination/src/message.rs
+++ b/coordination/src/message.rs
@@ -48,7 +48,7 @@
     /// Cluster that the disk belongs to, if any.
     pub cluster_id: Option<u64>,
     /// Hash of the founders that the voter would form a new cluster with.
-    pub founders_digest: u64,
+    pub initial_voters_digest: u64,
     /// Answer to a handshake; `None` in one that asks for an answer.
     pub answer: Option<HandshakeAnswer>,
 }
@@ -82,7 +82,7 @@
     pub client: Holder,
     /// Time since the client last received anything from a leader, in milliseconds. A holder whose requests arrive but who
     /// receives nothing would otherwise keep its lease without knowing it.
-    pub silence_ms: u64,
+    pub last_response_age_ms: u64,
     /// What is requested.
     pub operation: Operation,
 }
--- a/coordination/src/rolling_restart.rs
+++ b/coordination/src/rolling_restart.rs
@@ -32,13 +32,13 @@
     Cancelled,
     /// This node did not come back.
     #[serde(rename = "NotBack")]
-    NodeNotBack(String),
+    NodeNotReturned(String),
     /// This number of nodes disappeared without having been told to restart.
     #[serde(rename = "Missing")]
     NodesMissing(u16),
     /// Too many jobs failed: the number of failed jobs, and of all that ended.
     #[serde(rename = "JobsFail")]
-    JobsFailed(u64, u64),
+    RequestsFailed(u64, u64),
 }
 
 /// The text that operators see.
@@ -47,9 +47,9 @@
         match self {
             RestartOutcome::Completed => write!(f, "Done"),
             RestartOutcome::Cancelled => write!(f, "Asked"),
-            RestartOutcome::NodeNotBack(name) => write!(f, "NotBack({name:?})"),
+            RestartOutcome::NodeNotReturned(name) => write!(f, "NotBack({name:?})"),
             RestartOutcome::NodesMissing(count) => write!(f, "Missing({count})"),
-            RestartOutcome::JobsFailed(failed, ended) => write!(f, "JobsFail({failed}, {ended})"),
+            RestartOutcome::RequestsFailed(failed, ended) => write!(f, "JobsFail({failed}, {ended})"),
         }
     }
 }
@@ -79,7 +79,7 @@
 
 /// Node that takes jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct FleetMember {
     /// Name of the node.
     pub name: String,
     /// Its zone.
@@ -124,7 +124,7 @@
 
 impl RollingRestart {
     /// Starts a rolling restart of these nodes. `own_name` is the holder's.
-    pub fn start(own_name: &str, id: u64, max_unavailable: u8, members: &[Member]) -> RollingRestart {
+    pub fn start(own_name: &str, id: u64, max_unavailable: u8, members: &[FleetMember]) -> RollingRestart {
         let progress = RestartProgress {
             id,
             max_unavailable: max_unavailable.clamp(1, IN_PROGRESS_MAX as u8),
@@ -170,14 +170,14 @@
     }
 
     /// Records the jobs that failed and ended since the start, at all nodes that were asked; halts if too many failed.
-    pub fn record_jobs(&mut self, failed: u64, ended: u64) {
+    pub fn record_requests(&mut self, failed: u64, ended: u64) {
         if ended >= JOBS_MIN && failed * JOBS_PER_FAILURE > ended {
-            self.stop(RestartOutcome::JobsFailed(failed, ended));
+            self.stop(RestartOutcome::RequestsFailed(failed, ended));
         }
     }
 
     /// Continues with the nodes that take jobs now.
-    pub fn advance(&mut self, now: Duration, members: &[Member]) {
+    pub fn advance(&mut self, now: Duration, members: &[FleetMember]) {
         if self.progress.outcome.is_some() {
             return;
         }
@@ -185,7 +185,7 @@
         self.zones.extend(members.iter().map(|m| (m.name.clone(), m.zone.clone())));
         self.record_returned(members);
         if let Some(name) = self.overdue(now) {
-            return self.stop(RestartOutcome::NodeNotBack(name));
+            return self.stop(RestartOutcome::NodeNotReturned(name));
         }
         let missing = self.count_missing(members);
         if self.is_missing_too_long(now, missing) {
@@ -207,7 +207,7 @@
     }
 
     /// Counts the nodes that came back with another process.
-    fn record_returned(&mut self, members: &[Member]) {
+    fn record_returned(&mut self, members: &[FleetMember]) {
         let has_returned = |(name, process_id): &(String, u64)| {
             find(members, name).is_some_and(|member| member.process_id != *process_id)
         };
@@ -225,7 +225,7 @@
     }
 
     /// Number of nodes that disappeared without having been told to restart.
-    fn count_missing(&self, members: &[Member]) -> usize {
+    fn count_missing(&self, members: &[FleetMember]) -> usize {
         let in_progress = self.progress.in_progress.iter();
         let restarting = in_progress.filter(|(name, _)| find(members, name).is_none()).count();
         usize::from(self.progress.total).saturating_sub(members.len() + restarting)
@@ -241,15 +241,15 @@
     }
 
     /// Nodes that have not been chosen yet, in the order in which they restart.
-    fn remaining<'a>(&self, members: &'a [Member]) -> Vec<&'a Member> {
-        let mut remaining: Vec<&Member> =
+    fn remaining<'a>(&self, members: &'a [FleetMember]) -> Vec<&'a FleetMember> {
+        let mut remaining: Vec<&FleetMember> =
             members.iter().filter(|member| member.name > self.progress.cursor).collect();
         remaining.sort_by(|a, b| a.name.cmp(&b.name));
         remaining
     }
 
     /// Chooses the next nodes to restart.
-    fn choose(&mut self, remaining: &[&Member]) {
+    fn choose(&mut self, remaining: &[&FleetMember]) {
         for member in remaining {
             let is_full = self.progress.in_progress.len() >= IN_PROGRESS_MAX;
             if is_full || self.unavailable_in(&member.zone) >= usize::from(self.progress.max_unavailable) {
@@ -274,7 +274,7 @@
     }
 
     /// Tells the chosen nodes to restart, again and again until they are gone.
-    fn request_restarts(&mut self, now: Duration, members: &[Member]) {
+    fn request_restarts(&mut self, now: Duration, members: &[FleetMember]) {
         for (name, process_id) in &self.progress.in_progress {
             let times = self.requested.get(name);
             let Some(member) = find(members, name).filter(|m| m.process_id == *process_id) else {
@@ -300,6 +300,6 @@
     }
 }
 
-fn find<'a>(members: &'a [Member], name: &str) -> Option<&'a Member> {
+fn find<'a>(members: &'a [FleetMember], name: &str) -> Option<&'a FleetMember> {
     members.iter().find(|member| member.name == name)
 }
--- a/coordination/src/voter/config.rs
+++ b/coordination/src/voter/config.rs
@@ -9,7 +9,7 @@
     /// Name and address of this voter.
     pub member: VoterMember,
     /// Voters that form a new cluster together, with this one if it is one of them.
-    pub founders: Vec<VoterMember>,
+    pub initial_voters: Vec<VoterMember>,
     /// Duration of leases and elections.
     pub timing: Timing,
     /// Id of this process, drawn at each start.
@@ -17,5 +17,5 @@
     /// Seed of the election timeouts.
     pub seed: u64,
     /// Unix time in milliseconds at which the embedder's clock shows zero.
-    pub unix_ms: u64,
+    pub clock_origin_unix_ms: u64,
 }
--- a/coordination/src/voter/eligibility.rs
+++ b/coordination/src/voter/eligibility.rs
@@ -37,13 +37,13 @@
 impl Voter {
     /// Addresses of all other voters and founders.
     pub(super) fn other_voters(&self) -> BTreeSet<SocketAddr> {
-        let members = self.config.founders.iter().chain(self.table.voters.values());
+        let members = self.config.initial_voters.iter().chain(self.table.voters.values());
         members.map(|m| m.address).filter(|address| *address != self.config.member.address).collect()
     }
 
     /// Hash of the founders' names and addresses.
-    pub(super) fn founders_digest(&self) -> u64 {
-        let founders = self.config.founders.iter();
+    pub(super) fn initial_voters_digest(&self) -> u64 {
+        let founders = self.config.initial_voters.iter();
         let mut lines: Vec<String> = founders.map(|m| format!("{} {}", m.name, m.address)).collect();
         lines.sort();
         hash(&lines.join("\n"))
@@ -56,7 +56,7 @@
             starts: self.identity.starts,
             process_id: self.config.process_id,
             cluster_id: self.identity.cluster_id,
-            founders_digest: self.founders_digest(),
+            initial_voters_digest: self.initial_voters_digest(),
             answer,
         }
     }
--- a/coordination/src/voter/formation.rs
+++ b/coordination/src/voter/formation.rs
@@ -16,7 +16,7 @@
 impl Voter {
     /// Forms the cluster if all founders are known and belong to none.
     pub(super) fn form_cluster(&mut self, now: Duration) {
-        let Some(voters) = self.founders_by_disk(now) else { return };
+        let Some(voters) = self.initial_voters_by_disk(now) else { return };
         let disks: Vec<String> = voters.keys().map(u64::to_string).collect();
         let cluster_id = hash(&disks.join(" "));
         let table = LeaseTable { voters, ..LeaseTable::default() };
@@ -34,28 +34,28 @@
     }
 
     /// All founders by disk id; `None` while one is not known, or if this voter is not a founder.
-    fn founders_by_disk(&self, now: Duration) -> Option<BTreeMap<u64, VoterMember>> {
+    fn initial_voters_by_disk(&self, now: Duration) -> Option<BTreeMap<u64, VoterMember>> {
         let mut voters = BTreeMap::new();
-        let digest = self.founders_digest();
-        for founder in &self.config.founders {
+        let digest = self.initial_voters_digest();
+        for founder in &self.config.initial_voters {
             let disk_id = if founder.name == self.config.member.name {
                 self.identity.disk_id
             } else {
-                self.latest_founder(now, &founder.name, digest)?.handshake.disk_id
+                self.latest_initial_voter(now, &founder.name, digest)?.handshake.disk_id
             };
             voters.insert(disk_id, founder.clone());
         }
-        let is_complete = voters.len() == self.config.founders.len();
+        let is_complete = voters.len() == self.config.initial_voters.len();
         (is_complete && voters.contains_key(&self.identity.disk_id)).then_some(voters)
     }
 
     /// Latest handshake of a process with this name, the same founders and no cluster.
-    fn latest_founder(&self, now: Duration, name: &str, digest: u64) -> Option<&PeerHandshake> {
+    fn latest_initial_voter(&self, now: Duration, name: &str, digest: u64) -> Option<&PeerHandshake> {
         let fits = |peer: &&PeerHandshake| {
             let handshake = &peer.handshake;
             handshake.name == name
                 && handshake.cluster_id.is_none()
-                && handshake.founders_digest == digest
+                && handshake.initial_voters_digest == digest
                 && now - peer.received_at < HANDSHAKE_VALIDITY
         };
         self.eligibility.peers.values().filter(fits).max_by_key(|peer| peer.received_at)
--- a/coordination/src/voter/requests.rs
+++ b/coordination/src/voter/requests.rs
@@ -24,7 +24,7 @@
         if self.leadership.is_none() || !is_ready {
             return self.respond(&pending, Outcome::NotLeader(self.leader_address()));
         }
-        let silence = Duration::from_millis(request.silence_ms);
+        let silence = Duration::from_millis(request.last_response_age_ms);
         let must_confirm = silence > self.config.timing.lease / 2;
         self.execute(now, pending, request.operation, must_confirm);
     }
@@ -83,6 +83,6 @@
 
     /// Unix time in milliseconds by this machine's clock: for display, and the least that a first token is.
     pub(super) fn unix_ms(&self, now: Duration) -> u64 {
-        self.config.unix_ms + now.as_millis() as u64
+        self.config.clock_origin_unix_ms + now.as_millis() as u64
     }
 }
--- a/coordination/tests/golden_bytes/cluster.rs
+++ b/coordination/tests/golden_bytes/cluster.rs
@@ -145,11 +145,11 @@
             assert_eq!(found.identity.disk_id, number);
             let setup = VoterConfig {
                 member: seat(i),
-                founders: (0..3).map(seat).collect(),
+                initial_voters: (0..3).map(seat).collect(),
                 timing: Timing { lease: Duration::from_secs(10), election: Duration::from_secs(1) },
                 process_id: boot + 1 + i as u64,
                 seed: 5 + i as u64,
-                unix_ms: UNIX_MS,
+                clock_origin_unix_ms: UNIX_MS,
             };
             (Voter::new(setup, found, now), store)
         };
@@ -220,7 +220,7 @@
     fn ask(&mut self, client: usize, wish: Operation) -> Outcome {
         self.number += 1;
         let who = Holder { name: CLIENTS[client].into(), process_id: 50 + client as u64 };
-        let ask = Request { id: self.number, client: who, silence_ms: 0, operation: wish };
+        let ask = Request { id: self.number, client: who, last_response_age_ms: 0, operation: wish };
         let leader = self.leader().unwrap();
         self.voters[leader].0.receive(self.now, client_address(), Message::Request(ask));
         self.carry_out();
--- a/coordination/tests/golden_bytes/messages.rs
+++ b/coordination/tests/golden_bytes/messages.rs
@@ -1,9 +1,9 @@
 //! One of each message between voters, clients and the list broadcast, all fields set to fixed values.
 
 use coordination::{
-    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Entry, Handshake, HandshakeAnswer, Holder,
-    LeaseChange, LeaseRecord, LeaseTable, Message, Operation, Outcome, ProcessStart, Request, Response,
-    RestartOutcome, RestartProgress, VoterMember, VoterMetrics, VoterState, VoterStatus,
+    BroadcastMessage, BroadcastMetrics, ChangeKind, ClusterStatus, Handshake, HandshakeAnswer, Holder,
+    LeaseChange, LeaseRecord, LeaseTable, ListEntry, Message, Operation, Outcome, ProcessStart, Request,
+    Response, RestartOutcome, RestartProgress, VoterMember, VoterMetrics, VoterState, VoterStatus,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -85,13 +85,13 @@
         starts: 3,
         process_id: 0xffff_0000_1111_2222,
         cluster_id: answer.map(|_| 99),
-        founders_digest: 0x8000_0000_0000_0001,
+        initial_voters_digest: 0x8000_0000_0000_0001,
         answer,
     })
 }
 
 fn ask(wish: Operation) -> Message {
-    Message::Request(Request { id: 130, client: holder(), silence_ms: 1_500, operation: wish })
+    Message::Request(Request { id: 130, client: holder(), last_response_age_ms: 1_500, operation: wish })
 }
 
 fn answer(reply: Outcome) -> Message {
@@ -140,7 +140,7 @@
 }
 
 fn list_messages() -> Vec<Sample> {
-    let line = |key: &str, gone| Entry { key: key.into(), removed: gone, bytes: b"{\"id\":1}".to_vec() };
+    let line = |key: &str, gone| ListEntry { key: key.into(), removed: gone, bytes: b"{\"id\":1}".to_vec() };
     let beat = BroadcastMessage::Heartbeat {
         token: 300,
         holder: "node-1".into(),
@@ -181,9 +181,9 @@
         sample("roll/progress", roll_progress(None)),
         sample("roll/done", roll_progress(Some(RestartOutcome::Completed))),
         sample("roll/asked", roll_progress(Some(RestartOutcome::Cancelled))),
-        sample("roll/not back", roll_progress(Some(RestartOutcome::NodeNotBack("node-3".into())))),
+        sample("roll/not back", roll_progress(Some(RestartOutcome::NodeNotReturned("node-3".into())))),
         sample("roll/missing", roll_progress(Some(RestartOutcome::NodesMissing(300)))),
-        sample("roll/jobs fail", roll_progress(Some(RestartOutcome::JobsFailed(2, 30)))),
+        sample("roll/jobs fail", roll_progress(Some(RestartOutcome::RequestsFailed(2, 30)))),
     ]
     .into_iter()
     .map(|s| Sample { name: s.name.replace(' ', "-"), ..s })
@@ -224,6 +224,6 @@
         json("figures", &figures),
         json("counts", &counts),
         json("standings", &standings),
-        json("progress", &roll_progress(Some(RestartOutcome::JobsFailed(2, 30)))),
+        json("progress", &roll_progress(Some(RestartOutcome::RequestsFailed(2, 30)))),
     ]
 }
--- a/coordination/tests/list_broadcast.rs
+++ b/coordination/tests/list_broadcast.rs
@@ -1,13 +1,13 @@
 //! List broadcast among the nodes of a zone whose messages arrive at once.
 
-use coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn entry(key: &str, removed: bool, length: usize) -> Entry {
-    Entry { key: key.into(), removed, bytes: vec![7; length] }
+fn entry(key: &str, removed: bool, length: usize) -> ListEntry {
+    ListEntry { key: key.into(), removed, bytes: vec![7; length] }
 }
 
 fn at(i: usize) -> SocketAddr {
@@ -57,7 +57,7 @@
     }
 }
 
-fn complete(version: u64, entries: Vec<Entry>) -> ListDelta {
+fn complete(version: u64, entries: Vec<ListEntry>) -> ListDelta {
     ListDelta { version, complete: true, entries }
 }
 
@@ -66,7 +66,7 @@
     let mut zone = Zone::new(300);
     let now = MS * 1000;
     zone.nodes[7].lease_acquired(now, 5);
-    let list: Vec<Entry> = (0..400).map(|i| entry(&format!("w{i}"), false, 300)).collect();
+    let list: Vec<ListEntry> = (0..400).map(|i| entry(&format!("w{i}"), false, 300)).collect();
     zone.nodes[7].publish(now, &complete(3, list.clone()), true);
     zone.nodes[7].tick(now, true);
     let most = zone.deliver(now, |_, _| false);
--- a/coordination/tests/rolling_restart.rs
+++ b/coordination/tests/rolling_restart.rs
@@ -1,16 +1,16 @@
 //! Rolling restart of an emulated fleet.
 
 use coordination::{
-    Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX, MISSING_TOLERANCE,
-    RETURN_TIMEOUT, STATE_MAX,
+    FleetMember, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX,
+    MISSING_TOLERANCE, RETURN_TIMEOUT, STATE_MAX,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
 
 const S: Duration = Duration::from_secs(1);
 
-fn fleet(n: usize) -> Vec<Member> {
-    let member = |i: usize| Member {
+fn fleet(n: usize) -> Vec<FleetMember> {
+    let member = |i: usize| FleetMember {
         name: format!("n{i}"),
         zone: format!("z{}", i % 2),
         address: SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16)),
@@ -23,8 +23,8 @@
 fn advance(
     restart: &mut RollingRestart,
     now: Duration,
-    members: &mut Vec<Member>,
-    away: &mut Vec<Member>,
+    members: &mut Vec<FleetMember>,
+    away: &mut Vec<FleetMember>,
 ) -> Vec<String> {
     members.append(away);
     restart.advance(now, members);
@@ -33,7 +33,7 @@
         if let RestartStep::Restart { name, process_id, .. } = step {
             let found = members.iter().position(|m| m.name == name && m.process_id == process_id);
             let member = members.remove(found.expect("it is there"));
-            away.push(Member { process_id: process_id + 1, ..member });
+            away.push(FleetMember { process_id: process_id + 1, ..member });
             told.push(name);
         }
     }
@@ -79,10 +79,10 @@
 #[test]
 fn restart_halts_when_too_many_jobs_fail() {
     let mut restart = RollingRestart::start("n0", 7, 1, &fleet(4));
-    restart.record_jobs(1, 30);
+    restart.record_requests(1, 30);
     assert_eq!(restart.progress().outcome, None);
-    restart.record_jobs(2, 30);
-    assert_eq!(restart.progress().outcome, Some(RestartOutcome::JobsFailed(2, 30)));
+    restart.record_requests(2, 30);
+    assert_eq!(restart.progress().outcome, Some(RestartOutcome::RequestsFailed(2, 30)));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     members.remove(0);
     restart.advance(2 * S, &members);
     restart.advance(S + RETURN_TIMEOUT, &members);
-    assert_eq!(restart.progress().outcome, Some(RestartOutcome::NodeNotBack("n0".into())));
+    assert_eq!(restart.progress().outcome, Some(RestartOutcome::NodeNotReturned("n0".into())));
 }
 
 #[test]
@@ -106,7 +106,7 @@
         in_progress: vec![(long.clone(), u64::MAX); IN_PROGRESS_MAX],
         total: u16::MAX,
         completed: u16::MAX,
-        outcome: Some(RestartOutcome::NodeNotBack(long)),
+        outcome: Some(RestartOutcome::NodeNotReturned(long)),
     };
     assert!(postcard::to_stdvec(&progress).unwrap().len() <= STATE_MAX);
 }
--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -40,7 +40,7 @@
                 Scope::Zone => &zone,
             };
             // The holder keeps its lease: a growing fleet is no reason for a hand-over.
-            let is_holder = self.client.may_act(now, &lease).is_some();
+            let is_holder = self.client.valid_token(now, &lease).is_some();
             if is_serving && (self.is_candidate(&lease, peers) || is_holder) {
                 self.client.acquire(now, &lease);
             } else {
--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -7,7 +7,7 @@
 use super::task::Task;
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::platform::ListSharing;
-use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use ::coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
 use ::membership::{name_hash, Peer};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -120,7 +120,7 @@
         self.update_source();
         let entry = |member: &EndpointRecord| {
             let bytes = serde_json::to_vec(member).ok()?;
-            Some(Entry { key: member.id().to_string(), removed: member.is_terminated(), bytes })
+            Some(ListEntry { key: member.id().to_string(), removed: member.is_terminated(), bytes })
         };
         let entries = list.members.iter().filter_map(entry).collect();
         let delta = ListDelta { version: list.revision, complete: list.complete, entries };
@@ -196,7 +196,7 @@
 impl Task {
     /// Returns whether this node may send as the holder. To be called right before each message to the zone.
     pub(super) fn may_publish_lists(&self) -> bool {
-        self.client.may_act(boottime(), &self.list_lease()).is_some()
+        self.client.valid_token(boottime(), &self.list_lease()).is_some()
     }
 
     /// Works on the lists, and sends the messages that result.
--- a/node/src/coordination/rolling_restart.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -4,7 +4,9 @@
 use super::message::{NodeMessage, RestartMessage, RestartRequest};
 use super::task::Task;
 use crate::phase::Phases;
-use ::coordination::{FencingGuard, Member, RestartOutcome, RestartProgress, RestartStep, RollingRestart};
+use ::coordination::{
+    FencingGuard, FleetMember, RestartOutcome, RestartProgress, RestartStep, RollingRestart,
+};
 use ::membership::Peer;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -62,8 +64,8 @@
     is_ending: bool,
 }
 
-fn members(peers: &[Peer]) -> Vec<Member> {
-    let member = |peer: &Peer| Member {
+fn members(peers: &[Peer]) -> Vec<FleetMember> {
+    let member = |peer: &Peer| FleetMember {
         name: peer.name.clone(),
         zone: peer.zone.clone(),
         address: peer.address,
@@ -165,7 +167,7 @@
         };
         let (failed, ended) = (sum(|counts| counts.failed), sum(|counts| counts.ended));
         if let Some(restart) = &mut self.restart {
-            restart.record_jobs(failed, ended);
+            restart.record_requests(failed, ended);
         }
     }
 
@@ -202,7 +204,7 @@
     /// Continues the rolling restart.
     pub(super) fn drive_restart(&mut self, now: Duration) {
         let peers = self.dependencies.fleet.peers().borrow().clone();
-        let is_valid = self.client.may_act(now, LEASE).is_some();
+        let is_valid = self.client.valid_token(now, LEASE).is_some();
         self.restart.advance(now, &peers, is_valid && !self.client.is_saving_state(LEASE));
         if let Some(progress) = self.restart.take_unsaved() {
             self.client.save_state(now, LEASE, progress);
@@ -213,7 +215,7 @@
         }
         while let Some(outgoing) = self.restart.outgoing.pop_front() {
             // The lease is checked anew before each message.
-            let Some(token) = self.client.may_act(boottime(), LEASE) else { break };
+            let Some(token) = self.client.valid_token(boottime(), LEASE) else { break };
             let (to, message) = match outgoing {
                 Outgoing::Restart { to, process_id } => (to, RestartMessage::Restart { token, process_id }),
                 Outgoing::HealthQuery { to } => (to, RestartMessage::HealthQuery { token }),
@@ -225,7 +227,7 @@
     pub(super) fn receive_restart_message(&mut self, from: SocketAddr, message: RestartMessage) {
         match message {
             RestartMessage::Requested(request) => {
-                if self.client.may_act(boottime(), LEASE).is_some() {
+                if self.client.valid_token(boottime(), LEASE).is_some() {
                     let peers = self.dependencies.fleet.peers().borrow().clone();
                     self.restart.request(&self.dependencies.name, request, &peers);
                 }
--- a/node/src/coordination/scheduled_call.rs
+++ b/node/src/coordination/scheduled_call.rs
@@ -83,7 +83,7 @@
 impl Task {
     /// Time of the next call whose lease is valid here.
     pub(super) fn next_call(&self, now: Duration) -> Duration {
-        let is_held = |lease: &str| self.client.may_act(now, lease).is_some();
+        let is_held = |lease: &str| self.client.valid_token(now, lease).is_some();
         let waiting = self.calls.iter().filter(|(lease, call)| !call.in_flight && is_held(lease));
         let next = waiting.map(|(_, call)| call.next_call).min();
         next.map_or(Duration::MAX, |at| at.max(now + CALL_DELAY))
@@ -95,7 +95,7 @@
             let lease = lease_of(call);
             let state = self.calls.get_mut(&lease).filter(|call| !call.in_flight && now >= call.next_call);
             let Some(state) = state else { continue };
-            let Some(token) = self.client.may_act(boottime(), &lease) else { continue };
+            let Some(token) = self.client.valid_token(boottime(), &lease) else { continue };
             state.next_call = now + call.interval;
             state.in_flight = true;
             let (call, node) = (call.clone(), self.dependencies.name.clone());
--- a/node/src/coordination/voter_host.rs
+++ b/node/src/coordination/voter_host.rs
@@ -118,11 +118,11 @@
         let dependencies = &self.dependencies;
         let config = VoterConfig {
             member: VoterMember { name: dependencies.name.clone(), address: dependencies.address },
-            founders: dependencies.settings.voters.iter().map(member).collect(),
+            initial_voters: dependencies.settings.voters.iter().map(member).collect(),
             timing: self.timing,
             process_id: dependencies.fleet.process_id(),
             seed: fastrand::u64(..),
-            unix_ms: unix.saturating_sub(now).as_millis() as u64,
+            clock_origin_unix_ms: unix.saturating_sub(now).as_millis() as u64,
         };
         self.voter.voter = Some((Voter::new(config, contents, now), Arc::new(store)));
     }
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -141,8 +141,8 @@
     let ends = [
         coordination::RestartOutcome::Completed,
         coordination::RestartOutcome::Cancelled,
-        coordination::RestartOutcome::NodeNotBack("node-3".into()),
-        coordination::RestartOutcome::JobsFailed(2, 30),
+        coordination::RestartOutcome::NodeNotReturned("node-3".into()),
+        coordination::RestartOutcome::RequestsFailed(2, 30),
     ];
     let mut all = vec![
         status(Some(VoterState::Leader), here.clone(), lists, Some(told(Some(progress(None))))),
--- a/testbed/src/coordination.rs
+++ b/testbed/src/coordination.rs
@@ -173,7 +173,7 @@
     pub fn holder(&self) -> Option<(usize, u64)> {
         let token = |node: usize| {
             let process = self.nodes[node].process.as_ref().filter(|process| !process.is_stalled)?;
-            Some((node, process.client.may_act(self.local_time(node), LEASE)?))
+            Some((node, process.client.valid_token(self.local_time(node), LEASE)?))
         };
         (0..self.nodes.len()).find_map(token)
     }
--- a/testbed/src/coordination/faults.rs
+++ b/testbed/src/coordination/faults.rs
@@ -22,16 +22,22 @@
         self.nodes[node].process = None;
         let (process_id, seed, now) = (self.rng.random(), self.rng.random(), self.local_time(node));
         let member = |voter| VoterMember { name: name(voter), address: address(voter) };
-        let founders: Vec<VoterMember> = (0..self.spec.voters).map(member).collect();
+        let initial_voters: Vec<VoterMember> = (0..self.spec.voters).map(member).collect();
         let holder = Holder { name: name(node), process_id };
-        let voters = founders.iter().map(|member| member.address).collect();
+        let voters = initial_voters.iter().map(|member| member.address).collect();
         let mut client = Client::new(holder, self.spec.timing, voters);
         if self.spec.candidates.contains(&node) {
             client.acquire(now, LEASE);
         }
         let timing = self.spec.timing;
-        let config =
-            VoterConfig { member: member(node), founders, timing, process_id, seed, unix_ms: UNIX_MS };
+        let config = VoterConfig {
+            member: member(node),
+            initial_voters,
+            timing,
+            process_id,
+            seed,
+            clock_origin_unix_ms: UNIX_MS,
+        };
         let voter = self.open_voter(node, config, now);
         self.nodes[node].process = Some(Process {
             process_id,
--- a/testbed/src/coordination/node.rs
+++ b/testbed/src/coordination/node.rs
@@ -68,7 +68,7 @@
 impl Process {
     /// Act whose lease is valid now.
     pub(super) fn act(&self, node: usize, now: Duration, local: Duration) -> Option<Act> {
-        let token = self.client.may_act(local, super::LEASE)?;
+        let token = self.client.valid_token(local, super::LEASE)?;
         let process = format!("{} {}", name(node), self.process_id);
         Some(Act { started_at: now, arrived_at: now, process, token, accepted: false })
     }
--- a/testbed/src/lists.rs
+++ b/testbed/src/lists.rs
@@ -2,7 +2,7 @@
 //! with one node that polls discovery for all and without.
 
 use crate::emulated_network::{node_address, EventQueue};
-use ::coordination::{BroadcastAction, BroadcastMessage, Entry, ListBroadcast, ListDelta};
+use ::coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -210,7 +210,8 @@
 
     /// What a version changes: all workers, or one.
     fn delta(version: u64) -> ListDelta {
-        let entry = |i: usize| Entry { key: format!("w{i:03}"), removed: false, bytes: vec![0; ENTRY_BYTES] };
+        let entry =
+            |i: usize| ListEntry { key: format!("w{i:03}"), removed: false, bytes: vec![0; ENTRY_BYTES] };
         match version {
             1 => ListDelta { version, complete: true, entries: (0..WORKERS).map(entry).collect() },
             _ => ListDelta { version, complete: false, entries: vec![entry(version as usize % WORKERS)] },
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -1,6 +1,6 @@
 //! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
 
-use ::coordination::Entry;
+use ::coordination::ListEntry;
 use dispatch_policy::api::{Availability, Endpoint, WorkerId};
 use rand::rngs::SmallRng;
 use rand::RngExt;
@@ -59,7 +59,7 @@
     }
 
     /// The lines as the nodes of a zone pass them on to each other.
-    pub fn lines(&self) -> Vec<Entry> {
+    pub fn lines(&self) -> Vec<ListEntry> {
         self.members.iter().map(Member::line).collect()
     }
 
@@ -85,9 +85,9 @@
         }
     }
 
-    fn line(&self) -> Entry {
+    fn line(&self) -> ListEntry {
         let bytes = serde_json::to_vec(self).unwrap_or_default();
-        Entry { key: self.id.clone(), removed: false, bytes }
+        ListEntry { key: self.id.clone(), removed: false, bytes }
     }
 
     fn entry(&self) -> Endpoint {
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -120,11 +120,11 @@
     let (process_id, seed) = (rng.random(), rng.random());
     let config = VoterConfig {
         member,
-        founders: members(),
+        initial_voters: members(),
         timing: Timing::default(),
         process_id,
         seed,
-        unix_ms: UNIX_MS,
+        clock_origin_unix_ms: UNIX_MS,
     };
     Machine::Voter(Box::new(Voter::new(config, disk, Duration::ZERO)), store)
 }
@@ -273,7 +273,9 @@
     fn lease_holder(&self, zone: usize) -> Option<usize> {
         let first = VOTERS + zone * CLIENTS_PER_ZONE;
         let holds = |i: &usize| match &self.processes[*i].machine {
-            Some(Machine::Client(client)) => client.may_act(self.queue.now(), &lease_name(zone)).is_some(),
+            Some(Machine::Client(client)) => {
+                client.valid_token(self.queue.now(), &lease_name(zone)).is_some()
+            }
             _ => false,
         };
         (first..first + CLIENTS_PER_ZONE).find(holds)
