--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -73,7 +73,7 @@
         self.counters.probes.add();
         // Jobs may wait for the answer: a front end that cannot ask counts as no answer.
         if !self.frontend.probe(worker) {
-            self.events.push_back(Event::ProbeEnded { worker, ok: false, report: None });
+            self.events.push_back(Event::ProbeEnded { worker, responded: false, report: None });
         }
     }
 
--- a/node/src/dispatcher/mod.rs
+++ b/node/src/dispatcher/mod.rs
@@ -124,13 +124,13 @@
             DispatcherEvent::EndpointListFailed => self.notify_policy(Event::EndpointWatchFailed),
             DispatcherEvent::Settings { settings, continues } => {
                 self.settings = (*settings).clone();
-                self.notify_policy(Event::SettingsChanged { settings, continues });
+                self.notify_policy(Event::SettingsChanged { settings, inherits_from: continues });
             }
             DispatcherEvent::PeerRates(from, bytes) => {
                 self.notify_policy(Event::PeerMessage { from, bytes });
             }
             DispatcherEvent::Probed(worker, ok, report) => {
-                self.notify_policy(Event::ProbeEnded { worker, ok, report });
+                self.notify_policy(Event::ProbeEnded { worker, responded: ok, report });
             }
             DispatcherEvent::FreezeTransferable(reply) => {
                 self.freeze_transferable();
--- a/node/src/dispatcher/requests.rs
+++ b/node/src/dispatcher/requests.rs
@@ -51,8 +51,13 @@
         self.requests.insert(id, entry);
         self.timers.schedule(sent.until, Timer::Deadline(id));
         let us_since = |at: Instant| at.elapsed().as_micros() as Micros;
-        let (sent_us, started_us) = (us_since(sent.at), sent.started.map(us_since));
-        self.notify_policy(Event::RequestAdopted { request, worker: sent.worker, sent_us, started_us });
+        let (since_sent_us, since_started_us) = (us_since(sent.at), sent.started.map(us_since));
+        self.notify_policy(Event::RequestAdopted {
+            request,
+            worker: sent.worker,
+            since_sent_us,
+            since_started_us,
+        });
     }
 
     /// The client has left; after the answer this changes nothing.
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -82,7 +82,7 @@
     let mut text = String::new();
     flatten("", value, &mut text);
     let pairs = KeyValues::new(&text);
-    let (settings, fields) = settings::read(&pairs)?;
+    let (settings, fields) = settings::from_key_values(&pairs)?;
     let names = parse_names(value, &pairs, &settings, fields)?;
     Ok((settings, names))
 }
@@ -97,8 +97,9 @@
     let tenants = item_names(value, "Parties", settings.tenants.len())?;
     let report_names = value.get("Stats").and_then(|stats| stats.get("Fields")).map(plain_names);
     let longest = settings.classes.iter().map(|class| class.deadline_us).max().unwrap_or(0);
-    let duration =
-        |key: &str, absent: Duration| pairs.span(key, absent.as_micros() as u64).map(Duration::from_micros);
+    let duration = |key: &str, absent: Duration| {
+        pairs.unsigned(key, absent.as_micros() as u64).map(Duration::from_micros)
+    };
     Ok(Names {
         continues: vec![None; classes.len()],
         classes,
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -85,9 +85,9 @@
         /// The worker that holds it.
         worker: WorkerId,
         /// Time since it was sent.
-        sent_us: Micros,
+        since_sent_us: Micros,
         /// Time since its worker reported its start, if it did.
-        started_us: Option<Micros>,
+        since_started_us: Option<Micros>,
     },
     /// A streamed response has begun to reach the client, so the attempt can't be replaced any more.
     ResponseStreaming {
@@ -132,7 +132,7 @@
         /// All settings.
         settings: Box<Settings>,
         /// For each class, the one whose run times are the first estimate of its own, if any.
-        continues: Vec<Option<usize>>,
+        inherits_from: Vec<Option<usize>>,
     },
     /// The whole endpoint list; a worker that it lacks is gone, if the rules say so.
     EndpointList(Vec<Endpoint>),
@@ -147,7 +147,7 @@
         /// The worker.
         worker: WorkerId,
         /// Whether it responded.
-        ok: bool,
+        responded: bool,
         /// The load report in the response.
         report: Option<LoadReport>,
     },
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -132,11 +132,11 @@
     /// Price of sending a request to another zone, as a part of its value.
     pub cross_zone_price: f64,
     /// Price of 256 bytes of peer messages for each request, as a part of its value.
-    pub peer_price: f64,
+    pub peer_message_price: f64,
     /// Price of opening a connection for each request, as a part of its value.
     pub handshake_price: f64,
     /// Price of a fetch from the origin for each request, as a part of its value.
-    pub origin_price: f64,
+    pub origin_fetch_price: f64,
     /// Time for which an idle connection stays open; 0 where unknown.
     pub idle_timeout_us: Micros,
     /// Weight of requests that were admitted and missed their objective; 0 for none.
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -95,9 +95,9 @@
         self.validate_tenants()?;
         self.validate_figures(&[
             (self.cross_zone_price, "cross-zone price"),
-            (self.peer_price, "price of telling"),
+            (self.peer_message_price, "price of telling"),
             (self.handshake_price, "price of a connection"),
-            (self.origin_price, "price of a fetch"),
+            (self.origin_fetch_price, "price of a fetch"),
         ])?;
         if let Some(budget) = self.rules.retry_budget {
             self.validate_figures(&[
--- a/src/attempt_timeout.rs
+++ b/src/attempt_timeout.rs
@@ -18,13 +18,13 @@
 }
 
 /// How long the worker may report nothing of a request's attempt. `others_wait` says that other dispatchers'
-/// requests are known to fill the worker, `estimates_room` that its room is estimated from load reports.
+/// requests are known to fill the worker, `estimates_capacity` that its room is estimated from load reports.
 pub fn timeout(
     settings: &Settings,
     request: &RequestState,
     class: &ClassHistory,
     others_wait: bool,
-    estimates_room: bool,
+    estimates_capacity: bool,
 ) -> Micros {
     let attempt = &request.attempt;
     if is_unacknowledged(settings, attempt) {
@@ -34,9 +34,9 @@
         return start_timeout(request, class, others_wait);
     }
     match settings.progress_interval_us {
-        0 => class.typical_us as Micros * SILENT_RUNS,
+        0 => class.median_run_us as Micros * SILENT_RUNS,
         interval => {
-            let long = if estimates_room { class.long_us as Micros } else { 0 };
+            let long = if estimates_capacity { class.p98_run_us as Micros } else { 0 };
             (interval + interval / 2).max(long)
         }
     }
@@ -47,7 +47,7 @@
 /// are before it, once it can't be in time.
 fn start_timeout(request: &RequestState, class: &ClassHistory, others_wait: bool) -> Micros {
     let attempt = &request.attempt;
-    let typical = class.typical_us as Micros;
+    let typical = class.median_run_us as Micros;
     let prompt = PROMPT_START.max(typical / PROMPT_START_PART);
     if !attempt.overdue {
         return prompt;
@@ -57,7 +57,7 @@
     } else if attempt.sent_at + typical < request.send_by {
         typical
     } else {
-        class.typical_us.max(class.long_us) as Micros
+        class.median_run_us.max(class.p98_run_us) as Micros
     };
     prompt + wait
 }
--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -42,7 +42,7 @@
         code::REQUEST => Event::RequestReceived(request(record)?),
         code::PROBE_ENDED => Event::ProbeEnded {
             worker: WorkerId(record.worker(5)?),
-            ok: record.u16(11)? == STATUS_OK,
+            responded: record.u16(11)? == STATUS_OK,
             report: report(record, 17, fields)?,
         },
         code::PEER_MESSAGE => Event::PeerMessage {
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -3,7 +3,7 @@
 use super::error::Error;
 
 /// Bytes of a batch's header.
-pub const HEADER: usize = 20;
+pub const HEADER_BYTES: usize = 20;
 /// Bytes of an event's record.
 const EVENT: usize = 48;
 /// Bytes of an action's record.
@@ -52,9 +52,9 @@
 }
 
 /// Size of the whole frame, as its header states it.
-pub fn frame_len(header: &[u8; HEADER]) -> Result<usize, Error> {
+pub fn frame_len(header: &[u8; HEADER_BYTES]) -> Result<usize, Error> {
     let len = Record(header).u32(12)? as usize;
-    if len < HEADER {
+    if len < HEADER_BYTES {
         return Err(Error::FrameTooShort { stated: len });
     }
     Ok(len)
@@ -62,7 +62,7 @@
 
 impl Batch {
     /// Reads a frame from its header and the bytes after it.
-    pub fn parse(header: &[u8; HEADER], body: Vec<u8>) -> Result<Batch, Error> {
+    pub fn parse(header: &[u8; HEADER_BYTES], body: Vec<u8>) -> Result<Batch, Error> {
         let head = Record(header);
         let count = head.u32(16)? as usize;
         if count.checked_mul(EVENT).is_none_or(|n| n > body.len()) {
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -7,7 +7,7 @@
 mod host;
 
 use error::Error;
-use frame::{Batch, HEADER};
+use frame::{Batch, HEADER_BYTES};
 use host::Host;
 use std::io::{self, Read, Write};
 
@@ -35,13 +35,13 @@
 }
 
 fn next_batch(input: &mut impl Read) -> Result<Option<Batch>, Error> {
-    let mut header = Vec::with_capacity(HEADER);
-    input.take(HEADER as u64).read_to_end(&mut header).map_err(Error::Read)?;
+    let mut header = Vec::with_capacity(HEADER_BYTES);
+    input.take(HEADER_BYTES as u64).read_to_end(&mut header).map_err(Error::Read)?;
     if header.is_empty() {
         return Ok(None);
     }
-    let header: [u8; HEADER] = header.try_into().map_err(|_| Error::CutHeader)?;
-    let rest = frame::frame_len(&header)? - HEADER;
+    let header: [u8; HEADER_BYTES] = header.try_into().map_err(|_| Error::CutHeader)?;
+    let rest = frame::frame_len(&header)? - HEADER_BYTES;
     let mut body = Vec::with_capacity(rest.min(MAX_PREALLOCATED));
     input.take(rest as u64).read_to_end(&mut body).map_err(Error::Read)?;
     if body.len() < rest {
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::outlier::Health;
 use crate::retry::Locality;
 use crate::rng::{mix, Rng};
-use crate::run_time::{KindHistory, Kinds, RelativeRunTime};
+use crate::run_time::{KindHistories, KindHistory, RelativeRunTime};
 use crate::slow_start::SlotUsage;
 use crate::start_time::{local_start, ListHistory};
 use crate::table::{KindId, RowId, Table, WorkerIndex};
@@ -116,7 +116,7 @@
 /// What changes along with the workers.
 pub struct FleetModels<'a> {
     /// What is known of each kind.
-    pub kinds: &'a mut Kinds,
+    pub kinds: &'a mut KindHistories,
     /// What live weights tell.
     pub live_weights: &'a mut LiveWeights,
 }
@@ -180,8 +180,9 @@
             let is_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
             worker.weight = if is_weight { endpoint.weight } else { 1.0 };
             if settings.live_weights {
-                let WeightReading { in_flight, size } = models.live_weights.learn(kind, worker.weight);
-                worker.weight = size;
+                let WeightReading { in_flight, idle_weight } =
+                    models.live_weights.record_weight(kind, worker.weight);
+                worker.weight = idle_weight;
                 worker.fleet_in_flight = if relies_on_live_weights(settings) { in_flight } else { 0.0 };
             }
         }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -75,7 +75,7 @@
         let message = encode(admission.rates());
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum::<f64>();
         let mean_rate = quotas / f64::from(count);
-        let price = settings.peer_price * message.len() as f64 / PRICED_BYTES;
+        let price = settings.peer_message_price * message.len() as f64 / PRICED_BYTES;
         let recipients = ((MAX_COST * mean_rate / price.max(1e-9)) as u32).clamp(1, MAX_RECIPIENTS);
         let first = if recipients < count - 1 { rng.below(u64::from(count - 1)) as u32 } else { 0 };
         for step in 0..recipients.min(count - 1) {
--- a/src/latency_objective.rs
+++ b/src/latency_objective.rs
@@ -31,7 +31,7 @@
 
 /// The objective of a typical request of this class, in microseconds.
 pub fn objective_us(class: &ClassSettings, history: &ClassHistory) -> f64 {
-    (class.objective_us as f64 + class.objective_per_work * history.typical_us).max(1.0)
+    (class.objective_us as f64 + class.objective_per_work * history.median_run_us).max(1.0)
 }
 
 /// The last time at which a request that was sent to a worker of this speed can start there and be in time.
@@ -43,7 +43,7 @@
 /// A class's head start over the class with the least value for a worker's time.
 pub fn head_start(class: ClassId, settings: &Settings, classes: &Table<ClassId, ClassHistory>) -> Micros {
     let density = |class: ClassId| {
-        settings.class(class).priority_weight.max(MIN_WEIGHT) / classes[class].typical_us.max(1.0)
+        settings.class(class).priority_weight.max(MIN_WEIGHT) / classes[class].median_run_us.max(1.0)
     };
     let least = settings.offered_classes().map(density).fold(f64::INFINITY, f64::min);
     ((density(class) / least).log2() * HEAD_START as f64) as Micros
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -4,13 +4,13 @@
 use crate::concurrency_limit::{FLEET_GAIN, INITIAL_LIMIT, REJECTION_GAIN};
 
 /// Age up to which a report's free slots count.
-pub const FRESH_FOR: Micros = 80_000;
+pub const MAX_FRESH_AGE_US: Micros = 80_000;
 /// Ratio of reports that only repeat the one before above which they can't be relied on.
 const STALE: f64 = 0.4;
 /// Change of requests in flight, in slots, that a report should show.
 const VISIBLE_CHANGE: f64 = 0.5;
 /// Free slots that are room for a request.
-pub const ROOM: f64 = 0.9;
+pub const MIN_FREE_SLOTS: f64 = 0.9;
 /// The part of the mean capacity that stays in a period where it is below one slot, and the slots that are
 /// added, so that a full fleet is looked at again.
 const FULL_FLEET_KEPT: f64 = 0.9;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportedLoad {
     /// Free slots as reported, less those waiting there and those sent since.
-    pub free: f64,
+    pub free_slots: f64,
     /// When it was received.
     pub received_at: Micros,
     report: LoadReport,
@@ -31,37 +31,37 @@
 impl ReportedLoad {
     /// Whether it still counts.
     pub fn is_fresh(&self, now: Micros) -> bool {
-        now < self.received_at + FRESH_FOR
+        now < self.received_at + MAX_FRESH_AGE_US
     }
 }
 
 /// What a load report shows.
 #[derive(Clone, Copy, Debug)]
-pub struct ReportedRoom {
+pub struct ReportedCapacity {
     free: f64,
     queued: f64,
     /// Whether the worker has room, as far as its queue tells, or else its free slots.
-    pub has_room: bool,
+    pub has_capacity: bool,
 }
 
-impl ReportedRoom {
+impl ReportedCapacity {
     /// What a report shows; nothing where it lacks free slots.
-    pub fn by(report: LoadReport) -> Option<ReportedRoom> {
+    pub fn from_report(report: LoadReport) -> Option<ReportedCapacity> {
         let free = report.free_slots?;
         let queued = report.queued.unwrap_or(0.0).max(0.0);
         let free = free.min(report.free_memory.unwrap_or(free));
-        let has_room = if report.queued.is_some() { queued < 0.5 } else { free >= 0.5 };
-        Some(ReportedRoom { free, queued, has_room })
+        let has_capacity = if report.queued.is_some() { queued < 0.5 } else { free >= 0.5 };
+        Some(ReportedCapacity { free, queued, has_capacity })
     }
 
     /// Whether slots are free beside those that waiting requests will take.
     pub fn has_free_slots(&self) -> bool {
-        self.free - self.queued >= ROOM
+        self.free - self.queued >= MIN_FREE_SLOTS
     }
 
     /// The report as it is kept of its worker.
-    pub fn as_load(&self, report: LoadReport, in_flight: f64, now: Micros) -> ReportedLoad {
-        ReportedLoad { free: self.free.max(0.0) - self.queued, received_at: now, report, in_flight }
+    pub fn to_reported_load(&self, report: LoadReport, in_flight: f64, now: Micros) -> ReportedLoad {
+        ReportedLoad { free_slots: self.free.max(0.0) - self.queued, received_at: now, report, in_flight }
     }
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Whether room is estimated from reports of any age.
-    pub fn estimates_room(&self, settings: &Settings) -> bool {
+    pub fn estimates_capacity(&self, settings: &Settings) -> bool {
         let reports_only = settings.reports_free_slots && !settings.reports_start;
         reports_only && !self.requires_fresh_reports(settings)
     }
@@ -96,14 +96,14 @@
     /// Compares a report with the one before, where requests in flight have changed in between.
     pub fn record(&mut self, before: &ReportedLoad, report: LoadReport, in_flight: f64, now: Micros) {
         let has_changed = (before.in_flight - in_flight).abs() > VISIBLE_CHANGE;
-        if has_changed && now < before.received_at + 4 * FRESH_FOR {
+        if has_changed && now < before.received_at + 4 * MAX_FRESH_AGE_US {
             let repeats = f64::from(u8::from(before.report == report));
             self.stale_ratio += REJECTION_GAIN / 2.0 * (repeats - self.stale_ratio);
         }
     }
 
     /// Records the room that a report shows.
-    pub fn record_room(&mut self, room: f64) {
+    pub fn record_capacity(&mut self, room: f64) {
         self.mean_capacity += FLEET_GAIN * (room - self.mean_capacity);
     }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -10,11 +10,11 @@
 use crate::concurrency_limit::MIN_LIMIT;
 use crate::endpoints::{relies_on_live_weights, Endpoints, Worker};
 use crate::live_weights::LiveWeights;
-use crate::load_report::{ReportQuality, ROOM};
+use crate::load_report::{ReportQuality, MIN_FREE_SLOTS};
 use crate::requests::{FirstExecution, RequestState};
 use crate::retry;
-use crate::rng::{mix, unit};
-use crate::run_time::{ClassHistory, Kinds, CLASS_GAIN};
+use crate::rng::{mix, unit_hash};
+use crate::run_time::{ClassHistory, KindHistories, CLASS_GAIN};
 use crate::slow_start::{self, FleetCapacity, Sender, WorkerStart};
 use crate::table::{ClassId, RowId, Table, WorkerIndex};
 
@@ -53,7 +53,7 @@
     /// What is known of the classes.
     pub classes: &'a Table<ClassId, ClassHistory>,
     /// What is known of the kinds of worker.
-    pub kinds: &'a Kinds,
+    pub kinds: &'a KindHistories,
     /// What live weights tell.
     pub live_weights: &'a LiveWeights,
     /// What load reports tell together.
@@ -90,7 +90,7 @@
             LoadSource::FreshReports
         } else if relies_on_live_weights(settings) {
             LoadSource::LiveWeights
-        } else if reports.estimates_room(settings) {
+        } else if reports.estimates_capacity(settings) {
             LoadSource::EstimatedRoom
         } else {
             LoadSource::OwnRequests
@@ -138,11 +138,11 @@
         }
         let price = self.price(worker);
         if self.chooses_at_random {
-            let draw = -unit(self.seed ^ worker.id.0 ^ self.now).ln();
+            let draw = -unit_hash(self.seed ^ worker.id.0 ^ self.now).ln();
             let draw = draw * (PRICE_IN_CHOICE * (price.zone + price.connection)).exp();
             return self.load(worker, request).map(|load| draw * load * load);
         }
-        let tie_break = unit(self.seed ^ worker.id.0) * TIE_BREAK;
+        let tie_break = unit_hash(self.seed ^ worker.id.0) * TIE_BREAK;
         let crowding = if self.load_source == LoadSource::EstimatedRoom {
             0.0
         } else {
@@ -188,15 +188,15 @@
     /// that a popular one has more workers. None where the request rather waits for a worker that surely
     /// holds the data.
     fn fetch_price(&self, request: &RequestState, worker: &Worker) -> Option<f64> {
-        if request.affinity_key == 0 || self.settings.origin_price <= 0.0 {
+        if request.affinity_key == 0 || self.settings.origin_fetch_price <= 0.0 {
             return Some(0.0);
         }
-        let fetched = (unit(request.affinity_key ^ mix(worker.id.0)) * KEY_SPREAD).min(1.0);
+        let fetched = (unit_hash(request.affinity_key ^ mix(worker.id.0)) * KEY_SPREAD).min(1.0);
         let waits = fetched > FETCHES_A_SLACK * request.waited_ratio(self.now) + LIKELY_CACHED;
         if waits {
             None
         } else {
-            Some(fetched * self.settings.origin_price * LOAD_A_PRICE)
+            Some(fetched * self.settings.origin_fetch_price * LOAD_A_PRICE)
         }
     }
 
@@ -206,7 +206,7 @@
         let settings = self.settings;
         if self.endpoints.is_large() && settings.reports_free_slots && !settings.reports_start {
             let kind = &self.kinds[worker.kind];
-            (kind.relative_run_time, kind.room_ratio.max(MIN_ROOM_RATIO))
+            (kind.relative_run_time, kind.free_slots_ratio.max(MIN_ROOM_RATIO))
         } else {
             (worker.relative_run_time.get(), 1.0)
         }
@@ -256,7 +256,8 @@
     /// Load by a fresh report; without one, a guess by which workers are probed.
     fn reported_load(&self, worker: &Worker, request: &RequestState) -> Option<f64> {
         if worker.load.is_fresh(self.now) {
-            return Some(1.0 / (1.0 + worker.load.free)).filter(|_| worker.load.free >= ROOM);
+            return Some(1.0 / (1.0 + worker.load.free_slots))
+                .filter(|_| worker.load.free_slots >= MIN_FREE_SLOTS);
         }
         let load = self.slots_with(worker, request) / worker.concurrency.limit().max(MIN_LIMIT);
         Some((1.0 + load) / self.run_time_and_room(worker).1)
@@ -301,11 +302,11 @@
     }
 
     fn warmth(&self, worker: &Worker) -> f64 {
-        slow_start::warmth(&self.settings.rules, worker.started_at, self.now)
+        slow_start::capacity_ratio(&self.settings.rules, worker.started_at, self.now)
     }
 
     fn slow_start_allows(&self, worker: &Worker, request: &RequestState) -> bool {
-        let capacity_per_s = self.fleet.capacity(self.settings, worker.weight);
+        let capacity_per_s = self.fleet.worker_capacity_per_s(self.settings, worker.weight);
         let start = WorkerStart { worker: worker.id, started_at: worker.started_at, capacity_per_s };
         let size = request.work_us / SECOND as f64 / self.fleet.mean_work_s;
         slow_start::may_send(&self.settings.rules, self.sender, start, worker.slow_start, self.now, size)
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -38,7 +38,7 @@
 use crate::requests::{Rank, Requests};
 use crate::retry::RetryUsage;
 use crate::rng::Rng;
-use crate::run_time::{ClassHistory, Kinds, MeanWork};
+use crate::run_time::{ClassHistory, KindHistories, MeanWork};
 use crate::slow_start::{FleetCapacity, Sender};
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
@@ -81,7 +81,7 @@
     poison: PoisonDetector,
 
     classes: Table<ClassId, ClassHistory>,
-    kinds: Kinds,
+    kinds: KindHistories,
     mean_work: MeanWork,
 
     endpoints: Endpoints,
@@ -120,7 +120,7 @@
             retries: RetryUsage::default(),
             poison: PoisonDetector::default(),
             classes: Table::default(),
-            kinds: Kinds::default(),
+            kinds: KindHistories::default(),
             mean_work: MeanWork::default(),
             endpoints: Endpoints::default(),
             with_room: Vec::new(),
@@ -165,8 +165,8 @@
     fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::RequestReceived(request) => self.receive(request, out),
-            Event::RequestAdopted { request, worker, sent_us, started_us } => {
-                self.adopt(request, *worker, *sent_us, *started_us, out);
+            Event::RequestAdopted { request, worker, since_sent_us, since_started_us } => {
+                self.adopt(request, *worker, *since_sent_us, *since_started_us, out);
             }
             Event::Acknowledged { id, attempt } => self.acknowledged(*id, *attempt, out),
             Event::Started { id, attempt } => self.started(*id, *attempt, out),
@@ -177,10 +177,10 @@
             Event::EndpointList(endpoints) => self.update_endpoints(endpoints, true),
             Event::EndpointChanges(endpoints) => self.update_endpoints(endpoints, false),
             Event::EndpointWatchFailed => self.endpoint_watch_failed(out),
-            Event::SettingsChanged { settings, continues } => {
-                self.configure((**settings).clone(), continues);
+            Event::SettingsChanged { settings, inherits_from } => {
+                self.configure((**settings).clone(), inherits_from);
             }
-            Event::ProbeEnded { worker, ok, report } => self.probe_ended(*worker, *ok, *report),
+            Event::ProbeEnded { worker, responded, report } => self.probe_ended(*worker, *responded, *report),
             Event::PeerMessage { from, bytes } => {
                 self.gossip.receive(*from, bytes, self.admission.tenants(), &self.settings, self.now);
             }
@@ -208,7 +208,7 @@
 
     /// Sends admitted requests, in their order, to workers with room; the others wait on.
     fn place(&mut self, out: &mut Vec<Action>) {
-        let by_key = self.settings.origin_price > 0.0;
+        let by_key = self.settings.origin_fetch_price > 0.0;
         if by_key {
             self.with_room = self.placement().with_room();
         }
--- a/src/policy/ending.rs
+++ b/src/policy/ending.rs
@@ -4,7 +4,7 @@
 use crate::api::{Action, AttemptEnd, LoadReport, Notice, Outcome, RequestId};
 use crate::class_backoff::{backoff_jitter, backoff_us};
 use crate::endpoints::{has_many_senders, probe_interval_factor};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{Phase, RequestState};
 use crate::table::WorkerIndex;
 
@@ -25,12 +25,12 @@
         }
         if end.request_done || end.outcome == Outcome::Success {
             let latency = (self.now - request.admitted_at) as f64 / self.objective_us(request.class);
-            self.record_latency(end.id, latency.min(LATE));
+            self.record_latency(end.id, latency.min(LATE_LATENCY_RATIO));
             self.requests.remove(end.id);
             return;
         }
         if !end.outcome.proves_not_executed() {
-            self.record_latency(end.id, LATE);
+            self.record_latency(end.id, LATE_LATENCY_RATIO);
         }
         self.retry_or_give_up(end.id, end.outcome, out);
     }
@@ -53,7 +53,7 @@
     }
 
     fn learn_from(&mut self, request: &RequestState, end: &AttemptEnd, out: &mut Vec<Action>) {
-        let (attempt, typical_us) = (request.attempt, self.classes[request.class].typical_us);
+        let (attempt, typical_us) = (request.attempt, self.classes[request.class].median_run_us);
         let is_poison = self.is_poison(request, end);
         let ran_long = (self.now - attempt.sent_at) as f64 > LATE_LOSS * typical_us;
         match end.outcome {
@@ -99,7 +99,7 @@
         if report.is_some_and(|report| report.free_slots.is_some()) {
             self.load_reported(attempt.worker, report);
         } else {
-            let typical_us = self.classes[request.class].typical_us;
+            let typical_us = self.classes[request.class].median_run_us;
             self.record_room(attempt.worker, run_us < PROMPT_RUN * typical_us);
         }
     }
@@ -108,7 +108,7 @@
     /// where that is rejected there much more often than all requests are, else for the worker.
     fn rejected(&mut self, request: &RequestState, out: &mut Vec<Action>) {
         let index = request.attempt.worker;
-        let typical_us = self.classes[request.class].typical_us;
+        let typical_us = self.classes[request.class].median_run_us;
         self.worker_responded(index, false, out);
         let from = self.now + self.rng.below(backoff_jitter(typical_us));
         let until = |rejection_ratio: f64| from + backoff_us(typical_us, rejection_ratio);
@@ -119,7 +119,7 @@
         self.record_room(index, false);
         let worker = &mut self.endpoints.workers[index];
         worker.health.pause_until(until(worker.concurrency.rejection_ratio));
-        worker.load.free = worker.load.free.min(0.0);
+        worker.load.free_slots = worker.load.free_slots.min(0.0);
     }
 
     fn connection_lost(&mut self, index: WorkerIndex, out: &mut Vec<Action>) {
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -3,7 +3,7 @@
 use super::{Due, Policy};
 use crate::api::{Action, Idempotency, Micros, Notice, RequestId};
 use crate::attempt_timeout::{is_unacknowledged, timeout};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{Attempt, FirstExecution, Phase, RequestState};
 use crate::table::WorkerIndex;
 
@@ -86,8 +86,8 @@
         let request = &self.requests[id];
         let placement = self.placement();
         let others_wait = placement.is_filled_by_others(request.attempt.worker);
-        let estimates_room = self.reports.estimates_room(&self.settings);
-        timeout(&self.settings, request, &self.classes[request.class], others_wait, estimates_room)
+        let estimates_capacity = self.reports.estimates_capacity(&self.settings);
+        timeout(&self.settings, request, &self.classes[request.class], others_wait, estimates_capacity)
     }
 
     /// Looks after an attempt whose timeout may have passed: its worker or its connection may hang.
@@ -112,8 +112,8 @@
         }
         let silence = self.silence(&attempt, since, timeout, is_unacknowledged);
         self.blame_silence(id, &request, &silence, out);
-        if (self.now - request.admitted_at) as f64 > LATE * self.objective_us(request.class) {
-            self.record_latency(id, LATE);
+        if (self.now - request.admitted_at) as f64 > LATE_LATENCY_RATIO * self.objective_us(request.class) {
+            self.record_latency(id, LATE_LATENCY_RATIO);
         }
         if self.should_move(id, &silence) {
             if let Some(request) = self.requests.get_mut(id) {
@@ -197,7 +197,7 @@
         let is_lost = self.endpoints.workers[attempt.worker].health.is_unresponsive()
             || attempt.given_up
             || silence.waits_for_others
-            || self.reports.estimates_room(&self.settings);
+            || self.reports.estimates_capacity(&self.settings);
         let deduplicated_until = attempt.sent_at + class.deduplication_window_us;
         if !may_move || !is_lost || request.attempts >= request.max_attempts {
             return false;
--- a/src/policy/receiving.rs
+++ b/src/policy/receiving.rs
@@ -18,7 +18,7 @@
     pub(super) fn receive(&mut self, received: &Request, out: &mut Vec<Action>) {
         let class = ClassId::new(received.class.min(self.classes.len() - 1));
         let tenant = TenantId::new(received.tenant.min(self.admission.tenants() - 1));
-        let work_us = received.work_hint_us.map_or(self.classes[class].typical_us, |hint| hint as f64);
+        let work_us = received.work_hint_us.map_or(self.classes[class].median_run_us, |hint| hint as f64);
         self.mean_work.record(work_us);
         let settings = self.settings.class(class);
         let slack = slack_us(settings, work_us, self.settings.late_penalty_weight > 0.0);
--- a/src/policy/retrying.rs
+++ b/src/policy/retrying.rs
@@ -2,7 +2,7 @@
 
 use super::{Due, Policy};
 use crate::api::{Action, Idempotency, Micros, Notice, Outcome, Reason, RequestId};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{FirstExecution, Phase, RequestState};
 use crate::retry;
 
@@ -69,8 +69,8 @@
     fn may_be_late(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         // Where room is estimated, a request may wait at its worker for as long as it runs.
-        let runs = if self.reports.estimates_room(&self.settings) { 2 } else { 1 };
-        let run = self.classes[request.class].typical_us as Micros;
+        let runs = if self.reports.estimates_capacity(&self.settings) { 2 } else { 1 };
+        let run = self.classes[request.class].median_run_us as Micros;
         let send_by = request.deadline.saturating_sub(runs * run);
         let is_worthless = self.settings.class(request.class).late_weight <= 0.0;
         if request.is_late || is_worthless || self.now >= send_by {
@@ -84,7 +84,7 @@
     /// Gives a request its final answer unserved: a rejection where its client may retry it, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
         if self.requests.get(id).is_some_and(|request| request.phase != Phase::Queued) {
-            self.record_latency(id, LATE);
+            self.record_latency(id, LATE_LATENCY_RATIO);
         }
         let Some(request) = self.requests.remove(id) else { return };
         out.push(Action::Notify(Notice::RequestGivenUp { request: id, reason }));
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -5,7 +5,7 @@
 use crate::concurrency_limit::MAX_LIMIT;
 use crate::endpoints::{has_many_senders, probe_interval_factor, relies_on_live_weights};
 use crate::latency_objective::latest_start;
-use crate::load_report::{ReportedRoom, FRESH_FOR};
+use crate::load_report::{ReportedCapacity, MAX_FRESH_AGE_US};
 use crate::requests::{Attempt, Phase, Rank, RequestState};
 use crate::table::WorkerIndex;
 
@@ -23,7 +23,7 @@
     /// Workers that are looked at for a request: all of a small fleet; of a large one a sample, unless those
     /// that may execute it again are too few for a sample to find them, or all are alike by live weights.
     fn candidates(&mut self, request: &RequestState) -> Vec<WorkerIndex> {
-        if self.settings.origin_price > 0.0 {
+        if self.settings.origin_fetch_price > 0.0 {
             return self.with_room.clone();
         }
         let idempotency = self.settings.class(request.class).idempotency;
@@ -36,13 +36,13 @@
         let idle_timeout = if charges_connections { self.settings.idle_timeout_us } else { 0 };
         // Those that are probed come first.
         let waits_for_probes =
-            self.reports.requires_fresh_reports(&self.settings) && self.probes.is_waiting();
+            self.reports.requires_fresh_reports(&self.settings) && self.probes.any_in_flight();
         self.endpoints.sample(!waits_for_probes, idle_timeout, &mut self.rng, self.now)
     }
 
     /// Probes the workers that suit a request best and whose load is not known.
     pub(super) fn probe_workers(&mut self, request: &RequestState, out: &mut Vec<Action>) {
-        if !self.reports.requires_fresh_reports(&self.settings) || self.probes.is_waiting() {
+        if !self.reports.requires_fresh_reports(&self.settings) || self.probes.any_in_flight() {
             return;
         }
         let candidates = self.candidates(request);
@@ -53,11 +53,11 @@
         }
     }
 
-    pub(super) fn probe_ended(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
+    pub(super) fn probe_ended(&mut self, worker: WorkerId, responded: bool, report: Option<LoadReport>) {
         let Some(index) = self.endpoints.find(worker) else { return };
         self.probes.record_ended();
-        if !ok {
-            self.endpoints.workers[index].health.pause_until(self.now + FRESH_FOR);
+        if !responded {
+            self.endpoints.workers[index].health.pause_until(self.now + MAX_FRESH_AGE_US);
         }
         self.load_reported(index, report);
     }
@@ -65,17 +65,17 @@
     /// Takes a worker's load report.
     pub(super) fn load_reported(&mut self, index: WorkerIndex, report: Option<LoadReport>) {
         let Some(report) = report else { return };
-        let Some(room_report) = ReportedRoom::by(report) else { return };
+        let Some(room_report) = ReportedCapacity::from_report(report) else { return };
         let worker = &mut self.endpoints.workers[index];
         let in_flight = worker.concurrency.in_flight;
         self.reports.record(&worker.load, report, in_flight, self.now);
-        self.saturation.record_room(room_report.has_room);
-        worker.concurrency.record_room(room_report.has_room);
-        self.kinds[worker.kind].record_room(room_report.has_free_slots());
-        worker.load = room_report.as_load(report, in_flight, self.now);
-        let room = (in_flight + worker.load.free).clamp(0.0, MAX_LIMIT);
+        self.saturation.record_room(room_report.has_capacity);
+        worker.concurrency.record_room(room_report.has_capacity);
+        self.kinds[worker.kind].record_free_slots(room_report.has_free_slots());
+        worker.load = room_report.to_reported_load(report, in_flight, self.now);
+        let room = (in_flight + worker.load.free_slots).clamp(0.0, MAX_LIMIT);
         worker.concurrency.adjust_to_report(room);
-        self.reports.record_room(room);
+        self.reports.record_capacity(room);
         self.endpoints.keep_in_samples(index);
     }
 
@@ -87,7 +87,7 @@
         let worker = &mut self.endpoints.workers[index];
         worker.slow_start = worker.slow_start.record(&self.settings.rules, worker.started_at, self.now);
         worker.concurrency.in_flight += request.slots;
-        worker.load.free -= request.slots;
+        worker.load.free_slots -= request.slots;
         worker.last_used_at = self.now;
         worker.fleet_in_flight += request.slots; // the next list counts it
         worker.health.record_sent(self.now, worker.is_listed, probe_interval_factor(&self.settings));
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -38,15 +38,15 @@
 
     /// Takes new settings. What was learned stays under the same indexes; settings that lack some of them are
     /// ignored.
-    pub(super) fn configure(&mut self, settings: Settings, continues: &[Option<usize>]) {
+    pub(super) fn configure(&mut self, settings: Settings, inherits_from: &[Option<usize>]) {
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         if classes < self.classes.len() || tenants < self.settings.tenants.len() {
             return;
         }
         for (position, class) in settings.classes.iter().enumerate().skip(self.classes.len()) {
-            let continued = continues.get(position).copied().flatten().map(ClassId::new);
+            let continued = inherits_from.get(position).copied().flatten().map(ClassId::new);
             let history = match continued.and_then(|other| self.classes.get(other)) {
-                Some(other) => ClassHistory::continuing(other),
+                Some(other) => ClassHistory::inheriting(other),
                 None => ClassHistory::from_objective(class.objective_us),
             };
             self.classes.push(history);
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether probes are in flight, which may yet show room.
-    pub fn is_waiting(&self) -> bool {
+    pub fn any_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
--- a/src/rate_control.rs
+++ b/src/rate_control.rs
@@ -21,7 +21,7 @@
 /// Time after the first request for which rates tell too little to divide quotas by.
 const NEW_FOR: Micros = 3 * SECOND;
 /// Latency over the objective at which a late or failed request counts, and the largest that counts.
-pub const LATE: f64 = 2.0;
+pub const LATE_LATENCY_RATIO: f64 = 2.0;
 /// Limit over the offered rate below which on-call staff are notified.
 const THROTTLING: f64 = 0.7;
 
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -30,6 +30,6 @@
 }
 
 /// Hash of a number, within 0 and 1.
-pub fn unit(x: u64) -> f64 {
+pub fn unit_hash(x: u64) -> f64 {
     mix(x) as f64 / u64::MAX as f64
 }
--- a/src/run_time.rs
+++ b/src/run_time.rs
@@ -24,9 +24,9 @@
 /// What is known of a class's requests.
 pub struct ClassHistory {
     /// Median run time, in microseconds.
-    pub typical_us: f64,
+    pub median_run_us: f64,
     /// Run time that one in 50 exceeds, in microseconds.
-    pub long_us: f64,
+    pub p98_run_us: f64,
     runs: f64,
     /// The longest time left that a client came with.
     pub longest_time_left: Micros,
@@ -37,17 +37,17 @@
 impl ClassHistory {
     /// Nothing is known but the class's objective.
     pub fn from_objective(objective: Micros) -> ClassHistory {
-        let typical_us = objective.max(MIN_FIRST_GUESS) as f64;
-        ClassHistory::with_run_times(typical_us, LONG_FIRST_GUESS * typical_us)
+        let median_run_us = objective.max(MIN_FIRST_GUESS) as f64;
+        ClassHistory::with_run_times(median_run_us, LONG_FIRST_GUESS * median_run_us)
     }
 
     /// A class that continues another one under other rules: its run times are the first guess.
-    pub fn continuing(other: &ClassHistory) -> ClassHistory {
-        ClassHistory::with_run_times(other.typical_us, other.long_us)
+    pub fn inheriting(other: &ClassHistory) -> ClassHistory {
+        ClassHistory::with_run_times(other.median_run_us, other.p98_run_us)
     }
 
-    fn with_run_times(typical_us: f64, long_us: f64) -> ClassHistory {
-        ClassHistory { typical_us, long_us, runs: 0.0, longest_time_left: 0, served_ratio: 1.0 }
+    fn with_run_times(median_run_us: f64, p98_run_us: f64) -> ClassHistory {
+        ClassHistory { median_run_us, p98_run_us, runs: 0.0, longest_time_left: 0, served_ratio: 1.0 }
     }
 
     /// Records a run that was served, and returns its time over the typical one.
@@ -55,10 +55,10 @@
         self.runs += 1.0;
         self.served_ratio += CLASS_GAIN * (1.0 - self.served_ratio);
         let step = (1.0 / self.runs).max(MIN_STEP);
-        let is_long = run_us > self.long_us;
-        self.long_us *= if is_long { 1.0 + (RUNS_A_LONG_ONE - 1.0) * LONG_STEP } else { 1.0 - LONG_STEP };
-        self.typical_us *= if run_us > self.typical_us { 1.0 + step } else { 1.0 / (1.0 + step) };
-        (run_us / self.typical_us).clamp(RELATIVE_RANGE.0, RELATIVE_RANGE.1)
+        let is_long = run_us > self.p98_run_us;
+        self.p98_run_us *= if is_long { 1.0 + (RUNS_A_LONG_ONE - 1.0) * LONG_STEP } else { 1.0 - LONG_STEP };
+        self.median_run_us *= if run_us > self.median_run_us { 1.0 + step } else { 1.0 / (1.0 + step) };
+        (run_us / self.median_run_us).clamp(RELATIVE_RANGE.0, RELATIVE_RANGE.1)
     }
 
     /// Records a request that got its final answer without being served.
@@ -74,12 +74,12 @@
     pub relative_run_time: f64,
     runs: f64,
     /// The part of load reports that show room.
-    pub room_ratio: f64,
+    pub free_slots_ratio: f64,
 }
 
 impl Default for KindHistory {
     fn default() -> Self {
-        KindHistory { relative_run_time: 1.0, runs: 0.0, room_ratio: 1.0 }
+        KindHistory { relative_run_time: 1.0, runs: 0.0, free_slots_ratio: 1.0 }
     }
 }
 
@@ -92,14 +92,14 @@
     }
 
     /// Records whether a load report showed free slots.
-    pub fn record_room(&mut self, has_free_slots: bool) {
+    pub fn record_free_slots(&mut self, has_free_slots: bool) {
         let room = if has_free_slots { 1.0 } else { 0.0 };
-        self.room_ratio += REJECTION_GAIN * (room - self.room_ratio);
+        self.free_slots_ratio += REJECTION_GAIN * (room - self.free_slots_ratio);
     }
 }
 
 /// What is known of the kinds of worker, by kind.
-pub type Kinds = Table<KindId, KindHistory>;
+pub type KindHistories = Table<KindId, KindHistory>;
 
 /// A worker's run times over the typical ones.
 #[derive(Clone, Copy, Debug)]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -163,7 +163,7 @@
     /// # Errors
     ///
     /// [`Error::NotANumber`], or [`Error::Negative`].
-    pub fn span(&self, path: &str, absent: u64) -> Result<u64, Error> {
+    pub fn unsigned(&self, path: &str, absent: u64) -> Result<u64, Error> {
         let value = self.number(path, absent as f64)?;
         if value < 0.0 {
             return Err(Error::Negative { path: path.to_string(), value });
@@ -201,7 +201,7 @@
 ///
 /// A value that can't be read, or settings that can't be used together.
 pub fn parse(text: &str) -> Result<(Settings, Vec<ReportField>), Error> {
-    read(&KeyValues::new(text))
+    from_key_values(&KeyValues::new(text))
 }
 
 /// Reads settings as [`parse`] does, from lines that are already split.
@@ -209,21 +209,23 @@
 /// # Errors
 ///
 /// As [`parse`].
-pub fn read(lines: &KeyValues) -> Result<(Settings, Vec<ReportField>), Error> {
+pub fn from_key_values(lines: &KeyValues) -> Result<(Settings, Vec<ReportField>), Error> {
     let fields = report_fields(lines);
-    let classes = (0..lines.span("Profiles.count", 0)?).map(|i| class(lines, i)).collect::<Result<_, _>>()?;
-    let tenants = (0..lines.span("Parties.count", 0)?).map(|i| tenant(lines, i)).collect::<Result<_, _>>()?;
+    let classes =
+        (0..lines.unsigned("Profiles.count", 0)?).map(|i| class(lines, i)).collect::<Result<_, _>>()?;
+    let tenants =
+        (0..lines.unsigned("Parties.count", 0)?).map(|i| tenant(lines, i)).collect::<Result<_, _>>()?;
     let max_retry_after_us = max_retry_after(lines)?;
     let settings = Settings {
         classes,
         retired_classes: Vec::new(),
         tenants,
-        dispatchers: lines.span("Siblings", 1)?.max(1) as u32,
-        ordinal: lines.span("Ordinal", 0)? as u32,
+        dispatchers: lines.unsigned("Siblings", 1)?.max(1) as u32,
+        ordinal: lines.unsigned("Ordinal", 0)? as u32,
         max_senders: 0,      // set by the embedder, which knows
         membership_epoch: 0, // the other dispatchers
-        zone: lines.span("Zone", 0)? as u8,
-        max_attempts: lines.span("Limits.MaxAttempts", 1)? as u32,
+        zone: lines.unsigned("Zone", 0)? as u8,
+        max_attempts: lines.unsigned("Limits.MaxAttempts", 1)? as u32,
         can_cancel: lines.flag("Limits.Cancelling", false)?,
         peer_messages: lines.flag("Limits.Peers", false)?,
         max_retry_after_us,
@@ -234,17 +236,17 @@
         live_weights: lines.text("Weights") == "live",
         acknowledges: false, // set by the embedder
         reports_start: lines.flag("FamilyInfo.TellsStart", false)?,
-        progress_interval_us: lines.span("FamilyInfo.ProgressUs", 0)?,
+        progress_interval_us: lines.unsigned("FamilyInfo.ProgressUs", 0)?,
         cross_zone_price: lines.number("Prices.CrossZone", 0.0)?,
-        peer_price: lines.number("Prices.Peer", 0.0)?,
+        peer_message_price: lines.number("Prices.Peer", 0.0)?,
         handshake_price: lines.number("Prices.Handshake", 0.0)?,
-        origin_price: lines.number("Prices.Origin", 0.0)?,
-        idle_timeout_us: lines.span("Limits.ConnIdleUs", 0)?,
+        origin_fetch_price: lines.number("Prices.Origin", 0.0)?,
+        idle_timeout_us: lines.unsigned("Limits.ConnIdleUs", 0)?,
         accepted_late_ratio: lines.number("Goal.TailSlack", 0.0)?,
         late_penalty_weight: lines.number("Goal.KeptPromises", 0.0)?,
         worst_class_weight: lines.number("Goal.WorstClass", 0.0)?,
         over_quota_weight: lines.number("OverShareWorth", 1.0)?,
-        clock_resolution_us: lines.span("ResolutionUs", 1000)?.max(1),
+        clock_resolution_us: lines.unsigned("ResolutionUs", 1000)?.max(1),
         max_send_delay_us: 0, // set by the embedder
         rules: rules(lines)?,
     };
@@ -259,7 +261,7 @@
 
 fn max_retry_after(lines: &KeyValues) -> Result<Micros, Error> {
     if lines.flag("Limits.RetryAfter", false)? {
-        lines.span("Limits.MaxRetryAfterUs", 0)
+        lines.unsigned("Limits.MaxRetryAfterUs", 0)
     } else {
         Ok(0)
     }
@@ -273,13 +275,13 @@
         _ => lines.item("FamilyInfo.ClassStretch", i as usize, 0.0)?,
     };
     Ok(ClassSettings {
-        objective_us: lines.span(&format!("{at}.AimUs"), 0)?,
+        objective_us: lines.unsigned(&format!("{at}.AimUs"), 0)?,
         objective_per_work,
-        deadline_us: lines.span(&format!("{at}.DeadlineUs"), 0)?,
+        deadline_us: lines.unsigned(&format!("{at}.DeadlineUs"), 0)?,
         priority_weight: lines.number(&format!("{at}.Worth"), 1.0)?,
         late_weight: lines.number(&format!("{at}.LateWorth"), 0.0)?,
         idempotency: idempotency(lines, &at)?,
-        deduplication_window_us: lines.span(&format!("{at}.RepeatWindowUs"), 0)?,
+        deduplication_window_us: lines.unsigned(&format!("{at}.RepeatWindowUs"), 0)?,
         required_kind: if kind < 0.0 { None } else { Some(kind as u8) },
     })
 }
@@ -309,11 +311,11 @@
 
 fn rules(lines: &KeyValues) -> Result<Rules, Error> {
     Ok(Rules {
-        poll_interval_us: lines.span("Invariants.AskEveryUs", 10_000_000)?,
+        poll_interval_us: lines.unsigned("Invariants.AskEveryUs", 10_000_000)?,
         cold_capacity_ratio: lines.number("Invariants.ColdShare", 1.0)?,
-        warm_up_us: lines.span("Invariants.WarmUpUs", 0)?,
+        warm_up_us: lines.unsigned("Invariants.WarmUpUs", 0)?,
         overload_multiple: lines.number("Invariants.FallMultiple", 1.0)?,
-        overload_window_us: lines.span("Invariants.FallUs", 0)?,
+        overload_window_us: lines.unsigned("Invariants.FallUs", 0)?,
         retry_budget: retry_budget(lines)?,
         soft_removal: lines.flag("Invariants.SoftRemoval", false)?,
     })
@@ -327,7 +329,7 @@
         [] => Ok(Some(RetryBudget {
             min_retries: lines.number(&paths[0], 0.0)?,
             ratio: lines.number(&paths[1], 0.0)?,
-            window_us: lines.span(&paths[2], 0)?,
+            window_us: lines.unsigned(&paths[2], 0)?,
         })),
         [_, _, _] => Ok(None),
         [missing, ..] => Err(Error::IncompleteRetryBudget { missing: (*missing).clone() }),
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -18,7 +18,7 @@
 //!   sum then varies as a Poisson count of the same mean.
 
 use crate::api::{Micros, Rules, Settings, WorkerId};
-use crate::rng::{mix, unit};
+use crate::rng::{mix, unit_hash};
 
 /// Slots in the span in which a worker may fail. A span that begins within a slot touches one more.
 const SLOTS_IN_SPAN: Micros = 3;
@@ -72,7 +72,7 @@
     /// Quotas are parts of what the whole fleet can do, and the same at all dispatchers. Where there are
     /// none, sizes under live weights are in standard cores; else what is served here stands for as much at
     /// each dispatcher.
-    pub fn capacity(&self, settings: &Settings, size: f64) -> f64 {
+    pub fn worker_capacity_per_s(&self, settings: &Settings, size: f64) -> f64 {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         if quotas > 0.0 {
             return quotas * size / self.total_weight.max(f64::EPSILON);
@@ -105,7 +105,7 @@
 
 /// The part of its capacity that a worker surely has that started at `at`, from the rules' least share up to
 /// 1.
-pub fn warmth(rules: &Rules, at: Micros, now: Micros) -> f64 {
+pub fn capacity_ratio(rules: &Rules, at: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(at);
     if at == 0 || age >= rules.warm_up_us {
         return 1.0;
@@ -124,7 +124,7 @@
     now: Micros,
     size: f64,
 ) -> bool {
-    if warmth(rules, start.started_at, now) >= 1.0 {
+    if capacity_ratio(rules, start.started_at, now) >= 1.0 {
         return true;
     }
     let slot = slot_at(rules, start.started_at, now);
@@ -156,20 +156,20 @@
     now.saturating_sub(started) / slot_length(rules)
 }
 
-/// What the rule allows the worker within a time, as requests of mean work. The warmth at the slot's
+/// What the rule allows the worker within a time, as requests of mean work. The capacity at the slot's
 /// beginning counts.
 fn allowed(rules: &Rules, start: WorkerStart, slot: u64, time: Micros) -> f64 {
     let seconds = time as f64 / 1_000_000.0;
-    rules.overload_multiple * start.capacity_per_s * slot_warmth(rules, start, slot) * seconds
+    rules.overload_multiple * start.capacity_per_s * slot_capacity_ratio(rules, start, slot) * seconds
 }
 
-fn slot_warmth(rules: &Rules, start: WorkerStart, slot: u64) -> f64 {
-    warmth(rules, start.started_at, start.started_at + slot * slot_length(rules))
+fn slot_capacity_ratio(rules: &Rules, start: WorkerStart, slot: u64) -> f64 {
+    capacity_ratio(rules, start.started_at, start.started_at + slot * slot_length(rules))
 }
 
 /// The requests of mean work that all dispatchers together may send within a slot.
 fn budget(rules: &Rules, start: WorkerStart, slot: u64) -> f64 {
-    let part = BUDGET_COLD + BUDGET_WARM * slot_warmth(rules, start, slot);
+    let part = BUDGET_COLD + BUDGET_WARM * slot_capacity_ratio(rules, start, slot);
     part * allowed(rules, start, slot, slot_length(rules))
 }
 
@@ -187,8 +187,8 @@
 fn requests_in_slot(rules: &Rules, sender: Sender, start: WorkerStart, slot: u64, size: f64) -> u32 {
     let ring = f64::from(sender.count.max(1));
     let hash = mix(start.worker.0 ^ mix(start.started_at));
-    let owner = (unit(hash) + slot as f64 * OWNER_STEP).fract() * ring;
-    let phase = (unit(hash.wrapping_add(1)) + slot as f64 * PHASE_STEP).fract();
+    let owner = (unit_hash(hash) + slot as f64 * OWNER_STEP).fract() * ring;
+    let phase = (unit_hash(hash.wrapping_add(1)) + slot as f64 * PHASE_STEP).fract();
     let place = (f64::from(sender.ordinal) + owner.floor() + phase) % ring;
     let rounds = ((budget(rules, start, slot) / size - place) / ring).ceil();
     rounds.clamp(0.0, f64::from(u32::MAX)) as u32
--- a/testbed/src/scale/dispatcher.rs
+++ b/testbed/src/scale/dispatcher.rs
@@ -323,7 +323,7 @@
         max_attempts: 3,
         can_cancel: true,
         peer_messages: true,
-        peer_price: PEER_PRICE,
+        peer_message_price: PEER_PRICE,
         live_weights: true,
         acknowledges: true,
         reports_start: true,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -250,9 +250,9 @@
         let (request, work) = self.request();
         let at = self.machines.iter().position(|m| m.entry.worker == worker);
         self.enter(&request, work, 1, at);
-        let sent_us = self.rng.below(300 * MS);
-        let started_us = (self.rng.below(2) == 0).then_some(sent_us / 2);
-        self.tell(Event::RequestAdopted { request, worker, sent_us, started_us });
+        let since_sent_us = self.rng.below(300 * MS);
+        let since_started_us = (self.rng.below(2) == 0).then_some(since_sent_us / 2);
+        self.tell(Event::RequestAdopted { request, worker, since_sent_us, since_started_us });
         if let Some(at) = at {
             self.machines[at].running.push((request.id, 0));
             self.plan(work, Step::Done(request.id, 0, at));
@@ -403,7 +403,7 @@
         let ok = matches!(self.machines[at].health, Health::Well | Health::TurnsAway);
         let report = ok.then(|| self.report(at));
         let worker = self.machines[at].entry.worker;
-        self.tell(Event::ProbeEnded { worker, ok, report });
+        self.tell(Event::ProbeEnded { worker, responded: ok, report });
     }
 
     /// The list as it stands, with live weights where the settings have them.
@@ -492,7 +492,7 @@
         self.set.membership_epoch += 1;
         self.set.dispatchers += 1;
         self.set.max_senders = self.set.dispatchers + 1;
-        let mut continues = vec![None; self.set.classes.len()];
+        let mut inherits_from = vec![None; self.set.classes.len()];
         if self.set.retired_classes.is_empty() {
             let first = ClassSettings {
                 priority_weight: 3.0,
@@ -501,10 +501,10 @@
             };
             self.set.classes.push(first);
             self.set.retired_classes.push(0);
-            continues.push(Some(0));
+            inherits_from.push(Some(0));
         }
         let settings = Box::new(self.set.clone());
-        self.tell(Event::SettingsChanged { settings, continues });
+        self.tell(Event::SettingsChanged { settings, inherits_from });
     }
 }
 
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -75,7 +75,7 @@
     s.progress_interval_us = rng.below(2) * S;
     s.polls_endpoints = rng.below(2) == 0;
     s.unmarked_retries = rng.below(2) == 0;
-    s.origin_price = rng.below(2) as f64 * 0.15;
+    s.origin_fetch_price = rng.below(2) as f64 * 0.15;
     s.rules.soft_removal = rng.below(2) == 0;
     let ration = RetryBudget {
         min_retries: rng.below(3) as f64,
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -96,7 +96,7 @@
             fleet("pushed-list-live-weights", "-overload", plan(seed, 12, 150), as_it_is),
             fleet("tile-press", "-overload", plan(seed, 12, 300), as_it_is),
             fleet("probed-workers", "-not-probed", plan(seed, 20, 500), |set| {
-                (set.can_probe, set.dispatchers, set.peer_price) = (false, 30, 0.05);
+                (set.can_probe, set.dispatchers, set.peer_message_price) = (false, 30, 0.05);
             }),
         ]);
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -312,7 +312,7 @@
 fn few_siblings_are_told_where_there_are_many() {
     let told = |dispatchers: u32| {
         let mut set = settings(vec![class(Idempotency::Idempotent)]);
-        (set.dispatchers, set.peer_messages, set.peer_price) = (dispatchers, true, 0.01);
+        (set.dispatchers, set.peer_messages, set.peer_message_price) = (dispatchers, true, 0.01);
         set.tenants = vec![TenantSettings { quota_per_s: f64::from(dispatchers), share: 1.0 }; 5];
         let mut d = Desk::new(set, two());
         d.pass(10 * S);
@@ -401,7 +401,7 @@
         });
         actions = probed
             .iter()
-            .flat_map(|&worker| d.tell(Event::ProbeEnded { worker, ok: true, report }))
+            .flat_map(|&worker| d.tell(Event::ProbeEnded { worker, responded: true, report }))
             .collect();
         actions.extend(d.pass(20 * MS));
     }
@@ -439,7 +439,7 @@
         let mut next = d.pass(20 * MS);
         for action in todo {
             if let Action::Probe { worker } = action {
-                next.extend(d.tell(Event::ProbeEnded { worker, ok: true, report }));
+                next.extend(d.tell(Event::ProbeEnded { worker, responded: true, report }));
             }
         }
         todo = next;
@@ -495,7 +495,7 @@
                 d.tell(Event::PeerMessage { from: 1, bytes: vec![255; 4] });
             }
             let settings = Box::new(Settings { membership_epoch: id % orders, ..set.clone() });
-            d.tell(Event::SettingsChanged { settings, continues: vec![None] });
+            d.tell(Event::SettingsChanged { settings, inherits_from: vec![None] });
             tries.push(turned_away(&mut d, id));
         }
         tries
@@ -718,7 +718,7 @@
 /// Found on donau-slots: the workers fetched for two attempts in three and the store was full.
 #[test]
 fn dispatchers_send_a_key_to_the_same_worker_where_a_fetch_is_charged_for() {
-    let set = Settings { origin_price: 0.15, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let set = Settings { origin_fetch_price: 0.15, ..settings(vec![class(Idempotency::Idempotent)]) };
     let first = |seed, key| {
         let mut policy = dispatch_policy::Policy::new(set.clone(), seed, S).unwrap();
         let mut out = Vec::new();
@@ -775,7 +775,7 @@
         let probes = out.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
         asked += usize::from(id >= 30) * probes;
         for _ in 0..probes {
-            out.extend(d.tell(Event::ProbeEnded { worker: WorkerId(1), ok: true, report }));
+            out.extend(d.tell(Event::ProbeEnded { worker: WorkerId(1), responded: true, report }));
         }
         d.tell(Event::RequestReceived(ask(2 * id + 1, 0)));
         d.pass(20 * MS);
@@ -830,7 +830,7 @@
         max_attempts: 1,
         ..old.clone()
     };
-    d.tell(Event::SettingsChanged { settings: Box::new(new), continues: vec![None, Some(0)] });
+    d.tell(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
     assert!(sent(&d.accept(2, 1), 2).is_some());
     assert_eq!(d.ended(2, 0, Outcome::Error), [Action::Fail { id: 2 }], "unsafe");
     let mut actions = d.ended(1, 0, Outcome::Rejected);
@@ -842,7 +842,7 @@
     let turned_away = d.ended(3, 0, Outcome::Rejected);
     assert!(refused(&turned_away, 3), "one attempt: {turned_away:?}");
     // Settings that take numbers away would change what open jobs mean: they are passed over.
-    d.tell(Event::SettingsChanged { settings: Box::new(old), continues: vec![None] });
+    d.tell(Event::SettingsChanged { settings: Box::new(old), inherits_from: vec![None] });
     d.tell(Event::EndpointChanges(vec![worker(3, 0, 0)]));
     assert!(sent(&d.accept(4, 1), 4).is_some());
     assert_eq!(d.ended(4, 0, Outcome::Error), [Action::Fail { id: 4 }], "unsafe still");
@@ -859,7 +859,7 @@
     let classes =
         vec![class(Idempotency::WithKey(KeyScope::Fleet)), class(Idempotency::WithKey(KeyScope::Zone))];
     let new = Settings { classes, retired_classes: vec![0], ..keyed };
-    let told = d.tell(Event::SettingsChanged { settings: Box::new(new), continues: vec![None, Some(0)] });
+    let told = d.tell(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
     assert!(told.is_empty() && sent(&d.accept(2, 1), 2).is_none(), "it is in doubt still: {told:?}");
 }
 
@@ -871,7 +871,12 @@
     let mut d = Desk::new(settings(classes), vec![worker(1, 0, 0)]);
     let adopt = |d: &mut Desk, id, class, at| {
         let request = Request { id, class, time_left_us: 4 * S, ..Request::default() };
-        d.tell(Event::RequestAdopted { request, worker: WorkerId(at), sent_us: S, started_us: Some(S / 2) })
+        d.tell(Event::RequestAdopted {
+            request,
+            worker: WorkerId(at),
+            since_sent_us: S,
+            since_started_us: Some(S / 2),
+        })
     };
     for id in 1..3 {
         assert!(adopt(&mut d, id, 1, 1).is_empty());
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -7,12 +7,12 @@
 #[allow(dead_code, missing_docs, reason = "the program's module; not all of it is used here")]
 mod frame;
 
-use frame::{frame_len, Batch, Reply, HEADER};
+use frame::{frame_len, Batch, Reply, HEADER_BYTES};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn header(len: u32, count: u32) -> [u8; HEADER] {
-    let mut h = [0; HEADER];
+fn header(len: u32, count: u32) -> [u8; HEADER_BYTES] {
+    let mut h = [0; HEADER_BYTES];
     h[3] = 7;
     h[12..16].copy_from_slice(&len.to_be_bytes());
     h[16..].copy_from_slice(&count.to_be_bytes());
@@ -47,7 +47,7 @@
 }
 
 fn frame(records: &[[u8; 48]], tail: &[u8]) -> Vec<u8> {
-    let len = HEADER + 48 * records.len() + tail.len();
+    let len = HEADER_BYTES + 48 * records.len() + tail.len();
     let mut f = vec![0, 0, 0, 1, 0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
     f.extend((len as u32).to_be_bytes());
     f.extend((records.len() as u32).to_be_bytes());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in emulated time.
 
 use dispatch_policy::api::{Micros, Rules, Settings, TenantSettings, WorkerId};
-use dispatch_policy::slow_start::{may_send, warmth, FleetCapacity, Sender, SlotUsage, WorkerStart};
+use dispatch_policy::slow_start::{capacity_ratio, may_send, FleetCapacity, Sender, SlotUsage, WorkerStart};
 use rand_free::Sequence;
 
 const MS: Micros = 1_000;
@@ -92,7 +92,7 @@
     };
     let allowed = |end: Micros| {
         let seconds = rules.overload_window_us as f64 / S as f64;
-        let mean = rules.overload_multiple * capacity * warmth(&rules, S, S + end) * seconds;
+        let mean = rules.overload_multiple * capacity * capacity_ratio(&rules, S, S + end) * seconds;
         mean + 2.0 * mean.sqrt() + 2.0
     };
     sent.iter().map(|&end| within(end) / allowed(end)).fold(0.0, f64::max)
@@ -236,17 +236,17 @@
     let fleet = FleetCapacity { served_per_s: 0.0, mean_work_s: 1.0, total_weight: 8.0 };
     let tenants = vec![TenantSettings { quota_per_s: 20.0, share: 0.5 }; 2];
     let settings = Settings { tenants, dispatchers: 300, ..Settings::default() };
-    assert_eq!(fleet.capacity(&settings, 2.0), 10.0);
+    assert_eq!(fleet.worker_capacity_per_s(&settings, 2.0), 10.0);
     let without = Settings { dispatchers: 300, ..Settings::default() };
-    assert_eq!(fleet.capacity(&without, 2.0), 0.0);
+    assert_eq!(fleet.worker_capacity_per_s(&without, 2.0), 0.0);
     assert_eq!(
-        FleetCapacity { served_per_s: 0.1, ..fleet }.capacity(&without, 2.0),
+        FleetCapacity { served_per_s: 0.1, ..fleet }.worker_capacity_per_s(&without, 2.0),
         7.5,
         "each of 300 serves as much"
     );
     let live = Settings { live_weights: true, ..without };
     assert_eq!(
-        FleetCapacity { mean_work_s: 0.5, ..fleet }.capacity(&live, 2.0),
+        FleetCapacity { mean_work_s: 0.5, ..fleet }.worker_capacity_per_s(&live, 2.0),
         4.0,
         "sizes are in standard cores"
     );
