--- a/membership/src/file.rs
+++ b/membership/src/file.rs
@@ -1,4 +1,4 @@
-//! Configuration file of the fleet, as operators write it; see `deploy/fleet.toml`.
+//! Fleet file: the operators' configuration of membership and coordination; see `deploy/fleet.toml` for an example.
 
 mod raw;
 mod validate;
@@ -10,52 +10,52 @@
 use std::time::Duration;
 use validate::Validator;
 
-/// Content of the file.
+/// Validated content of the fleet file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetFile {
-    /// Name of the fleet. Installations with different names never mix, not even if they share a key.
+    /// Name of the fleet. Nodes of different fleets reject each other's messages, even if they share a key.
     pub fleet: String,
-    /// Address that the node listens at, with UDP and TCP.
+    /// Address on which the node listens, with UDP and TCP.
     pub listen: SocketAddr,
-    /// Address at which other nodes reach it; `listen` if the file has none.
+    /// Address at which other nodes reach this one; defaults to `listen`.
     pub advertise: SocketAddr,
-    /// Zone; empty if the file has none.
+    /// Zone of the node; empty if the file has none.
     pub zone: String,
-    /// Path of the key file, as written.
+    /// Path of the key file, as written; may be relative.
     pub key_file: PathBuf,
     /// Addresses of the nodes to contact first; the node itself may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// Timing of the protocol.
+    /// Protocol timing.
     pub timing: Timing,
-    /// Duties that one node holds at a time; `None` without the section.
-    pub duties: Option<CoordinationSection>,
+    /// Leases and voters; `None` if the file has no section `duties`.
+    pub coordination: Option<CoordinationSection>,
 }
 
 /// Content of the section `duties`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationSection {
-    /// Path of the folder of the durable voter state, as written. A node without one is never a voter.
-    pub state: Option<PathBuf>,
-    /// Names and addresses of the initial voters, which every node asks first.
+    /// Path of the voter's state directory, as written. A node without one never becomes a voter.
+    pub state_directory: Option<PathBuf>,
+    /// Names and addresses of the initial voters, which every node contacts first.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Duration of a lease on a duty.
+    /// Duration of a lease.
     pub lease_duration: Duration,
     /// Election timeout: time without a leader after which a voter starts an election.
     pub election_timeout: Duration,
-    /// Whether one node of each zone follows discovery for the others.
-    pub lists: bool,
-    /// Whether operators may have the nodes restarted one after another.
-    pub roll: bool,
-    /// Periodic calls, each made by the holder of the duty of its name.
+    /// Whether one node of each zone polls discovery and broadcasts the list to the others.
+    pub list_broadcast: bool,
+    /// Whether operators may start a rolling restart.
+    pub rolling_restart: bool,
+    /// Periodic calls, each made by the holder of its lease.
     pub scheduled_calls: Vec<ScheduledCall>,
 }
 
-/// A periodic call that one node makes for all.
+/// A periodic HTTP call that one node makes on behalf of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledCall {
-    /// Name.
+    /// Name of the call; its lease is named after it.
     pub name: String,
-    /// Address of the callee.
+    /// Address of the server.
     pub address: SocketAddr,
     /// Path of the request.
     pub path: String,
@@ -63,7 +63,7 @@
     pub interval: Duration,
 }
 
-/// Error in the file: the line, from 1, and the reason.
+/// Error in the fleet file.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct FileError {
@@ -72,7 +72,7 @@
 }
 
 impl FileError {
-    /// Line of the file, from 1.
+    /// Line number, from 1.
     pub fn line(&self) -> usize {
         self.line
     }
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is wrong, by its line.
+    /// Returns the first syntax error or invalid setting, with its line.
     pub fn parse(text: &str) -> Result<FleetFile, FileError> {
         let validator = Validator(text);
         let raw: RawFile = toml::from_str(text).map_err(|e| FileError {
--- a/membership/src/file/validate.rs
+++ b/membership/src/file/validate.rs
@@ -30,7 +30,7 @@
     /// Validates the whole file.
     pub fn file(&self, raw: RawFile) -> Result<FleetFile> {
         let timing = self.timing(&raw.timing)?;
-        let duties = raw.duties.as_ref().map(|duties| self.duties(duties)).transpose()?;
+        let coordination = raw.duties.as_ref().map(|duties| self.coordination(duties)).transpose()?;
         let listen = self.address(&raw.listen)?;
         Ok(FleetFile {
             fleet: self.name(&raw.fleet, "the fleet's name")?,
@@ -40,7 +40,7 @@
             key_file: raw.key_file,
             seeds: raw.seeds.iter().map(|seed| self.address(seed)).collect::<Result<_>>()?,
             timing,
-            duties,
+            coordination,
         })
     }
 
@@ -61,27 +61,27 @@
                 default.reconnect_interval,
                 100..=60_000,
             )?,
-            forget_after: self.duration(&raw.forget_s, SECOND, default.forget_after, 10..=31_536_000)?,
+            remove_after: self.duration(&raw.forget_s, SECOND, default.remove_after, 10..=31_536_000)?,
         };
         let span = |value: &Option<Spanned<u64>>| value.as_ref().map_or(0..0, Spanned::span);
         if timing.probe_timeout * 2 > timing.probe_interval {
             return self.error(span(&raw.answer_ms), "answer_ms must be half of probe_ms at most");
         }
-        if timing.forget_after < timing.suspicion_timeout * 2 {
+        if timing.remove_after < timing.suspicion_timeout * 2 {
             return self.error(span(&raw.forget_s), "forget_s must be twice suspicion_ms at least");
         }
         Ok(timing)
     }
 
-    fn duties(&self, raw: &RawDuties) -> Result<CoordinationSection> {
+    fn coordination(&self, raw: &RawDuties) -> Result<CoordinationSection> {
         Ok(CoordinationSection {
             voters: self.voters(&raw.voters)?,
             scheduled_calls: self.scheduled_calls(&raw.errand)?,
             lease_duration: self.duration(&raw.lease_ms, 1, Duration::from_secs(10), 1000..=600_000)?,
             election_timeout: self.duration(&raw.election_ms, 1, Duration::from_secs(1), 100..=60_000)?,
-            state: raw.state.clone(),
-            lists: raw.lists,
-            roll: raw.roll,
+            state_directory: raw.state.clone(),
+            list_broadcast: raw.lists,
+            rolling_restart: raw.roll,
         })
     }
 
--- a/membership/src/fragments.rs
+++ b/membership/src/fragments.rs
@@ -81,7 +81,7 @@
     }
 
     /// Number of incomplete messages.
-    pub fn incomplete(&self) -> usize {
+    pub fn incomplete_count(&self) -> usize {
         self.0.len()
     }
 
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -46,7 +46,7 @@
     config: Config,
     process_id: u64,
     /// Hash of the fleet's name.
-    fleet: u64,
+    fleet_hash: u64,
     foca: Foca<Identity, ConflictCodec, SmallRng, NoCustomBroadcast>,
     effects: SwimEffects,
     name_conflicts: NameConflicts,
@@ -94,7 +94,7 @@
         timers.schedule(now, Timer::Contact, Duration::ZERO);
         Machine {
             process_id: start.process_id,
-            fleet: name_hash(&config.fleet),
+            fleet_hash: name_hash(&config.fleet),
             foca,
             effects: SwimEffects::default(),
             name_conflicts,
--- a/membership/src/machine/config.rs
+++ b/membership/src/machine/config.rs
@@ -16,7 +16,7 @@
     /// Interval between two messages to a member held dead, and to a seed that is not in the view.
     pub reconnect_interval: Duration,
     /// Time after which a member that died or left is forgotten.
-    pub forget_after: Duration,
+    pub remove_after: Duration,
 }
 
 impl Default for Timing {
@@ -26,7 +26,7 @@
             probe_timeout: Duration::from_millis(300),
             suspicion_timeout: Duration::from_secs(4),
             reconnect_interval: Duration::from_secs(1),
-            forget_after: Duration::from_secs(24 * 3600),
+            remove_after: Duration::from_secs(24 * 3600),
         }
     }
 }
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -3,7 +3,7 @@
 use super::{Action, Machine, Participation};
 use crate::fragments::{split, MESSAGE_MAX};
 use crate::packet::{decode, encode, Body, Packet, DATAGRAM_MAX, RATES_MAX};
-use crate::session::Admission;
+use crate::session::ReplayCheck;
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
             Ok(packet) => packet,
             Err(error) => return self.counters.rejected.count(error),
         };
-        if packet.fleet != self.fleet
+        if packet.fleet_hash != self.fleet_hash
             || packet.to != self.config.advertise
             || packet.process_id == self.process_id
         {
@@ -59,11 +59,11 @@
         }
         self.packets_sent += 1;
         let packet = Packet {
-            fleet: self.fleet,
+            fleet_hash: self.fleet_hash,
             process_id: self.process_id,
             from: self.config.advertise,
             to,
-            number: self.packets_sent,
+            sequence_number: self.packets_sent,
             body,
         };
         let bytes = encode(&self.config.keys, &packet);
@@ -74,11 +74,11 @@
 
     /// Handles a packet that is for this node, as its session admits.
     fn handle_packet(&mut self, now: Duration, packet: Packet, length: usize) {
-        let Packet { process_id, from, number, body, .. } = packet;
+        let Packet { process_id, from, sequence_number, body, .. } = packet;
         match body {
             Body::Challenge(nonce) => self.respond_to_challenge(now, from, nonce),
             Body::ChallengeResponse(nonce, again) => {
-                if !self.sessions.complete_challenge(now, process_id, number, nonce) {
+                if !self.sessions.complete_challenge(now, process_id, sequence_number, nonce) {
                     self.counters.rejected.replayed += 1;
                 } else if let Some(body) = again {
                     self.handle_body(now, process_id, from, *body, length);
@@ -86,14 +86,14 @@
             }
             body => {
                 let rng = &mut self.rng;
-                match self.sessions.admit(now, process_id, number, || rng.random()) {
-                    Admission::Accepted => self.handle_body(now, process_id, from, body, length),
-                    Admission::Replayed => self.counters.rejected.replayed += 1,
-                    Admission::Challenge(nonce) => {
+                match self.sessions.check(now, process_id, sequence_number, || rng.random()) {
+                    ReplayCheck::Accepted => self.handle_body(now, process_id, from, body, length),
+                    ReplayCheck::Replayed => self.counters.rejected.replayed += 1,
+                    ReplayCheck::Challenge(nonce) => {
                         self.counters.rejected.without_session += 1;
                         self.send(now, from, Body::Challenge(nonce));
                     }
-                    Admission::ChallengePending => self.counters.rejected.without_session += 1,
+                    ReplayCheck::ChallengePending => self.counters.rejected.without_session += 1,
                 }
             }
         }
--- a/membership/src/machine/swim.rs
+++ b/membership/src/machine/swim.rs
@@ -64,7 +64,7 @@
         num_indirect_probes: FANOUT,
         max_transmissions: NonZeroU8::new(transmissions.min(60) as u8).unwrap_or(NonZeroU8::MAX),
         suspect_to_down_after: timing.suspicion_timeout,
-        remove_down_after: Some(timing.forget_after),
+        remove_down_after: Some(timing.remove_after),
         max_packet_size: NonZeroUsize::new(GOSSIP_MAX).unwrap_or(NonZeroUsize::MAX),
         notify_down_members: true,
         periodic_announce: None,
--- a/membership/src/machine/sync.rs
+++ b/membership/src/machine/sync.rs
@@ -17,7 +17,7 @@
 
 impl Machine {
     /// Draws the nonce that an initiator has to return with its state.
-    pub fn draw_nonce(&mut self) -> u64 {
+    pub fn generate_nonce(&mut self) -> u64 {
         self.rng.random()
     }
 
@@ -54,11 +54,11 @@
         let members = self.foca.iter_membership_state().take(MEMBERS_MAX);
         let me = (self.participation == Participation::Active).then(|| self.foca.identity().clone());
         let state = FullState {
-            fleet: self.fleet,
+            fleet_hash: self.fleet_hash,
             process_id: self.process_id,
             from: self.config.advertise,
             to,
-            answered_nonce: answers,
+            echoed_nonce: answers,
             nonce,
             sender: me,
             members: members.map(|member| (member.clone(), age(member))).collect(),
@@ -75,14 +75,14 @@
                 return None;
             }
         };
-        let expected = state.fleet == self.fleet
+        let expected = state.fleet_hash == self.fleet_hash
             && state.to == self.config.advertise
             && state.process_id != self.process_id;
         if !expected || !state.is_valid() {
             self.counters.rejected.misdirected += 1;
             return None;
         }
-        if state.answered_nonce != challenge {
+        if state.echoed_nonce != challenge {
             self.counters.rejected.replayed += 1;
             return None;
         }
@@ -100,7 +100,7 @@
             if member.state() == foca::State::Down {
                 let age = Duration::from_millis(age);
                 // A member that is forgotten by its age is not learned again: it would circulate for ever.
-                if age >= self.config.timing.forget_after {
+                if age >= self.config.timing.remove_after {
                     continue;
                 }
                 self.death_ages.insert(member.id().name.clone(), age);
--- a/membership/src/packet.rs
+++ b/membership/src/packet.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
     /// Hash of the fleet's name. Guards against another fleet that was given the same key by mistake.
-    pub fleet: u64,
+    pub fleet_hash: u64,
     /// Number of the sending process.
     pub process_id: u64,
     /// Address at which the sender is reached.
@@ -29,7 +29,7 @@
     /// Address of the receiver. Guards against datagrams that are replayed to another node.
     pub to: SocketAddr,
     /// Packet number of the sending process; only grows.
-    pub number: u64,
+    pub sequence_number: u64,
     /// Body.
     pub body: Body,
 }
--- a/membership/src/session.rs
+++ b/membership/src/session.rs
@@ -33,7 +33,7 @@
 
 /// Decision on a datagram.
 #[derive(Debug, PartialEq)]
-pub enum Admission {
+pub enum ReplayCheck {
     /// It is accepted.
     Accepted,
     /// It was received before, or is too old to tell.
@@ -55,28 +55,28 @@
 
 impl Sessions {
     /// Decides on a datagram by its packet number; `draw` returns a nonce that nobody can predict.
-    pub fn admit(
+    pub fn check(
         &mut self,
         now: Duration,
         process_id: u64,
         number: u64,
         draw: impl FnOnce() -> u64,
-    ) -> Admission {
+    ) -> ReplayCheck {
         if let Some(session) =
             self.established.get_mut(&process_id).filter(|s| now - s.last_received < IDLE_TIMEOUT)
         {
             if !session.accept(number) {
-                return Admission::Replayed;
+                return ReplayCheck::Replayed;
             }
             session.last_received = now;
-            return Admission::Accepted;
+            return ReplayCheck::Accepted;
         }
         if let Some(open) = self.challenged.get(&process_id) {
             if now - open.at < CHALLENGE_INTERVAL {
-                return Admission::ChallengePending;
+                return ReplayCheck::ChallengePending;
             }
             if now - open.at < CHALLENGE_TIMEOUT {
-                return Admission::Challenge(open.nonce);
+                return ReplayCheck::Challenge(open.nonce);
             }
         }
         if self.challenged.len() >= CHALLENGES_MAX {
@@ -85,7 +85,7 @@
         }
         let nonce = draw();
         self.challenged.insert(process_id, PendingChallenge { nonce, at: now });
-        Admission::Challenge(nonce)
+        ReplayCheck::Challenge(nonce)
     }
 
     /// Handles the response to a challenge, and returns whether it established a session.
--- a/membership/src/state_sync.rs
+++ b/membership/src/state_sync.rs
@@ -18,7 +18,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct FullState {
     /// Hash of the fleet's name.
-    pub fleet: u64,
+    pub fleet_hash: u64,
     /// Number of the sending process.
     pub process_id: u64,
     /// Address at which the sender is reached.
@@ -26,7 +26,7 @@
     /// Address of the receiver. Guards against a state that is replayed to another node.
     pub to: SocketAddr,
     /// Nonce of the receiver, which this state returns.
-    pub answered_nonce: u64,
+    pub echoed_nonce: u64,
     /// Nonce of the sender; 0 in a response, which nothing follows.
     pub nonce: u64,
     /// Identity of the sender; `None` from a process that is not in its own view.
--- a/membership/tests/fleet_size.rs
+++ b/membership/tests/fleet_size.rs
@@ -33,17 +33,17 @@
             member("x", Dead, dead_for),
         ]
     };
-    let young = fleet_size(&members(999), 3);
-    assert_eq!((young.siblings, young.ordinal, young.senders), (4, 2, 5));
+    let recently_dead = fleet_size(&members(999), 3);
+    assert_eq!((recently_dead.dispatchers, recently_dead.ordinal, recently_dead.senders), (4, 2, 5));
     let old = fleet_size(&members(3_600_000), 3);
-    assert_eq!((old.siblings, old.ordinal, old.senders), (3, 2, 5));
-    assert_eq!(old.names, ["a", "b", "m"]);
+    assert_eq!((old.dispatchers, old.ordinal, old.senders), (3, 2, 5));
+    assert_eq!(old.dispatcher_names, ["a", "b", "m"]);
     assert_eq!(fleet_size(&members(0), 20).senders, 20, "nor ever under the plan");
 }
 
 #[test]
 fn a_node_that_has_heard_of_nobody_goes_by_the_plan() {
     let alone = FleetSize::from_members("m", &OtherMembers { members: &[], joined: false }, 7);
-    assert_eq!((alone.siblings, alone.senders), (7, 7));
-    assert_eq!(fleet_size(&[], 7).siblings, 1, "while one that saw all others go does not");
+    assert_eq!((alone.dispatchers, alone.senders), (7, 7));
+    assert_eq!(fleet_size(&[], 7).dispatchers, 1, "while one that saw all others go does not");
 }
--- a/membership/tests/fragments.rs
+++ b/membership/tests/fragments.rs
@@ -29,7 +29,7 @@
         assert_eq!(reassembler.insert(now, i, i, fragment(3, 2, vec![0])), None, "no such piece");
         assert_eq!(reassembler.insert(now, i, i, fragment(0, 999, vec![0])), None, "too many");
     }
-    assert!(reassembler.incomplete() <= INCOMPLETE_MAX);
+    assert!(reassembler.incomplete_count() <= INCOMPLETE_MAX);
 }
 
 #[test]
--- a/membership/tests/golden_bytes.rs
+++ b/membership/tests/golden_bytes.rs
@@ -80,11 +80,11 @@
     let mut text = String::new();
     for (name, body) in bodies {
         let packet = Packet {
-            fleet: name_hash("f"),
+            fleet_hash: name_hash("f"),
             process_id: 99,
             from: address(1),
             to: address(2),
-            number: 300,
+            sequence_number: 300,
             body,
         };
         let bytes = encode(&keys(), &packet);
@@ -117,11 +117,11 @@
     ] {
         let (from, to) = (address(1), "[::1]:7946".parse().unwrap());
         let state = FullState {
-            fleet: name_hash("f"),
+            fleet_hash: name_hash("f"),
             process_id: 99,
             from,
             to,
-            answered_nonce: 33,
+            echoed_nonce: 33,
             nonce,
             sender: me,
             members,
@@ -159,7 +159,7 @@
                 advertise: address(i),
                 seeds: vec![address(0), address(1)],
                 keys: keys(),
-                timing: Timing { forget_after: Duration::from_secs(12), ..Timing::default() },
+                timing: Timing { remove_after: Duration::from_secs(12), ..Timing::default() },
             };
             let start = ProcessStart {
                 process_id: 50 + u64::from(i),
@@ -231,7 +231,7 @@
         if !self.running[to] {
             return;
         }
-        let challenge = self.machines[to].draw_nonce();
+        let challenge = self.machines[to].generate_nonce();
         let (pending, state) = self.machines[from].request_sync(self.now, address(to as u16), challenge);
         let answer = self.machines[to].respond_to_sync(self.now, challenge, &state);
         writeln!(self.text, "state {}", hex(&state)).unwrap();
@@ -285,7 +285,7 @@
         let view = machine.view(trace.now);
         let names: Vec<&str> = view.present_names().collect();
         let size = machine.fleet_size(trace.now, 9);
-        let counts = (size.siblings, size.ordinal, size.senders);
+        let counts = (size.dispatchers, size.ordinal, size.senders);
         writeln!(trace.text, "{} {} {names:?} {counts:?}", view.node, view.incarnation).unwrap();
     }
     assert_golden("trace.txt", &trace.text);
--- a/membership/tests/machine.rs
+++ b/membership/tests/machine.rs
@@ -47,8 +47,8 @@
 
 /// A datagram in the name of the process of node `from`.
 fn packet(from: usize, to: usize, body: Body) -> Packet {
-    let (fleet, number) = (name_hash("f"), LATER);
-    Packet { fleet, process_id: boot(from), from: address(from), to: address(to), number, body }
+    let (fleet_hash, sequence_number) = (name_hash("f"), LATER);
+    Packet { fleet_hash, process_id: boot(from), from: address(from), to: address(to), sequence_number, body }
 }
 
 /// Machines that receive each other's datagrams at once.
@@ -129,13 +129,13 @@
     /// Makes `liar` hold `victim` dead and gossip of it, by a state that somebody with the key sends to it.
     fn lie(&mut self, liar: usize, victim: usize) {
         let victim = self.identities[victim].clone().expect("the others have seen it");
-        let challenge = self.machines[liar].draw_nonce();
+        let challenge = self.machines[liar].generate_nonce();
         let state = FullState {
-            fleet: name_hash("f"),
+            fleet_hash: name_hash("f"),
             process_id: 99,
             from: address(99),
             to: address(liar),
-            answered_nonce: challenge,
+            echoed_nonce: challenge,
             nonce: 1,
             sender: None,
             members: vec![(Member::down(victim), 0)],
@@ -216,7 +216,7 @@
 #[test]
 fn another_fleet_and_another_version_are_rejected() {
     let mut ring = Ring::new(2);
-    let packet = Packet { fleet: name_hash("f") + 1, ..packet(0, 1, Body::IdentityRequest) };
+    let packet = Packet { fleet_hash: name_hash("f") + 1, ..packet(0, 1, Body::IdentityRequest) };
     let mut bytes = encode(&keys(), &packet);
     ring.machines[1].handle_datagram(ring.now, &bytes);
     bytes[2] += 1;
--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -58,7 +58,7 @@
         if list_delivery.is_some_and(|lists| !lists.discovery_failed_recently(now)) {
             leases.push((self.list_lease(), Scope::Zone));
         }
-        if settings.roll {
+        if settings.rolling_restart {
             leases.push((RESTART_LEASE.to_string(), Scope::Fleet));
         }
         leases
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -36,11 +36,11 @@
     /// Name of the node.
     pub name: String,
     /// Configuration file, and the keys at the start.
-    pub talk: MembershipConfig,
+    pub config: MembershipConfig,
     /// Current keys.
     pub keys: watch::Receiver<Option<membership::keys::Keys>>,
     /// Current settings, for the planned number of nodes.
-    pub planned: watch::Receiver<crate::settings_merge::EffectiveSettings>,
+    pub settings: watch::Receiver<crate::settings_merge::EffectiveSettings>,
     /// Phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
@@ -64,15 +64,20 @@
 ///
 /// Fails if the address can't be bound.
 pub fn start(dependencies: Dependencies) -> Result<Handle, StartError> {
-    let address = dependencies.talk.file.listen;
+    let address = dependencies.config.file.listen;
     let socket = bind_datagram_socket(address).map_err(|source| StartError::Bind { address, source })?;
     let start = draw_process_start();
-    let file = &dependencies.talk.file;
+    let file = &dependencies.config.file;
     log::info!(event = "membership_started", fleet = file.fleet, listen:% = address, advertise:% = file.advertise,
         process = start.process_id; "membership started");
     let machine = Machine::new(machine_config(&dependencies), start, Duration::ZERO);
-    let planned = dependencies.planned.borrow().settings.dispatchers;
-    let initial = FleetSize { siblings: planned, ordinal: 0, senders: planned, names: Vec::new() };
+    let planned_dispatchers = dependencies.settings.borrow().settings.dispatchers;
+    let initial = FleetSize {
+        dispatchers: planned_dispatchers,
+        ordinal: 0,
+        senders: planned_dispatchers,
+        dispatcher_names: Vec::new(),
+    };
     let (commands, command_queue) = mpsc::channel(QUEUE_LENGTH);
     let (rates, received_rates) = mpsc::channel(QUEUE_LENGTH);
     let (messages, received_messages) = mpsc::channel(QUEUE_LENGTH);
@@ -100,14 +105,14 @@
 }
 
 fn machine_config(dependencies: &Dependencies) -> Config {
-    let Dependencies { name, talk, .. } = dependencies;
+    let Dependencies { name, config, .. } = dependencies;
     Config {
-        fleet: talk.file.fleet.clone(),
+        fleet: config.file.fleet.clone(),
         name: name.clone(),
-        zone: talk.file.zone.clone(),
-        advertise: talk.file.advertise,
-        seeds: talk.file.seeds.clone(),
-        keys: talk.keys.clone(),
-        timing: talk.file.timing.clone(),
+        zone: config.file.zone.clone(),
+        advertise: config.file.advertise,
+        seeds: config.file.seeds.clone(),
+        keys: config.keys.clone(),
+        timing: config.file.timing.clone(),
     }
 }
--- a/node/src/membership/log_records.rs
+++ b/node/src/membership/log_records.rs
@@ -27,7 +27,7 @@
 
 /// Logs a change of the fleet size.
 pub(super) fn log_fleet_size(size: &FleetSize) {
-    log::info!(event = "fleet_size_changed", siblings = size.siblings, ordinal = size.ordinal,
+    log::info!(event = "fleet_size_changed", siblings = size.dispatchers, ordinal = size.ordinal,
         senders = size.senders; "fleet size changed");
 }
 
--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -64,7 +64,7 @@
     let summary = match view.yielded_to {
         Some(other) => format!("it yielded to a process of its name at {other}"),
         None if !view.joined => "it has heard of nobody yet".to_string(),
-        None => format!("{} take jobs, {} may be sending", fleet_size.siblings, fleet_size.senders),
+        None => format!("{} take jobs, {} may be sending", fleet_size.dispatchers, fleet_size.senders),
     };
     format!("fleet {}, as {} sees it: {summary}", view.fleet, view.node)
 }
--- a/node/src/membership/task.rs
+++ b/node/src/membership/task.rs
@@ -131,7 +131,7 @@
     }
 
     fn own_address(&self) -> SocketAddr {
-        self.dependencies.talk.file.listen
+        self.dependencies.config.file.listen
     }
 
     fn is_silent(&self) -> bool {
@@ -183,8 +183,8 @@
         if !self.outputs.peers.is_closed() {
             replace_if_changed(&self.outputs.peers, self.machine.peers());
         }
-        let planned = self.dependencies.planned.borrow().settings.dispatchers;
-        let size = self.machine.fleet_size(self.now(), planned);
+        let planned_dispatchers = self.dependencies.settings.borrow().settings.dispatchers;
+        let size = self.machine.fleet_size(self.now(), planned_dispatchers);
         if replace_if_changed(&self.outputs.fleet_size, size) {
             log_fleet_size(&self.outputs.fleet_size.borrow());
         }
@@ -195,7 +195,7 @@
         let now = self.now();
         match command {
             Command::SendRates((to, rates)) => self.machine.send_rates(now, &to, rates),
-            Command::SendMessage(to, bytes) if to == self.dependencies.talk.file.advertise => {
+            Command::SendMessage(to, bytes) if to == self.dependencies.config.file.advertise => {
                 let _ = self.outputs.messages.try_send((to, bytes)); // dropped if the queue is full
             }
             Command::SendMessage(to, bytes) => self.machine.send_message(now, to, &bytes),
@@ -257,7 +257,7 @@
     /// Starts a task that responds to the state synchronization of another node, unless too many run.
     fn respond_to_sync(&mut self, stream: TcpStream) {
         let Ok(permit) = self.sync_permits.clone().try_acquire_owned() else { return };
-        let (challenge, requests) = (self.machine.draw_nonce(), self.sync_requests.clone());
+        let (challenge, requests) = (self.machine.generate_nonce(), self.sync_requests.clone());
         tokio::spawn(async move {
             if let Err(error) = state_sync::respond(stream, challenge, requests).await {
                 log::debug!(event = "sync_failed", role = "responder", error:%; "state synchronization failed");
--- a/node/src/platform/rate_gossip.rs
+++ b/node/src/platform/rate_gossip.rs
@@ -48,7 +48,8 @@
         let rates = rates.chunks_exact(2).map(|r| u16::from_be_bytes([r[0], r[1]]));
         let rates: Vec<_> = tenants.zip(rates).collect();
         // Of more tenants than fit into one datagram, a part would pass for all of them.
-        if let Some(to) = cluster_size.names.get(to as usize).filter(|_| rates.len() <= RATES_MAX) {
+        if let Some(to) = cluster_size.dispatcher_names.get(to as usize).filter(|_| rates.len() <= RATES_MAX)
+        {
             self.membership.send_rates((to.clone(), rates));
         }
     }
@@ -57,7 +58,7 @@
     pub async fn receive(self, handle: Handle<Job>) {
         let Some(mut received) = self.membership.take_rates() else { return };
         while let Some((sender, rates)) = received.recv().await {
-            let sender = self.cluster_size.borrow().names.iter().position(|name| *name == sender);
+            let sender = self.cluster_size.borrow().dispatcher_names.iter().position(|name| *name == sender);
             let rates: HashMap<u64, u16> = rates.into_iter().collect();
             let names = self.names.borrow().clone();
             let rate_of = |tenant: &String| rates.get(&stable_hash(tenant)).copied().unwrap_or(0);
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -64,12 +64,12 @@
 pub fn platform_settings(settings: Settings, names: &Names, cluster_size: Option<&FleetSize>) -> Settings {
     let max_send_delay_us = names.connect_timeout.as_micros() as u64;
     let settings = Settings { acknowledges: true, max_send_delay_us, ..settings };
-    match cluster_size.filter(|size| !size.names.is_empty()) {
+    match cluster_size.filter(|size| !size.dispatcher_names.is_empty()) {
         Some(size) => Settings {
-            dispatchers: size.siblings,
+            dispatchers: size.dispatchers,
             ordinal: size.ordinal,
             max_senders: size.senders,
-            membership_epoch: stable_hash(&size.names.join("\n")),
+            membership_epoch: stable_hash(&size.dispatcher_names.join("\n")),
             ..settings
         },
         None => settings,
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -162,9 +162,9 @@
         let (Some(config), Some(fleet)) = (config, fleet) else { return Ok(()) };
         self.membership = Some(membership::start(membership::Dependencies {
             name: config.name.clone(),
-            talk: fleet.clone(),
+            config: fleet.clone(),
             keys: reload.keys(),
-            planned: self.effective_settings.clone(),
+            settings: self.effective_settings.clone(),
             phase: self.phases.subscribe(),
         })?);
         Ok(())
@@ -173,16 +173,16 @@
     /// Starts coordination where the fleet's file has that section.
     fn start_coordination(&mut self, config: Option<&Config>, fleet: Option<&MembershipConfig>) {
         let (Some(membership), Some(config), Some(fleet)) = (&self.membership, config, fleet) else { return };
-        let Some(settings) = fleet.file.duties.clone() else { return };
+        let Some(settings) = fleet.file.coordination.clone() else { return };
         let (list_delivery, list_sharing) =
-            coordination::ListDelivery::pair(settings.lists, self.discovery.clone());
+            coordination::ListDelivery::pair(settings.list_broadcast, self.discovery.clone());
         self.list_sharing = list_sharing;
         self.coordination = Some(coordination::start(coordination::Dependencies {
             name: config.name.clone(),
             fleet_name: fleet.file.fleet.clone(),
             zone: fleet.file.zone.clone(),
             address: fleet.file.advertise,
-            folder: settings.state.as_ref().map(|state| fleet.folder.join(state)),
+            folder: settings.state_directory.as_ref().map(|path| fleet.folder.join(path)),
             settings,
             fleet: membership.clone(),
             phase: self.phases.subscribe(),
--- a/node/tests/golden/node/rendering.rs
+++ b/node/tests/golden/node/rendering.rs
@@ -190,7 +190,7 @@
 
 /// The operator's file of the talk between nodes.
 pub fn fleet_file(out: &mut String, file: &FleetFile) {
-    let FleetFile { fleet, listen, advertise, zone, key_file, seeds, timing, duties } = file;
+    let FleetFile { fleet, listen, advertise, zone, key_file, seeds, timing, coordination } = file;
     let all: [(&str, &dyn Debug); 11] = [
         ("fleet", fleet),
         ("listen", listen),
@@ -202,20 +202,20 @@
         ("answer", &timing.probe_timeout),
         ("suspicion", &timing.suspicion_timeout),
         ("contact", &timing.reconnect_interval),
-        ("forget", &timing.forget_after),
+        ("forget", &timing.remove_after),
     ];
     all.into_iter().for_each(|(key, value)| put(out, key, value));
-    let Some(duties) = duties else { return writeln!(out, "duties: none").unwrap() };
+    let Some(coordination) = coordination else { return writeln!(out, "duties: none").unwrap() };
     let all: [(&str, &dyn Debug); 6] = [
-        ("duties state", &duties.state),
-        ("duties voters", &duties.voters),
-        ("duties lease", &duties.lease_duration),
-        ("duties election", &duties.election_timeout),
-        ("duties lists", &duties.lists),
-        ("duties roll", &duties.roll),
+        ("duties state", &coordination.state_directory),
+        ("duties voters", &coordination.voters),
+        ("duties lease", &coordination.lease_duration),
+        ("duties election", &coordination.election_timeout),
+        ("duties lists", &coordination.list_broadcast),
+        ("duties roll", &coordination.rolling_restart),
     ];
     all.into_iter().for_each(|(key, value)| put(out, key, value));
-    for call in &duties.scheduled_calls {
+    for call in &coordination.scheduled_calls {
         writeln!(
             out,
             "duties call: {:?} at {:?} {:?} every {:?}",
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -89,7 +89,7 @@
     settled(&cluster, 3..9).await;
     for (name, shown) in cluster.statuses().await {
         let stand = shown.unwrap().fleet_size;
-        assert_eq!((stand.siblings, stand.senders), (6, 9), "{name}");
+        assert_eq!((stand.dispatchers, stand.senders), (6, 9), "{name}");
     }
     // With all seeds gone, one that starts anew is found by those that hold it dead.
     cluster.kill(5);
@@ -114,7 +114,7 @@
     for (name, shown) in cluster.statuses().await {
         let stand = shown.unwrap().fleet_size;
         // Each half may share the quotas alone, and neither what cold workers bear: the other half may be sending.
-        assert_eq!((stand.siblings, stand.senders), (4, 8), "{name}");
+        assert_eq!((stand.dispatchers, stand.senders), (4, 8), "{name}");
     }
     cluster.proxies.heal();
     settled(&cluster, 0..8).await;
@@ -229,7 +229,9 @@
     let at = cluster.node(2).management;
     assert_eq!(call(at, "POST", "/healthcheck/fail").await.map(|a| a.0), Some(200));
     until("one fewer takes jobs", || async {
-        status_of(&cluster, 0).await.is_some_and(|s| (s.fleet_size.siblings, s.fleet_size.senders) == (5, 6))
+        status_of(&cluster, 0)
+            .await
+            .is_some_and(|s| (s.fleet_size.dispatchers, s.fleet_size.senders) == (5, 6))
     })
     .await;
     assert_eq!(status(&cluster, 0, 2).await, Some(MemberStatus::Draining));
@@ -418,7 +420,10 @@
     cluster.start_node(5).unwrap();
     settled(&cluster, 0..5).await;
     let alone = status_of(&cluster, 5).await.unwrap();
-    assert!(!alone.view.joined && alone.fleet_size.siblings == 6, "one that hears nobody goes by the plan");
+    assert!(
+        !alone.view.joined && alone.fleet_size.dispatchers == 6,
+        "one that hears nobody goes by the plan"
+    );
     cluster.kill(5);
 
     // Keys change under SIGHUP, one step after the other, with all in one fleet at each.
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -491,15 +491,18 @@
     let mut answer = None;
     for n in 1..MANY {
         let (mut other, _) = start(n);
-        let challenge = one.draw_nonce();
+        let challenge = one.generate_nonce();
         let (asked, state) = other.request_sync(now, at, challenge);
         answer = one.respond_to_sync(now, challenge, &state).map(|state| (other, asked, state));
         while one.next_action().is_some() {} // news to the others, whom nobody plays here
     }
     let size = one.fleet_size(now, 1);
-    assert_eq!((size.siblings as usize, size.names.len(), one.peers().len()), (MANY, MANY, MANY));
+    assert_eq!(
+        (size.dispatchers as usize, size.dispatcher_names.len(), one.peers().len()),
+        (MANY, MANY, MANY)
+    );
     let (mut last, asked, state) = answer.expect("an answer to the last");
     assert!(state.len() <= membership::FRAME_MAX, "{} bytes", state.len());
     assert!(last.complete_sync(now, asked, &state), "it counts");
-    assert_eq!(last.fleet_size(now, 1).names.len(), MANY, "the last one is told of all others");
+    assert_eq!(last.fleet_size(now, 1).dispatcher_names.len(), MANY, "the last one is told of all others");
 }
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -131,7 +131,7 @@
         }
         out += &format!(
             "   {} take jobs, {} may be sending",
-            status.fleet_size.siblings, status.fleet_size.senders
+            status.fleet_size.dispatchers, status.fleet_size.senders
         );
     }
     out + "\n"
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -364,7 +364,7 @@
         let (here, there) = (self.local(from), self.local(other));
         let mut machine = |i: usize| self.nodes[i].machine.take();
         let (Some(mut asks), Some(mut tells)) = (machine(from), machine(other)) else { return };
-        let challenge = tells.draw_nonce();
+        let challenge = tells.generate_nonce();
         let (asked, state) = asks.request_sync(here, to, challenge);
         if let Some(answer) = tells.respond_to_sync(there, challenge, &state) {
             asks.complete_sync(here, asked, &answer);
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -179,7 +179,7 @@
 /// Guards against a dead name that newcomers hand on to each other, each counting its death from when it heard of it.
 #[test]
 fn age_of_a_death_is_passed_to_new_members() {
-    let timing = Timing { forget_after: 60 * S, ..Timing::default() };
+    let timing = Timing { remove_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 18, timing, seeds: 2 });
     settled(&mut world, 20 * S);
     world.kill(7);
@@ -261,7 +261,7 @@
 
 #[test]
 fn members_that_come_and_go_are_removed() {
-    let timing = Timing { forget_after: 60 * S, ..Timing::default() };
+    let timing = Timing { remove_after: 60 * S, ..Timing::default() };
     let mut world = World::started(Spec { nodes: 8, seed: 10, timing, ..Spec::default() });
     world.run(10 * S);
     for round in 0..40 {
