--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -23,16 +23,16 @@
 pub enum Error {
     /// Neither front end is configured.
     #[error("RELAY_CONFIG is not set")]
-    NoConfig,
+    NotConfigured,
     /// The fleet's file is given without the configuration that names the node.
     #[error("--fleet: RELAY_CONFIG is not set, so the node has no name")]
     FleetWithoutConfig,
     /// The node's name is unfit for the fleet.
     #[error("--fleet: the node needs a name of 1 to {NAME_MAX} bytes")]
-    Name,
+    InvalidNodeName,
     /// A file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
-    Read {
+    ReadFile {
         /// Path of the file.
         path: PathBuf,
         /// Error of the system call.
@@ -43,7 +43,7 @@
     Syntax(#[from] serde_json::Error),
     /// A value is not an address.
     #[error("configuration: {key}={text} is not an address")]
-    Address {
+    InvalidAddress {
         /// Environment variable or key.
         key: &'static str,
         /// The value.
@@ -51,10 +51,10 @@
     },
     /// An address that is needed is missing.
     #[error("configuration: no {0}")]
-    NoAddress(&'static str),
+    MissingAddress(&'static str),
     /// The address of another node is malformed.
     #[error("configuration: peers: {0} is not an address")]
-    PeerAddress(String),
+    InvalidPeerAddress(String),
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] ParseError),
@@ -133,7 +133,7 @@
     /// What it may use.
     pub limits: Limits,
     /// The workers as last known.
-    pub known: Option<EndpointList>,
+    pub known_endpoints: Option<EndpointList>,
     /// Where the platform's other nodes send their datagrams; none come if not set.
     pub peer_listen: Option<SocketAddr>,
     /// Where they are reached, by number, and come from.
@@ -141,7 +141,7 @@
     /// The module's settings, and what the wires need beside them.
     pub effective_settings: EffectiveSettings,
     /// All that it was read from, less what is for starts only.
-    pub text: Value,
+    pub document: Value,
 }
 
 impl Config {
@@ -164,11 +164,11 @@
 #[derive(Clone)]
 pub struct LoadedConfig {
     /// The platform's front.
-    pub config: Option<Config>,
+    pub node: Option<Config>,
     /// The Faktory front.
-    pub operator: Option<FaktoryConfig>,
+    pub faktory: Option<FaktoryConfig>,
     /// The talk between nodes.
-    pub fleet: Option<MembershipConfig>,
+    pub membership: Option<MembershipConfig>,
 }
 
 /// What lets a node talk to others.
@@ -179,7 +179,7 @@
     /// The keys that it names.
     pub keys: Keys,
     /// The folder that the file stands in: relative names in it are meant from there.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
 }
 
 impl MembershipConfig {
@@ -191,21 +191,21 @@
         let key_path = folder.join(&file.key_file);
         let keys = Keys::parse(&read_file(&key_path)?);
         let keys = keys.map_err(|source| Error::KeyFile { path: key_path, source })?;
-        Ok(MembershipConfig { file, keys, folder })
+        Ok(MembershipConfig { file, keys, directory: folder })
     }
 }
 
 impl LoadedConfig {
     /// What differs from a newer one and holds until a restart.
     pub fn restart_required(&self, newer: &LoadedConfig) -> Vec<&'static str> {
-        let mut all = match (&self.config, &newer.config) {
+        let mut all = match (&self.node, &newer.node) {
             (Some(old), Some(new)) => old.restart_required(new),
             _ => Vec::new(),
         };
-        if self.operator != newer.operator {
+        if self.faktory != newer.faktory {
             all.push("the operator's file");
         }
-        if self.fleet.as_ref().map(|t| &t.file) != newer.fleet.as_ref().map(|t| &t.file) {
+        if self.membership.as_ref().map(|t| &t.file) != newer.membership.as_ref().map(|t| &t.file) {
             all.push("the fleet's file");
         }
         all
@@ -215,11 +215,11 @@
 /// Where a node's configuration stands: it can be read again from there.
 pub struct ConfigSources {
     /// The platform's JSON file.
-    pub config: Option<PathBuf>,
+    pub node: Option<PathBuf>,
     /// The operator's file of the Faktory front.
-    pub operator: Option<PathBuf>,
+    pub faktory: Option<PathBuf>,
     /// The operator's file that lets nodes talk.
-    pub fleet: Option<PathBuf>,
+    pub membership: Option<PathBuf>,
 }
 
 impl ConfigSources {
@@ -231,12 +231,12 @@
         let config = variable("RELAY_CONFIG").map(PathBuf::from);
         // Without a platform configuration, the Faktory front end may run alone.
         if config.is_none() && operator.is_none() {
-            return Err(Error::NoConfig);
+            return Err(Error::NotConfigured);
         }
         if config.is_none() && fleet.is_some() {
             return Err(Error::FleetWithoutConfig);
         }
-        Ok(ConfigSources { config, operator, fleet })
+        Ok(ConfigSources { node: config, faktory: operator, membership: fleet })
     }
 
     /// Reads all files for the start: variables, where set, come before the platform's file.
@@ -256,11 +256,11 @@
     }
 
     fn read_with(&self, variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, Error> {
-        let operator = match &self.operator {
+        let operator = match &self.faktory {
             Some(path) => Some(FaktoryConfig::parse(&read_file(path)?)?),
             None => None,
         };
-        let mut config = match &self.config {
+        let mut config = match &self.node {
             Some(path) => Some(parse(&read_file(path)?, variable)?),
             None => None,
         };
@@ -269,14 +269,14 @@
             let left = config.limits.sockets.checked_sub(operator.connections);
             config.limits.sockets = left.filter(|left| *left >= SOCKETS_MIN).ok_or(Error::TooFewSockets)?;
         }
-        let fleet = match &self.fleet {
+        let fleet = match &self.membership {
             Some(path) => Some(MembershipConfig::read(path)?),
             None => None,
         };
         if fleet.is_some() && config.as_ref().is_some_and(|c| c.name.is_empty() || c.name.len() > NAME_MAX) {
-            return Err(Error::Name);
+            return Err(Error::InvalidNodeName);
         }
-        Ok(LoadedConfig { config, operator, fleet })
+        Ok(LoadedConfig { node: config, faktory: operator, membership: fleet })
     }
 }
 
@@ -285,7 +285,7 @@
 }
 
 fn read_file(path: &Path) -> Result<String, Error> {
-    std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.to_path_buf(), source })
+    std::fs::read_to_string(path).map_err(|source| Error::ReadFile { path: path.to_path_buf(), source })
 }
 
 /// Parses the platform's configuration; a variable, where set, comes before the key of the same meaning.
@@ -299,24 +299,24 @@
         keys.retain(|key, _| key != "known" && key != "seed");
     }
     let optional = |key: &'static str, given: Option<String>| match variable(key).or(given) {
-        Some(text) => text.parse().map(Some).map_err(|_| Error::Address { key, text }),
+        Some(text) => text.parse().map(Some).map_err(|_| Error::InvalidAddress { key, text }),
         None => Ok(None),
     };
     let address =
-        |key, given| -> Result<SocketAddr, Error> { optional(key, given)?.ok_or(Error::NoAddress(key)) };
-    let peer = |text: &String| text.parse().map_err(|_| Error::PeerAddress(text.clone()));
+        |key, given| -> Result<SocketAddr, Error> { optional(key, given)?.ok_or(Error::MissingAddress(key)) };
+    let peer = |text: &String| text.parse().map_err(|_| Error::InvalidPeerAddress(text.clone()));
     let peers = file.peers.iter().map(peer).collect::<Result<_, _>>()?;
     let (settings, names) = parse_settings(&file.settings)?;
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
-        text,
+        document: text,
         listen: address("RELAY_LISTEN", file.listen)?,
         discovery: address("RELAY_DISCOVERY", file.discovery)?,
         management: optional("RELAY_MANAGEMENT", file.management)?,
         name: variable("RELAY_NAME").unwrap_or(file.name),
         seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| stable_hash(&file.seed)),
         limits: file.limits,
-        known: file.known,
+        known_endpoints: file.known,
         peer_listen: optional("peer_listen", file.peer_listen)?,
         peers,
     })
--- a/node/src/coordination/rolling_restart.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -257,7 +257,7 @@
     fn health_report(&self) -> RestartMessage {
         let counters = &self.dependencies.counters;
         let failed = counters.failed.get();
-        let ended = counters.served.get() + counters.refused.get() + failed;
+        let ended = counters.served.get() + counters.shed.get() + failed;
         RestartMessage::HealthReport { process_id: self.dependencies.fleet.process_id(), failed, ended }
     }
 }
--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -10,25 +10,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Client connections.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Client connections with a request in flight.
-    pub at_work: usize,
+    pub busy_clients: usize,
     /// Worker connections that an attempt holds.
-    pub attempts: usize,
+    pub attempt_connections: usize,
     /// Idle worker connections.
-    pub idle: usize,
+    pub idle_connections: usize,
     /// Wire ids in flight.
-    pub ids: usize,
+    pub wire_ids: usize,
     /// Memory for bodies, in KiB.
     pub bodies_kib: usize,
 }
 
 impl fmt::Display for ResourceUsage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ResourceUsage { clients, at_work, attempts, idle, ids, bodies_kib } = self;
+        let ResourceUsage {
+            client_connections,
+            busy_clients,
+            attempt_connections,
+            idle_connections,
+            wire_ids,
+            bodies_kib,
+        } = self;
         write!(
             f,
-            "clients={clients} at_work={at_work} attempts={attempts} idle={idle} ids={ids} bodies_kib={bodies_kib}"
+            "clients={client_connections} at_work={busy_clients} attempts={attempt_connections} idle={idle_connections} \
+             ids={wire_ids} bodies_kib={bodies_kib}"
         )
     }
 }
@@ -45,7 +53,7 @@
             /// Violations of invariants.
             pub violations: Violations,
             /// Requests in the dispatcher's table.
-            pub open: Gauge,
+            pub open_requests: Gauge,
             /// Attempts in flight.
             pub in_flight: Gauge,
             /// Timers of the dispatcher.
@@ -64,9 +72,9 @@
 
 counters! {
     /// Client connections that got a slot.
-    accepted "accepted",
+    connections_accepted "accepted",
     /// Requests passed to the decision module.
-    taken "taken",
+    requests_accepted "taken",
     /// Running requests transferred to the next process.
     transferred_out "moved",
     /// Running requests transferred from the previous process.
@@ -76,31 +84,31 @@
     /// Final answers: served.
     served "served",
     /// Final answers: refused.
-    refused "refused",
+    shed "refused",
     /// Final answers: failed.
     failed "failed",
     /// Clients that left before their answer.
     client_left "left",
     /// Attempts started.
-    sent "sent",
+    attempts_sent "sent",
     /// Attempts that their worker acknowledged.
     acknowledged "word",
     /// Attempts that could not be sent.
     not_sent "moot",
     /// Attempts that the send guard held back right before their first byte.
-    held_back "held_back",
+    send_blocked "held_back",
     /// Attempts that ended as served.
-    ok "ok",
+    succeeded "ok",
     /// Attempts that ended with an error.
-    error "error",
+    errors "error",
     /// Attempts that the worker rejected before it started.
-    full "full",
+    rejected "full",
     /// Attempts that timed out.
-    timeout "timeout",
+    timed_out "timeout",
     /// Attempts that got no connection.
     connect_failed "connect_failed",
     /// Attempts whose connection broke.
-    reset "reset",
+    connection_lost "reset",
     /// Attempts that were cancelled.
     cancelled "cancelled",
     /// Health checks sent to workers.
@@ -112,11 +120,11 @@
     /// Gossip datagrams of other nodes that were accepted.
     gossip_received "heard",
     /// Worker connections opened.
-    opened "opened",
+    worker_connections_opened "opened",
     /// Worker connections that were kept after an answer, for reuse.
     kept_alive "kept",
     /// Answers of discovery that were applied.
-    lists "lists",
+    endpoint_lists_applied "lists",
 }
 
 impl Counters {
@@ -133,12 +141,12 @@
     /// Counts the end of an attempt, by its outcome.
     pub fn count_outcome(&self, outcome: Outcome) {
         match outcome {
-            Outcome::Success => &self.ok,
-            Outcome::Error => &self.error,
-            Outcome::Rejected => &self.full,
-            Outcome::Timeout => &self.timeout,
+            Outcome::Success => &self.succeeded,
+            Outcome::Error => &self.errors,
+            Outcome::Rejected => &self.rejected,
+            Outcome::Timeout => &self.timed_out,
             Outcome::ConnectFailed => &self.connect_failed,
-            Outcome::ConnectionLost => &self.reset,
+            Outcome::ConnectionLost => &self.connection_lost,
             Outcome::Cancelled => &self.cancelled,
             Outcome::NotSent => &self.not_sent,
         }
@@ -153,7 +161,7 @@
             write!(f, "{separator}{label}={value}")?;
         }
         write!(f, "; violations {}", self.violations)?;
-        let (open, in_flight, timers) = (self.open.get(), self.in_flight.get(), self.timers.get());
+        let (open, in_flight, timers) = (self.open_requests.get(), self.in_flight.get(), self.timers.get());
         write!(f, "; now open={open} out={in_flight} timers={timers}")?;
         match self.usage() {
             Some(usage) => write!(f, " {usage}"),
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -22,7 +22,7 @@
         let overdrafts = self.policy.slow_start_overdrafts();
         if overdrafts > self.overdrafts {
             self.overdrafts = overdrafts;
-            self.counters.violations.add(Invariant::ColdBudget, overdrafts);
+            self.counters.violations.add(Invariant::SlowStartBudget, overdrafts);
         }
     }
 
@@ -33,7 +33,7 @@
                 self.reject(id, Duration::from_micros(retry_after_us));
             }
             Action::Fail { id } => self.fail(id),
-            Action::Cancel { id, attempt } => self.cancel(AttemptId { id, attempt }),
+            Action::Cancel { id, attempt } => self.cancel(AttemptId { request: id, attempt }),
             Action::SetTimer { after_us } => {
                 let at = Instant::now() + Duration::from_micros(after_us);
                 self.timers.schedule(at, Timer::Policy);
@@ -49,8 +49,8 @@
     fn reject(&mut self, id: RequestId, retry_after: Duration) {
         log::debug!(event = "request_rejected", request = id; "request rejected");
         if let Some(job) = self.take_job(id) {
-            self.counters.refused.add();
-            self.frontend.answer(job, Answer::Refused(retry_after));
+            self.counters.shed.add();
+            self.frontend.answer(job, Answer::Shed(retry_after));
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     fn cancel(&mut self, tag: AttemptId) {
-        let entry = self.requests.get_mut(tag.id).filter(|e| e.attempts == tag.attempt + 1);
+        let entry = self.requests.get_mut(tag.request).filter(|e| e.attempts == tag.attempt + 1);
         if let Some(attempt) = entry.and_then(|e| e.attempt.begin_stop()) {
             self.frontend.stop(attempt, Outcome::Cancelled);
         }
@@ -95,19 +95,20 @@
             return self.abort_unsent(id);
         };
         // The client may have left while nobody could see it, as while its socket was frozen.
-        if !self.frontend.is_awaited(job) {
+        if !self.frontend.is_client_waiting(job) {
             return self.abort_without_client(id);
         }
-        let tag = AttemptId { id, attempt: entry.attempts };
+        let tag = AttemptId { request: id, attempt: entry.attempts };
         log::debug!(
             event = "attempt_sent", request = id, attempt = tag.attempt, worker:% = format_args!("{:016x}", worker.0);
             "attempt sent"
         );
         let until = entry.deadline;
         entry.attempts += 1;
-        entry.last_attempt = Some(AttemptStart { worker, at: Instant::now(), started: None, until });
+        entry.last_attempt =
+            Some(AttemptStart { worker, sent_at: Instant::now(), started_at: None, deadline: until });
         entry.attempt = AttemptState::Running(self.frontend.send(tag, job, worker, until));
-        self.counters.sent.add();
+        self.counters.attempts_sent.add();
         self.add_in_flight();
     }
 
@@ -143,11 +144,11 @@
 /// The rule that sending this request now would break, if any.
 fn broken_invariant<F: Frontend>(entry: &RequestEntry<F>) -> Option<Invariant> {
     if entry.attempt.is_in_flight() {
-        Some(Invariant::OneAttempt)
+        Some(Invariant::SingleAttempt)
     } else if entry.attempts >= entry.max_attempts {
-        Some(Invariant::AttemptsLeft)
+        Some(Invariant::AttemptLimit)
     } else if !entry.retry_rules.allow(entry.may_have_run) {
-        Some(Invariant::Repeatable)
+        Some(Invariant::RetryAllowed)
     } else {
         None
     }
--- a/node/src/dispatcher/frontend.rs
+++ b/node/src/dispatcher/frontend.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request, by the dispatcher's own number.
-    pub id: RequestId,
+    pub request: RequestId,
     /// Number of the attempt, from 0 on.
     pub attempt: u32,
 }
@@ -20,7 +20,7 @@
     /// The result of a worker.
     Served(Bytes),
     /// Rejected: nothing was done, and a retry after this time is harmless.
-    Refused(Duration),
+    Shed(Duration),
     /// Failed: whether the request was executed is not known.
     Failed,
 }
@@ -31,11 +31,11 @@
     /// The worker.
     pub worker: WorkerId,
     /// Micros at which it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// Micros at which its worker reported the start of the execution, if it did.
-    pub started: Option<Instant>,
+    pub started_at: Option<Instant>,
     /// Deadline of the client.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// Transport of the dispatcher's decisions. It takes none itself.
@@ -49,7 +49,7 @@
     fn send(&mut self, tag: AttemptId, job: &Self::Job, worker: WorkerId, until: Instant) -> Self::Attempt;
 
     /// Whether the client still waits for this job, as far as can be told now.
-    fn is_awaited(&self, _job: &Self::Job) -> bool {
+    fn is_client_waiting(&self, _job: &Self::Job) -> bool {
         true
     }
 
@@ -83,7 +83,7 @@
     fn refresh_endpoints(&mut self) {}
 
     /// Sends a health check to a worker. Returns whether this front end can: then exactly one
-    /// [`Handle::probed`](super::Handle::probed) follows, whatever happens.
+    /// [`Handle::probe_ended`](super::Handle::probe_ended) follows, whatever happens.
     fn probe(&mut self, _worker: WorkerId) -> bool {
         false
     }
--- a/node/src/dispatcher/mod.rs
+++ b/node/src/dispatcher/mod.rs
@@ -76,7 +76,7 @@
         loop {
             // Before each event, so that a full queue cannot starve the timers.
             self.fire_due_timers();
-            self.counters.open.set(self.requests.len());
+            self.counters.open_requests.set(self.requests.len());
             self.counters.timers.set(self.timers.len());
             tokio::select! {
                 event = inbox.next() => match event {
@@ -100,15 +100,15 @@
     fn handle_event(&mut self, event: DispatcherEvent<F::Job>) {
         match event {
             DispatcherEvent::Submitted(request, job) => self.submit(request, job),
-            DispatcherEvent::Resumed(request, job, sent) => self.resume(request, job, sent),
+            DispatcherEvent::Adopted(request, job, sent) => self.adopt(request, job, sent),
             DispatcherEvent::ClientLeft(id) => self.client_left(id),
             DispatcherEvent::Acknowledged(tag) if self.requests.is_in_flight(tag) => {
                 self.counters.acknowledged.add();
-                self.notify_policy(Event::Acknowledged { id: tag.id, attempt: tag.attempt });
+                self.notify_policy(Event::Acknowledged { id: tag.request, attempt: tag.attempt });
             }
             DispatcherEvent::Started(tag) if self.requests.is_in_flight(tag) => self.attempt_started(tag),
             DispatcherEvent::Progress(tag, done) if self.requests.is_in_flight(tag) => {
-                self.notify_policy(Event::Progress { id: tag.id, attempt: tag.attempt, done });
+                self.notify_policy(Event::Progress { id: tag.request, attempt: tag.attempt, done });
             }
             // Of an attempt that has ended.
             DispatcherEvent::Acknowledged(_)
@@ -129,7 +129,7 @@
             DispatcherEvent::PeerRates(from, bytes) => {
                 self.notify_policy(Event::PeerMessage { from, bytes });
             }
-            DispatcherEvent::Probed(worker, ok, report) => {
+            DispatcherEvent::ProbeEnded(worker, ok, report) => {
                 self.notify_policy(Event::ProbeEnded { worker, ok, report });
             }
             DispatcherEvent::FreezeTransferable(reply) => {
--- a/node/src/dispatcher/queue.rs
+++ b/node/src/dispatcher/queue.rs
@@ -22,7 +22,7 @@
 /// Event for the dispatcher.
 pub(super) enum DispatcherEvent<J> {
     Submitted(Request, J),
-    Resumed(Request, J, AttemptStart),
+    Adopted(Request, J, AttemptStart),
     ClientLeft(RequestId),
     Acknowledged(AttemptId),
     Started(AttemptId),
@@ -39,7 +39,7 @@
         continues: Vec<Option<usize>>,
     },
     PeerRates(u32, Vec<u8>),
-    Probed(WorkerId, bool, Option<LoadReport>),
+    ProbeEnded(WorkerId, bool, Option<LoadReport>),
     FreezeTransferable(oneshot::Sender<()>),
     Transferred(AttemptId),
 }
@@ -66,9 +66,9 @@
     }
 
     /// As [`Handle::submit`], for a request that another process of this node has sent once: its attempt goes on here.
-    pub fn resume(&self, request: Request, job: J, sent: AttemptStart) -> RequestId {
+    pub fn adopt(&self, request: Request, job: J, sent: AttemptStart) -> RequestId {
         let id = self.assign_request_id();
-        self.push(DispatcherEvent::Resumed(Request { id, ..request }, job, sent));
+        self.push(DispatcherEvent::Adopted(Request { id, ..request }, job, sent));
         id
     }
 
@@ -115,7 +115,7 @@
 
     /// An attempt has ended in a way that says nothing of its worker: a connection that had served before broke without
     /// an acknowledgement of this job, or this node could not open one.
-    pub fn ended_blameless(&self, id: AttemptId, outcome: Outcome) {
+    pub fn ended_not_attributable(&self, id: AttemptId, outcome: Outcome) {
         let (report, result) = (None, Bytes::new());
         self.push(DispatcherEvent::Ended(AttemptReport { id, outcome, report, result, blameless: true }));
     }
@@ -142,8 +142,8 @@
     }
 
     /// Result of a health check: whether the worker answered in time, and its load report.
-    pub fn probed(&self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
-        self.push(DispatcherEvent::Probed(worker, ok, report));
+    pub fn probe_ended(&self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
+        self.push(DispatcherEvent::ProbeEnded(worker, ok, report));
     }
 
     fn push(&self, event: DispatcherEvent<J>) {
--- a/node/src/dispatcher/request_table.rs
+++ b/node/src/dispatcher/request_table.rs
@@ -128,6 +128,6 @@
 
     /// Whether this attempt is in flight.
     pub fn is_in_flight(&self, tag: AttemptId) -> bool {
-        self.get(tag.id).is_some_and(|e| e.attempt.is_in_flight() && e.attempts == tag.attempt + 1)
+        self.get(tag.request).is_some_and(|e| e.attempt.is_in_flight() && e.attempts == tag.attempt + 1)
     }
 }
--- a/node/src/dispatcher/requests.rs
+++ b/node/src/dispatcher/requests.rs
@@ -12,7 +12,7 @@
 impl<F: Frontend> Dispatcher<F> {
     /// Enters a request into the table and hands it to the decision module.
     pub(super) fn submit(&mut self, request: Request, job: F::Job) {
-        self.counters.taken.add();
+        self.counters.requests_accepted.add();
         let deadline = Instant::now() + Duration::from_micros(request.time_left_us);
         let entry = RequestEntry {
             job: Some(job),
@@ -33,14 +33,15 @@
     }
 
     /// Enters a request whose first attempt another process of this node has sent.
-    pub(super) fn resume(&mut self, request: Request, job: F::Job, sent: AttemptStart) {
+    pub(super) fn adopt(&mut self, request: Request, job: F::Job, sent: AttemptStart) {
         self.counters.transferred_in.add();
         self.add_in_flight();
         let id = request.id;
-        let attempt = self.frontend.send(AttemptId { id, attempt: 0 }, &job, sent.worker, sent.until);
+        let attempt =
+            self.frontend.send(AttemptId { request: id, attempt: 0 }, &job, sent.worker, sent.deadline);
         let entry = RequestEntry {
             job: Some(job),
-            deadline: sent.until,
+            deadline: sent.deadline,
             attempts: 1,
             max_attempts: self.settings.max_attempts,
             last_attempt: Some(sent),
@@ -49,9 +50,9 @@
             attempt: AttemptState::Running(attempt),
         };
         self.requests.insert(id, entry);
-        self.timers.schedule(sent.until, Timer::Deadline(id));
+        self.timers.schedule(sent.deadline, Timer::Deadline(id));
         let us_since = |at: Instant| at.elapsed().as_micros() as Micros;
-        let (sent_us, started_us) = (us_since(sent.at), sent.started.map(us_since));
+        let (sent_us, started_us) = (us_since(sent.sent_at), sent.started_at.map(us_since));
         self.notify_policy(Event::RequestAdopted { request, worker: sent.worker, sent_us, started_us });
     }
 
@@ -71,15 +72,16 @@
 
     /// The worker has started the job of this attempt.
     pub(super) fn attempt_started(&mut self, tag: AttemptId) {
-        if let Some(last) = self.requests.get_mut(tag.id).and_then(|e| e.last_attempt.as_mut()) {
-            last.started = last.started.or(Some(Instant::now()));
+        if let Some(last) = self.requests.get_mut(tag.request).and_then(|e| e.last_attempt.as_mut()) {
+            last.started_at = last.started_at.or(Some(Instant::now()));
         }
-        self.notify_policy(Event::Started { id: tag.id, attempt: tag.attempt });
+        self.notify_policy(Event::Started { id: tag.request, attempt: tag.attempt });
     }
 
     /// An attempt has ended. Of two outcomes of one attempt, the first one counts.
     pub(super) fn attempt_ended(&mut self, end: AttemptReport) {
-        let AttemptReport { id: AttemptId { id, attempt }, outcome, report, result, blameless } = end;
+        let AttemptReport { id: AttemptId { request: id, attempt }, outcome, report, result, blameless } =
+            end;
         if !self.requests.is_in_flight(end.id) {
             log::warn!(event = "attempt_ended_twice", request = id, attempt = attempt; "second end of an attempt ignored");
             return;
@@ -89,7 +91,7 @@
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.attempt = AttemptState::Idle;
         if !outcome.proves_not_executed() {
-            entry.may_have_run = entry.may_have_run.or(entry.last_attempt.map(|sent| sent.at));
+            entry.may_have_run = entry.may_have_run.or(entry.last_attempt.map(|sent| sent.sent_at));
         }
         self.counters.in_flight.set(self.counters.in_flight.get() - 1);
         if outcome == Outcome::Success {
@@ -138,18 +140,18 @@
             else {
                 continue;
             };
-            self.frontend.freeze_for_transfer(AttemptId { id: *id, attempt: 0 }, sent, job, attempt);
+            self.frontend.freeze_for_transfer(AttemptId { request: *id, attempt: 0 }, sent, job, attempt);
         }
     }
 
     /// Another process continues this attempt: its request is removed here without an answer.
     pub(super) fn transferred(&mut self, tag: AttemptId) {
-        let Some(entry) = self.remove(tag.id) else { return };
+        let Some(entry) = self.remove(tag.request) else { return };
         self.counters.transferred_out.add();
         if let AttemptState::Running(attempt) = entry.attempt {
             self.frontend.stop(attempt, Outcome::Cancelled);
         }
-        let (id, attempt, outcome) = (tag.id, tag.attempt, Outcome::Cancelled);
+        let (id, attempt, outcome) = (tag.request, tag.attempt, Outcome::Cancelled);
         self.notify_policy(Event::ClientDisconnected { id });
         self.notify_policy(Event::AttemptEnded(AttemptEnd {
             id,
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -163,8 +163,8 @@
         let job = &self.jobs[&number];
         let may_run_anew = match &job.progress {
             Progress::Submitted(_) | Progress::Admitted => false,
-            Progress::Ended(Answer::Refused(_)) => !job.may_have_run,
-            Progress::Ended(_) => !self.names.keyed[key.class],
+            Progress::Ended(Answer::Shed(_)) => !job.may_have_run,
+            Progress::Ended(_) => !self.names.requires_idempotency_key[key.class],
         };
         if may_run_anew {
             self.remove_job(number);
@@ -210,7 +210,7 @@
         let Some(job) = self.jobs.get_mut(&number) else { return };
         self.payload_bytes -= job.payload.len();
         job.payload = Bytes::new();
-        if let (Progress::Submitted(senders), Answer::Refused(retry_after)) = (&mut job.progress, &answer) {
+        if let (Progress::Submitted(senders), Answer::Shed(retry_after)) = (&mut job.progress, &answer) {
             let (senders, outcome) = (std::mem::take(senders), PushOutcome::Rejected(*retry_after));
             self.remove_job(number);
             return notify(senders, &outcome);
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -11,7 +11,7 @@
 use crate::names::{self, parse_settings};
 use crate::phase::Phase;
 use crate::platform::socket::Socket;
-use crate::startup::START_WAIT;
+use crate::startup::START_RETRY_LIMIT;
 use crate::transient::retry_local_failures;
 use dispatch_policy::api::{InvalidSettings, Settings};
 use serde_json::json;
@@ -100,16 +100,16 @@
         let counters = &self.counters;
         json!({
             "faktory": {
-                "total_enqueued": counters.taken.get(),
+                "total_enqueued": counters.requests_accepted.get(),
                 "total_processed": counters.served.get(),
-                "total_failures": counters.failed.get() + counters.refused.get(),
+                "total_failures": counters.failed.get() + counters.shed.get(),
                 "jobs": jobs,
                 "workers": workers,
             },
             "server": {
                 "description": "molevale",
                 "faktory_version": env!("CARGO_PKG_VERSION"),
-                "command_count": counters.sent.get(),
+                "command_count": counters.attempts_sent.get(),
             },
             "counters": counters.to_string(),
         })
@@ -224,7 +224,7 @@
 ///
 /// Fails if it can't be bound.
 pub async fn listen(config: &FaktoryConfig) -> Result<TcpListener, Error> {
-    let listener = retry_local_failures(START_WAIT, || TcpListener::bind(config.listen)).await;
+    let listener = retry_local_failures(START_RETRY_LIMIT, || TcpListener::bind(config.listen)).await;
     listener.map_err(|source| Error::Listen { address: config.listen, source })
 }
 
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -263,7 +263,7 @@
         JobState::Working => json!({"jid": jid, "state": "working"}),
         JobState::Ended(Answer::Served(_)) => json!({"jid": jid, "state": "success", "answer": "served"}),
         JobState::Ended(Answer::Failed) => json!({"jid": jid, "state": "failed", "answer": "failed"}),
-        JobState::Ended(Answer::Refused(retry_after)) => {
+        JobState::Ended(Answer::Shed(retry_after)) => {
             let retry_after = retry_after.as_secs_f64();
             json!({"jid": jid, "state": "failed", "answer": "refused", "retry_after": retry_after})
         }
--- a/node/src/invariants.rs
+++ b/node/src/invariants.rs
@@ -27,13 +27,13 @@
 
 invariants! {
     /// At most one attempt of a request is in flight. Guard: `Dispatcher::send`.
-    OneAttempt "one_attempt",
+    SingleAttempt "one_attempt",
     /// A request has at most as many attempts as its settings allow. Guard: `Dispatcher::send`.
-    AttemptsLeft "attempts_left",
+    AttemptLimit "attempts_left",
     /// A request that may have run is retried only as its class allows. Guard: `Dispatcher::send`.
-    Repeatable "repeatable",
+    RetryAllowed "repeatable",
     /// A worker that is warming up gets at most this node's part of its budget. Guard: `Policy::send`.
-    ColdBudget "cold_budget",
+    SlowStartBudget "cold_budget",
     /// A request that was read is answered before its connection is closed. Guard: the drop of what waits for the answer.
     Answered "answered",
 }
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 
 /// Callers at once. The platform's front keeps descriptors back for them.
-pub const MAX_CALLERS: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 /// Time that one call may take, from its connection on.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest head of a call, in bytes.
@@ -40,9 +40,9 @@
     /// Whether the process can serve.
     pub ready: watch::Receiver<bool>,
     /// Membership, where it is on.
-    pub fleet: Option<membership::Handle>,
+    pub membership: Option<membership::Handle>,
     /// Coordination, where it is on.
-    pub duties: Option<coordination::Handle>,
+    pub coordination: Option<coordination::Handle>,
 }
 
 /// Call that the front knows.
@@ -179,7 +179,7 @@
             let socket = acceptor.accept(&listener).await.socket;
             callers.retain(|caller| !caller.is_finished());
             // Callers that hold all places and say nothing must not hold up others: the first one is closed.
-            while callers.len() >= MAX_CALLERS {
+            while callers.len() >= MAX_CONNECTIONS {
                 let Some(first) = callers.pop_front() else { break };
                 first.abort();
                 let _ = first.await; // ends with an error because it was aborted; its descriptor is free now
@@ -238,7 +238,7 @@
     }
 
     async fn membership_status(&self) -> Result<Answer, CallError> {
-        let membership = self.fleet.as_ref().ok_or(CallError::MembershipOff)?;
+        let membership = self.membership.as_ref().ok_or(CallError::MembershipOff)?;
         match membership.status().await.map(|status| serde_json::to_string(&status)) {
             Some(Ok(text)) => Ok(Answer::Json(text)),
             _ => Err(CallError::MembershipEnded),
@@ -278,7 +278,7 @@
     }
 
     fn coordination(&self) -> Result<&coordination::Handle, CallError> {
-        self.duties.as_ref().ok_or(CallError::CoordinationOff)
+        self.coordination.as_ref().ok_or(CallError::CoordinationOff)
     }
 }
 
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -23,9 +23,9 @@
     /// Numbers of the classes that are no longer offered.
     pub retired_classes: Vec<usize>,
     /// For each class, the number of the one that had its name before, if any.
-    pub continues: Vec<Option<usize>>,
+    pub previous_classes: Vec<Option<usize>>,
     /// For each class, whether its requests carry an idempotency key.
-    pub keyed: Vec<bool>,
+    pub requires_idempotency_key: Vec<bool>,
     /// The tenants.
     pub tenants: Vec<String>,
     /// Numbers of the tenants that are no longer named.
@@ -100,10 +100,10 @@
     let duration =
         |key: &str, absent: Duration| pairs.span(key, absent.as_micros() as u64).map(Duration::from_micros);
     Ok(Names {
-        continues: vec![None; classes.len()],
+        previous_classes: vec![None; classes.len()],
         classes,
         retired_classes: Vec::new(),
-        keyed: settings
+        requires_idempotency_key: settings
             .classes
             .iter()
             .map(|class| matches!(class.idempotency, Idempotency::WithKey(_)))
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -151,7 +151,7 @@
                 connection.close().await;
             }
             return match is_blameless {
-                true => self.handle.ended_blameless(tag, outcome),
+                true => self.handle.ended_not_attributable(tag, outcome),
                 false => self.handle.ended(tag, outcome, report, result),
             };
         };
@@ -246,10 +246,10 @@
         is_adopted: bool,
         error: &hyper::Error,
     ) -> AttemptEnd {
-        let AttemptId { id, attempt } = request.tag;
+        let AttemptId { request: id, attempt } = request.tag;
         log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no answer from the worker");
         if let Some(reason) = connection.guard.blocked_by() {
-            self.counters.held_back.add();
+            self.counters.send_blocked.add();
             log::debug!(event = "send_blocked", request = id, attempt, reason:?; "request not sent");
             return match reason {
                 SendBlocked::ClientLeft => AttemptEnd::without_answer(Outcome::Cancelled),
@@ -289,7 +289,7 @@
 
     /// Follows the worker's updates on an accepted job to the one that ends it.
     async fn read_updates(&self, request: &AttemptRequest, mut lines: UpdateLines) -> AttemptEnd {
-        let AttemptId { id, attempt } = request.tag;
+        let AttemptId { request: id, attempt } = request.tag;
         loop {
             let line = match lines.next().await {
                 Ok(line) => line,
--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -67,7 +67,7 @@
     /// Takes over a list that has been received.
     fn accept(&self, list: &EndpointList) {
         self.feed(list);
-        self.counters.lists.add();
+        self.counters.endpoint_lists_applied.add();
     }
 
     fn feed(&self, list: &EndpointList) {
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -123,7 +123,7 @@
     headers.check_request_id()?;
     let class = headers.class(path, names)?;
     let tenant = headers.tenant(names)?;
-    if names.keyed[class] && headers.text("idempotency-key").is_empty() {
+    if names.requires_idempotency_key[class] && headers.text("idempotency-key").is_empty() {
         return Err(FieldError::MissingIdempotencyKey);
     }
     Ok(Request {
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -120,8 +120,8 @@
             retry,
             slots,
             memory,
-            left: sent.until.saturating_duration_since(Instant::now()),
-            worker: (sent.worker.0, address, sent.at.elapsed(), sent.started.map(|at| at.elapsed())),
+            left: sent.deadline.saturating_duration_since(Instant::now()),
+            worker: (sent.worker.0, address, sent.sent_at.elapsed(), sent.started_at.map(|at| at.elapsed())),
             said,
         };
         client.socket_handle.freeze();
@@ -176,9 +176,9 @@
         let ago = |span: Duration| Instant::now().checked_sub(span).unwrap_or_else(Instant::now);
         let sent = AttemptStart {
             worker: WorkerId(worker),
-            at: ago(at),
-            started: started.map(ago),
-            until: Instant::now() + self.left,
+            sent_at: ago(at),
+            started_at: started.map(ago),
+            deadline: Instant::now() + self.left,
         };
         TransferredAttempt { socket, address, said: self.said.clone(), sent }
     }
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -260,7 +260,7 @@
         socket.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
         let stream = CountingStream::new(Socket::new(socket), SharedProgress::default());
         let connection = self.start(stream, address, permit).await;
-        self.counters.opened.add();
+        self.counters.worker_connections_opened.add();
         connection.ok_or(ConnectError::Unreachable)
     }
 
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -36,7 +36,7 @@
     if load.is_some() {
         runner.counters.probes_answered.add();
     }
-    runner.handle.probed(worker, load.is_some(), load.flatten());
+    runner.handle.probe_ended(worker, load.is_some(), load.flatten());
 }
 
 /// The worker's load; `None` if it has none to tell yet. A connection that is not read to its end is closed.
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Semaphore;
 
 /// Descriptors beside those of clients and workers: standard streams, poller, signals, listeners, discovery, a
-/// link to another process, and those of [`crate::management::MAX_CALLERS`].
+/// link to another process, and those of [`crate::management::MAX_CONNECTIONS`].
 pub const FIXED_DESCRIPTORS: usize = 32;
 /// Connections beyond the budget that are held at once to be refused.
 pub const REJECTION_SLOTS: usize = 32;
@@ -132,11 +132,11 @@
     pub fn usage(&self) -> ResourceUsage {
         let idle = self.pool.idle();
         ResourceUsage {
-            clients: self.client_slots.taken(),
-            at_work: self.client_slots.at_work(),
-            attempts: self.pool.taken().saturating_sub(idle),
-            idle,
-            ids: self.in_flight_ids.len(),
+            client_connections: self.client_slots.taken(),
+            busy_clients: self.client_slots.at_work(),
+            attempt_connections: self.pool.taken().saturating_sub(idle),
+            idle_connections: idle,
+            wire_ids: self.in_flight_ids.len(),
             bodies_kib: self.bodies_held_kib(),
         }
     }
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -144,7 +144,7 @@
         }
         let stream = MonitoredStream::new(Socket::new(socket));
         if let Some(slot) = self.budget.client_slots.acquire(&stream.monitor()).await {
-            self.counters.accepted.add();
+            self.counters.connections_accepted.add();
             let waited = waited + arrived.elapsed();
             let connection = ClientConnection::new(&stream, slot, None, waited);
             tokio::spawn(async move { server.serve(stream, connection).await });
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -133,7 +133,7 @@
             reply,
         };
         let number = match sent {
-            Some(sent) => self.handle.resume(fields, job, sent),
+            Some(sent) => self.handle.adopt(fields, job, sent),
             None => self.handle.submit(fields, job),
         };
         log_accepted(number, id, fields.time_left_us, sent.is_some());
--- a/node/src/platform/server/response.rs
+++ b/node/src/platform/server/response.rs
@@ -107,7 +107,7 @@
 pub fn of_answer(answer: Option<Answer>) -> Response {
     match answer {
         Some(Answer::Served(result)) => Response::new(Full::new(result)),
-        Some(Answer::Refused(wait)) => rejection(wait),
+        Some(Answer::Shed(wait)) => rejection(wait),
         Some(Answer::Failed) | None => fixed(StatusCode::BAD_GATEWAY, "the job failed"),
     }
 }
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -42,7 +42,7 @@
         let cluster_size = self.cluster_size.as_mut().map(|size| size.borrow_and_update().clone());
         let settings = platform_settings(settings, &names, cluster_size.as_ref());
         // The dispatcher first: no request may come with a class that it has not heard of.
-        self.handle.update_settings(settings, names.continues.clone());
+        self.handle.update_settings(settings, names.previous_classes.clone());
         if **self.names.borrow() != names {
             self.names.send_replace(Arc::new(names));
         }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -70,7 +70,7 @@
         let EffectiveSettings { settings, names: first_names } =
             effective_settings.borrow_and_update().clone();
         let (publish_names, names) = watch::channel(Arc::new(first_names.clone()));
-        let (mut known, mut usage, mut displaced) = (config.known, HeldResources::default(), None);
+        let (mut known, mut usage, mut displaced) = (config.known_endpoints, HeldResources::default(), None);
         if let Some(predecessor) = predecessor {
             known = Some(predecessor.state.known.clone());
             let (held, predecessor) = displace(predecessor).await;
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -54,7 +54,7 @@
         AttemptHandle { stop, line }
     }
 
-    fn is_awaited(&self, job: &Job) -> bool {
+    fn is_client_waiting(&self, job: &Job) -> bool {
         job.client.as_ref().is_none_or(|client| !client.socket_handle.is_peer_closed())
     }
 
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -59,7 +59,7 @@
 impl Reload {
     /// Starts from the configuration that the node was started with.
     pub fn new(sources: ConfigSources, started: LoadedConfig) -> Reload {
-        let config = started.config.as_ref();
+        let config = started.node.as_ref();
         let discovery = config.map(|config| config.discovery);
         let settings = config.map(|config| config.effective_settings.clone()).unwrap_or_default();
         Reload {
@@ -113,8 +113,8 @@
 
     /// The newer settings merged with the running ones; `None` where the platform's front is off.
     fn checked_settings(&self, newer: &LoadedConfig) -> Result<Option<EffectiveSettings>, ReloadError> {
-        let (Some(old), Some(new)) = (&self.running.config, &newer.config) else { return Ok(None) };
-        if let Some(key) = first_missing_key(&old.text, &new.text, "configuration") {
+        let (Some(old), Some(new)) = (&self.running.node, &newer.node) else { return Ok(None) };
+        if let Some(key) = first_missing_key(&old.document, &new.document, "configuration") {
             return Err(ReloadError::MissingKey { key });
         }
         let merged = self.effective_settings.borrow().merged_with(&new.effective_settings);
@@ -128,8 +128,8 @@
     }
 
     fn apply_discovery(&mut self, newer: &LoadedConfig) -> Option<Change> {
-        let (Some(old), Some(new)) = (&mut self.running.config, &newer.config) else { return None };
-        old.text = new.text.clone();
+        let (Some(old), Some(new)) = (&mut self.running.node, &newer.node) else { return None };
+        old.document = new.document.clone();
         if old.discovery == new.discovery {
             return None;
         }
@@ -149,7 +149,7 @@
 }
 
 fn membership_keys(config: &LoadedConfig) -> Option<Keys> {
-    config.fleet.as_ref().map(|membership| membership.keys.clone())
+    config.membership.as_ref().map(|membership| membership.keys.clone())
 }
 
 /// Description of new settings: the classes that are offered, and the most attempts.
--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -28,8 +28,8 @@
             },
             names: Names {
                 classes: old.classes.clone(),
-                keyed: old.keyed.clone(),
-                continues: old.continues.clone(),
+                requires_idempotency_key: old.requires_idempotency_key.clone(),
+                previous_classes: old.previous_classes.clone(),
                 tenants: old.tenants.clone(),
                 retired_tenants: Vec::new(),
                 zones: merged(&old.zones, &newer.names.zones),
@@ -53,9 +53,9 @@
             let same = |j: &usize| new.names.classes[*j] == *name && new.settings.classes[*j] == class;
             let number = (0..new.settings.classes.len()).find(same).unwrap_or_else(|| {
                 // Its jobs run about as long as those of the class that had the name before.
-                new.names.continues.push(new.names.classes.iter().rposition(|n| n == name));
+                new.names.previous_classes.push(new.names.classes.iter().rposition(|n| n == name));
                 new.names.classes.push(name.clone());
-                new.names.keyed.push(newer.names.keyed[i]);
+                new.names.requires_idempotency_key.push(newer.names.requires_idempotency_key[i]);
                 new.settings.classes.push(class);
                 new.settings.classes.len() - 1
             });
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 
 /// Time for which a start outlasts a machine that has no descriptor or buffer left.
-pub(crate) const START_WAIT: Duration = Duration::from_secs(4);
+pub(crate) const START_RETRY_LIMIT: Duration = Duration::from_secs(4);
 
 /// Error that prevents the start of a node, or ends it.
 #[derive(Debug, thiserror::Error)]
@@ -78,12 +78,12 @@
 pub fn run_node(faktory_file: Option<PathBuf>, fleet_file: Option<PathBuf>) -> Result<(), Error> {
     let sources = ConfigSources::new(faktory_file, fleet_file)?;
     let loaded = sources.read()?;
-    logger::start(loaded.config.as_ref().map_or("faktory", |c| &c.name));
+    logger::start(loaded.node.as_ref().map_or("faktory", |c| &c.name));
     runtime()?.block_on(start_and_serve(sources, loaded))
 }
 
 async fn start_and_serve(sources: ConfigSources, loaded: LoadedConfig) -> Result<(), Error> {
-    let LoadedConfig { config, operator, fleet } = loaded.clone();
+    let LoadedConfig { node: config, faktory: operator, membership: fleet } = loaded.clone();
     let reload = Reload::new(sources, loaded);
     let (ready, is_ready) = watch::channel(false);
     let mut startup = Startup::new(&reload).await?;
@@ -137,7 +137,7 @@
     /// Takes the signals over; from here on SIGTERM stops the node in an orderly way.
     async fn new(reload: &Reload) -> Result<Startup, Error> {
         let phases = Phases::default();
-        let signals = retry_local_failures(START_WAIT, || async { Signals::start() }).await;
+        let signals = retry_local_failures(START_RETRY_LIMIT, || async { Signals::start() }).await;
         let signals = signals.map_err(Error::Signals)?;
         phases.stop_on_signal(signals.clone());
         Ok(Startup {
@@ -182,7 +182,7 @@
             fleet_name: fleet.file.fleet.clone(),
             zone: fleet.file.zone.clone(),
             address: fleet.file.advertise,
-            folder: settings.state.as_ref().map(|state| fleet.folder.join(state)),
+            folder: settings.state.as_ref().map(|state| fleet.directory.join(state)),
             settings,
             fleet: membership.clone(),
             phase: self.phases.subscribe(),
@@ -199,13 +199,13 @@
         ready: watch::Receiver<bool>,
     ) -> Result<(), Error> {
         let Some(address) = config.and_then(|c| c.management) else { return Ok(()) };
-        let listener = retry_local_failures(START_WAIT, || TcpListener::bind(address)).await;
+        let listener = retry_local_failures(START_RETRY_LIMIT, || TcpListener::bind(address)).await;
         let listener = listener.map_err(|source| Error::BindManagement { address, source })?;
         let management = Management {
             phases: self.phases.clone(),
             ready,
-            fleet: self.membership.clone(),
-            duties: self.coordination.clone(),
+            membership: self.membership.clone(),
+            coordination: self.coordination.clone(),
         };
         tokio::spawn(management.serve(listener));
         Ok(())
@@ -299,6 +299,6 @@
 
 /// Binds the address for clients; `beside` another process that hangs, if so.
 async fn bind_clients(address: SocketAddr, beside: bool) -> Result<TcpListener, Error> {
-    let listener = retry_local_failures(START_WAIT, async || platform::listen(address, beside)).await;
+    let listener = retry_local_failures(START_RETRY_LIMIT, async || platform::listen(address, beside)).await;
     listener.map_err(|source| Error::BindClients { address, source })
 }
--- a/node/tests/asked.rs
+++ b/node/tests/asked.rs
@@ -84,5 +84,5 @@
     here.take().await.done("r").await;
     assert_eq!(client.answer().await.unwrap().body, "r");
     node.owes_nothing().await;
-    assert_eq!((node.counters.sent.get(), node.counters.ok.get()), (2, 1));
+    assert_eq!((node.counters.attempts_sent.get(), node.counters.succeeded.get()), (2, 1));
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -490,7 +490,14 @@
         let c = &self.counters;
         let held = || {
             let h = c.usage().unwrap();
-            (c.open.get(), c.in_flight.get(), h.at_work, h.attempts, h.ids, h.bodies_kib)
+            (
+                c.open_requests.get(),
+                c.in_flight.get(),
+                h.busy_clients,
+                h.attempt_connections,
+                h.wire_ids,
+                h.bodies_kib,
+            )
         };
         for _ in 0..2000 {
             if held() == (0, 0, 0, 0, ids, 0) {
@@ -500,15 +507,23 @@
             std::thread::sleep(Duration::from_micros(200)); // the kernel's part, not the node's
         }
         assert_eq!(held(), (0, 0, 0, 0, ids, 0), "open, out, at work, attempts, ids, bodies: {c}");
-        let ends = [&c.served, &c.refused, &c.failed, &c.client_left, &c.transferred_out]
+        let ends = [&c.served, &c.shed, &c.failed, &c.client_left, &c.transferred_out]
             .map(|n| n.get())
             .iter()
             .sum::<u64>();
-        assert_eq!(c.taken.get() + c.transferred_in.get(), ends, "one end for each request: {c}");
-        let outcomes = [&c.ok, &c.error, &c.full, &c.timeout, &c.connect_failed, &c.reset, &c.cancelled];
+        assert_eq!(c.requests_accepted.get() + c.transferred_in.get(), ends, "one end for each request: {c}");
+        let outcomes = [
+            &c.succeeded,
+            &c.errors,
+            &c.rejected,
+            &c.timed_out,
+            &c.connect_failed,
+            &c.connection_lost,
+            &c.cancelled,
+        ];
         let outcomes = outcomes.map(|n| n.get()).iter().sum::<u64>();
         assert_eq!(
-            c.sent.get() + c.transferred_in.get(),
+            c.attempts_sent.get() + c.transferred_in.get(),
             outcomes + c.transferred_out.get(),
             "one outcome each: {c}"
         );
@@ -561,10 +576,10 @@
     }
 
     async fn list_from(&self, agent: &Agent, revision: u64, members: Vec<Value>) {
-        let lists = self.counters.lists.get();
+        let lists = self.counters.endpoint_lists_applied.get();
         let body = json!({"revision": revision, "complete": true, "members": members});
         agent.answers.send(body.to_string()).unwrap();
-        while self.counters.lists.get() == lists {
+        while self.counters.endpoint_lists_applied.get() == lists {
             tokio::time::advance(Duration::from_millis(1)).await; // it waits before it asks again
         }
     }
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -170,8 +170,8 @@
     assert!(notes.out.is_empty(), "no attempt is left out");
     let c = &counters;
     assert_eq!(
-        c.taken.get(),
-        c.served.get() + c.refused.get() + c.failed.get() + c.client_left.get() + c.transferred_out.get()
+        c.requests_accepted.get(),
+        c.served.get() + c.shed.get() + c.failed.get() + c.client_left.get() + c.transferred_out.get()
     );
     assert_eq!(c.client_left.get(), left);
     assert!(!task.is_finished(), "the core has ended");
--- a/node/tests/endings.rs
+++ b/node/tests/endings.rs
@@ -39,7 +39,7 @@
         for _ in 0..50 {
             yield_now().await;
         }
-        if node.counters.sent.get() >= n {
+        if node.counters.attempts_sent.get() >= n {
             return;
         }
         advance(Duration::from_millis(20)).await;
@@ -116,7 +116,7 @@
         advance(Duration::from_millis(700)).await;
         let mut client = Client::connect(&node).await; // the last moment in which it is taken
         client.add(begin).await;
-        while node.counters.accepted.get() < 1 {
+        while node.counters.connections_accepted.get() < 1 {
             yield_now().await;
         }
         let closes = at_ms.min(720);
@@ -133,7 +133,7 @@
             assert_eq!(client.answer().await.expect("an answer").status, 503, "{longest_ms} {at_ms}");
         }
         node.owes_nothing().await;
-        assert_eq!(node.counters.sent.get(), u64::from(served));
+        assert_eq!(node.counters.attempts_sent.get(), u64::from(served));
     }
 }
 
@@ -169,10 +169,10 @@
         // and nobody looks at sockets in between.
         let counters = node.counters.clone();
         let kept = tokio::spawn(async move {
-            while counters.usage().unwrap().at_work < 1 {
+            while counters.usage().unwrap().busy_clients < 1 {
                 common::turn().await;
             }
-            assert_eq!(counters.sent.get(), 1, "not sent yet");
+            assert_eq!(counters.attempts_sent.get(), 1, "not sent yet");
             if said.is_empty() {
                 return None; // drops it
             }
@@ -188,7 +188,12 @@
             assert!(kept.next().await.is_none(), "nothing was written there after {said:?}");
         }
         node.owes_nothing().await;
-        assert_eq!((node.counters.sent.get(), node.counters.ok.get()), (2, 2), "{said:?}: {}", node.counters);
+        assert_eq!(
+            (node.counters.attempts_sent.get(), node.counters.succeeded.get()),
+            (2, 2),
+            "{said:?}: {}",
+            node.counters
+        );
     }
 }
 
@@ -216,7 +221,7 @@
             assert!(seen.next().await.is_none(), "what may run there is called off");
         }
         node.owes_nothing().await;
-        assert_eq!(node.counters.sent.get(), 2 + u64::from(sent_again), "{semantics}, {rests_ms}");
+        assert_eq!(node.counters.attempts_sent.get(), 2 + u64::from(sent_again), "{semantics}, {rests_ms}");
     }
 }
 
@@ -252,7 +257,7 @@
             assert_eq!(client.answer().await.unwrap().status, 502, "{ends}");
         }
         node.owes_nothing().await;
-        assert_eq!(node.counters.sent.get(), 1 + u64::from(again), "{ends}");
+        assert_eq!(node.counters.attempts_sent.get(), 1 + u64::from(again), "{ends}");
     }
 }
 
@@ -274,20 +279,24 @@
         node.list(2, vec![first.line("s-1", "terminating"), slow.line("s-2", "in_service")]).await;
         advance(Duration::from_millis(broke_ms) - out.elapsed()).await;
         drop(seen);
-        while node.counters.reset.get() < 1 {
+        while node.counters.connection_lost.get() < 1 {
             yield_now().await;
         }
         for _ in 0..50 {
             yield_now().await;
         }
-        assert_eq!(node.counters.sent.get(), 1 + u64::from(again), "{broke_ms} ms after the first attempt");
+        assert_eq!(
+            node.counters.attempts_sent.get(),
+            1 + u64::from(again),
+            "{broke_ms} ms after the first attempt"
+        );
         for _ in 0..55 {
             advance(Duration::from_millis(100)).await;
         }
         // All workers drop repeats of it, so a refusal is harmless also past the window.
         assert_eq!(client.answer().await.unwrap().status, 503, "{broke_ms}");
         node.owes_nothing().await;
-        assert_eq!(node.counters.sent.get(), 1 + u64::from(again), "{broke_ms}");
+        assert_eq!(node.counters.attempts_sent.get(), 1 + u64::from(again), "{broke_ms}");
     }
 }
 
@@ -303,7 +312,7 @@
             if served_before {
                 assert_eq!(client.ask(UP).await.status, 200);
             }
-            while node.counters.accepted.get() < n {
+            while node.counters.connections_accepted.get() < n {
                 yield_now().await;
             }
             advance(Duration::from_millis(10)).await;
@@ -352,8 +361,8 @@
         advance(Duration::from_millis(10)).await;
     }
     node.owes_nothing().await;
-    assert_eq!(node.counters.usage().unwrap().clients, 0);
-    assert_eq!(node.counters.sent.get(), 0);
+    assert_eq!(node.counters.usage().unwrap().client_connections, 0);
+    assert_eq!(node.counters.attempts_sent.get(), 0);
     assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
 }
 
@@ -369,7 +378,7 @@
         client.tell(&request("lodge", ID, 60.0, "x")).await;
         let mut seen = None;
         if case == "waits" {
-            while node.counters.taken.get() < 1 {
+            while node.counters.requests_accepted.get() < 1 {
                 yield_now().await;
             }
         } else {
@@ -382,7 +391,7 @@
                 node.list(2, vec![first.line("s-1", "terminating")]).await;
                 out.say(json!({"state": "failed"})).await;
                 out.write("0\r\n\r\n").await;
-                while node.counters.error.get() < 1 {
+                while node.counters.errors.get() < 1 {
                     yield_now().await;
                 }
             }
@@ -396,7 +405,7 @@
             .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
         let mut late = Client::connect(&node).await;
         assert_eq!(late.ask(&request("lodge", NEXT, 60.0, "")).await.status, 400, "offered no more");
-        let lists = node.counters.lists.get() + 2;
+        let lists = node.counters.endpoint_lists_applied.get() + 2;
         node.list(lists, vec![first.line("s-1", "terminating"), second.line("s-2", "in_service")]).await;
         match (case, seen) {
             ("out", Some(mut out)) => {
--- a/node/tests/endpoint_watch.rs
+++ b/node/tests/endpoint_watch.rs
@@ -73,7 +73,7 @@
     assert!(node.call().await.starts_with("GET /discovery/hosts?index=1&"));
     node.tell(json!({"revision": 2, "complete": false, "members": [worker.line("s-1", "terminating")]}));
     assert!(node.call().await.starts_with("GET /discovery/hosts?index=2&"));
-    assert_eq!(node.counters.lists.get(), 1);
+    assert_eq!(node.counters.endpoint_lists_applied.get(), 1);
 }
 
 /// Protects node and discovery from a list that stays unreadable or is enormous: the old one stays in force, and
@@ -90,7 +90,7 @@
             node.tell(&bad);
         }
         assert!(from.elapsed() > Duration::from_secs(3), "{:?}", from.elapsed());
-        assert_eq!(node.counters.lists.get(), 0);
+        assert_eq!(node.counters.endpoint_lists_applied.get(), 0);
         let mut client = Client::connect(&node).await;
         client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
         worker.take().await.done("a").await;
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -28,7 +28,10 @@
     assert_eq!(worker.done("job-00001").await, "+OK");
     assert_eq!(client.state("job-00001").await, "served");
     assert!(worker.done("job-00001").await.starts_with("-ERR"), "a second ACK is stale");
-    assert_eq!((counters.taken.get(), counters.served.get(), counters.sent.get()), (1, 1, 1));
+    assert_eq!(
+        (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
+        (1, 1, 1)
+    );
     assert!(client.ask("INFO").await.contains("\"workers\":1"));
 }
 
@@ -51,7 +54,10 @@
         (client.state("job-00001").await, client.state("job-00002").await),
         ("served".into(), "served".into())
     );
-    assert_eq!((counters.taken.get(), counters.served.get(), counters.ok.get()), (2, 2, 2));
+    assert_eq!(
+        (counters.requests_accepted.get(), counters.served.get(), counters.succeeded.get()),
+        (2, 2, 2)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -77,7 +83,10 @@
     client.push("lodge", "job-00001", "a").await;
     assert!(stays.reply().await.contains("job-00001"));
     assert_eq!(stays.done("job-00001").await, "+OK");
-    assert_eq!((counters.sent.get(), counters.ok.get(), counters.reset.get()), (1, 1, 0));
+    assert_eq!(
+        (counters.attempts_sent.get(), counters.succeeded.get(), counters.connection_lost.get()),
+        (1, 1, 0)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -107,7 +116,10 @@
     for jid in ["job-00001", "job-00002", "job-00003"] {
         assert_eq!(again.state(jid).await, "served");
     }
-    assert_eq!((counters.taken.get(), counters.served.get(), counters.sent.get()), (1, 1, 1));
+    assert_eq!(
+        (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
+        (1, 1, 1)
+    );
     // The record stays for the window and not for ever.
     advance(Duration::from_secs(61)).await;
     assert!(again.state("job-00001").await.starts_with("-ERR"));
@@ -143,7 +155,7 @@
     assert!(back.done("job-00001").await.starts_with("-ERR"));
     assert_eq!(two.done("job-00001").await, "+OK");
     assert_eq!(client.state("job-00001").await, "served");
-    assert_eq!((counters.reset.get(), counters.ok.get(), counters.served.get()), (1, 1, 1));
+    assert_eq!((counters.connection_lost.get(), counters.succeeded.get(), counters.served.get()), (1, 1, 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -156,7 +168,7 @@
     assert!(fetches.reply().await.contains("job-00001"));
     drop(fetches);
     assert_eq!(stays.done("job-00001").await, "+OK");
-    assert_eq!((counters.reset.get(), counters.ok.get()), (0, 1));
+    assert_eq!((counters.connection_lost.get(), counters.succeeded.get()), (0, 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -173,7 +185,7 @@
     assert!(one.done("job-00001").await.starts_with("-ERR"), "its attempt is over");
     assert_eq!(two.done("job-00001").await, "+OK");
     assert_eq!(client.state("job-00001").await, "served");
-    assert_eq!((counters.error.get(), counters.ok.get(), counters.served.get()), (1, 1, 1));
+    assert_eq!((counters.errors.get(), counters.succeeded.get(), counters.served.get()), (1, 1, 1));
 }
 
 /// A job that may have run waits for no FETCH that may come after its key's window.
@@ -195,7 +207,7 @@
         one.ask("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await;
         sleep(Duration::from_millis(240)).await; // within which a job that was offered is given to a FETCH
         assert_eq!(two.fetch().await.is_some(), again, "failed after {failed_ms} ms");
-        assert_eq!(counters.sent.get(), 1 + u64::from(again));
+        assert_eq!(counters.attempts_sent.get(), 1 + u64::from(again));
     }
 }
 
@@ -216,7 +228,7 @@
     assert_eq!(client.push("lodge", "job-00002", "a").await, "+OK");
     assert_eq!(worker.fetch().await, None);
     assert_eq!(client.state("job-00002").await, end);
-    assert_eq!((counters.timeout.get(), counters.sent.get()), (1, 1));
+    assert_eq!((counters.timed_out.get(), counters.attempts_sent.get()), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -231,7 +243,7 @@
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
     assert!(worker.reply().await.contains("job-00001"));
     assert_eq!(worker.done("job-00001").await, "+OK");
-    assert_eq!((counters.taken.get(), counters.refused.get(), counters.served.get()), (2, 1, 1));
+    assert_eq!((counters.requests_accepted.get(), counters.shed.get(), counters.served.get()), (2, 1, 1));
 }
 
 #[tokio::test(start_paused = true)]
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -13,14 +13,15 @@
 #[tokio::test]
 async fn worker_that_lost_a_lease_is_not_offered_the_job_again() {
     let (dispatcher, _inbox) = queue();
-    let names = Names { classes: vec!["lodge".into()], keyed: vec![true], ..Names::default() };
+    let names =
+        Names { classes: vec!["lodge".into()], requires_idempotency_key: vec![true], ..Names::default() };
     let limits = ClassLimits { deadline: Duration::from_secs(25), duplicate_window: Duration::from_secs(40) };
     let mut leases = LeaseTable::new(dispatcher, names, vec![limits]);
     let text = r#"{"jid":"job-00001","jobtype":"declare","args":[],"queue":"lodge"}"#;
     let job = serde_json::from_str(text).unwrap();
     let _outcome = leases.push(job, Bytes::from_static(text.as_bytes())).unwrap();
     let (number, queues) = (1, ["lodge".to_string()]);
-    let attempt = |attempt| AttemptId { id: 9, attempt };
+    let attempt = |attempt| AttemptId { request: 9, attempt };
     let worker = |name| WorkerId(stable_hash(name));
     leases.session_opened("one");
     let (_, mut first) = leases.fetch("one", &queues);
--- a/node/tests/golden/node/rendering.rs
+++ b/node/tests/golden/node/rendering.rs
@@ -157,8 +157,8 @@
     let Names {
         classes,
         retired_classes: retired,
-        continues,
-        keyed,
+        previous_classes: continues,
+        requires_idempotency_key: keyed,
         tenants,
         retired_tenants: gone_tenants,
         zones,
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -121,18 +121,18 @@
 fn counters_keep_their_names_and_order() {
     let counters = Counters::default();
     let before = counters.to_string();
-    counters.accepted.add();
+    counters.connections_accepted.add();
     (0..2).for_each(|_| counters.served.add());
-    (0..3).for_each(|_| counters.lists.add());
-    counters.open.set(4);
+    (0..3).for_each(|_| counters.endpoint_lists_applied.add());
+    counters.open_requests.set(4);
     counters.in_flight.set(5);
     counters.timers.set(6);
     counters.set_usage_source(|| ResourceUsage {
-        clients: 7,
-        at_work: 8,
-        attempts: 9,
-        idle: 10,
-        ids: 11,
+        client_connections: 7,
+        busy_clients: 8,
+        attempt_connections: 9,
+        idle_connections: 10,
+        wire_ids: 11,
         bodies_kib: 12,
     });
     assert_golden("counters.txt", &format!("{before}\n{counters}\n"));
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -78,7 +78,7 @@
 }
 
 async fn until_taken(node: &Platform, n: u64) {
-    until("requests are taken", Duration::ZERO, || node.counters.taken.get() >= n).await;
+    until("requests are taken", Duration::ZERO, || node.counters.requests_accepted.get() >= n).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -244,7 +244,7 @@
         &request("check", "9b1f03aa5c7e2d42", 60.0, "x").replace("Content-Length: 1", "Content-Length: 2"),
     )
     .await;
-    until("it is accepted", Duration::ZERO, || node.counters.accepted.get() >= 30).await;
+    until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() >= 30).await;
     for _ in 0..50 {
         tokio::task::yield_now().await;
     }
@@ -262,7 +262,7 @@
 
     let mut fresh = Client::connect(&node).await;
     let mut job = Client::connect(&node).await;
-    until("they are accepted", Duration::ZERO, || node.counters.accepted.get() == 3).await;
+    until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 3).await;
     node.phases.drain();
     fresh.tell(UP).await;
     seen.add_answer("draining", &mut fresh).await;
@@ -274,7 +274,7 @@
     assert!(node.phases.resume());
 
     let mut fresh = Client::connect(&node).await;
-    until("it is accepted", Duration::ZERO, || node.counters.accepted.get() == 4).await;
+    until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 4).await;
     let before = node.phases.hand_over();
     fresh.tell(UP).await;
     seen.add_answer("handed over", &mut fresh).await;
@@ -282,7 +282,7 @@
 
     let mut fresh = Client::connect(&node).await;
     let mut late = Client::connect(&node).await;
-    until("they are accepted", Duration::ZERO, || node.counters.accepted.get() == 6).await;
+    until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 6).await;
     stopping(&node.phases).await;
     fresh.tell(UP).await;
     seen.add_answer("stopping", &mut fresh).await;
@@ -318,7 +318,7 @@
     let taken = worker.take();
     tokio::pin!(taken);
     let again = loop {
-        assert!(node.counters.refused.get() == 0, "it has attempts left");
+        assert!(node.counters.shed.get() == 0, "it has attempts left");
         tokio::select! {
             biased;
             new = taken.as_mut() => break new,
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -153,8 +153,8 @@
         })
         .await;
         old.owes_nothing().await;
-        assert_eq!(old.counters.sent.get(), 1, "{way:?}: sent again though its client had left");
-        assert_eq!(old.counters.taken.get(), 1, "{way:?}: what came behind it is not taken");
+        assert_eq!(old.counters.attempts_sent.get(), 1, "{way:?}: sent again though its client had left");
+        assert_eq!(old.counters.requests_accepted.get(), 1, "{way:?}: what came behind it is not taken");
         drop(workers);
         advance(Duration::from_secs(60)).await;
         other.join().unwrap();
@@ -182,7 +182,7 @@
                 old.counters.client_left.get() + new.counters.client_left.get() == 1
             })
             .await;
-            let sent = old.counters.sent.get() + new.counters.sent.get();
+            let sent = old.counters.attempts_sent.get() + new.counters.attempts_sent.get();
             assert_eq!(sent, 1, "{way:?} after {steps} steps: sent again though its client had left");
             old.owes_nothing().await;
             drop(workers);
@@ -214,7 +214,11 @@
             settle().await;
             assert_eq!(old.counters.client_left.get(), 1, "{way:?}: not seen when a further attempt was due");
             old.owes_nothing().await;
-            assert_eq!((old.counters.sent.get(), old.counters.taken.get()), (1, 1), "{way:?}");
+            assert_eq!(
+                (old.counters.attempts_sent.get(), old.counters.requests_accepted.get()),
+                (1, 1),
+                "{way:?}"
+            );
             drop(workers);
             std::fs::remove_file(place).unwrap();
         }
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -84,7 +84,7 @@
 }
 
 async fn taken(node: &Platform, n: u64) {
-    while node.counters.taken.get() < n {
+    while node.counters.requests_accepted.get() < n {
         yield_now().await;
     }
 }
@@ -114,7 +114,11 @@
         next.tell(&request("check", NEXT, 60.0, "x")).await;
         next_is(&worker, &mut next, NEXT).await;
         node.owes_nothing().await;
-        assert_eq!((node.counters.sent.get(), node.counters.taken.get()), (1, 2), "{way:?}");
+        assert_eq!(
+            (node.counters.attempts_sent.get(), node.counters.requests_accepted.get()),
+            (1, 2),
+            "{way:?}"
+        );
     }
 }
 
@@ -135,7 +139,7 @@
         assert!(off(&node, 1).await, "{way:?}");
         assert!(seen.next().await.is_none(), "{way:?}: its connection is closed");
         node.owes_nothing().await;
-        assert_eq!((node.counters.taken.get(), node.counters.cancelled.get()), (1, 1), "{way:?}");
+        assert_eq!((node.counters.requests_accepted.get(), node.counters.cancelled.get()), (1, 1), "{way:?}");
     }
 }
 
@@ -153,7 +157,7 @@
         seen.begin().await;
         seen.say(json!({"state": "returned"})).await;
         seen.write("0\r\n\r\n").await;
-        while node.counters.full.get() < 1 {
+        while node.counters.rejected.get() < 1 {
             yield_now().await;
         }
         let _kept = leave(client, way).await;
@@ -164,7 +168,7 @@
         let mut next = Client::connect(&node).await;
         next.tell(&request("check", NEXT, 60.0, "x")).await;
         next_is(&other, &mut next, NEXT).await;
-        assert_eq!(node.counters.sent.get(), 2, "{way:?}");
+        assert_eq!(node.counters.attempts_sent.get(), 2, "{way:?}");
         node.owes_nothing().await;
     }
 }
@@ -242,7 +246,7 @@
     let mut next = Client::connect(&new).await;
     next.tell(&request("check", NEXT, 60.0, "x")).await;
     next_is(&waits, &mut next, NEXT).await;
-    assert_eq!((old.counters.sent.get(), new.counters.sent.get()), (1, 1));
+    assert_eq!((old.counters.attempts_sent.get(), new.counters.attempts_sent.get()), (1, 1));
     advance(Duration::from_secs(5)).await;
     assert_eq!(old.served.await.unwrap(), Ok(()), "nothing holds it up");
     new.owes_only_ids(1).await; // until the old process is gone: here both are in one
@@ -334,7 +338,7 @@
         off(&node, 1).await;
         assert_eq!(
             node.counters.client_left.get(),
-            node.counters.taken.get() - 1,
+            node.counters.requests_accepted.get() - 1,
             "{way:?}: gone, where it was taken"
         );
         first.tell(&request("check", NEXT, 60.0, "x")).await;
@@ -374,7 +378,7 @@
             let _kept = leave(client, way).await;
             assert!(off(&node, 1).await, "{way:?} {closes}: still held");
             node.owes_nothing().await;
-            assert_eq!(node.counters.sent.get(), 0);
+            assert_eq!(node.counters.attempts_sent.get(), 0);
             if closes {
                 assert_eq!(node.served.await.unwrap(), Ok(()), "nothing holds it up");
             }
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -127,7 +127,7 @@
         client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
         clients.push(client);
     }
-    while node.counters.taken.get() < 4 {
+    while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
@@ -135,7 +135,7 @@
     assert_eq!(got.status, 503);
     assert!(got.head.to_lowercase().contains("retry-after"));
     assert!(beyond.answer().await.is_none(), "and closed");
-    assert_eq!((node.counters.rejected_early.get(), node.counters.taken.get()), (1, 4));
+    assert_eq!((node.counters.rejected_early.get(), node.counters.requests_accepted.get()), (1, 4));
     // Room that is given up serves again.
     clients.clear();
     while node.counters.client_left.get() < 4 {
@@ -156,16 +156,16 @@
         client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
         large.push(client);
     }
-    while node.counters.taken.get() < 4 {
+    while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
     let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    assert_eq!((got.status, node.counters.taken.get()), (503, 4));
+    assert_eq!((got.status, node.counters.requests_accepted.get()), (503, 4));
     assert!(got.head.to_lowercase().contains("retry-after"));
     let mut small = Client::connect(&node).await;
     small.tell(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
-    while node.counters.taken.get() < 5 {
+    while node.counters.requests_accepted.get() < 5 {
         tokio::task::yield_now().await;
     }
     // Room that is given up serves again.
@@ -175,7 +175,7 @@
     }
     let mut again = Client::connect(&node).await;
     again.tell(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
-    while node.counters.taken.get() < 6 {
+    while node.counters.requests_accepted.get() < 6 {
         tokio::task::yield_now().await;
     }
 }
@@ -197,7 +197,7 @@
         served.push(client);
     }
     let mut silent = Client::connect(&node).await;
-    while node.counters.accepted.get() < 4 || node.counters.acknowledged.get() < 1 {
+    while node.counters.connections_accepted.get() < 4 || node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(300)).await;
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -125,10 +125,10 @@
         assert_eq!(client.answer().await.unwrap().body, "r");
     }
     // Indented, and of a discovery that began anew: as a whole list that was asked for it counts.
-    let lists = node.counters.lists.get();
+    let lists = node.counters.endpoint_lists_applied.get();
     let list = json!({"revision": 1, "complete": true, "members": [old.line("s-1", "in_service")]});
     node.tell(serde_json::to_string_pretty(&list).unwrap());
-    while node.counters.lists.get() == lists {
+    while node.counters.endpoint_lists_applied.get() == lists {
         yield_now().await;
     }
     let mut client = Client::connect(&node).await;
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{checker, holds, stop};
-use molevale::management::{Management, MAX_CALLERS};
+use molevale::management::{Management, MAX_CONNECTIONS};
 use molevale::phase::{Phase, Phases};
 use quickcheck::{Arbitrary, Gen};
 use std::net::SocketAddr;
@@ -19,7 +19,8 @@
     let at = listener.local_addr().unwrap();
     let (phases, (ready, follow)) = (Phases::default(), watch::channel(false));
     tokio::spawn(
-        Management { phases: phases.clone(), ready: follow, fleet: None, duties: None }.serve(listener),
+        Management { phases: phases.clone(), ready: follow, membership: None, coordination: None }
+            .serve(listener),
     );
     (at, phases, ready)
 }
@@ -71,7 +72,7 @@
     let (at, _phases, ready) = management().await;
     ready.send_replace(true);
     let mut silent = Vec::new();
-    for n in 0..2 * MAX_CALLERS {
+    for n in 0..2 * MAX_CONNECTIONS {
         let mut socket = TcpStream::connect(at).await.unwrap();
         let part = &b"GET /healthcheck HTTP/1.1\r\nHost"[..n % 20];
         socket.write_all(part).await.unwrap();
@@ -79,7 +80,7 @@
     }
     assert_eq!(call(at, "GET", "/healthcheck").await, 200, "no time has passed");
     for (n, mut socket) in silent.into_iter().enumerate() {
-        if n == MAX_CALLERS {
+        if n == MAX_CONNECTIONS {
             advance(Duration::from_secs(2)).await; // the first ones made way, these have had their time
         }
         let _ = socket.read_to_end(&mut Vec::new()).await; // a reset is an end too
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -29,7 +29,10 @@
     let got = client.answer().await.unwrap();
     assert_eq!((got.status, got.body.as_str()), (200, "a \"result\""));
     let c = &node.counters;
-    assert_eq!((c.taken.get(), c.served.get(), c.sent.get(), c.opened.get()), (1, 1, 1, 1));
+    assert_eq!(
+        (c.requests_accepted.get(), c.served.get(), c.attempts_sent.get(), c.worker_connections_opened.get()),
+        (1, 1, 1, 1)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -61,7 +64,10 @@
     }
     assert_eq!(client.ask(UP).await.status, 200);
     let c = &node.counters;
-    assert_eq!((c.rejected_early.get(), c.taken.get(), c.sent.get()), (cases.len() as u64, 0, 0));
+    assert_eq!(
+        (c.rejected_early.get(), c.requests_accepted.get(), c.attempts_sent.get()),
+        (cases.len() as u64, 0, 0)
+    );
 }
 
 /// Plays what a worker does with a request and returns how the attempt was counted.
@@ -96,10 +102,18 @@
         _ => seen.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").await,
     }
     let c = node.counters.clone();
-    let all = [(&c.error, Outcome::Error), (&c.full, Outcome::Rejected), (&c.reset, Outcome::ConnectionLost)];
+    let all = [
+        (&c.errors, Outcome::Error),
+        (&c.rejected, Outcome::Rejected),
+        (&c.connection_lost, Outcome::ConnectionLost),
+    ];
     loop {
         if let Some((_, outcome)) = all.iter().find(|(count, _)| count.get() > 0) {
-            assert_eq!(c.error.get() + c.full.get() + c.reset.get(), 1, "one outcome for each attempt");
+            assert_eq!(
+                c.errors.get() + c.rejected.get() + c.connection_lost.get(),
+                1,
+                "one outcome for each attempt"
+            );
             return *outcome;
         }
         tokio::task::yield_now().await;
@@ -131,7 +145,7 @@
     let seen = worker.take().await;
     drop(client);
     assert!(seen.next().await.is_none(), "the worker sees the connection end");
-    assert_eq!((node.counters.client_left.get(), node.counters.taken.get()), (1, 1));
+    assert_eq!((node.counters.client_left.get(), node.counters.requests_accepted.get()), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -144,7 +158,7 @@
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.head.to_lowercase().contains("retry-after"), "{got:?}");
     assert!(seen.next().await.is_none());
-    assert_eq!((node.counters.timeout.get(), node.counters.sent.get()), (1, 1));
+    assert_eq!((node.counters.timed_out.get(), node.counters.attempts_sent.get()), (1, 1));
 }
 
 /// Protects names that hold what the flat form of settings parts by, or more than ASCII: they are compared as the
@@ -217,7 +231,7 @@
             again = taken.as_mut() => break again,
             () = tokio::task::yield_now() => advance(Duration::from_millis(50)).await, // the worker is in doubt
         }
-        assert_eq!(node.counters.refused.get(), 0, "it has attempts left");
+        assert_eq!(node.counters.shed.get(), 0, "it has attempts left");
     };
     assert_eq!(again.field("x-request-id"), "9b1f03aa5c7e2d41");
     again.done("r").await;
@@ -234,7 +248,7 @@
     let mut second = Client::connect(&node).await;
     assert_eq!(second.ask(&text).await.status, 409);
     assert!(second.answer().await.is_none(), "and closed");
-    assert_eq!((node.counters.taken.get(), node.counters.sent.get()), (1, 1));
+    assert_eq!((node.counters.requests_accepted.get(), node.counters.attempts_sent.get()), (1, 1));
     seen.done("r").await;
     assert_eq!(first.answer().await.unwrap().body, "r");
     // Answered, it is open no more.
@@ -259,7 +273,7 @@
     assert_eq!(client.answer().await.unwrap().status, 200);
     assert_eq!(client.answer().await.unwrap().status, 400);
     assert!(client.answer().await.is_none(), "closed");
-    assert_eq!((node.counters.taken.get(), node.counters.rejected_early.get()), (0, 1));
+    assert_eq!((node.counters.requests_accepted.get(), node.counters.rejected_early.get()), (0, 1));
 }
 
 /// What follows a chunked request is not looked into: it is served, and its connection closed.
@@ -275,5 +289,5 @@
     seen.done("r").await;
     assert_eq!(client.answer().await.unwrap().body, "r");
     assert!(client.answer().await.is_none(), "closed");
-    assert_eq!(node.counters.taken.get(), 1);
+    assert_eq!(node.counters.requests_accepted.get(), 1);
 }
--- a/node/tests/probes.rs
+++ b/node/tests/probes.rs
@@ -36,7 +36,7 @@
         let mut client = Client::connect(&node).await;
         client.tell(&request("check", ID, 60.0, "x")).await;
         let mut probe = worker.take().await;
-        assert_eq!(node.counters.sent.get(), 0, "asked first");
+        assert_eq!(node.counters.attempts_sent.get(), 0, "asked first");
         // One that has just started answers and has nothing to tell yet: it is asked again.
         let asked = 1 + u64::from(body.starts_with("x0"));
         if asked > 1 {
@@ -85,7 +85,8 @@
             }
             held = Some(probe).filter(|_| case != "breaks");
         }
-        until("the probe has its outcome", STEP, || node.counters.usage().unwrap().attempts == 0).await;
+        until("the probe has its outcome", STEP, || node.counters.usage().unwrap().attempt_connections == 0)
+            .await;
         assert_eq!(node.counters.probes_answered.get(), 0, "{case}");
         let line = |worker: &Worker, id| worker.line(id, "in_service");
         let listed = bad.iter().map(|b| line(b, "s-1")).chain([line(&good, "s-2")]).collect();
@@ -97,7 +98,7 @@
             seen.done("r").await;
             (good, seen)
         });
-        until("the job is done", STEP, || node.counters.ok.get() == 1).await;
+        until("the job is done", STEP, || node.counters.succeeded.get() == 1).await;
         assert_eq!(client.answer().await.unwrap().body, "r", "{case}");
         accepted.await.unwrap();
         drop(held);
@@ -124,7 +125,7 @@
     answers(&mut probe, "x0=1").await;
     probe.next().await.expect("the job").done("r").await;
     assert_eq!(client.answer().await.unwrap().body, "r");
-    assert_eq!((node.counters.full.get(), node.counters.reset.get()), (1, 0));
+    assert_eq!((node.counters.rejected.get(), node.counters.connection_lost.get()), (1, 0));
     node.owes_nothing().await;
 }
 
--- a/node/tests/settings_merge.rs
+++ b/node/tests/settings_merge.rs
@@ -29,8 +29,8 @@
     };
     let names = Names {
         classes: classes.keys().map(u8::to_string).collect(),
-        keyed: classes.values().map(|e| *e == 1).collect(),
-        continues: vec![None; classes.len()],
+        requires_idempotency_key: classes.values().map(|e| *e == 1).collect(),
+        previous_classes: vec![None; classes.len()],
         zones: zones.map(String::from).to_vec(),
         ..Names::default()
     };
@@ -55,10 +55,10 @@
                 let number = new.names.class(&name.to_string());
                 let effect = number.map(|n| (now[n].deadline_us - 1) as u8);
                 assert_eq!(effect, wanted.get(&name).copied());
-                assert!(number.is_none_or(|n| new.names.keyed[n] == (wanted[&name] == 1)));
+                assert!(number.is_none_or(|n| new.names.requires_idempotency_key[n] == (wanted[&name] == 1)));
             }
             assert!(now.len() <= 1 + 4 * 3, "a class that comes back has its number again");
-            assert_eq!((new.names.continues.len(), new.settings.validate()), (now.len(), Ok(())));
+            assert_eq!((new.names.previous_classes.len(), new.settings.validate()), (now.len(), Ok(())));
             assert_eq!(new.names.zones[usize::from(new.settings.zone)], "c");
             running = new;
         }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -107,7 +107,7 @@
     client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
     let mut before = worker.take().await;
     let mut fresh = Client::connect(&node).await;
-    while node.counters.accepted.get() < 3 {
+    while node.counters.connections_accepted.get() < 3 {
         tokio::task::yield_now().await;
     }
     assert!(node.phases.drain() && node.phases.drain(), "again is harmless");
@@ -125,7 +125,7 @@
         assert!(client.answer().await.is_none());
     }
     let mut waits = Client::connect(&node).await; // says nothing while the node drains
-    while node.counters.accepted.get() < 5 {
+    while node.counters.connections_accepted.get() < 5 {
         tokio::task::yield_now().await;
     }
     assert!(node.phases.resume());
--- a/node/tests/told.rs
+++ b/node/tests/told.rs
@@ -69,9 +69,12 @@
 
 /// Tells a list of this version, and sees it taken.
 async fn tell(node: &Platform, worker: &Worker, revision: u64) {
-    let lists = node.counters.lists.get();
+    let lists = node.counters.endpoint_lists_applied.get();
     node.tell(json!({"revision": revision, "complete": true, "members": [worker.line("s-1", "in_service")]}));
-    until("the list is taken", Duration::from_millis(1), || node.counters.lists.get() == lists + 1).await;
+    until("the list is taken", Duration::from_millis(1), || {
+        node.counters.endpoint_lists_applied.get() == lists + 1
+    })
+    .await;
 }
 
 /// Each loss of a watch, of the call after it, and of one that silence follows on.
@@ -271,7 +274,7 @@
 
 /// How many nodes have been told so often within this time.
 async fn told(nodes: &[Platform], times: u64, since: Instant, within: Duration) -> usize {
-    let told = || nodes.iter().filter(|node| node.counters.lists.get() >= times).count();
+    let told = || nodes.iter().filter(|node| node.counters.endpoint_lists_applied.get() >= times).count();
     while since.elapsed() < within && told() < nodes.len() {
         advance(Duration::from_millis(1)).await;
     }
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -63,7 +63,7 @@
     let mut late = Client::connect(&old).await;
     late.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
     let mut after = worker.take().await; // it was told of this worker by the old one only
-    assert_eq!((new.counters.taken.get(), old.counters.taken.get()), (1, 1));
+    assert_eq!((new.counters.requests_accepted.get(), old.counters.requests_accepted.get()), (1, 1));
     after.begin().await;
     let mut again = Client::connect(&old).await;
     assert_eq!(again.ask(&text).await.status, 409, "the id is open in the old process");
@@ -77,7 +77,11 @@
         (1, 1),
         "it ran on in the new process"
     );
-    assert_eq!((old.counters.sent.get(), new.counters.sent.get()), (1, 1), "nothing was sent again");
+    assert_eq!(
+        (old.counters.attempts_sent.get(), new.counters.attempts_sent.get()),
+        (1, 1),
+        "nothing was sent again"
+    );
     assert_eq!(busy.ask(UP).await.status, 200, "its connection is the new one's");
     advance(Duration::from_secs(5)).await;
     assert_eq!(old.served.await.unwrap(), Ok(()), "the old one has nothing left");
--- a/node/tests/worker_connections.rs
+++ b/node/tests/worker_connections.rs
@@ -49,7 +49,7 @@
     assert_eq!(client.answer().await.unwrap().status, 200);
     assert_eq!(other.answer().await.unwrap().status, 200);
     let c = &node.counters;
-    assert_eq!((c.connect_failed.get(), c.ok.get(), c.sent.get()), (1, 2, 3));
+    assert_eq!((c.connect_failed.get(), c.succeeded.get(), c.attempts_sent.get()), (1, 2, 3));
 }
 
 /// Protects live workers and their jobs: a worker may drop an idle connection unseen, which shows only when the
@@ -75,7 +75,7 @@
     });
     worker.take().await.done("s").await;
     assert_eq!(client.answer().await.unwrap().body, "s");
-    assert_eq!((node.counters.reset.get(), node.counters.refused.get()), (2, 0));
+    assert_eq!((node.counters.connection_lost.get(), node.counters.shed.get()), (2, 0));
 }
 
 /// Protects jobs on connections that fall silent: no word that it was taken, so it is called off, its connection
@@ -102,7 +102,7 @@
     assert_eq!(client.answer().await.unwrap().body, "a");
     taken.say(json!({"state": "done", "result": "b"})).await;
     assert_eq!(other.answer().await.unwrap().body, "b");
-    assert_eq!((node.counters.cancelled.get(), node.counters.sent.get()), (1, 3));
+    assert_eq!((node.counters.cancelled.get(), node.counters.attempts_sent.get()), (1, 3));
 }
 
 /// What may become of a worker's connection.
