--- a/src/attempt_timeout.rs
+++ b/src/attempt_timeout.rs
@@ -1,63 +1,65 @@
-//! Timeout of an attempt: how long its worker may report nothing of it.
+//! Timeout of an attempt: the maximum time without a report from its worker.
 
 use crate::api::{Micros, Settings};
 use crate::requests::{Attempt, RequestState};
 use crate::run_time::ClassHistory;
 
-/// Time within which a worker that acknowledges requests has done so.
-const ACKNOWLEDGEMENT: Micros = 250_000;
-/// Time within which a request that finds room has started; a tenth of a typical run time, if that is longer.
-const PROMPT_START: Micros = 25_000;
-const PROMPT_START_PART: Micros = 10;
-/// Typical run times without a report, where workers report no progress.
-const SILENT_RUNS: Micros = 5;
+/// Timeout of the acknowledgement, for workers that acknowledge requests.
+const ACKNOWLEDGEMENT_TIMEOUT_US: Micros = 250_000;
+/// Timeout of the start where a worker has capacity: at least this time, or this fraction (one over the
+/// divisor) of the median run time.
+const MIN_START_TIMEOUT_US: Micros = 25_000;
+const START_TIMEOUT_DIVISOR: Micros = 10;
+/// Timeout where workers report no progress, in median run times.
+const MEDIAN_RUNS_WITHOUT_PROGRESS: Micros = 5;
 
-/// Whether an attempt's worker owes an acknowledgement.
+/// Whether the acknowledgement of an attempt is still outstanding.
 pub fn is_unacknowledged(settings: &Settings, attempt: &Attempt) -> bool {
     settings.acknowledges && !attempt.acknowledged && attempt.started_at.is_none()
 }
 
-/// How long the worker may report nothing of a request's attempt. `others_wait` says that other dispatchers'
-/// requests are known to fill the worker, `estimates_capacity` that its room is estimated from load reports.
+/// The maximum time without a report on a request's attempt. `filled_by_others` means that requests of other
+/// dispatchers are known to fill the worker, `estimates_capacity` that its capacity is estimated from load
+/// reports.
 pub fn timeout(
     settings: &Settings,
     request: &RequestState,
     class: &ClassHistory,
-    others_wait: bool,
+    filled_by_others: bool,
     estimates_capacity: bool,
 ) -> Micros {
     let attempt = &request.attempt;
     if is_unacknowledged(settings, attempt) {
-        return ACKNOWLEDGEMENT;
+        return ACKNOWLEDGEMENT_TIMEOUT_US;
     }
     if settings.reports_start && attempt.started_at.is_none() {
-        return start_timeout(request, class, others_wait);
+        return start_timeout(request, class, filled_by_others);
     }
     match settings.progress_interval_us {
-        0 => class.median_run_us as Micros * SILENT_RUNS,
-        interval => {
-            let long = if estimates_capacity { class.p98_run_us as Micros } else { 0 };
-            (interval + interval / 2).max(long)
+        0 => class.median_run_us as Micros * MEDIAN_RUNS_WITHOUT_PROGRESS,
+        interval_us => {
+            let p98_us = if estimates_capacity { class.p98_run_us as Micros } else { 0 };
+            (interval_us + interval_us / 2).max(p98_us)
         }
     }
 }
 
-/// A request that has not started promptly seems to wait at its worker. It is lost after a typical run time
-/// more. Where that is too late for a retry all the same, it is lost after a long one; where others' requests
-/// are before it, once it can't be in time.
-fn start_timeout(request: &RequestState, class: &ClassHistory, others_wait: bool) -> Micros {
+/// A request that has not started promptly is assumed to be queued at its worker, and to be lost after
+/// another median run time. If a retry would then be too late anyway, it is assumed to be lost after a 98th
+/// percentile run time; if requests of other dispatchers are ahead of it, after its `send_by` time.
+fn start_timeout(request: &RequestState, class: &ClassHistory, filled_by_others: bool) -> Micros {
     let attempt = &request.attempt;
-    let typical = class.median_run_us as Micros;
-    let prompt = PROMPT_START.max(typical / PROMPT_START_PART);
+    let median_us = class.median_run_us as Micros;
+    let start_timeout_us = MIN_START_TIMEOUT_US.max(median_us / START_TIMEOUT_DIVISOR);
     if !attempt.overdue {
-        return prompt;
+        return start_timeout_us;
     }
-    let wait = if others_wait {
+    let queueing_us = if filled_by_others {
         request.send_by.saturating_sub(attempt.sent_at)
-    } else if attempt.sent_at + typical < request.send_by {
-        typical
+    } else if attempt.sent_at + median_us < request.send_by {
+        median_us
     } else {
         class.median_run_us.max(class.p98_run_us) as Micros
     };
-    prompt + wait
+    start_timeout_us + queueing_us
 }
--- a/src/least_squares.rs
+++ b/src/least_squares.rs
@@ -1,14 +1,14 @@
-//! Recursive least squares with three parameters and forgetting.
+//! Recursive least squares (RLS) with three parameters and exponential forgetting.
 
-/// Estimate of the parameters and its covariance.
+/// Parameter estimate with its covariance.
 pub struct LeastSquares {
-    /// The parameters in use.
+    /// The current parameters.
     pub parameters: [f64; 3],
     covariance: [[f64; 3]; 3],
 }
 
 impl LeastSquares {
-    /// An estimate that starts with these parameters, and this variance of each.
+    /// Creates an estimator with initial parameters and the variance of each.
     pub fn new(parameters: [f64; 3], variance: f64) -> LeastSquares {
         let mut covariance = [[0.0; 3]; 3];
         for (i, row) in covariance.iter_mut().enumerate() {
@@ -17,9 +17,9 @@
         LeastSquares { parameters, covariance }
     }
 
-    /// The parameters after one more sample `y` at `phi`, where older samples are forgotten by the factor
-    /// `lambda`. The covariance's trace stays under `max_trace`, also where nothing excites it. The caller
-    /// decides whether to use them.
+    /// Updates the covariance and returns the new parameters for an output `y` with regressor `phi` and the
+    /// forgetting factor `lambda`. The trace of the covariance is bounded by `max_trace`, to prevent windup
+    /// without excitation. The caller decides whether to adopt the parameters.
     pub fn estimate(&mut self, y: f64, phi: [f64; 3], lambda: f64, max_trace: f64) -> [f64; 3] {
         let p = &mut self.covariance;
         let p_phi = [dot(&p[0], &phi), dot(&p[1], &phi), dot(&p[2], &phi)];
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -1,13 +1,13 @@
 //! Budget of load probes.
 
-/// Probes in flight at most, and probes sent for a request at a time.
-const MAX_AT_ONCE: usize = 6;
-/// Probes that a request may cost.
-const PROBES_A_REQUEST: f64 = 10.0;
-/// Requests whose probes are saved up at most.
-const SAVED_REQUESTS: f64 = 10.0;
+/// Maximum number of probes in flight, all of which are sent for one request.
+const MAX_PROBES_AT_ONCE: usize = 6;
+/// Probes that each received request adds to the budget.
+const PROBES_PER_REQUEST: f64 = 10.0;
+/// Maximum budget, in requests.
+const MAX_SAVED_REQUESTS: f64 = 10.0;
 
-/// Probes that may be sent, and those in flight.
+/// Number of probes that may be sent, and number in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeBudget {
     available: f64,
@@ -15,29 +15,29 @@
 }
 
 impl ProbeBudget {
-    /// Adds the probes of a request that was received.
+    /// Adds a received request's probes to the budget.
     pub fn record_received(&mut self) {
-        let most = SAVED_REQUESTS * PROBES_A_REQUEST;
-        self.available = (self.available + PROBES_A_REQUEST).min(most);
+        let max_available = MAX_SAVED_REQUESTS * PROBES_PER_REQUEST;
+        self.available = (self.available + PROBES_PER_REQUEST).min(max_available);
     }
 
-    /// Whether probes are in flight, which may yet show room.
+    /// Whether probes are in flight, which may still find capacity.
     pub fn any_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
-    /// Probes that may be sent now.
+    /// Number of probes that may be sent now.
     pub fn available(&self) -> usize {
-        MAX_AT_ONCE.min(self.available as usize)
+        MAX_PROBES_AT_ONCE.min(self.available as usize)
     }
 
-    /// Records a probe that was sent.
+    /// Records a sent probe.
     pub fn record_sent(&mut self) {
         self.available -= 1.0;
         self.in_flight += 1;
     }
 
-    /// Records a probe that has ended.
+    /// Records the end of a probe.
     pub fn record_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/src/rate_control.rs
+++ b/src/rate_control.rs
@@ -1,166 +1,178 @@
-//! Rate control: how many requests a second are admitted.
+//! Rate control: the limit on admitted requests per second.
 //!
-//! A control loop for each class ([`crate::regulator`]) sets a part of the largest useful rate, so that the
-//! class's mean latency meets its objective. The lowest of the parts counts. The limit never falls below what
-//! workers just served.
+//! For each class, a control loop ([`crate::regulator`]) sets a fraction of the maximum useful rate so that
+//! the class's mean latency meets its objective. The smallest fraction applies. The limit never falls below
+//! the rate that workers currently serve.
 
 use crate::api::{Micros, Notice, SECOND};
 use crate::regulator::Regulator;
 use crate::table::{ClassId, Table};
 
-/// The largest limit over the rate offered: room for excitation and bursts.
-const HEADROOM: f64 = 1.5;
-/// The least limit over the rate served.
-const FLOOR: f64 = 0.9;
-/// Requests in a period that make a mean latency worth a step (the paper's figure).
-const MIN_SAMPLES: u32 = 6;
-/// Periods over which a quiet class's samples are pooled at most.
+/// Ratio of the maximum limit to the offered rate: headroom for excitation and bursts.
+const MAX_LIMIT_RATIO: f64 = 1.5;
+/// Ratio of the minimum limit to the served rate.
+const MIN_LIMIT_RATIO: f64 = 0.9;
+/// Minimum number of latency samples for a control step (the value from the Triage paper).
+const MIN_SAMPLES_PER_STEP: u32 = 6;
+/// Maximum number of periods over which samples of a class with little traffic are pooled.
 const MAX_POOLED_PERIODS: u32 = 5;
-/// The weight of a new period in smoothed rates, once there were enough of them.
-const MIN_GAIN: f64 = 0.1;
-/// Time after the first request for which rates tell too little to divide quotas by.
-const NEW_FOR: Micros = 3 * SECOND;
-/// Latency over the objective at which a late or failed request counts, and the largest that counts.
+/// Minimum weight of a new period in the smoothed rates.
+const MIN_RATE_GAIN: f64 = 0.1;
+/// Time after the first request during which rates are too uncertain to divide quotas.
+const RATES_NEW_FOR_US: Micros = 3 * SECOND;
+/// Ratio of latency to objective that is recorded for late and failed requests, and the maximum for all
+/// requests.
 pub const LATE_LATENCY_RATIO: f64 = 2.0;
-/// Limit over the offered rate below which on-call staff are notified.
-const THROTTLING: f64 = 0.7;
+/// Ratio of the limit to the offered rate below which on-call operators are notified.
+const THROTTLING_NOTICE_RATIO: f64 = 0.7;
 
-/// Control loop of a class, with the latencies of its present period.
-struct ClassLoop {
+/// Control loop of a class, with the latency samples since its last step.
+struct ClassControl {
     regulator: Regulator,
-    /// Part of the largest limit.
-    part: f64,
-    /// Sum of latencies, each over its objective.
-    latencies: f64,
+    /// Fraction of the maximum limit.
+    limit_fraction: f64,
+    /// Sum of the ratios of latency to objective.
+    latency_ratio_sum: f64,
     samples: u32,
     /// Periods since the last step.
-    pooled: u32,
+    periods_since_step: u32,
 }
 
-impl Default for ClassLoop {
+impl Default for ClassControl {
     fn default() -> Self {
-        ClassLoop { regulator: Regulator::default(), part: 1.0, latencies: 0.0, samples: 0, pooled: 0 }
+        ClassControl {
+            regulator: Regulator::default(),
+            limit_fraction: 1.0,
+            latency_ratio_sum: 0.0,
+            samples: 0,
+            periods_since_step: 0,
+        }
     }
 }
 
-impl ClassLoop {
+impl ClassControl {
     fn step(&mut self) {
-        self.pooled += 1;
-        // After some quiet periods the loop goes on with what there is (paper, 4.2): silence must not freeze
-        // it.
-        let waited_long = self.pooled >= MAX_POOLED_PERIODS;
-        if self.samples >= MIN_SAMPLES || (waited_long && self.samples > 0) {
-            self.part = self.regulator.step(self.latencies / f64::from(self.samples));
-            (self.pooled, self.latencies, self.samples) = (0, 0.0, 0);
+        self.periods_since_step += 1;
+        // After some periods with little traffic, the loop continues with the available samples (Triage
+        // paper, section 4.2), so that it does not freeze.
+        let waited_long = self.periods_since_step >= MAX_POOLED_PERIODS;
+        if self.samples >= MIN_SAMPLES_PER_STEP || (waited_long && self.samples > 0) {
+            self.limit_fraction = self.regulator.step(self.latency_ratio_sum / f64::from(self.samples));
+            (self.periods_since_step, self.latency_ratio_sum, self.samples) = (0, 0.0, 0);
         } else if waited_long {
-            self.part = self.regulator.reset();
-            self.pooled = 0;
+            self.limit_fraction = self.regulator.reset();
+            self.periods_since_step = 0;
         }
     }
 }
 
-/// Rates in requests a second, and the limit that follows from them.
+/// Smoothed rates, and the rate limit derived from them, in requests per second.
 pub struct RateControl {
-    classes: Table<ClassId, ClassLoop>,
-    limit: f64,
-    largest_limit: f64,
-    least_limit: f64,
-    offered: f64,
-    /// Requests received in this period.
-    received: f64,
-    served: f64,
-    /// Requests served in this period.
-    served_now: f64,
-    /// When the first request came after the start, or after a time in which none came.
+    classes: Table<ClassId, ClassControl>,
+    limit_per_s: f64,
+    max_limit_per_s: f64,
+    min_limit_per_s: f64,
+    offered_per_s: f64,
+    /// Requests received in the current period.
+    received_in_period: f64,
+    served_per_s: f64,
+    /// Requests served in the current period.
+    served_in_period: f64,
+    /// Time of the first request after the start or after an idle time.
     active_since: Micros,
 }
 
 impl RateControl {
-    /// Rates of nothing, and no limit.
+    /// Creates rate control with zero rates and no limit.
     pub fn new(now: Micros) -> RateControl {
         RateControl {
             classes: Table::default(),
-            limit: f64::INFINITY,
-            largest_limit: 0.0,
-            least_limit: 0.0,
-            offered: 0.0,
-            received: 0.0,
-            served: 0.0,
-            served_now: 0.0,
+            limit_per_s: f64::INFINITY,
+            max_limit_per_s: 0.0,
+            min_limit_per_s: 0.0,
+            offered_per_s: 0.0,
+            received_in_period: 0.0,
+            served_per_s: 0.0,
+            served_in_period: 0.0,
             active_since: now,
         }
     }
 
-    /// Adds a loop for the next class.
+    /// Adds a control loop for the next class.
     pub fn add_class(&mut self) {
-        self.classes.push(ClassLoop::default());
+        self.classes.push(ClassControl::default());
     }
 
-    /// Requests a second that may be admitted.
+    /// Rate limit, in requests per second.
     pub fn limit_per_s(&self) -> f64 {
-        self.limit
+        self.limit_per_s
     }
 
-    /// Requests a second that were served.
+    /// Rate of served requests, per second.
     pub fn served_per_s(&self) -> f64 {
-        self.served
+        self.served_per_s
     }
 
-    /// Whether anything is served.
+    /// Whether any requests are being served.
     pub fn is_serving(&self) -> bool {
-        self.served + self.served_now >= 1.0
+        self.served_per_s + self.served_in_period >= 1.0
     }
 
-    /// Whether the rates are too new to divide quotas by.
+    /// Whether the rates are too new to divide quotas by them.
     pub fn is_new(&self, now: Micros) -> bool {
-        now - self.active_since < NEW_FOR
+        now - self.active_since < RATES_NEW_FOR_US
     }
 
-    /// Counts a request that was received.
+    /// Records a received request.
     pub fn record_received(&mut self, now: Micros) {
-        if self.offered + self.received == 0.0 {
+        if self.offered_per_s + self.received_in_period == 0.0 {
             self.active_since = now;
         }
-        self.received += 1.0;
+        self.received_in_period += 1.0;
     }
 
-    /// Counts a request that was served.
+    /// Records a served request.
     pub fn record_served(&mut self) {
-        self.served_now += 1.0;
+        self.served_in_period += 1.0;
     }
 
-    /// Records a latency over its objective.
-    pub fn record_latency(&mut self, class: ClassId, latency: f64) {
+    /// Records a ratio of latency to objective.
+    pub fn record_latency(&mut self, class: ClassId, latency_ratio: f64) {
         let class = &mut self.classes[class];
-        class.latencies += latency;
+        class.latency_ratio_sum += latency_ratio;
         class.samples += 1;
     }
 
-    /// Ends a period and returns the gain of smoothed rates; none where the first requests came so short ago
-    /// that they are no rate yet.
+    /// Ends a period and returns the gain of the smoothed rates; `None` if there are no requests yet, or the
+    /// first one is too recent to compute a rate.
     pub fn end_period(&mut self, now: Micros) -> Option<f64> {
-        let is_early = self.received == 0.0 || now < self.active_since + SECOND / 2;
-        if is_early && self.offered == 0.0 {
+        let is_early = self.received_in_period == 0.0 || now < self.active_since + SECOND / 2;
+        if is_early && self.offered_per_s == 0.0 {
             return None;
         }
         let periods = ((now - self.active_since) / SECOND).max(1);
-        let gain = (1.0 / periods as f64).max(MIN_GAIN);
-        self.offered += gain * (self.received - self.offered);
-        self.largest_limit = HEADROOM * self.offered.max(std::mem::take(&mut self.received)) + 2.0;
-        self.served += gain * (self.served_now - self.served);
-        self.least_limit = FLOOR * self.served.max(std::mem::take(&mut self.served_now)) + 1.0;
+        let gain = (1.0 / periods as f64).max(MIN_RATE_GAIN);
+        self.offered_per_s += gain * (self.received_in_period - self.offered_per_s);
+        self.max_limit_per_s =
+            MAX_LIMIT_RATIO * self.offered_per_s.max(std::mem::take(&mut self.received_in_period)) + 2.0;
+        self.served_per_s += gain * (self.served_in_period - self.served_per_s);
+        self.min_limit_per_s =
+            MIN_LIMIT_RATIO * self.served_per_s.max(std::mem::take(&mut self.served_in_period)) + 1.0;
         Some(gain)
     }
 
-    /// Steps all loops and sets the limit. Notifies where it is far below what is offered.
+    /// Steps all control loops and sets the limit. Returns a notice if it is far below the offered rate.
     pub fn step(&mut self) -> Option<Notice> {
-        let mut part = 1.0_f64;
+        let mut limit_fraction = 1.0_f64;
         for class in self.classes.rows_mut() {
             class.step();
-            part = part.min(class.part);
+            limit_fraction = limit_fraction.min(class.limit_fraction);
         }
-        self.limit = (part * self.largest_limit).max(self.least_limit);
-        let throttles = self.limit < THROTTLING * self.offered;
-        throttles.then_some(Notice::Throttling { admitted_per_s: self.limit, offered_per_s: self.offered })
+        self.limit_per_s = (limit_fraction * self.max_limit_per_s).max(self.min_limit_per_s);
+        let throttles = self.limit_per_s < THROTTLING_NOTICE_RATIO * self.offered_per_s;
+        throttles.then_some(Notice::Throttling {
+            admitted_per_s: self.limit_per_s,
+            offered_per_s: self.offered_per_s,
+        })
     }
 }
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -1,41 +1,41 @@
-//! Start times of workers, by the dispatcher's own clock.
+//! Start times of workers by the dispatcher's own clock.
 //!
-//! Starts are reported as times of day. A dispatcher's clock may have been stepped, by seconds or an hour,
-//! before it started; then a worker that has just started would pass for a warm one, or stay cold for an
-//! hour. What the dispatcher has seen itself bounds the start: it lies in the past, and where a worker begins
-//! to stand in the list, not long before the last list that lacked it.
+//! Start times are reported in wall-clock time, but a dispatcher's clock may be off by seconds or an hour. A
+//! worker that has just started would then be taken for a warm one, or count as warming up for an hour.
+//! Therefore the dispatcher bounds start times by its own observations: a start is in the past, and the start
+//! of a worker that is new in the list is not long before the previous list.
 
 use crate::api::Micros;
 
-/// By how much a list may be late, in microseconds.
-const LIST_LATENESS: Micros = 4_000_000;
+/// Maximum delay of an endpoint list.
+const MAX_LIST_DELAY_US: Micros = 4_000_000;
 
-/// What is known of the lists so far.
+/// Endpoint lists received so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListHistory {
-    lists: u32,
-    last: Micros,
+    list_count: u32,
+    last_list_at: Micros,
 }
 
 impl ListHistory {
-    /// Takes note of a list, or of an answer without changes.
+    /// Records a list, or a response without changes.
     pub fn record(&mut self, now: Micros) {
-        self.lists = self.lists.saturating_add(1);
-        self.last = now;
+        self.list_count = self.list_count.saturating_add(1);
+        self.last_list_at = now;
     }
 
-    /// Before which a worker can't have started that the last list lacked. `None` where nothing is known: the
-    /// first list may be an old one, and what the next one adds may have been there for long.
+    /// Earliest possible start time of a worker that was not in the previous list. `None` before the second
+    /// list: the first one may be outdated, so workers added by the next one may have been there for long.
     pub fn earliest_start(&self) -> Option<Micros> {
-        (self.lists >= 2).then(|| self.last.saturating_sub(LIST_LATENESS))
+        (self.list_count >= 2).then(|| self.last_list_at.saturating_sub(MAX_LIST_DELAY_US))
     }
 }
 
-/// When a worker started that is reported to have started at `reported` (0 for long ago). `earliest` is known
-/// of one that the last list lacked.
-pub fn local_start(reported: Micros, now: Micros, earliest: Option<Micros>) -> Micros {
+/// Converts a worker's reported start time to the dispatcher's clock; 0 for long ago. `earliest` is the lower
+/// bound for a worker that was not in the previous list.
+pub fn local_start(reported: Micros, now: Micros, earliest_start: Option<Micros>) -> Micros {
     if reported == 0 {
         return 0;
     }
-    reported.max(earliest.unwrap_or(0)).min(now)
+    reported.max(earliest_start.unwrap_or(0)).min(now)
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,14 +1,13 @@
-//! Tables whose rows are addressed by an index type of their own, so that a worker's index can't be taken for
-//! a class's.
+//! Tables indexed by dedicated types, so that an index of a worker can't be used as that of a class.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
-/// Index of a row in a table.
+/// Index type of a table's rows.
 pub trait RowId: Copy {
-    /// The index with this position.
+    /// The index of a position.
     fn new(position: usize) -> Self;
-    /// Its position.
+    /// The position of the index.
     fn position(self) -> usize;
 }
 
@@ -43,11 +42,11 @@
     KindId
 );
 row_id!(
-    /// Index of a worker in the order in which dispatchers heard of them.
+    /// Index of a worker, in the order in which this dispatcher learned of them.
     WorkerIndex
 );
 
-/// Rows addressed by `I`.
+/// A table of rows indexed by `I`.
 pub struct Table<I, T> {
     rows: Vec<T>,
     index: PhantomData<I>,
@@ -65,12 +64,12 @@
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Whether the table has no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The row with this index, if there is one.
+    /// The row at an index, if it exists.
     pub fn get(&self, id: I) -> Option<&T> {
         self.rows.get(id.position())
     }
@@ -81,28 +80,28 @@
         I::new(self.rows.len() - 1)
     }
 
-    /// Appends rows until there is one with this index.
+    /// Appends rows until the index exists.
     pub fn grow_to(&mut self, id: I, row: impl FnMut() -> T) {
         let len = self.rows.len().max(id.position() + 1);
         self.rows.resize_with(len, row);
     }
 
-    /// All indexes, in order.
+    /// Iterates over all indexes in order.
     pub fn ids(&self) -> impl Iterator<Item = I> + use<I, T> {
         (0..self.rows.len()).map(I::new)
     }
 
-    /// All rows with their indexes, in order.
+    /// Iterates over all rows with their indexes in order.
     pub fn iter(&self) -> impl Iterator<Item = (I, &T)> {
         self.rows.iter().enumerate().map(|(position, row)| (I::new(position), row))
     }
 
-    /// All rows, in order.
+    /// All rows in order.
     pub fn rows(&self) -> &[T] {
         &self.rows
     }
 
-    /// All rows, in order.
+    /// All rows in order, mutably.
     pub fn rows_mut(&mut self) -> &mut [T] {
         &mut self.rows
     }
