--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -1,4 +1,4 @@
-//! Events, outcomes, load reports and endpoints from their records.
+//! Decoding of events, outcomes, load reports and endpoints from the simulator's records.
 
 use super::error::Error;
 use super::frame::{Batch, Record};
@@ -7,7 +7,7 @@
 };
 use dispatch_policy::settings::ReportField;
 
-/// Codes of records.
+/// Record codes.
 pub mod code {
     pub const TIMER: u8 = 0;
     pub const ATTEMPT_ENDED: u8 = 1;
@@ -23,18 +23,18 @@
     pub const CLIENT_DISCONNECTED: u8 = 11;
 }
 
-/// Kinds of notes on an attempt.
+/// Kinds of notes about an attempt.
 const NOTE_STARTED: u8 = 1;
 const NOTE_PROGRESS: u8 = 2;
-/// Status of what succeeded.
+/// Status code of a success.
 const STATUS_OK: u16 = 100;
-/// Flags of a request.
+/// Request flags.
 const HAS_HINT: u16 = 1;
 const IS_RETRY: u16 = 2;
-/// Values of a load report, at most.
-const REPORT_VALUES: usize = 4;
+/// Maximum number of values in a load report.
+const MAX_REPORT_VALUES: usize = 4;
 
-/// The event of a record that concerns no endpoint list; none for a note that is not used.
+/// Decodes a record's event, except for events about endpoint lists; `None` for notes that are not used.
 pub fn event(batch: &Batch, record: Record, fields: &[ReportField]) -> Result<Option<Event>, Error> {
     Ok(Some(match record.u8(0)? {
         code::TIMER => Event::TimerExpired,
@@ -77,7 +77,7 @@
         attempt: u32::from(record.u16(9)?),
         outcome: outcome(record.u16(17)?)?,
         request_done: record.u8(23)? != 0,
-        not_attributable: false, // the wire does not say
+        not_attributable: false, // not part of the protocol
         report: report(record, 28, fields)?,
     })
 }
@@ -115,13 +115,13 @@
 fn report(record: Record, at: usize, fields: &[ReportField]) -> Result<Option<LoadReport>, Error> {
     let values = usize::from(record.u8(at)?);
     let mut report = LoadReport::default();
-    for (i, field) in fields.iter().enumerate().take(values.min(REPORT_VALUES)) {
+    for (i, field) in fields.iter().enumerate().take(values.min(MAX_REPORT_VALUES)) {
         field.set(&mut report, f64::from(record.f32(at + 1 + 4 * i)?));
     }
     Ok((values > 0).then_some(report))
 }
 
-/// An entry of an endpoint list.
+/// Decodes an entry of an endpoint list.
 pub fn endpoint(record: Record) -> Result<Endpoint, Error> {
     Ok(Endpoint {
         kind: record.u8(0)?,
--- a/src/bin/simulator-adapter/encode.rs
+++ b/src/bin/simulator-adapter/encode.rs
@@ -1,24 +1,24 @@
-//! Records of actions.
+//! Encoding of actions as records of the simulator's protocol.
 
 use super::frame::Reply;
 use dispatch_policy::api::{Action, Notice, WorkerId};
 
-/// Adds an action of an instance to the reply. That a request is given up is not told: there is one such
-/// notice for each, more than a report holds.
+/// Appends an instance's action to the reply. Notices of requests that are given up are omitted: there is one
+/// for each such request, more than a report can hold.
 pub fn action(reply: &mut Reply, instance: u32, action: &Action) {
     match action {
         Action::Send { id, worker } => {
-            reply.push(0, instance, &[&short(*id), &worker_field(*worker), &[0; 4]]);
+            reply.push(0, instance, &[&saturating_u32(*id), &worker_field(*worker), &[0; 4]]);
         }
         Action::Reject { id, retry_after_us } => {
-            reply.push(1, instance, &[&short(*id), &short(*retry_after_us)]);
+            reply.push(1, instance, &[&saturating_u32(*id), &saturating_u32(*retry_after_us)]);
         }
-        Action::Fail { id } => reply.push(2, instance, &[&short(*id)]),
+        Action::Fail { id } => reply.push(2, instance, &[&saturating_u32(*id)]),
         Action::Cancel { id, attempt } => {
-            reply.push(3, instance, &[&short(*id), &(*attempt as u16).to_be_bytes()]);
+            reply.push(3, instance, &[&saturating_u32(*id), &(*attempt as u16).to_be_bytes()]);
         }
         Action::SetTimer { after_us } => {
-            reply.push(4, instance, &[&short(*after_us), &0u64.to_be_bytes()]);
+            reply.push(4, instance, &[&saturating_u32(*after_us), &0u64.to_be_bytes()]);
         }
         Action::Probe { worker } => reply.push(5, instance, &[&worker_field(*worker)]),
         Action::CloseIdleConnections { worker } => reply.push(6, instance, &[&worker_field(*worker)]),
@@ -35,7 +35,7 @@
     }
 }
 
-fn short(value: u64) -> [u8; 4] {
+fn saturating_u32(value: u64) -> [u8; 4] {
     (value.min(u64::from(u32::MAX)) as u32).to_be_bytes()
 }
 
@@ -44,7 +44,7 @@
     field
 }
 
-/// A worker's address and port.
+/// Formats a worker's address and port.
 fn address(worker: WorkerId) -> String {
     let [a, b, c, d, high, low] = worker_field(worker);
     format!("{a}.{b}.{c}.{d}:{}", u16::from_be_bytes([high, low]))
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,61 +1,61 @@
-//! Errors that end the adapter.
+//! Errors that terminate the adapter.
 
 use dispatch_policy::api::InvalidSettings;
 use dispatch_policy::settings;
 use std::{error, fmt, io};
 
-/// Why the adapter can't go on.
+/// An error that terminates the adapter.
 #[derive(Debug)]
 pub enum Error {
-    /// The input can't be read.
+    /// Reading the input failed.
     Read(io::Error),
-    /// A reply can't be written.
-    Reply(io::Error),
-    /// The input ends inside a header.
-    CutHeader,
-    /// The input ends inside a frame, this many bytes early.
-    CutFrame { missing: usize },
-    /// A frame states a length that is less than its header's.
+    /// Writing a reply failed.
+    Write(io::Error),
+    /// The input ends within a header.
+    TruncatedHeader,
+    /// The input ends within a frame.
+    TruncatedFrame { missing: usize },
+    /// A frame's stated length is shorter than its header.
     FrameTooShort { stated: usize },
-    /// A frame states more records than it holds.
+    /// A frame's stated number of records exceeds its length.
     MissingRecords { stated: usize, bytes: usize },
-    /// A field lies past its record's end.
+    /// A field extends past the end of its record.
     FieldPastRecord { at: usize },
-    /// Data lies past the tail's end.
+    /// Data extends past the end of the tail.
     DataPastTail,
     /// The settings are not UTF-8.
-    SettingsNotText,
-    /// The settings can't be read.
+    SettingsNotUtf8,
+    /// The settings can't be parsed.
     Settings(settings::Error),
-    /// The settings can't be used.
+    /// The settings are invalid.
     InvalidSettings(InvalidSettings),
-    /// A code or number that is not known.
+    /// A code or number is unknown.
     Unknown { what: &'static str, number: u64 },
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Read(e) => write!(f, "cannot read: {e}"),
-            Error::Reply(e) => write!(f, "cannot reply: {e}"),
-            Error::CutHeader => write!(f, "the input ends inside a header"),
-            Error::CutFrame { missing } => {
-                write!(f, "the input ends inside a frame, {missing} bytes early")
+            Error::Read(e) => write!(f, "cannot read the input: {e}"),
+            Error::Write(e) => write!(f, "cannot write a reply: {e}"),
+            Error::TruncatedHeader => write!(f, "the input ends within a header"),
+            Error::TruncatedFrame { missing } => {
+                write!(f, "the input ends within a frame: {missing} bytes are missing")
             }
             Error::FrameTooShort { stated } => {
-                write!(f, "a frame states {stated} bytes, less than its header")
+                write!(f, "a frame's stated length of {stated} bytes is shorter than its header")
             }
             Error::MissingRecords { stated, bytes } => {
-                write!(f, "a frame states {stated} records but holds {bytes} bytes")
+                write!(f, "a frame states {stated} records but contains only {bytes} bytes")
             }
             Error::FieldPastRecord { at } => {
-                write!(f, "a field at byte {at} lies past its record's end")
+                write!(f, "the field at byte {at} extends past the end of its record")
             }
-            Error::DataPastTail => write!(f, "data lies past the tail's end"),
-            Error::SettingsNotText => write!(f, "settings: not text"),
+            Error::DataPastTail => write!(f, "data extends past the end of the tail"),
+            Error::SettingsNotUtf8 => write!(f, "settings: not valid UTF-8"),
             Error::Settings(e) => write!(f, "{e}"),
             Error::InvalidSettings(e) => write!(f, "settings: {e}"),
-            Error::Unknown { what, number } => write!(f, "{what} {number} is not known"),
+            Error::Unknown { what, number } => write!(f, "unknown {what} {number}"),
         }
     }
 }
@@ -63,7 +63,7 @@
 impl error::Error for Error {
     fn source(&self) -> Option<&(dyn error::Error + 'static)> {
         match self {
-            Error::Read(e) | Error::Reply(e) => Some(e),
+            Error::Read(e) | Error::Write(e) => Some(e),
             Error::Settings(e) => Some(e),
             Error::InvalidSettings(e) => Some(e),
             _ => None,
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -1,35 +1,36 @@
-//! Frames of the simulator's wire: big-endian records of fixed size, and one tail for data of any size.
+//! Frames of the simulator's protocol: big-endian records of fixed size, followed by a tail for data of
+//! variable size.
 
 use super::error::Error;
 
-/// Bytes of a batch's header.
+/// Length of a batch's header.
 pub const HEADER_BYTES: usize = 20;
-/// Bytes of an event's record.
-const EVENT: usize = 48;
-/// Bytes of an action's record.
-const ACTION: usize = 24;
-/// Bytes of a list's entry.
-const ENTRY: usize = 23;
-/// Bytes of a reply's header.
-const REPLY_HEADER: usize = 12;
-
-/// A batch of events as it was received.
+/// Length of an event record.
+const EVENT_BYTES: usize = 48;
+/// Length of an action record.
+const ACTION_BYTES: usize = 24;
+/// Length of an entry of an endpoint list.
+const LIST_ENTRY_BYTES: usize = 23;
+/// Length of a reply's header.
+const REPLY_HEADER_BYTES: usize = 12;
+
+/// A received batch of events.
 pub struct Batch {
     /// Its serial number.
     pub serial: u32,
-    /// Time, in microseconds.
-    pub now: u64,
+    /// Time of the events, in microseconds.
+    pub now_us: u64,
     body: Vec<u8>,
     count: usize,
 }
 
-/// A view of bytes that reads fields and never past the end.
+/// A bounds-checked view of a record's bytes.
 #[derive(Clone, Copy)]
 pub struct Record<'a>(&'a [u8]);
 
 macro_rules! read {
     ($name:ident, $type:ty) => {
-        /// The field at this offset.
+        /// Reads the field at an offset.
         pub fn $name(&self, at: usize) -> Result<$type, Error> {
             let bytes = self.0.get(at..at + std::mem::size_of::<$type>());
             let bytes = bytes.and_then(|bytes| bytes.try_into().ok());
@@ -45,13 +46,13 @@
     read!(u64, u64);
     read!(f32, f32);
 
-    /// A worker's address and port as one number, high bytes first.
+    /// Reads a worker's address and port as one big-endian number.
     pub fn worker(&self, at: usize) -> Result<u64, Error> {
         Ok(u64::from(self.u32(at)?) << 16 | u64::from(self.u16(at + 4)?))
     }
 }
 
-/// Size of the whole frame, as its header states it.
+/// Length of the whole frame, as stated by its header.
 pub fn frame_len(header: &[u8; HEADER_BYTES]) -> Result<usize, Error> {
     let len = Record(header).u32(12)? as usize;
     if len < HEADER_BYTES {
@@ -61,31 +62,34 @@
 }
 
 impl Batch {
-    /// Reads a frame from its header and the bytes after it.
+    /// Parses a frame from its header and the remaining bytes.
     pub fn parse(header: &[u8; HEADER_BYTES], body: Vec<u8>) -> Result<Batch, Error> {
         let head = Record(header);
         let count = head.u32(16)? as usize;
-        if count.checked_mul(EVENT).is_none_or(|n| n > body.len()) {
+        if count.checked_mul(EVENT_BYTES).is_none_or(|n| n > body.len()) {
             return Err(Error::MissingRecords { stated: count, bytes: body.len() });
         }
-        Ok(Batch { serial: head.u32(0)?, now: head.u64(4)?, body, count })
+        Ok(Batch { serial: head.u32(0)?, now_us: head.u64(4)?, body, count })
     }
 
-    /// The records, in order.
+    /// Iterates over the records in order.
     pub fn records(&self) -> impl Iterator<Item = Record<'_>> {
-        self.body[..self.count * EVENT].chunks_exact(EVENT).map(Record)
+        self.body[..self.count * EVENT_BYTES].chunks_exact(EVENT_BYTES).map(Record)
     }
 
-    /// Bytes of the tail.
+    /// Returns a range of the tail.
     pub fn tail(&self, offset: u32, len: usize) -> Result<&[u8], Error> {
-        let start = self.count * EVENT + offset as usize;
+        let start = self.count * EVENT_BYTES + offset as usize;
         let end = start.checked_add(len);
         end.and_then(|end| self.body.get(start..end)).ok_or(Error::DataPastTail)
     }
 
-    /// Entries of an endpoint list in the tail.
+    /// Iterates over the `n` entries of an endpoint list in the tail.
     pub fn entries(&self, offset: u32, n: u32) -> Result<impl Iterator<Item = Record<'_>>, Error> {
-        Ok(self.tail(offset, (n as usize).saturating_mul(ENTRY))?.chunks_exact(ENTRY).map(Record))
+        Ok(self
+            .tail(offset, (n as usize).saturating_mul(LIST_ENTRY_BYTES))?
+            .chunks_exact(LIST_ENTRY_BYTES)
+            .map(Record))
     }
 }
 
@@ -98,24 +102,24 @@
 }
 
 impl Reply {
-    /// Empties it for the next batch.
+    /// Clears the reply for the next batch.
     pub fn clear(&mut self) {
         self.records.clear();
         self.tail.clear();
         self.count = 0;
     }
 
-    /// Adds an action: its code, its instance and its other fields back to back.
+    /// Appends an action: its code, its instance and its other fields, without padding in between.
     pub fn push(&mut self, code: u8, instance: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_be_bytes());
         fields.iter().for_each(|f| self.records.extend_from_slice(f));
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_BYTES, 0);
         self.count += 1;
     }
 
-    /// Adds bytes to the tail and returns the field that points to them.
+    /// Appends bytes to the tail and returns the field that refers to them.
     pub fn tail(&mut self, bytes: &[u8]) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_be_bytes());
@@ -124,10 +128,10 @@
         field
     }
 
-    /// The whole frame.
+    /// Writes the complete frame to `out`, replacing its contents.
     pub fn frame(&self, serial: u32, out: &mut Vec<u8>) {
         out.clear();
-        let len = REPLY_HEADER + self.records.len() + self.tail.len();
+        let len = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         for word in [serial, len as u32, self.count] {
             out.extend_from_slice(&word.to_be_bytes());
         }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,4 +1,4 @@
-//! Instances of the decision module, and the endpoint lists that they are given.
+//! Instances of the decision module, and their endpoint lists.
 
 use super::decode::{self, code};
 use super::encode;
@@ -9,14 +9,14 @@
 use dispatch_policy::Policy;
 use std::collections::BTreeMap;
 
-/// A dispatcher.
+/// A simulated dispatcher.
 struct Instance {
     policy: Policy,
-    /// Meaning of the values in its workers' load reports.
-    fields: Vec<ReportField>,
+    /// Meanings of the values in its workers' load reports.
+    report_fields: Vec<ReportField>,
 }
 
-/// All dispatchers of a simulation.
+/// Hosts all dispatchers of a simulation.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -26,7 +26,7 @@
 }
 
 impl Host {
-    /// Handles all records of a batch and returns the reply.
+    /// Handles the records of a batch in order and returns the reply.
     pub fn handle(&mut self, batch: &Batch) -> Result<&Reply, Error> {
         self.reply.clear();
         for record in batch.records() {
@@ -58,10 +58,10 @@
         let event = if code == code::LIST_EVENT {
             Some(list_event(&self.lists, record)?)
         } else {
-            decode::event(batch, record, &instance.fields)?
+            decode::event(batch, record, &instance.report_fields)?
         };
         let Some(event) = event else { return Ok(()) };
-        instance.policy.handle(batch.now, &event, &mut self.actions);
+        instance.policy.handle(batch.now_us, &event, &mut self.actions);
         for action in self.actions.drain(..) {
             encode::action(&mut self.reply, number, &action);
         }
@@ -71,21 +71,21 @@
 
 fn start(batch: &Batch, record: Record) -> Result<Instance, Error> {
     let text = batch.tail(record.u32(13)?, record.u32(17)? as usize)?;
-    let text = std::str::from_utf8(text).map_err(|_| Error::SettingsNotText)?;
-    let (settings, fields) = settings::parse(text).map_err(Error::Settings)?;
-    let policy = Policy::new(settings, record.u64(5)?, batch.now).map_err(Error::InvalidSettings)?;
-    Ok(Instance { policy, fields })
+    let text = std::str::from_utf8(text).map_err(|_| Error::SettingsNotUtf8)?;
+    let (settings, report_fields) = settings::parse(text).map_err(Error::Settings)?;
+    let policy = Policy::new(settings, record.u64(5)?, batch.now_us).map_err(Error::InvalidSettings)?;
+    Ok(Instance { policy, report_fields })
 }
 
-/// The event of a record that gives an instance a list, or says that it could not be fetched.
+/// Decodes the event that gives an instance an endpoint list, or reports that fetching it failed.
 fn list_event(lists: &BTreeMap<u8, Vec<Endpoint>>, record: Record) -> Result<Event, Error> {
-    let table = record.u8(10)?;
-    let unknown = Error::Unknown { what: "list", number: u64::from(table) };
-    let list = || lists.get(&table).cloned().ok_or(unknown);
+    let list_id = record.u8(10)?;
+    let unknown = Error::Unknown { what: "list", number: u64::from(list_id) };
+    let list = || lists.get(&list_id).cloned().ok_or(unknown);
     Ok(match record.u8(9)? {
         0 => Event::EndpointChanges(list()?),
         1 | 2 => Event::EndpointList(list()?),
         3 => Event::EndpointWatchFailed,
-        kind => return Err(Error::Unknown { what: "list news of kind", number: u64::from(kind) }),
+        kind => return Err(Error::Unknown { what: "list event kind", number: u64::from(kind) }),
     })
 }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,4 @@
-//! Adapter that hosts instances of the decision module on the simulator's wire. It decides nothing.
+//! Adapter that connects instances of the decision module to the simulator. It contains no decision logic.
 
 mod decode;
 mod encode;
@@ -12,24 +12,24 @@
 use std::io::{self, Read, Write};
 
 /// Exit code after an error.
-const FAILED: i32 = 2;
-/// Bytes that are allocated for a frame before any of them came.
-const MAX_PREALLOCATED: usize = 1 << 20;
+const ERROR_EXIT_CODE: i32 = 2;
+/// Maximum size of the buffer that is allocated for a frame before its data is received.
+const MAX_PREALLOCATED_BYTES: usize = 1 << 20;
 
 fn main() {
     if let Err(error) = run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         eprintln!("simulator-adapter: {error}");
-        std::process::exit(FAILED);
+        std::process::exit(ERROR_EXIT_CODE);
     }
 }
 
-/// Answers batch after batch, to the end of the input.
+/// Replies to each batch until the end of the input.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), Error> {
     let mut host = Host::default();
     let mut frame = Vec::new();
     while let Some(batch) = next_batch(input)? {
         host.handle(&batch)?.frame(batch.serial, &mut frame);
-        output.write_all(&frame).and_then(|()| output.flush()).map_err(Error::Reply)?;
+        output.write_all(&frame).and_then(|()| output.flush()).map_err(Error::Write)?;
     }
     Ok(())
 }
@@ -40,12 +40,12 @@
     if header.is_empty() {
         return Ok(None);
     }
-    let header: [u8; HEADER_BYTES] = header.try_into().map_err(|_| Error::CutHeader)?;
+    let header: [u8; HEADER_BYTES] = header.try_into().map_err(|_| Error::TruncatedHeader)?;
     let rest = frame::frame_len(&header)? - HEADER_BYTES;
-    let mut body = Vec::with_capacity(rest.min(MAX_PREALLOCATED));
+    let mut body = Vec::with_capacity(rest.min(MAX_PREALLOCATED_BYTES));
     input.take(rest as u64).read_to_end(&mut body).map_err(Error::Read)?;
     if body.len() < rest {
-        return Err(Error::CutFrame { missing: rest - body.len() });
+        return Err(Error::TruncatedFrame { missing: rest - body.len() });
     }
     Batch::parse(&header, body).map(Some)
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -30,8 +30,8 @@
 /// used at full capacity: the sums of many requests vary less.
 const COLD_BUDGET_RATIO: f64 = 0.45;
 const WARM_UP_BUDGET_RATIO: f64 = 0.25;
-/// Maximum size of a request, as a fraction of the work that makes the worker fail within the overload window,
-/// so that a few simultaneous ones stay below it.
+/// Maximum size of a request, as a fraction of the work that makes the worker fail within the overload
+/// window, so that a few simultaneous ones stay below it.
 const MAX_REQUEST_RATIO: f64 = 0.25;
 /// Steps of low-discrepancy sequences (from the golden ratio and the square root of 2).
 const OWNER_STEP: f64 = 0.618_033_988_749_894_9;
@@ -72,16 +72,16 @@
     /// The sum of the quotas is taken as the fleet's capacity, since it is the same at all dispatchers.
     /// Without quotas, live weights count standard cores; otherwise all dispatchers are assumed to be served
     /// as much as this one.
-    pub fn worker_capacity_per_s(&self, settings: &Settings, size: f64) -> f64 {
+    pub fn worker_capacity_per_s(&self, settings: &Settings, weight: f64) -> f64 {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         if quotas > 0.0 {
-            return quotas * size / self.total_weight.max(f64::EPSILON);
+            return quotas * weight / self.total_weight.max(f64::EPSILON);
         }
         if settings.live_weights {
-            return size / self.mean_work_s.max(MIN_MEAN_WORK_S);
+            return weight / self.mean_work_s.max(MIN_MEAN_WORK_S);
         }
         let served = self.served_per_s * f64::from(settings.senders());
-        served * size / self.total_weight.max(f64::EPSILON)
+        served * weight / self.total_weight.max(f64::EPSILON)
     }
 }
 
