--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -35,15 +35,15 @@
 const MAX_REPORT_VALUES: usize = 4;
 
 /// Decodes a record's event, except for events about endpoint lists; `None` for notes that are not used.
-pub fn event(batch: &Batch, record: Record, fields: &[ReportField]) -> Result<Option<Event>, Error> {
+pub fn event(batch: &Batch, record: Record, report_fields: &[ReportField]) -> Result<Option<Event>, Error> {
     Ok(Some(match record.u8(0)? {
         code::TIMER => Event::TimerExpired,
-        code::ATTEMPT_ENDED => Event::AttemptEnded(attempt_end(record, fields)?),
+        code::ATTEMPT_ENDED => Event::AttemptEnded(attempt_end(record, report_fields)?),
         code::REQUEST => Event::RequestReceived(request(record)?),
         code::PROBE_ENDED => Event::ProbeEnded {
             worker: WorkerId(record.worker(5)?),
             responded: record.u16(11)? == STATUS_OK,
-            report: report(record, 17, fields)?,
+            report: report(record, 17, report_fields)?,
         },
         code::PEER_MESSAGE => Event::PeerMessage {
             from: record.u32(5)?,
@@ -71,14 +71,14 @@
     })
 }
 
-fn attempt_end(record: Record, fields: &[ReportField]) -> Result<AttemptEnd, Error> {
+fn attempt_end(record: Record, report_fields: &[ReportField]) -> Result<AttemptEnd, Error> {
     Ok(AttemptEnd {
         id: request_id(record)?,
         attempt: u32::from(record.u16(9)?),
         outcome: outcome(record.u16(17)?)?,
         request_done: record.u8(23)? != 0,
         not_attributable: false, // not part of the protocol
-        report: report(record, 28, fields)?,
+        report: report(record, 28, report_fields)?,
     })
 }
 
@@ -112,11 +112,11 @@
     })
 }
 
-fn report(record: Record, at: usize, fields: &[ReportField]) -> Result<Option<LoadReport>, Error> {
-    let values = usize::from(record.u8(at)?);
+fn report(record: Record, offset: usize, report_fields: &[ReportField]) -> Result<Option<LoadReport>, Error> {
+    let values = usize::from(record.u8(offset)?);
     let mut report = LoadReport::default();
-    for (i, field) in fields.iter().enumerate().take(values.min(MAX_REPORT_VALUES)) {
-        field.set(&mut report, f64::from(record.f32(at + 1 + 4 * i)?));
+    for (i, field) in report_fields.iter().enumerate().take(values.min(MAX_REPORT_VALUES)) {
+        field.set(&mut report, f64::from(record.f32(offset + 1 + 4 * i)?));
     }
     Ok((values > 0).then_some(report))
 }
--- a/src/bin/simulator-adapter/encode.rs
+++ b/src/bin/simulator-adapter/encode.rs
@@ -8,30 +8,30 @@
 pub fn action(reply: &mut Reply, instance: u32, action: &Action) {
     match action {
         Action::Send { id, worker } => {
-            reply.push(0, instance, &[&saturating_u32(*id), &worker_field(*worker), &[0; 4]]);
+            reply.push_action(0, instance, &[&saturating_u32(*id), &worker_field(*worker), &[0; 4]]);
         }
         Action::Reject { id, retry_after_us } => {
-            reply.push(1, instance, &[&saturating_u32(*id), &saturating_u32(*retry_after_us)]);
+            reply.push_action(1, instance, &[&saturating_u32(*id), &saturating_u32(*retry_after_us)]);
         }
-        Action::Fail { id } => reply.push(2, instance, &[&saturating_u32(*id)]),
+        Action::Fail { id } => reply.push_action(2, instance, &[&saturating_u32(*id)]),
         Action::Cancel { id, attempt } => {
-            reply.push(3, instance, &[&saturating_u32(*id), &(*attempt as u16).to_be_bytes()]);
+            reply.push_action(3, instance, &[&saturating_u32(*id), &(*attempt as u16).to_be_bytes()]);
         }
         Action::SetTimer { after_us } => {
-            reply.push(4, instance, &[&saturating_u32(*after_us), &0u64.to_be_bytes()]);
+            reply.push_action(4, instance, &[&saturating_u32(*after_us), &0u64.to_be_bytes()]);
         }
-        Action::Probe { worker } => reply.push(5, instance, &[&worker_field(*worker)]),
-        Action::CloseIdleConnections { worker } => reply.push(6, instance, &[&worker_field(*worker)]),
+        Action::Probe { worker } => reply.push_action(5, instance, &[&worker_field(*worker)]),
+        Action::CloseIdleConnections { worker } => reply.push_action(6, instance, &[&worker_field(*worker)]),
         Action::SendPeerMessage { to, bytes } => {
-            let at = reply.tail(bytes);
-            reply.push(7, instance, &[&to.to_be_bytes(), &at]);
+            let tail_field = reply.push_tail(bytes);
+            reply.push_action(7, instance, &[&to.to_be_bytes(), &tail_field]);
         }
         Action::Notify(Notice::RequestGivenUp { .. }) => {}
         Action::Notify(notice) => {
-            let at = reply.tail(notice_text(notice).as_bytes());
-            reply.push(8, instance, &[&at]);
+            let tail_field = reply.push_tail(notice_text(notice).as_bytes());
+            reply.push_action(8, instance, &[&tail_field]);
         }
-        Action::WatchEndpoints => reply.push(10, instance, &[&[1]]),
+        Action::WatchEndpoints => reply.push_action(10, instance, &[&[1]]),
     }
 }
 
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -20,7 +20,7 @@
     /// A frame's stated number of records exceeds its length.
     MissingRecords { stated: usize, bytes: usize },
     /// A field extends past the end of its record.
-    FieldPastRecord { at: usize },
+    FieldPastRecord { offset: usize },
     /// Data extends past the end of the tail.
     DataPastTail,
     /// The settings are not UTF-8.
@@ -48,8 +48,8 @@
             Error::MissingRecords { stated, bytes } => {
                 write!(f, "a frame states {stated} records but contains only {bytes} bytes")
             }
-            Error::FieldPastRecord { at } => {
-                write!(f, "the field at byte {at} extends past the end of its record")
+            Error::FieldPastRecord { offset } => {
+                write!(f, "the field at byte {offset} extends past the end of its record")
             }
             Error::DataPastTail => write!(f, "data extends past the end of the tail"),
             Error::SettingsNotUtf8 => write!(f, "settings: not valid UTF-8"),
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -31,10 +31,10 @@
 macro_rules! read {
     ($name:ident, $type:ty) => {
         /// Reads the field at an offset.
-        pub fn $name(&self, at: usize) -> Result<$type, Error> {
-            let bytes = self.0.get(at..at + std::mem::size_of::<$type>());
+        pub fn $name(&self, offset: usize) -> Result<$type, Error> {
+            let bytes = self.0.get(offset..offset + std::mem::size_of::<$type>());
             let bytes = bytes.and_then(|bytes| bytes.try_into().ok());
-            bytes.map(<$type>::from_be_bytes).ok_or(Error::FieldPastRecord { at })
+            bytes.map(<$type>::from_be_bytes).ok_or(Error::FieldPastRecord { offset })
         }
     };
 }
@@ -47,8 +47,8 @@
     read!(f32, f32);
 
     /// Reads a worker's address and port as one big-endian number.
-    pub fn worker(&self, at: usize) -> Result<u64, Error> {
-        Ok(u64::from(self.u32(at)?) << 16 | u64::from(self.u16(at + 4)?))
+    pub fn worker(&self, offset: usize) -> Result<u64, Error> {
+        Ok(u64::from(self.u32(offset)?) << 16 | u64::from(self.u16(offset + 4)?))
     }
 }
 
@@ -110,7 +110,7 @@
     }
 
     /// Appends an action: its code, its instance and its other fields, without padding in between.
-    pub fn push(&mut self, code: u8, instance: u32, fields: &[&[u8]]) {
+    pub fn push_action(&mut self, code: u8, instance: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_be_bytes());
@@ -120,7 +120,7 @@
     }
 
     /// Appends bytes to the tail and returns the field that refers to them.
-    pub fn tail(&mut self, bytes: &[u8]) -> [u8; 8] {
+    pub fn push_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_be_bytes());
         field[4..].copy_from_slice(&(bytes.len() as u32).to_be_bytes());
@@ -129,7 +129,7 @@
     }
 
     /// Writes the complete frame to `out`, replacing its contents.
-    pub fn frame(&self, serial: u32, out: &mut Vec<u8>) {
+    pub fn write_frame(&self, serial: u32, out: &mut Vec<u8>) {
         out.clear();
         let len = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         for word in [serial, len as u32, self.count] {
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -43,16 +43,16 @@
             self.lists.insert(record.u8(1)?, list);
             return Ok(());
         }
-        let number = record.u32(1)?;
+        let instance_id = record.u32(1)?;
         if code == code::INSTANCE_STARTED {
-            let instance = start(batch, record)?;
-            self.instances.insert(number, instance);
+            let instance = start_instance(batch, record)?;
+            self.instances.insert(instance_id, instance);
             return Ok(());
         }
-        let unknown = Error::Unknown { what: "instance", number: u64::from(number) };
-        let instance = self.instances.get_mut(&number).ok_or(unknown)?;
+        let unknown = Error::Unknown { what: "instance", number: u64::from(instance_id) };
+        let instance = self.instances.get_mut(&instance_id).ok_or(unknown)?;
         if code == code::INSTANCE_STOPPED {
-            self.instances.remove(&number);
+            self.instances.remove(&instance_id);
             return Ok(());
         }
         let event = if code == code::LIST_EVENT {
@@ -63,13 +63,13 @@
         let Some(event) = event else { return Ok(()) };
         instance.policy.handle(batch.now_us, &event, &mut self.actions);
         for action in self.actions.drain(..) {
-            encode::action(&mut self.reply, number, &action);
+            encode::action(&mut self.reply, instance_id, &action);
         }
         Ok(())
     }
 }
 
-fn start(batch: &Batch, record: Record) -> Result<Instance, Error> {
+fn start_instance(batch: &Batch, record: Record) -> Result<Instance, Error> {
     let text = batch.tail(record.u32(13)?, record.u32(17)? as usize)?;
     let text = std::str::from_utf8(text).map_err(|_| Error::SettingsNotUtf8)?;
     let (settings, report_fields) = settings::parse(text).map_err(Error::Settings)?;
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -28,7 +28,7 @@
     let mut host = Host::default();
     let mut frame = Vec::new();
     while let Some(batch) = next_batch(input)? {
-        host.handle(&batch)?.frame(batch.serial, &mut frame);
+        host.handle(&batch)?.write_frame(batch.serial, &mut frame);
         output.write_all(&frame).and_then(|()| output.flush()).map_err(Error::Write)?;
     }
     Ok(())
--- a/src/live_weights.rs
+++ b/src/live_weights.rs
@@ -10,9 +10,9 @@
 /// Upper bound of a worker's number of cores.
 const MAX_CORES: f64 = 64.0;
 
-/// A kind of worker, of which all have the same idle weight.
+/// Estimates for a kind of worker, of which all have the same idle weight.
 #[derive(Clone, Copy)]
-struct Kind {
+struct KindEstimate {
     /// Weight of an idle worker: the largest observed.
     idle_weight: f64,
     /// Requests per core that one request adds: one over the number of cores. 0 until a busy worker has been
@@ -31,15 +31,15 @@
 
 /// Idle weights and numbers of cores of the kinds of worker, learned from observed weights.
 #[derive(Default)]
-pub struct LiveWeights(Table<KindId, Kind>);
+pub struct LiveWeights(Table<KindId, KindEstimate>);
 
 impl LiveWeights {
     /// Records a worker's live weight and returns what it says about the worker.
     pub fn record_weight(&mut self, kind: KindId, weight: f64) -> WeightReading {
-        self.0.grow_to(kind, || Kind { idle_weight: 0.0, load_per_request: 0.0 });
+        self.0.grow_to(kind, || KindEstimate { idle_weight: 0.0, load_per_request: 0.0 });
         let kind = &mut self.0[kind];
         if weight > kind.idle_weight * (1.0 + WEIGHT_NOISE_RATIO) {
-            *kind = Kind { idle_weight: weight, load_per_request: 0.0 };
+            *kind = KindEstimate { idle_weight: weight, load_per_request: 0.0 };
         }
         let requests_per_core = kind.idle_weight / weight - 1.0;
         if requests_per_core <= WEIGHT_NOISE_RATIO {
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -38,7 +38,7 @@
 /// Capacity that a load report shows.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedCapacity {
-    free: f64,
+    free_slots: f64,
     queued: f64,
     /// Whether the worker has capacity, judged by its queue if reported, else by its free slots.
     pub has_capacity: bool,
@@ -47,22 +47,22 @@
 impl ReportedCapacity {
     /// The capacity that a report shows; `None` if it lacks free slots.
     pub fn from_report(report: LoadReport) -> Option<ReportedCapacity> {
-        let free = report.free_slots?;
+        let free_slots = report.free_slots?;
         let queued = report.queued.unwrap_or(0.0).max(0.0);
-        let free = free.min(report.free_memory.unwrap_or(free));
-        let has_capacity = if report.queued.is_some() { queued < 0.5 } else { free >= 0.5 };
-        Some(ReportedCapacity { free, queued, has_capacity })
+        let free_slots = free_slots.min(report.free_memory.unwrap_or(free_slots));
+        let has_capacity = if report.queued.is_some() { queued < 0.5 } else { free_slots >= 0.5 };
+        Some(ReportedCapacity { free_slots, queued, has_capacity })
     }
 
     /// Whether slots are free beyond those needed by queued requests.
     pub fn has_free_slots(&self) -> bool {
-        self.free - self.queued >= MIN_FREE_SLOTS
+        self.free_slots - self.queued >= MIN_FREE_SLOTS
     }
 
     /// The load to store for the worker.
     pub fn to_reported_load(&self, report: LoadReport, in_flight_slots: f64, now: Micros) -> ReportedLoad {
         ReportedLoad {
-            free_slots: self.free.max(0.0) - self.queued,
+            free_slots: self.free_slots.max(0.0) - self.queued,
             received_at: now,
             report,
             in_flight_slots,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Aggregate statistics of all workers' reports.
+/// Reliability of all workers' reports, and the mean capacity that they show.
 pub struct ReportQuality {
     /// Ratio of reports that did not change although requests in flight did.
     stale_ratio: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -270,37 +270,37 @@
 }
 
 fn class(values: &KeyValues, i: u64) -> Result<ClassSettings, Error> {
-    let at = format!("Profiles.{i}");
+    let prefix = format!("Profiles.{i}");
     let kind = values.item("FamilyInfo.ClassKind", i as usize, ANY_KIND)?;
     let objective_per_work = match values.text("FamilyInfo.ClassStretch") {
-        "" => values.number(&format!("{at}.AimStretch"), 0.0)?,
+        "" => values.number(&format!("{prefix}.AimStretch"), 0.0)?,
         _ => values.item("FamilyInfo.ClassStretch", i as usize, 0.0)?,
     };
     Ok(ClassSettings {
-        objective_us: values.unsigned(&format!("{at}.AimUs"), 0)?,
+        objective_us: values.unsigned(&format!("{prefix}.AimUs"), 0)?,
         objective_per_work,
-        deadline_us: values.unsigned(&format!("{at}.DeadlineUs"), 0)?,
-        priority_weight: values.number(&format!("{at}.Worth"), 1.0)?,
-        late_weight: values.number(&format!("{at}.LateWorth"), 0.0)?,
-        idempotency: idempotency(values, &at)?,
-        deduplication_window_us: values.unsigned(&format!("{at}.RepeatWindowUs"), 0)?,
+        deadline_us: values.unsigned(&format!("{prefix}.DeadlineUs"), 0)?,
+        priority_weight: values.number(&format!("{prefix}.Worth"), 1.0)?,
+        late_weight: values.number(&format!("{prefix}.LateWorth"), 0.0)?,
+        idempotency: idempotency(values, &prefix)?,
+        deduplication_window_us: values.unsigned(&format!("{prefix}.RepeatWindowUs"), 0)?,
         required_kind: if kind < 0.0 { None } else { Some(kind as u8) },
     })
 }
 
-fn idempotency(values: &KeyValues, at: &str) -> Result<Idempotency, Error> {
+fn idempotency(values: &KeyValues, prefix: &str) -> Result<Idempotency, Error> {
     let unknown = |path: String, value: &str| Error::UnknownValue { path, value: value.to_string() };
-    let scope = match values.text(&format!("{at}.Group")) {
+    let scope = match values.text(&format!("{prefix}.Group")) {
         "zone" => KeyScope::Zone,
         "cell" => KeyScope::Cell,
         "all" | "" => KeyScope::Fleet,
-        value => return Err(unknown(format!("{at}.Group"), value)),
+        value => return Err(unknown(format!("{prefix}.Group"), value)),
     };
-    match values.text(&format!("{at}.Semantics")) {
+    match values.text(&format!("{prefix}.Semantics")) {
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::WithKey(scope)),
         "unsafe" | "" => Ok(Idempotency::NotIdempotent),
-        value => Err(unknown(format!("{at}.Semantics"), value)),
+        value => Err(unknown(format!("{prefix}.Semantics"), value)),
     }
 }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -27,7 +27,7 @@
 /// Lower bound of the mean work of a request.
 const MIN_MEAN_WORK_S: f64 = 0.001;
 /// Fraction of the allowed requests that is used at a capacity of zero, and the additional fraction that is
-/// used at full capacity: the sums of many requests vary less.
+/// used at full capacity, where the sum of many requests varies less.
 const COLD_BUDGET_RATIO: f64 = 0.45;
 const WARM_UP_BUDGET_RATIO: f64 = 0.25;
 /// Maximum size of a request, as a fraction of the work that makes the worker fail within the overload
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -37,10 +37,10 @@
 #[test]
 fn reply_has_header_records_and_tail() {
     let mut reply = Reply::default();
-    let at = reply.tail(b"two servers known");
-    reply.push(8, 5, &[&at]);
+    let at = reply.push_tail(b"two servers known");
+    reply.push_action(8, 5, &[&at]);
     let mut out = Vec::new();
-    reply.frame(12, &mut out);
+    reply.write_frame(12, &mut out);
     assert_eq!(out.len(), 12 + 24 + 17);
     assert_eq!(&out[..12], &[0, 0, 0, 12, 0, 0, 0, 53, 0, 0, 0, 1]);
     assert_eq!(&out[12..25], &[8, 0, 0, 0, 5, 0, 0, 0, 0, 0, 0, 0, 17]);
