--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -1,4 +1,4 @@
-//! Events, outcomes, load reports and endpoints from their records.
+//! Decoding of events, outcomes, load reports and endpoints from the simulator's records.
 
 use super::error::Error;
 use super::frame::{Batch, Record};
@@ -7,7 +7,7 @@
 };
 use dispatch_policy::settings::ReportField;
 
-/// Codes of records.
+/// Record codes.
 pub mod code {
     pub const TIMER: u8 = 0;
     pub const ATTEMPT_ENDED: u8 = 1;
@@ -23,27 +23,27 @@
     pub const CLIENT_DISCONNECTED: u8 = 11;
 }
 
-/// Kinds of notes on an attempt.
+/// Kinds of notes about an attempt.
 const NOTE_STARTED: u8 = 1;
 const NOTE_PROGRESS: u8 = 2;
-/// Status of what succeeded.
+/// Status code of a success.
 const STATUS_OK: u16 = 100;
-/// Flags of a request.
+/// Request flags.
 const HAS_HINT: u16 = 1;
 const IS_RETRY: u16 = 2;
-/// Values of a load report, at most.
-const REPORT_VALUES: usize = 4;
+/// Maximum number of values in a load report.
+const MAX_REPORT_VALUES: usize = 4;
 
-/// The event of a record that concerns no endpoint list; none for a note that is not used.
-pub fn event(batch: &Batch, record: Record, fields: &[ReportField]) -> Result<Option<Event>, Error> {
+/// Decodes a record's event, except for events about endpoint lists; `None` for notes that are not used.
+pub fn event(batch: &Batch, record: Record, report_fields: &[ReportField]) -> Result<Option<Event>, Error> {
     Ok(Some(match record.u8(0)? {
         code::TIMER => Event::TimerExpired,
-        code::ATTEMPT_ENDED => Event::AttemptEnded(attempt_end(record, fields)?),
+        code::ATTEMPT_ENDED => Event::AttemptEnded(attempt_end(record, report_fields)?),
         code::REQUEST => Event::RequestReceived(request(record)?),
         code::PROBE_ENDED => Event::ProbeEnded {
             worker: WorkerId(record.worker(5)?),
             responded: record.u16(11)? == STATUS_OK,
-            report: report(record, 17, fields)?,
+            report: report(record, 17, report_fields)?,
         },
         code::PEER_MESSAGE => Event::PeerMessage {
             from: record.u32(5)?,
@@ -71,14 +71,14 @@
     })
 }
 
-fn attempt_end(record: Record, fields: &[ReportField]) -> Result<AttemptEnd, Error> {
+fn attempt_end(record: Record, report_fields: &[ReportField]) -> Result<AttemptEnd, Error> {
     Ok(AttemptEnd {
         id: request_id(record)?,
         attempt: u32::from(record.u16(9)?),
         outcome: outcome(record.u16(17)?)?,
         request_done: record.u8(23)? != 0,
-        not_attributable: false, // the wire does not say
-        report: report(record, 28, fields)?,
+        not_attributable: false, // not part of the protocol
+        report: report(record, 28, report_fields)?,
     })
 }
 
@@ -112,16 +112,16 @@
     })
 }
 
-fn report(record: Record, at: usize, fields: &[ReportField]) -> Result<Option<LoadReport>, Error> {
-    let values = usize::from(record.u8(at)?);
+fn report(record: Record, offset: usize, report_fields: &[ReportField]) -> Result<Option<LoadReport>, Error> {
+    let values = usize::from(record.u8(offset)?);
     let mut report = LoadReport::default();
-    for (i, field) in fields.iter().enumerate().take(values.min(REPORT_VALUES)) {
-        field.set(&mut report, f64::from(record.f32(at + 1 + 4 * i)?));
+    for (i, field) in report_fields.iter().enumerate().take(values.min(MAX_REPORT_VALUES)) {
+        field.set(&mut report, f64::from(record.f32(offset + 1 + 4 * i)?));
     }
     Ok((values > 0).then_some(report))
 }
 
-/// An entry of an endpoint list.
+/// Decodes an entry of an endpoint list.
 pub fn endpoint(record: Record) -> Result<Endpoint, Error> {
     Ok(Endpoint {
         kind: record.u8(0)?,
