--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -281,7 +281,7 @@
             _ => Outcome::Error,
         };
         AttemptEnd {
-            report: fields::load_header(&head.headers, &self.names.borrow()),
+            report: fields::parse_load_header(&head.headers, &self.names.borrow()),
             unread: Some(UnreadAnswer { body, limit: REJECTION_BODY_MAX }),
             ..AttemptEnd::without_answer(outcome)
         }
--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -29,15 +29,15 @@
 
 /// Rank of a connection without a request at work, and since when it has been idle.
 pub fn eviction_order(idle: &IdleState, now: Instant) -> (EvictionRank, Instant) {
-    let rank = match (idle.has_begun, idle.is_answered) {
+    let rank = match (idle.has_partial_message, idle.was_answered) {
         (true, _) => EvictionRank::Writing,
         (false, true) => EvictionRank::BetweenRequests,
-        (false, false) if now.saturating_duration_since(idle.since) >= SILENCE_ALLOWED => {
+        (false, false) if now.saturating_duration_since(idle.last_activity) >= SILENCE_ALLOWED => {
             EvictionRank::Silent
         }
         (false, false) => EvictionRank::New,
     };
-    (rank, idle.since)
+    (rank, idle.last_activity)
 }
 
 /// A connection without a request at work.
@@ -144,7 +144,7 @@
     }
 
     /// Number of connections with a request at work.
-    pub fn at_work(&self) -> usize {
+    pub fn busy(&self) -> usize {
         self.taken().saturating_sub(self.connections().idle.len())
     }
 
@@ -190,7 +190,7 @@
     /// Returns once the connection is evicted, and says whether it has ever had an answer.
     pub async fn evicted(&self) -> bool {
         self.evicted.notified().await;
-        self.monitor.idle_state().is_answered
+        self.monitor.idle_state().was_answered
     }
 }
 
--- a/node/src/platform/fields.rs
+++ b/node/src/platform/fields.rs
@@ -16,7 +16,7 @@
 const DEADLINE_MAX_S: f64 = 86_400.0;
 
 /// The first part of a path, which names the class; what a path cannot hold comes in it percent-encoded.
-pub fn class_in(path: &str) -> Cow<'_, str> {
+pub fn class_in_path(path: &str) -> Cow<'_, str> {
     let part = path.trim_start_matches('/').split('/').next().unwrap_or("");
     percent_decode_str(part).decode_utf8().unwrap_or(Cow::Borrowed(part))
 }
@@ -64,7 +64,7 @@
     }
 
     fn class(&self, path: &str, names: &Names) -> Result<usize, FieldError> {
-        let class = names.class(&class_in(path)).ok_or(FieldError::UnknownClass)?;
+        let class = names.class(&class_in_path(path)).ok_or(FieldError::UnknownClass)?;
         let stated = self.text("x-class");
         if !stated.is_empty() && stated != names.classes[class] {
             return Err(FieldError::ClassMismatch);
@@ -206,13 +206,13 @@
 }
 
 /// The load report of an answer's `X-Load` header.
-pub fn load_header(headers: &HeaderMap, names: &Names) -> Option<LoadReport> {
+pub fn parse_load_header(headers: &HeaderMap, names: &Names) -> Option<LoadReport> {
     Some(pairs(headers.get("x-load")?.to_str().ok()?, names))
 }
 
 /// The load report in a probe's answer: an object as in a worker's lines, or pairs as in the header. `None` where it holds
 /// nothing that the settings name.
-pub fn load_body(body: &[u8], names: &Names) -> Option<LoadReport> {
+pub fn parse_load_body(body: &[u8], names: &Names) -> Option<LoadReport> {
     let load = match serde_json::from_slice::<serde_json::Value>(body) {
         Ok(object) => {
             let load = object.get("load").unwrap_or(&object);
--- a/node/src/platform/framing.rs
+++ b/node/src/platform/framing.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
     /// By its length; 0 where none is stated.
-    Length,
+    ContentLength,
     /// By chunks. What follows is not followed: the connection must close after the answer.
-    Chunks,
+    Chunked,
     /// By both, so that two readers may not agree where it ends.
-    Both,
+    Conflicting,
 }
 
 /// Framing fields of the head that is coming in.
@@ -38,9 +38,9 @@
 
     fn framing(&self) -> Framing {
         match (self.has_transfer_encoding, self.content_length) {
-            (true, Some(_)) => Framing::Both,
-            (true, None) => Framing::Chunks,
-            (false, _) => Framing::Length,
+            (true, Some(_)) => Framing::Conflicting,
+            (true, None) => Framing::Chunked,
+            (false, _) => Framing::ContentLength,
         }
     }
 }
@@ -108,25 +108,25 @@
         self.heads += 1;
         let fields = std::mem::take(&mut self.fields);
         match fields.framing() {
-            Framing::Length => self.body_left = fields.content_length.unwrap_or(0),
+            Framing::ContentLength => self.body_left = fields.content_length.unwrap_or(0),
             framing => self.last = Some(LastHead { number: self.heads, framing }),
         }
     }
 
     /// Number of complete heads.
-    pub fn heads(&self) -> u64 {
+    pub fn head_count(&self) -> u64 {
         self.heads
     }
 
     /// Whether a head has come after which nothing is followed.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_tracking_finished(&self) -> bool {
         self.last.is_some()
     }
 
     /// How the request of this number, from 1 on, is framed.
     pub fn framing(&self, request: u64) -> Framing {
         let last = self.last.as_ref().filter(|last| last.number == request);
-        last.map_or(Framing::Length, |last| last.framing)
+        last.map_or(Framing::ContentLength, |last| last.framing)
     }
 
     /// Whether a head is coming in, or is yet to.
--- a/node/src/platform/in_flight_ids.rs
+++ b/node/src/platform/in_flight_ids.rs
@@ -10,7 +10,7 @@
 
 impl InFlightIds {
     /// Adds an id; `None` where it is in flight already.
-    pub fn open(&self, value: HeaderValue) -> Option<Arc<InFlightId>> {
+    pub fn insert(&self, value: HeaderValue) -> Option<Arc<InFlightId>> {
         let is_new = self.ids().insert(value.clone());
         is_new.then(|| Arc::new(InFlightId { value, ids: self.clone() }))
     }
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -111,7 +111,7 @@
             tenant: names.tenants.get(job.fields.tenant).cloned().unwrap_or_default(),
             target: job.target.to_string(),
             id: text(&job.id.value)?,
-            key: match &job.key {
+            key: match &job.idempotency_key {
                 Some(key) => Some(text(key)?),
                 None => None,
             },
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -71,7 +71,7 @@
 pub struct Job {
     id: Arc<InFlightId>,
     /// Its idempotency key.
-    key: Option<HeaderValue>,
+    idempotency_key: Option<HeaderValue>,
     target: PathAndQuery,
     body: Bytes,
     /// What the dispatcher's decisions need of it.
@@ -100,7 +100,7 @@
     /// Unix socket at which the next process takes over, if it may.
     pub handover_path: Option<PathBuf>,
     /// Cluster membership, where it is configured.
-    pub fleet: Option<membership::Handle>,
+    pub membership: Option<membership::Handle>,
     /// Sharing of endpoint lists among the nodes of a zone, where it is configured.
     pub list_sharing: Option<ListSharing>,
 }
--- a/node/src/platform/monitored_stream.rs
+++ b/node/src/platform/monitored_stream.rs
@@ -17,7 +17,7 @@
 struct State {
     boundaries: MessageBoundaries,
     /// Whether a message has had its answer.
-    is_answered: bool,
+    was_answered: bool,
     /// Time of the last byte that came, or the last answer, or the start.
     last_activity: Instant,
     /// When the message that is coming in has to be complete.
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct IdleState {
     /// Whether part of a message has come.
-    pub has_begun: bool,
+    pub has_partial_message: bool,
     /// Whether an earlier message had its answer.
-    pub is_answered: bool,
+    pub was_answered: bool,
     /// When the last byte came, or the last answer went out, or when it connected.
-    pub since: Instant,
+    pub last_activity: Instant,
 }
 
 /// View of a connection's messages that its service and its stream share.
@@ -45,7 +45,7 @@
     fn new(deadline: Instant) -> MessageMonitor {
         MessageMonitor(Arc::new(Mutex::new(State {
             boundaries: MessageBoundaries::default(),
-            is_answered: false,
+            was_answered: false,
             last_activity: Instant::now(),
             deadline: Some(deadline),
             is_serving: false,
@@ -75,9 +75,9 @@
     pub fn idle_state(&self) -> IdleState {
         let state = self.state();
         IdleState {
-            has_begun: !state.boundaries.is_between_messages(),
-            is_answered: state.is_answered,
-            since: state.last_activity,
+            has_partial_message: !state.boundaries.is_between_messages(),
+            was_answered: state.was_answered,
+            last_activity: state.last_activity,
         }
     }
 
@@ -91,10 +91,10 @@
     /// The message has its answer. The next one's time runs from its own first byte, which may have come by now.
     pub fn response_sent(&self) {
         let mut state = self.state();
-        let has_begun = !state.boundaries.is_between_messages();
-        state.is_answered = true;
+        let has_partial_message = !state.boundaries.is_between_messages();
+        state.was_answered = true;
         state.last_activity = Instant::now();
-        state.deadline = has_begun.then(|| Instant::now() + MESSAGE_TIMEOUT);
+        state.deadline = has_partial_message.then(|| Instant::now() + MESSAGE_TIMEOUT);
         state.is_serving = false;
     }
 
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -56,7 +56,7 @@
     if head.status != StatusCode::OK {
         return Err(ProbeError::Status(head.status));
     }
-    match fields::load_body(&body, &runner.names.borrow()) {
+    match fields::parse_load_body(&body, &runner.names.borrow()) {
         None if !body.is_empty() => Err(ProbeError::NotAReport),
         load => Ok(load),
     }
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -133,7 +133,7 @@
         let idle = self.pool.idle();
         ResourceUsage {
             client_connections: self.client_slots.taken(),
-            busy_clients: self.client_slots.at_work(),
+            busy_clients: self.client_slots.busy(),
             attempt_connections: self.pool.taken().saturating_sub(idle),
             idle_connections: idle,
             wire_ids: self.in_flight_ids.len(),
@@ -142,7 +142,7 @@
     }
 
     /// The other process now holds no more than this: what it released is allocated here. Nothing is taken away again.
-    pub fn update_peer_usage(&self, other: HeldResources) {
+    pub fn update_other_process_usage(&self, other: HeldResources) {
         let mut allocation = self.lock_allocation();
         let newer = Allocation::new(self.limits, other);
         self.client_slots.grant(newer.clients.saturating_sub(allocation.clients));
@@ -162,7 +162,7 @@
         let clients = self.client_slots.taken();
         let refused = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may yet have an attempt out.
-        let workers = self.client_slots.at_work().max(self.pool.taken());
+        let workers = self.client_slots.busy().max(self.pool.taken());
         let descriptors = FIXED_DESCRIPTORS + clients + refused + workers;
         HeldResources { descriptors, bodies_kib: self.bodies_held_kib() }
     }
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -38,14 +38,14 @@
     ) -> Response {
         let framing = connection.monitor.framing(connection.next_request());
         let result = match framing {
-            Framing::Both => Err(InvalidRequest::BothFramings.into()),
-            Framing::Length | Framing::Chunks => self.process(request, connection).await,
+            Framing::Conflicting => Err(InvalidRequest::ConflictingFraming.into()),
+            Framing::ContentLength | Framing::Chunked => self.process(request, connection).await,
         };
         let is_invalid = matches!(result, Err(RequestError::Invalid(_)));
         let mut response = result.unwrap_or_else(|error| self.reject(error));
         // Who asks wrongly once must not hold a descriptor, or ask at once again; what follows a chunked body is not
         // followed on the socket; and a node that drains keeps no client.
-        if is_invalid || framing != Framing::Length || self.phase.borrow().closes_connections() {
+        if is_invalid || framing != Framing::ContentLength || self.phase.borrow().closes_connections() {
             response::close_connection(&mut response);
         }
         connection.monitor.response_sent();
@@ -113,7 +113,7 @@
         let CompleteRequest { head, body, names, mut fields, adopted, body_memory } = request;
         let target = head.uri.into_parts().path_and_query.ok_or(InvalidRequest::UnknownPath)?;
         let id = head.headers.get("x-request-id").ok_or(InvalidRequest::MissingId)?.clone();
-        let id = self.budget.in_flight_ids.open(id).ok_or(InvalidRequest::IdInFlight)?;
+        let id = self.budget.in_flight_ids.insert(id).ok_or(InvalidRequest::IdInFlight)?;
         if adopted.is_none() {
             fields.time_left_us = self.time_left_us(fields.time_left_us, connection, &names);
             if fields.time_left_us == 0 {
@@ -124,7 +124,7 @@
         let sent = adopted.as_ref().map(|adopted| adopted.sent);
         let job = Job {
             id: id.clone(),
-            key: head.headers.get("idempotency-key").cloned(),
+            idempotency_key: head.headers.get("idempotency-key").cloned(),
             target,
             body,
             fields,
@@ -178,7 +178,7 @@
         let stated = head.headers.get("x-class").map_or(b"".as_slice(), |v| v.as_bytes());
         // A class in the header that is not offered is reported as such, whatever the path.
         let is_stated_unknown = std::str::from_utf8(stated).map_or(true, |c| !c.is_empty() && !is_class(c));
-        if !is_class(&fields::class_in(head.uri.path())) && !is_stated_unknown {
+        if !is_class(&fields::class_in_path(head.uri.path())) && !is_stated_unknown {
             return Err(InvalidRequest::UnknownPath);
         }
         if head.method != Method::POST {
--- a/node/src/platform/server/response.rs
+++ b/node/src/platform/server/response.rs
@@ -31,7 +31,7 @@
 pub enum InvalidRequest {
     /// A request may be hidden in the body of another: two readers need not agree on its end.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
-    BothFramings,
+    ConflictingFraming,
     /// The path names no class.
     #[error("there is no such path")]
     UnknownPath,
@@ -67,7 +67,7 @@
             InvalidRequest::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             InvalidRequest::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             InvalidRequest::IdInFlight => StatusCode::CONFLICT,
-            InvalidRequest::BothFramings
+            InvalidRequest::ConflictingFraming
             | InvalidRequest::MalformedBody
             | InvalidRequest::MissingId
             | InvalidRequest::Field(_) => StatusCode::BAD_REQUEST,
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -199,7 +199,7 @@
     }
 
     /// The socket, for another process.
-    pub fn descriptor(&self) -> &TcpStream {
+    pub fn tcp_stream(&self) -> &TcpStream {
         &self.0.stream
     }
 }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -99,7 +99,7 @@
             phases: dependencies.phases,
             discovery: dependencies.discovery,
             handover_path: dependencies.handover_path,
-            membership: dependencies.fleet,
+            membership: dependencies.membership,
             list_sharing: dependencies.list_sharing,
         };
         (startup, displaced)
@@ -226,14 +226,14 @@
     pub fn adopt_jobs(self, server: Arc<Server>) {
         // Its ids in flight stay reserved here until their jobs come over, or it ends.
         let reserved = self.ids.into_iter().filter_map(|id| {
-            let reserved = server.budget.in_flight_ids.open(HeaderValue::from_str(&id).ok()?)?;
+            let reserved = server.budget.in_flight_ids.insert(HeaderValue::from_str(&id).ok()?)?;
             Some((id, reserved))
         });
         let mut reserved: HashMap<String, Arc<InFlightId>> = reserved.collect();
         tokio::spawn(async move {
             self.link
                 .run(
-                    |held| server.budget.update_peer_usage(held),
+                    |held| server.budget.update_other_process_usage(held),
                     |text, sockets| server.adopt(text, sockets, &mut reserved),
                 )
                 .await;
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -43,7 +43,7 @@
             worker,
             deadline: until,
             id: job.id.clone(),
-            key: job.key.clone(),
+            key: job.idempotency_key.clone(),
             target: job.target.clone(),
             body: job.body.clone(),
             line: line.clone(),
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -125,7 +125,7 @@
     let mut jobs = holder.freeze_jobs().await.into_iter();
     let (mut moved, mut result) = (0, Ok(()));
     for job in jobs.by_ref() {
-        let sockets = [job.sockets[0].descriptor().as_fd(), job.sockets[1].descriptor().as_fd()];
+        let sockets = [job.sockets[0].tcp_stream().as_fd(), job.sockets[1].tcp_stream().as_fd()];
         let Some(text) = (job.record)() else {
             (job.finish)(false);
             continue;
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -278,7 +278,7 @@
             ready,
             predecessor,
             handover_path,
-            fleet: self.membership.clone(),
+            membership: self.membership.clone(),
             list_sharing,
         };
         Ok(platform::serve(config, listener, dependencies).await?)
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -458,7 +458,7 @@
             ready,
             predecessor: before,
             handover_path: place,
-            fleet: None,
+            membership: None,
             list_sharing: None,
         };
         let served = platform::serve(config, listener, dependencies);
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -27,7 +27,11 @@
 async fn connections_that_ask_for_nothing_are_evicted_before_those_that_write() {
     let now = Instant::now() + Duration::from_secs(9);
     let ago = |ms| now - Duration::from_millis(ms);
-    let idle = |has_begun, is_answered, ms| IdleState { has_begun, is_answered, since: ago(ms) };
+    let idle = |has_partial_message, was_answered, ms| IdleState {
+        has_partial_message,
+        was_answered,
+        last_activity: ago(ms),
+    };
     let in_order = [
         idle(false, false, 2000),
         idle(false, false, 300),
@@ -82,11 +86,11 @@
         assert_eq!(old.held_resources().descriptors, held.descriptors - 2, "its client and its attempt");
         drop((clients, bodies));
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
-        new.update_peer_usage(old.held_resources());
+        new.update_other_process_usage(old.held_resources());
         let less = new.allocation();
         assert!(less.clients > given.clients && less.clients < all.clients, "it is still there");
-        new.update_peer_usage(held); // nothing is taken away again
-        new.update_peer_usage(HeldResources::default());
+        new.update_other_process_usage(held); // nothing is taken away again
+        new.update_other_process_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
         assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
         let _all = busy(&new.client_slots, all.clients).await;
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -61,14 +61,14 @@
 fn message(kind: u8, length: u8) -> (String, Framing) {
     let (length, body) = (usize::from(length), "\r\n\r".repeat(100)[..usize::from(length)].to_string());
     let (fields, framing) = match kind % 8 {
-        0 => ("Transfer-Encoding: chunked\r\n".to_string(), Framing::Chunks),
-        1 => (format!("content-length: {length}\r\ntransfer-encoding:chunked\r\n"), Framing::Both),
-        2 => (format!("TRANSFER-ENCODING: chunked\nContent-Length:{length}\n"), Framing::Both),
+        0 => ("Transfer-Encoding: chunked\r\n".to_string(), Framing::Chunked),
+        1 => (format!("content-length: {length}\r\ntransfer-encoding:chunked\r\n"), Framing::Conflicting),
+        2 => (format!("TRANSFER-ENCODING: chunked\nContent-Length:{length}\n"), Framing::Conflicting),
         3 => {
             let long = "x".repeat(200);
-            return (format!("GET /up HTTP/1.1\r\nX-Long: {long}\r\n\r\n"), Framing::Length);
+            return (format!("GET /up HTTP/1.1\r\nX-Long: {long}\r\n\r\n"), Framing::ContentLength);
         }
-        _ => (format!("Host: x\r\nContent-Length:  {length} \r\n"), Framing::Length),
+        _ => (format!("Host: x\r\nContent-Length:  {length} \r\n"), Framing::ContentLength),
     };
     (format!("POST /transfer-encoding: HTTP/1.1\r\n{fields}\r\n{body}"), framing)
 }
@@ -82,15 +82,15 @@
             let (text, framing) = message(kind, length);
             bytes.extend_from_slice(text.as_bytes());
             want.push(framing);
-            if framing != Framing::Length {
+            if framing != Framing::ContentLength {
                 break;
             }
         }
         let mut seen = MessageBoundaries::default();
         in_parts(&bytes, &cuts, |part, _| seen.read(part));
         let is_framed = want.iter().enumerate().all(|(i, f)| seen.framing(i as u64 + 1) == *f);
-        let is_at_end = seen.has_ended() || seen.is_between_messages();
-        is_framed && seen.heads() == want.len() as u64 && is_at_end
+        let is_at_end = seen.is_tracking_finished() || seen.is_between_messages();
+        is_framed && seen.head_count() == want.len() as u64 && is_at_end
     }
     checker(30, 11).quickcheck(property as fn(Vec<(u8, u8)>, Vec<u8>) -> bool);
 }
