--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -181,7 +181,7 @@
     }
 
     /// Has the next connection evicted in place of this one.
-    pub fn pass_on_eviction(&self) {
+    pub fn evict_next(&self) {
         if let Some(evicted) = self.slots.take_next_evicted() {
             evicted.notify_one();
         }
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! Frontend of the platform's protocol: clients on one side, workers and discovery on the other.
+//! Frontend for the platform's HTTP protocol: serves clients, and connects to workers and discovery.
 //!
-//! It carries out what the dispatcher decides, and decides nothing itself. [`serve`] starts all of its parts.
+//! It executes the dispatcher's decisions and makes none itself. [`serve`] starts all of its parts.
 
 mod attempt;
 pub mod connection_slots;
@@ -48,42 +48,41 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinError;
 
-/// Failure that ends the frontend.
+/// Error that ends the frontend.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The socket for datagrams of other nodes could not be bound.
+    /// The socket for datagrams from other nodes could not be bound.
     #[error("cannot listen on {address} (peers): {source}")]
     BindPeerSocket {
         /// The configured address.
         address: SocketAddr,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The decision module does not accept the settings.
+    /// The decision module rejected the settings.
     #[error("settings: {0}")]
     Settings(#[source] InvalidSettings),
-    /// The dispatcher's task has ended: without it the node could stay up and decide nothing.
-    #[error("the core has ended: {0:?}")]
+    /// The dispatcher's task has ended. Without this error the node would stay up but serve no request.
+    #[error("the dispatcher has ended: {0:?}")]
     DispatcherEnded(Result<(), JoinError>),
 }
 
-/// A request as it is forwarded to workers, and the way back to its client.
+/// A request as it is forwarded to workers, and the channel for its answer.
 pub struct Job {
     id: Arc<InFlightId>,
-    /// Its idempotency key.
     idempotency_key: Option<HeaderValue>,
     target: PathAndQuery,
     body: Bytes,
-    /// What the dispatcher's decisions need of it.
+    /// Fields that the decision module needs.
     fields: Request,
-    /// Its client's connection.
+    /// Connection of its client.
     client: Option<job_handover::ClientConnection>,
-    /// An attempt that another process started, until it is continued here.
+    /// Attempt that the predecessor started, until this process continues it.
     adopted: Mutex<Option<TransferredAttempt>>,
     reply: oneshot::Sender<Answer>,
 }
 
-/// What the frontend needs of its process.
+/// What the process provides to the frontend.
 pub struct Dependencies {
     /// Counters of this frontend.
     pub counters: Arc<Counters>,
@@ -93,23 +92,23 @@
     pub discovery: watch::Receiver<Option<SocketAddr>>,
     /// Settings in force.
     pub effective_settings: watch::Receiver<EffectiveSettings>,
-    /// Set once the frontend can serve.
+    /// Set to true once the frontend can serve.
     pub ready: watch::Sender<bool>,
-    /// The process that this one takes over from; its listener comes separately.
+    /// Process that this one takes over from, if any. Its listener is passed to [`serve`].
     pub predecessor: Option<Predecessor>,
-    /// Unix socket at which the next process takes over, if it may.
+    /// Unix socket on which a successor can take over; `None` disables process handover.
     pub handover_path: Option<PathBuf>,
-    /// Cluster membership, where it is configured.
+    /// Membership of the fleet, if configured.
     pub membership: Option<membership::Handle>,
-    /// Sharing of endpoint lists among the nodes of a zone, where it is configured.
+    /// Sharing of endpoint lists among the nodes of a zone, if configured.
     pub list_sharing: Option<ListSharing>,
 }
 
-/// Serves clients until the node is told to stop, or another process has taken over, and all accepted requests are
+/// Serves clients until the node is told to stop or a successor has taken over, and all accepted requests are
 /// answered.
 ///
-/// # Errors
-/// [`Error`]: the settings are refused, the socket for other nodes cannot be bound, or the dispatcher has ended.
+/// # Errors [`Error`]: the settings are rejected, the socket for other nodes cannot be bound, or the
+/// dispatcher has ended.
 pub async fn serve(config: Config, listener: TcpListener, dependencies: Dependencies) -> Result<(), Error> {
     let ready = dependencies.ready.clone();
     let listener = Arc::new(listener);
@@ -123,12 +122,12 @@
     startup.offer_handover(&listener);
     let server = startup.into_server();
     if let Some(predecessor) = predecessor {
-        predecessor.adopt_jobs(server.clone());
+        predecessor.adopt_requests(server.clone());
     }
     ready.send_replace(true);
     tokio::select! {
         () = server.run(listener) => Ok(()),
-        // The node ends with its dispatcher and is started anew.
+        // The node exits with its dispatcher, so that its supervisor restarts it.
         ended = dispatcher => Err(Error::DispatcherEnded(ended)),
     }
 }
--- a/node/src/platform/server/connection.rs
+++ b/node/src/platform/server/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection, from its first request to its close.
+//! Client connection: serves its requests and decides when to close it.
 
 use super::super::connection_slots::Slot;
 use super::super::job_handover::{self, TransferredAttempt};
@@ -20,40 +20,41 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Bytes of a client's head and answers that are buffered; bodies are read in pieces of this.
-const BUFFER_MAX: usize = 16 * 1024;
-/// Time that an evicted connection may take to bring its last answer out.
+/// Maximum size of a connection's buffers for request heads and answers, in bytes. Bodies are read in chunks
+/// of at most this size.
+const BUFFER_SIZE_MAX: usize = 16 * 1024;
+/// Time for which an evicted connection may continue to send its last answer.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What one connection's requests share.
+/// State that the requests of one connection share.
 pub struct ClientConnection {
-    /// Where its messages end.
+    /// Monitor of its message boundaries.
     pub monitor: MessageMonitor,
-    /// Its slot.
     pub slot: Slot,
-    /// Its socket, for who may move it.
+    /// Its socket and what else is needed to transfer it to a successor.
     pub client: job_handover::ClientConnection,
-    /// Requests so far.
-    requests: AtomicU64,
-    /// An attempt of another process, for the first request.
+    /// Number of requests so far.
+    request_count: AtomicU64,
+    /// Attempt of the predecessor that the first request continues.
     adopted: Mutex<Option<TransferredAttempt>>,
-    /// Time for which the first request may have waited to be accepted.
+    /// Upper bound of the time that the first request waited before the connection was accepted.
     accept_delay: Duration,
 }
 
-/// Why this process closes a connection.
+/// Reason for which this process closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// Another connection needs its slot, and it never had an answer.
+    /// A new connection needs its slot, and no request of it was ever answered.
     EvictedUnserved,
-    /// Another connection needs its slot.
+    /// A new connection needs its slot.
     Evicted,
-    /// The node wants no clients.
+    /// The phase of the process requires that client connections be closed.
     PhaseChanged,
 }
 
 impl ClientConnection {
-    /// The connection over this stream. Its first request may be as old as `accept_delay`.
+    /// Creates the state for a connection over this stream. Its first request may be as old as
+    /// `accept_delay`.
     pub fn new(
         stream: &MonitoredStream<Socket>,
         slot: Slot,
@@ -68,22 +69,22 @@
             moved: Arc::default(),
         };
         let adopted = Mutex::new(adopted);
-        ClientConnection { monitor, slot, client, requests: AtomicU64::new(0), adopted, accept_delay }
+        ClientConnection { monitor, slot, client, request_count: AtomicU64::new(0), adopted, accept_delay }
     }
 
     /// Counts a request; returns its number, from 1 on.
-    pub fn next_request(&self) -> u64 {
-        self.requests.fetch_add(1, Ordering::Relaxed) + 1
+    pub fn count_request(&self) -> u64 {
+        self.request_count.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Takes the attempt of another process that the first request continues.
-    pub fn take_adopted(&self) -> Option<TransferredAttempt> {
+    /// Takes the predecessor's attempt that the first request continues.
+    pub fn take_adopted_attempt(&self) -> Option<TransferredAttempt> {
         self.adopted.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
-    /// Time for which the newest request may have waited to be accepted.
+    /// Upper bound of the time that the newest request waited before its connection was accepted.
     pub fn accept_delay(&self) -> Duration {
-        let is_first = self.requests.load(Ordering::Relaxed) == 1;
+        let is_first = self.request_count.load(Ordering::Relaxed) == 1;
         if is_first {
             self.accept_delay
         } else {
@@ -91,85 +92,90 @@
         }
     }
 
-    /// Returns once the connection is evicted. One with a request that has just come and is yet to be read stays, for its
-    /// client would find the connection closed on it: the next one is evicted then.
+    /// Waits until the connection is evicted. If unread bytes of a request have just arrived, the next
+    /// connection is evicted instead: closing this one would fail that request.
     async fn evicted(&self) -> CloseReason {
         loop {
-            let is_served = self.slot.evicted().await;
+            let was_answered = self.slot.evicted().await;
             if !self.client.socket_handle.has_unread() {
-                return if is_served { CloseReason::Evicted } else { CloseReason::EvictedUnserved };
+                return if was_answered { CloseReason::Evicted } else { CloseReason::EvictedUnserved };
             }
-            self.slot.pass_on_eviction();
+            self.slot.evict_next();
         }
     }
 }
 
 impl Server {
-    /// Serves a connection to its end.
+    /// Serves a connection until it is closed.
     pub(super) async fn serve(&self, stream: MonitoredStream<Socket>, connection: ClientConnection) {
         let service = service_fn(|request| {
             let connection = &connection;
             async move { Ok::<_, Infallible>(self.respond(request, connection).await) }
         });
-        let exchange = http_builder().serve_connection(TokioIo::new(stream), service);
-        tokio::pin!(exchange);
+        let http_connection = http_builder().serve_connection(TokioIo::new(stream), service);
+        tokio::pin!(http_connection);
         let reason = tokio::select! {
             biased;
-            // Before the connection is looked at: it must not take a request in and then go.
+            // Checked before the connection is polled: it must not read a request and then be evicted.
             reason = connection.evicted() => reason,
-            ended = exchange.as_mut() => return log_end(ended),
+            ended = http_connection.as_mut() => return log_failure(ended),
             () = connection.client.over.notified() => {
-                return log::debug!(event = "client_connection_given_up"; "its client has left, or it has moved");
+                return log::debug!(event = "client_connection_given_up";
+                    "client left, or connection transferred to another process");
             }
-            () = self.must_close_idle(&connection) => CloseReason::PhaseChanged,
+            () = self.idle_close_required(&connection) => CloseReason::PhaseChanged,
         };
-        log::debug!(event = "client_connection_closing", reason:?, phase:? = *self.phase.borrow(); "closing");
+        log::debug!(event = "client_connection_closing", reason:?, phase:? = *self.phase.borrow();
+            "closing client connection");
         let limit = match reason {
             CloseReason::EvictedUnserved => return,
             CloseReason::Evicted => EVICTION_TIMEOUT,
             CloseReason::PhaseChanged => Duration::MAX,
         };
-        exchange.as_mut().graceful_shutdown();
+        http_connection.as_mut().graceful_shutdown();
         tokio::select! {
-            ended = timeout(limit, exchange) => ended.map_or((), log_end),
+            ended = timeout(limit, http_connection) => ended.map_or((), log_failure),
             () = connection.client.over.notified() => {}
         }
     }
 
-    /// Returns once the connection is to be closed between requests. One that is yet to bring its first request is
-    /// left to bring it, for its client would take a close for a failure; the answer closes it.
-    async fn must_close_idle(&self, connection: &ClientConnection) {
+    /// Waits until the connection has to be closed between requests. A connection without a request so far
+    /// stays open, because its client would treat the close as a failure; it is closed after its first
+    /// answer.
+    async fn idle_close_required(&self, connection: &ClientConnection) {
         let mut phase = self.phase.clone();
-        let has_no_request = || connection.requests.load(Ordering::Relaxed) == 0;
+        let has_no_request = || connection.request_count.load(Ordering::Relaxed) == 0;
         while phase.wait_for(|p| p.closes_connections()).await.is_ok() && has_no_request() {
-            let _ = phase.changed().await; // fails with the process's end only, as the wait above does
+            let _ = phase.changed().await; // fails only when the process ends, like the wait above
         }
     }
 
-    /// Refuses the request of a connection for which there is no slot.
+    /// Sheds the request of a connection that has no connection slot.
     pub(super) async fn reject_connection(&self, stream: MonitoredStream<Socket>) {
         let service =
-            service_fn(|request| async move { Ok::<_, Infallible>(self.shed_unread(request).await) });
-        let exchange = http_builder().keep_alive(false).serve_connection(TokioIo::new(stream), service);
-        log_end(exchange.await);
+            service_fn(|request| async move { Ok::<_, Infallible>(self.shed_after_reading(request).await) });
+        let http_connection =
+            http_builder().keep_alive(false).serve_connection(TokioIo::new(stream), service);
+        log_failure(http_connection.await);
     }
 
-    async fn shed_unread(&self, request: Request<Incoming>) -> Response {
-        // Read so that the close does not reset the answer on its way; what is wrong with it does not matter here.
+    async fn shed_after_reading(&self, request: Request<Incoming>) -> Response {
+        // The body is read so that closing the connection does not reset it before the client has read the
+        // answer. Errors in the body do not matter here.
         let _ = Limited::new(request.into_body(), BODY_MAX).collect().await;
-        self.reject(RequestError::Shed(ShedReason::OutOfDescriptors))
+        self.reject(RequestError::Shed(ShedReason::NoConnectionSlot))
     }
 }
 
-fn log_end(ended: hyper::Result<()>) {
-    if let Err(e) = ended {
+fn log_failure(result: hyper::Result<()>) {
+    if let Err(e) = result {
         log::debug!(event = "client_connection_failed", error:% = e; "client connection failed");
     }
 }
 
 fn http_builder() -> http1::Builder {
     let mut builder = http1::Builder::new();
-    // The monitored stream bounds the time of heads: the library's own limit would end idle connections too.
-    builder.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(BUFFER_MAX);
+    // The monitored stream limits the time for a head; hyper's own timeout would close idle connections, too.
+    builder.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(BUFFER_SIZE_MAX);
     builder
 }
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -1,4 +1,5 @@
-//! Server for clients: accepts connections until the node stops or hands over, and lets all that was accepted be answered.
+//! Server for clients: accepts connections until the node stops or hands over, and answers all accepted
+//! requests.
 
 mod connection;
 mod request;
@@ -26,54 +27,57 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Connections that the kernel holds for us: they count as taken, so there are many.
-const BACKLOG: u32 = 1024;
-/// Time for which a connection over the budget is held so that its client reads the refusal.
+/// Length of the kernel's accept queue. It is long because connections in it count as accepted and get an
+/// answer.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Time limit for sending a rejection over a connection beyond the descriptor budget.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which a process that has handed over stays at least, to serve again should the new one fail.
-const HANDOVER_LINGER: Duration = Duration::from_secs(5);
-/// Time for which a node that was told to stop waits beyond the last deadline, for answers to reach their clients.
-const LAST_ANSWER_WAIT: Duration = Duration::from_secs(1);
+/// Minimum time for which a process keeps running after handover, to resume serving if its successor fails.
+const HANDOVER_MIN_LIFETIME: Duration = Duration::from_secs(5);
+/// Time after the last deadline for which a stopping node waits until answers have reached their clients.
+const FINAL_ANSWER_GRACE: Duration = Duration::from_secs(1);
 
-/// Listens on this address. With `beside`, also where a process of the node listens that hangs.
+/// Listens on this address. With `share_address`, also where an unresponsive process of this node still
+/// listens.
 ///
 /// # Errors
-/// The system's; without `beside`, also if the address is in use.
-pub fn listen(address: SocketAddr, beside: bool) -> io::Result<TcpListener> {
+/// The operating system's; without `share_address`, also if the address is in use.
+pub fn listen(address: SocketAddr, share_address: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    if beside {
+    if share_address {
         socket.set_reuseport(true)?;
         socket.bind(address)?;
     } else {
-        // A second node that is started on this one's address by mistake must not get part of its clients: the address may
-        // be shared only once it is this process's.
+        // `SO_REUSEPORT` is set only after binding: otherwise a second node that is started on this address
+        // by mistake would get part of the clients.
         socket.bind(address)?;
         if let Err(e) = socket.set_reuseport(true) {
             log::debug!(event = "address_not_shared", error:% = e; "the address cannot be shared");
         }
     }
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Server of one node.
 pub struct Server {
-    /// The dispatcher.
+    /// Handle to the dispatcher.
     pub handle: Handle<Job>,
-    /// Names on the wire.
+    /// Names and settings of the wire protocol.
     pub names: watch::Receiver<Arc<Names>>,
     /// Counters of this frontend.
     pub counters: Arc<Counters>,
-    /// Resources for connections and requests.
+    /// Budget for connections and requests.
     pub budget: Arc<ResourceBudget>,
     /// Life cycle of the process.
     pub phases: Phases,
-    /// Its current phase.
+    /// Current phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
 
 impl Server {
-    /// Accepts and serves; ends once the node is told to stop, or has handed over, and all that was accepted is answered.
+    /// Accepts and serves connections until the node is told to stop or has handed over, and all accepted
+    /// requests are answered.
     pub async fn run(self: Arc<Self>, listener: Arc<TcpListener>) {
         let (mut phase, mut owns_listener) = (self.phase.clone(), true);
         let mut acceptor = Acceptor::default();
@@ -88,9 +92,11 @@
                 }
                 break;
             } else {
-                // The listener is another process's, and this one's again should that one end soon.
+                // The successor owns the listener. If it ends soon, the phase changes and this process
+                // accepts again.
                 owns_listener = false;
-                let finished = async { tokio::join!(sleep(HANDOVER_LINGER), self.budget.clients_closed()) };
+                let finished =
+                    async { tokio::join!(sleep(HANDOVER_MIN_LIFETIME), self.budget.clients_closed()) };
                 tokio::select! {
                     _ = phase.changed() => {}
                     _ = finished => return,
@@ -98,10 +104,10 @@
             }
         }
         drop(listener);
-        self.wait_for_last_answers().await;
+        self.wait_for_final_answers().await;
     }
 
-    /// Accepts one connection, unless the phase changes to one that accepts none.
+    /// Accepts one connection, or returns when the phase no longer accepts connections.
     async fn accept_next(
         self: &Arc<Self>,
         acceptor: &mut Acceptor,
@@ -119,68 +125,71 @@
         }
     }
 
-    /// Accepts what the backlog holds at the close: it counts as taken.
+    /// Accepts the connections that are in the backlog when the listener closes: their clients expect an
+    /// answer.
     async fn accept_backlog(self: &Arc<Self>, acceptor: &mut Acceptor, listener: &TcpListener) {
         while let Some(accepted) = acceptor.accept_queued(listener).await {
             self.handle_accepted(accepted).await;
         }
     }
 
-    /// Returns once no client is left. After the wait all deadlines have passed and their answers had time to go out. A
-    /// request that came just before the close counts as taken, so the process may not end earlier.
-    async fn wait_for_last_answers(&self) {
+    /// Waits until no client is connected, at most until all deadlines have passed and their answers had time
+    /// to be sent. The process must not exit earlier, because a request that came just before the listener
+    /// closed is to be answered.
+    async fn wait_for_final_answers(&self) {
         let longest_deadline = self.names.borrow().longest_deadline;
-        if timeout(longest_deadline + LAST_ANSWER_WAIT, self.budget.clients_closed()).await.is_err() {
-            log::warn!(event = "connections_open_at_exit"; "some client connections stayed open to the end");
+        if timeout(longest_deadline + FINAL_ANSWER_GRACE, self.budget.clients_closed()).await.is_err() {
+            log::warn!(event = "connections_open_at_exit"; "client connections are still open at exit");
         }
     }
 
-    /// Serves a connection, or refuses its request where there is no slot for it.
+    /// Serves a connection, or sheds its request if there is no free connection slot.
     async fn handle_accepted(self: &Arc<Self>, accepted: Accepted) {
-        let (server, arrived) = (self.clone(), Instant::now());
-        let Accepted { socket, backlog_wait: waited } = accepted;
+        let (server, accepted_at) = (self.clone(), Instant::now());
+        let Accepted { socket, backlog_wait } = accepted;
         if let Err(e) = socket.set_nodelay(true) {
             log::debug!(event = "client_socket_option_failed", error:% = e; "TCP_NODELAY not set");
         }
         let stream = MonitoredStream::new(Socket::new(socket));
         if let Some(slot) = self.budget.client_slots.acquire(&stream.monitor()).await {
             self.counters.connections_accepted.add();
-            let waited = waited + arrived.elapsed();
-            let connection = ClientConnection::new(&stream, slot, None, waited);
+            let accept_delay = backlog_wait + accepted_at.elapsed();
+            let connection = ClientConnection::new(&stream, slot, None, accept_delay);
             tokio::spawn(async move { server.serve(stream, connection).await });
         } else if let Ok(permit) = self.budget.rejection_slots.clone().try_acquire_owned() {
             tokio::spawn(async move {
-                // Past the time limit the client has had its time to send and read.
+                // A timeout needs no handling: the client had enough time to send its request and to read the
+                // answer.
                 let _ = timeout(REJECTION_TIMEOUT, server.reject_connection(stream)).await;
                 drop(permit);
             });
         } else {
-            // There is no descriptor left even to refuse.
+            // No descriptor is left even for a rejection: the connection is closed without an answer.
             self.counters.rejected_early.add();
         }
     }
 
-    /// Continues a job of another process; says whether this process has it now.
-    pub fn adopt(
+    /// Adopts a request from the predecessor, with its sockets. Returns whether this process continues it.
+    pub fn adopt_request(
         self: &Arc<Self>,
-        text: &str,
+        record: &str,
         [client, worker]: [OwnedFd; 2],
         reserved_ids: &mut HashMap<String, Arc<InFlightId>>,
     ) -> bool {
         let names = self.names.borrow().clone();
-        let Ok(moving) = serde_json::from_str::<TransferredJob>(text) else { return false };
-        let is_tenant_known = names.tenants.is_empty() || names.tenant(&moving.tenant).is_some();
-        // A job of a class that this process does not offer keeps its rules where it is.
-        if names.class(&moving.class).is_none() || !is_tenant_known {
+        let Ok(transferred) = serde_json::from_str::<TransferredJob>(record) else { return false };
+        let is_tenant_known = names.tenants.is_empty() || names.tenant(&transferred.tenant).is_some();
+        // A request of an unknown class or tenant stays with the predecessor, whose settings still have it.
+        if names.class(&transferred.class).is_none() || !is_tenant_known {
             return false;
         }
-        let Ok(socket) = Socket::received(client, moving.request()) else { return false };
+        let Ok(socket) = Socket::received(client, transferred.request()) else { return false };
         let stream = MonitoredStream::new(socket);
         let Some(slot) = self.budget.client_slots.acquire_transferred(&stream.monitor()) else {
             return false;
         };
-        reserved_ids.remove(moving.id());
-        let adopted = Some(moving.attempt(worker));
+        reserved_ids.remove(transferred.id());
+        let adopted = Some(transferred.attempt(worker));
         let connection = ClientConnection::new(&stream, slot, adopted, Duration::ZERO);
         let server = self.clone();
         tokio::spawn(async move { server.serve(stream, connection).await });
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -1,5 +1,6 @@
-//! One request, in states: its head is routed ([`RoutedRequest`]), it is admitted ([`AdmittedRequest`]), its body has come
-//! ([`CompleteRequest`]), and it is at work until it has its answer ([`RequestAtWork`]).
+//! Processing of a request in states, each with its own type: routed by its head ([`RoutedRequest`]),
+//! validated with memory reserved ([`ValidatedRequest`]), complete with its body ([`CompleteRequest`]), and
+//! accepted by the dispatcher until it is answered ([`AcceptedRequest`]).
 
 use super::super::fields;
 use super::super::framing::Framing;
@@ -24,27 +25,28 @@
 use tokio::sync::{oneshot, SemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// Longest body, in bytes.
+/// Maximum length of a body, in bytes.
 pub const BODY_MAX: usize = 64 * 1024;
 /// Path of the health check.
-const HEALTH_PATH: &str = "/up";
+const HEALTH_CHECK_PATH: &str = "/up";
 
 impl Server {
-    /// Answers a request.
+    /// Processes a request and returns its answer.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
     ) -> Response {
-        let framing = connection.monitor.framing(connection.next_request());
+        let framing = connection.monitor.framing(connection.count_request());
         let result = match framing {
             Framing::Conflicting => Err(InvalidRequest::ConflictingFraming.into()),
             Framing::ContentLength | Framing::Chunked => self.process(request, connection).await,
         };
         let is_invalid = matches!(result, Err(RequestError::Invalid(_)));
         let mut response = result.unwrap_or_else(|error| self.reject(error));
-        // Who asks wrongly once must not hold a descriptor, or ask at once again; what follows a chunked body is not
-        // followed on the socket; and a node that drains keeps no client.
+        // The connection is closed after an invalid request, so that the client neither holds a descriptor
+        // nor repeats it at once; after a chunked body, because message boundaries are no longer tracked; and
+        // when the phase demands it.
         if is_invalid || framing != Framing::ContentLength || self.phase.borrow().closes_connections() {
             response::close_connection(&mut response);
         }
@@ -53,7 +55,7 @@
         response
     }
 
-    /// Counts a request that goes no further, and makes its answer.
+    /// Counts a request that is rejected or shed before it reaches the dispatcher, and creates its answer.
     pub(super) fn reject(&self, error: RequestError) -> Response {
         self.counters.rejected_early.add();
         match error {
@@ -62,10 +64,10 @@
                 log::debug!(event = "request_rejected", status, reason:% = error; "invalid request");
             }
             RequestError::Shed(reason) => {
-                log::debug!(event = "request_shed", reason:%; "no resources for a request");
+                log::debug!(event = "request_shed", reason:%; "request shed");
             }
         }
-        response::of_error(error)
+        response::for_error(error)
     }
 
     async fn process(
@@ -73,27 +75,27 @@
         request: Request<Incoming>,
         connection: &ClientConnection,
     ) -> Result<Response, RequestError> {
-        if request.uri().path() == HEALTH_PATH && request.method() == Method::GET {
-            return Ok(response::of_phase(*self.phase.borrow()));
+        if request.uri().path() == HEALTH_CHECK_PATH && request.method() == Method::GET {
+            return Ok(response::for_phase(*self.phase.borrow()));
         }
         let routed = RoutedRequest::new(request, self.names.borrow().clone())?;
-        let admitted = self.admit(routed, connection.take_adopted())?;
-        let complete = admitted.read_body(connection).await?;
+        let validated = self.validate(routed, connection.take_adopted_attempt())?;
+        let complete = validated.read_body(connection).await?;
         connection.monitor.request_complete();
         connection.slot.set_busy();
-        let at_work = self.dispatch(complete, connection)?;
-        Ok(at_work.answer().await)
+        let accepted = self.dispatch(complete, connection)?;
+        Ok(accepted.answer().await)
     }
 
-    /// Reserves memory for the body, before it is read: many may come at once.
-    fn admit(
+    /// Validates the fields and reserves memory for the body before it is read: many may arrive at once.
+    fn validate(
         &self,
         request: RoutedRequest,
         adopted: Option<TransferredAttempt>,
-    ) -> Result<AdmittedRequest<'_>, RequestError> {
-        let expected = request.body.size_hint().upper().unwrap_or(BODY_MAX as u64).min(BODY_MAX as u64);
-        let body_memory = self.budget.body_memory_kib.try_acquire_many(expected.div_ceil(1024) as u32).ok();
-        // A job that runs is never shed: the process before releases its own memory for it.
+    ) -> Result<ValidatedRequest<'_>, RequestError> {
+        let max_length = request.body.size_hint().upper().unwrap_or(BODY_MAX as u64).min(BODY_MAX as u64);
+        let body_memory = self.budget.body_memory_kib.try_acquire_many(max_length.div_ceil(1024) as u32).ok();
+        // An adopted request is never shed: the predecessor releases the memory that it held for it.
         if body_memory.is_none() && adopted.is_none() {
             return Err(ShedReason::BodyMemoryFull.into());
         }
@@ -101,15 +103,15 @@
         let (path, query) = (head.uri.path(), head.uri.query().unwrap_or(""));
         let fields = fields::parse_request(&head.headers, path, query, &names);
         let fields = fields.map_err(InvalidRequest::from)?;
-        Ok(AdmittedRequest { head, body, names, fields, adopted, body_memory })
+        Ok(ValidatedRequest { head, body, names, fields, adopted, body_memory })
     }
 
-    /// Gives a request to the dispatcher.
+    /// Passes a request to the dispatcher.
     fn dispatch<'a>(
         &'a self,
         request: CompleteRequest<'a>,
         connection: &'a ClientConnection,
-    ) -> Result<RequestAtWork<'a>, RequestError> {
+    ) -> Result<AcceptedRequest<'a>, RequestError> {
         let CompleteRequest { head, body, names, mut fields, adopted, body_memory } = request;
         let target = head.uri.into_parts().path_and_query.ok_or(InvalidRequest::UnknownPath)?;
         let id = head.headers.get("x-request-id").ok_or(InvalidRequest::MissingId)?.clone();
@@ -121,7 +123,7 @@
             }
         }
         let (reply, answer) = oneshot::channel();
-        let sent = adopted.as_ref().map(|adopted| adopted.sent);
+        let attempt_start = adopted.as_ref().map(|adopted| adopted.sent);
         let job = Job {
             id: id.clone(),
             idempotency_key: head.headers.get("idempotency-key").cloned(),
@@ -132,39 +134,42 @@
             adopted: Mutex::new(adopted),
             reply,
         };
-        let number = match sent {
-            Some(sent) => self.handle.adopt(fields, job, sent),
+        let request_id = match attempt_start {
+            Some(start) => self.handle.adopt(fields, job, start),
             None => self.handle.submit(fields, job),
         };
-        log_accepted(number, id, fields.time_left_us, sent.is_some());
+        log_accepted(request_id, id, fields.time_left_us, attempt_start.is_some());
         let client = WaitingClient {
             handle: &self.handle,
-            id: number,
+            id: request_id,
             is_waiting: true,
             connection: &connection.client,
             counters: &self.counters,
         };
-        Ok(RequestAtWork { answer, client, _body_memory: body_memory })
+        Ok(AcceptedRequest { answer, client, _body_memory: body_memory })
     }
 
-    /// What is left of a client's wait, in microseconds, for the connection's newest request.
-    fn time_left_us(&self, stated_us: u64, connection: &ClientConnection, names: &Names) -> u64 {
-        // The client's wait ran while its connection could not be accepted; workers are told what is left of it.
-        let left = stated_us.saturating_sub(connection.accept_delay().as_micros() as u64);
-        // SIGKILL would cut off the answer to a request that was written while the node stops.
+    /// Time that the client still waits for the connection's newest request, in microseconds.
+    fn time_left_us(&self, requested_us: u64, connection: &ClientConnection, names: &Names) -> u64 {
+        // The client's deadline has been running since before its connection was accepted; workers get the
+        // remaining time.
+        let left = requested_us.saturating_sub(connection.accept_delay().as_micros() as u64);
+        // A request that arrives while the node stops must be answered before SIGKILL ends the process.
         match self.phases.answer_deadline(names.longest_deadline) {
-            Some(last) => left.min(last.saturating_duration_since(Instant::now()).as_micros() as u64),
+            Some(deadline) => left.min(deadline.saturating_duration_since(Instant::now()).as_micros() as u64),
             None => left,
         }
     }
 }
 
-/// Logs a request. The reference to its id ends here: it is in flight for as long as the job and its attempts are.
+/// Logs a request. Drops this reference to its id, which stays in flight as long as the job and its attempts
+/// hold theirs.
 fn log_accepted(request: RequestId, id: Arc<InFlightId>, time_left_us: u64, adopted: bool) {
-    log::debug!(event = "request_accepted", request, wire_id:? = id.value, time_left_us, adopted; "request accepted");
+    log::debug!(event = "request_accepted", request, wire_id:? = id.value, time_left_us, adopted;
+        "request accepted");
 }
 
-/// A request whose path, method and stated length are accepted.
+/// Request whose path, method and `Content-Length` are valid.
 struct RoutedRequest {
     head: Parts,
     body: Incoming,
@@ -175,10 +180,11 @@
     fn new(request: Request<Incoming>, names: Arc<Names>) -> Result<RoutedRequest, InvalidRequest> {
         let (head, body) = request.into_parts();
         let is_class = |class: &str| names.class(class).is_some();
-        let stated = head.headers.get("x-class").map_or(b"".as_slice(), |v| v.as_bytes());
-        // A class in the header that is not offered is reported as such, whatever the path.
-        let is_stated_unknown = std::str::from_utf8(stated).map_or(true, |c| !c.is_empty() && !is_class(c));
-        if !is_class(&fields::class_in_path(head.uri.path())) && !is_stated_unknown {
+        let header_class = head.headers.get("x-class").map_or(b"".as_slice(), |v| v.as_bytes());
+        // An unknown class in the header is reported as such, whatever the path is.
+        let has_unknown_class_header =
+            std::str::from_utf8(header_class).map_or(true, |c| !c.is_empty() && !is_class(c));
+        if !is_class(&fields::class_in_path(head.uri.path())) && !has_unknown_class_header {
             return Err(InvalidRequest::UnknownPath);
         }
         if head.method != Method::POST {
@@ -191,8 +197,8 @@
     }
 }
 
-/// A request with valid fields for which memory is reserved.
-struct AdmittedRequest<'a> {
+/// Request with valid fields, and with memory reserved for its body.
+struct ValidatedRequest<'a> {
     head: Parts,
     body: Incoming,
     names: Arc<Names>,
@@ -201,9 +207,9 @@
     body_memory: Option<SemaphorePermit<'a>>,
 }
 
-impl<'a> AdmittedRequest<'a> {
+impl<'a> ValidatedRequest<'a> {
     async fn read_body(self, connection: &ClientConnection) -> Result<CompleteRequest<'a>, InvalidRequest> {
-        let AdmittedRequest { head, body, names, fields, adopted, body_memory } = self;
+        let ValidatedRequest { head, body, names, fields, adopted, body_memory } = self;
         let body = Limited::new(body, BODY_MAX).collect();
         let body = match timeout_at(connection.monitor.message_deadline(), body).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -215,7 +221,7 @@
     }
 }
 
-/// A request that has come whole.
+/// Request that was read completely.
 struct CompleteRequest<'a> {
     head: Parts,
     body: Bytes,
@@ -225,34 +231,34 @@
     body_memory: Option<SemaphorePermit<'a>>,
 }
 
-/// A request that the dispatcher has.
-struct RequestAtWork<'a> {
+/// Request that the dispatcher has accepted and not yet answered.
+struct AcceptedRequest<'a> {
     answer: oneshot::Receiver<Answer>,
     client: WaitingClient<'a>,
     _body_memory: Option<SemaphorePermit<'a>>,
 }
 
-impl RequestAtWork<'_> {
-    /// Waits for the answer. Never returns where the client leaves first: this is dropped with the connection then, which
-    /// tells the dispatcher.
+impl AcceptedRequest<'_> {
+    /// Waits for the answer. If the client leaves first, this never returns: it is dropped with the
+    /// connection, and the drop notifies the dispatcher.
     async fn answer(mut self) -> Response {
         let connection = self.client.connection;
         let answer = tokio::select! {
             biased;
             answer = &mut self.answer => answer,
-            // The HTTP library sees a client's leaving only where nothing lies unread behind the request.
+            // Hyper detects that the client has left only if no unread bytes follow the request.
             () = connection.socket_handle.peer_closed() => {
                 connection.over.notify_one();
                 std::future::pending().await
             }
         };
         self.client.is_waiting = false;
-        response::of_answer(answer.ok())
+        response::for_answer(answer.ok())
     }
 }
 
-/// Tells the dispatcher when a client leaves before its answer: whatever ends the connection of a request that was accepted
-/// drops this. It checks [`Invariant::Answered`].
+/// Notifies the dispatcher when a client leaves before its answer. It is dropped with the connection of an
+/// accepted request, whatever ends that connection, and checks [`Invariant::Answered`].
 struct WaitingClient<'a> {
     handle: &'a Handle<Job>,
     id: RequestId,
@@ -266,8 +272,8 @@
         if !self.is_waiting {
             return;
         }
-        let has_moved = self.connection.moved.load(Ordering::Relaxed);
-        if !has_moved && !self.connection.socket_handle.is_peer_closed() {
+        let was_transferred = self.connection.moved.load(Ordering::Relaxed);
+        if !was_transferred && !self.connection.socket_handle.is_peer_closed() {
             self.counters.violations.add(Invariant::Answered, self.id);
         }
         self.handle.client_left(self.id);
--- a/node/src/platform/server/response.rs
+++ b/node/src/platform/server/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: the one place that makes them, and the errors that become one.
+//! Answers to clients, and the errors that are turned into answers. All answers are created here.
 
 use super::super::fields::FieldError;
 use crate::dispatcher::Answer;
@@ -9,57 +9,59 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// An answer.
+/// HTTP response to a client.
 pub type Response = hyper::Response<Full<Bytes>>;
 
-/// `Retry-After` of requests that this node has no resources for.
-const RETRY_AFTER_OVERLOAD: Duration = Duration::from_millis(500);
+/// `Retry-After` for requests that this node sheds because it has no resources for them.
+const SHED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why a request goes no further. Its text is the answer's body, or its reason in the log.
+/// Reason for which a request does not reach the dispatcher. Its text is the body of the answer if the
+/// request is invalid, and the `reason` field of the log record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The request is wrong: the connection is closed after the answer.
+    /// The request is invalid; the connection is closed after the answer.
     #[error(transparent)]
     Invalid(#[from] InvalidRequest),
-    /// The request is shed; it may be sent again.
+    /// The request is shed; the client may retry it.
     #[error(transparent)]
     Shed(#[from] ShedReason),
 }
 
-/// What is wrong with a request.
+/// Reason for which a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A request may be hidden in the body of another: two readers need not agree on its end.
+    /// Both framing headers are set. Readers could disagree on the end of the body, which allows request
+    /// smuggling.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
     ConflictingFraming,
-    /// The path names no class.
+    /// The path does not name a class.
     #[error("there is no such path")]
     UnknownPath,
-    /// The method is not POST.
+    /// The method is not `POST`.
     #[error("jobs come by POST")]
     Method,
-    /// The body is too long.
+    /// The body exceeds the maximum length.
     #[error("a body holds at most 64 KiB")]
     BodyTooLong,
-    /// The body's framing is broken.
+    /// The framing of the body is malformed.
     #[error("the body is malformed")]
     MalformedBody,
-    /// The body did not come in time.
+    /// The body was not received within the time limit.
     #[error("the body did not come")]
     BodyTimeout,
-    /// There is no id.
+    /// The `X-Request-Id` header is missing.
     #[error("X-Request-Id is missing")]
     MissingId,
-    /// Workers would take the request for another one, or for its copy.
+    /// Another request with this id is in flight; a worker could not tell the two apart.
     #[error("a request with this X-Request-Id is open")]
     IdInFlight,
-    /// A field is wrong.
+    /// A field is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
 impl InvalidRequest {
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub fn status(self) -> StatusCode {
         match self {
             InvalidRequest::UnknownPath => StatusCode::NOT_FOUND,
@@ -75,26 +77,26 @@
     }
 }
 
-/// Why a request is shed.
+/// Reason for which a request is shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ShedReason {
-    /// All slots for connections have a request at work.
-    #[error("no descriptor for its connection")]
-    OutOfDescriptors,
-    /// All memory for bodies is in use.
-    #[error("no memory for its body")]
+    /// Every connection slot has a request in flight.
+    #[error("no connection slot is free")]
+    NoConnectionSlot,
+    /// The memory for bodies is exhausted.
+    #[error("no memory is left for the body")]
     BodyMemoryFull,
-    /// Its client stops waiting now, or the node ends before it could be answered.
-    #[error("its time is over, or the node's")]
+    /// The deadline has passed, or the node stops before it could answer.
+    #[error("the deadline has passed, or the node stops first")]
     DeadlinePassed,
 }
 
-/// The answer of a request that goes no further.
-pub fn of_error(error: RequestError) -> Response {
+/// Answer to a request that does not reach the dispatcher.
+pub fn for_error(error: RequestError) -> Response {
     match error {
-        RequestError::Shed(_) => rejection(RETRY_AFTER_OVERLOAD),
+        RequestError::Shed(_) => shed(SHED_RETRY_AFTER),
         RequestError::Invalid(error) => {
-            let mut response = plain(error.status(), Bytes::from(error.to_string()));
+            let mut response = with_body(error.status(), Bytes::from(error.to_string()));
             if error == InvalidRequest::Method {
                 response.headers_mut().insert(ALLOW, HeaderValue::from_static("POST"));
             }
@@ -103,32 +105,32 @@
     }
 }
 
-/// The answer to a job; without one the dispatcher has ended, and nobody knows what became of the job.
-pub fn of_answer(answer: Option<Answer>) -> Response {
+/// Answer to a request. `None` means that the dispatcher has ended and the outcome is unknown.
+pub fn for_answer(answer: Option<Answer>) -> Response {
     match answer {
         Some(Answer::Served(result)) => Response::new(Full::new(result)),
-        Some(Answer::Shed(wait)) => rejection(wait),
-        Some(Answer::Failed) | None => fixed(StatusCode::BAD_GATEWAY, "the job failed"),
+        Some(Answer::Shed(wait)) => shed(wait),
+        Some(Answer::Failed) | None => with_static_text(StatusCode::BAD_GATEWAY, "the job failed"),
     }
 }
 
-/// The answer to a health check.
-pub fn of_phase(phase: Phase) -> Response {
+/// Answer to a health check.
+pub fn for_phase(phase: Phase) -> Response {
     match phase {
-        Phase::Serving => fixed(StatusCode::OK, "up"),
-        Phase::Draining => fixed(StatusCode::SERVICE_UNAVAILABLE, "draining"),
-        Phase::HandedOver => fixed(StatusCode::SERVICE_UNAVAILABLE, "handed over"),
-        Phase::Stopping | Phase::Closing => fixed(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+        Phase::Serving => with_static_text(StatusCode::OK, "up"),
+        Phase::Draining => with_static_text(StatusCode::SERVICE_UNAVAILABLE, "draining"),
+        Phase::HandedOver => with_static_text(StatusCode::SERVICE_UNAVAILABLE, "handed over"),
+        Phase::Stopping | Phase::Closing => with_static_text(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
 
-/// Has the connection closed after this answer.
+/// Makes the connection close after this answer.
 pub fn close_connection(response: &mut Response) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn rejection(retry_after: Duration) -> Response {
-    let mut response = fixed(StatusCode::SERVICE_UNAVAILABLE, "refused: trying again is harmless");
+fn shed(retry_after: Duration) -> Response {
+    let mut response = with_static_text(StatusCode::SERVICE_UNAVAILABLE, "refused: trying again is harmless");
     let seconds = retry_after.as_secs_f64();
     if seconds > 0.0 {
         if let Ok(value) = HeaderValue::try_from(format!("{seconds:.3}")) {
@@ -138,11 +140,11 @@
     response
 }
 
-fn fixed(status: StatusCode, text: &'static str) -> Response {
-    plain(status, Bytes::from_static(text.as_bytes()))
+fn with_static_text(status: StatusCode, text: &'static str) -> Response {
+    with_body(status, Bytes::from_static(text.as_bytes()))
 }
 
-fn plain(status: StatusCode, body: Bytes) -> Response {
+fn with_body(status: StatusCode, body: Bytes) -> Response {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -223,7 +223,7 @@
 
 impl DisplacedPredecessor {
     /// Continues its running jobs here, and takes up the resources that it releases, until it ends.
-    pub fn adopt_jobs(self, server: Arc<Server>) {
+    pub fn adopt_requests(self, server: Arc<Server>) {
         // Its ids in flight stay reserved here until their jobs come over, or it ends.
         let reserved = self.ids.into_iter().filter_map(|id| {
             let reserved = server.budget.in_flight_ids.insert(HeaderValue::from_str(&id).ok()?)?;
@@ -234,7 +234,7 @@
             self.link
                 .run(
                     |held| server.budget.update_other_process_usage(held),
-                    |text, sockets| server.adopt(text, sockets, &mut reserved),
+                    |record, sockets| server.adopt_request(record, sockets, &mut reserved),
                 )
                 .await;
         });
