--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -1,4 +1,4 @@
-//! Slots for connections of clients: who has one, and who is evicted where none is left.
+//! Connection slots for clients: which connections hold one, and which is evicted when none is free.
 
 use super::monitored_stream::{IdleState, MessageMonitor};
 use std::collections::BTreeMap;
@@ -8,31 +8,31 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// Time for which a new connection waits until an evicted one has freed its slot.
-const EVICTION_WAIT: Duration = Duration::from_millis(100);
-/// Time for which a new connection may be silent before it is the first to be evicted. A client that has a request
-/// writes its first bytes at once.
-const SILENCE_ALLOWED: Duration = Duration::from_millis(300);
+/// Time for which a new connection waits for the slot of an evicted one.
+const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time for which a new connection may send nothing before it is the first to be evicted. A client that has a
+/// request sends its first bytes at once.
+const SILENCE_GRACE: Duration = Duration::from_millis(300);
 
-/// Order of eviction: a lesser one goes first, and of equal ones the connection that has been idle for longer.
+/// Eviction rank. Lower ranks are evicted first; within a rank, the connection that has been idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// It has asked for nothing.
+    /// No byte was received within [`SILENCE_GRACE`].
     Silent,
-    /// It is between two requests: closing it harms nobody.
+    /// Idle after an answered request: closing it fails no request.
     BetweenRequests,
-    /// It is writing a request.
+    /// A request has been received in part.
     Writing,
-    /// It has only just come.
+    /// Connected within the last [`SILENCE_GRACE`], and has sent nothing.
     New,
 }
 
-/// Rank of a connection without a request at work, and since when it has been idle.
+/// Sort key for eviction: rank of a connection without a request in flight, and since when it has been idle.
 pub fn eviction_order(idle: &IdleState, now: Instant) -> (EvictionRank, Instant) {
     let rank = match (idle.has_partial_message, idle.was_answered) {
         (true, _) => EvictionRank::Writing,
         (false, true) => EvictionRank::BetweenRequests,
-        (false, false) if now.saturating_duration_since(idle.last_activity) >= SILENCE_ALLOWED => {
+        (false, false) if now.saturating_duration_since(idle.last_activity) >= SILENCE_GRACE => {
             EvictionRank::Silent
         }
         (false, false) => EvictionRank::New,
@@ -40,7 +40,7 @@
     (rank, idle.last_activity)
 }
 
-/// A connection without a request at work.
+/// Connection without a request in flight.
 struct IdleConnection {
     monitor: MessageMonitor,
     evicted: Arc<Notify>,
@@ -49,27 +49,27 @@
 #[derive(Default)]
 struct Connections {
     last_number: u64,
-    /// By number.
+    /// Idle connections by slot number.
     idle: BTreeMap<u64, IdleConnection>,
 }
 
-/// Slots for a number of connections.
+/// Connection slots of a frontend.
 pub struct ConnectionSlots {
     taken: AtomicUsize,
     freed: Notify,
-    /// Slots taken ahead of their being granted.
-    overdraft: AtomicUsize,
+    /// Slots added for transferred connections beyond what was granted; later grants are reduced by them.
+    granted_in_advance: AtomicUsize,
     permits: Arc<Semaphore>,
     connections: Mutex<Connections>,
 }
 
 impl ConnectionSlots {
-    /// This many slots.
+    /// Creates this many slots.
     pub fn new(size: usize) -> Arc<ConnectionSlots> {
         Arc::new(ConnectionSlots {
             taken: AtomicUsize::new(0),
             freed: Notify::new(),
-            overdraft: AtomicUsize::new(0),
+            granted_in_advance: AtomicUsize::new(0),
             permits: Arc::new(Semaphore::new(size)),
             connections: Mutex::default(),
         })
@@ -79,30 +79,31 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A slot for a new connection. Where none is free, the idle connection that is the first in [`eviction_order`] is
-    /// evicted; `None` where all have a request at work.
+    /// Acquires a slot for a new connection. If none is free, evicts the idle connection that is first in
+    /// [`eviction_order`]. `None` if every connection has a request in flight, or the evicted one did not
+    /// close in time.
     pub async fn acquire(self: &Arc<Self>, monitor: &MessageMonitor) -> Option<Slot> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                self.take_next_evicted()?.notify_one();
-                timeout(EVICTION_WAIT, self.permits.clone().acquire_owned()).await.ok()?.ok()?
+                self.remove_next_to_evict()?.notify_one();
+                timeout(SLOT_WAIT_TIMEOUT, self.permits.clone().acquire_owned()).await.ok()?.ok()?
             }
         };
-        Some(self.occupy(monitor, permit))
+        Some(self.create_slot(monitor, permit))
     }
 
-    /// A slot for a connection that another process releases, whether one is free or not.
+    /// Acquires a slot for a connection that the predecessor transfers, even if none is free.
     pub fn acquire_transferred(self: &Arc<Self>, monitor: &MessageMonitor) -> Option<Slot> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|_| {
             self.permits.add_permits(1);
-            self.overdraft.fetch_add(1, Ordering::Relaxed);
+            self.granted_in_advance.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
         });
-        Some(self.occupy(monitor, permit.ok()?))
+        Some(self.create_slot(monitor, permit.ok()?))
     }
 
-    fn occupy(self: &Arc<Self>, monitor: &MessageMonitor, permit: OwnedSemaphorePermit) -> Slot {
+    fn create_slot(self: &Arc<Self>, monitor: &MessageMonitor, permit: OwnedSemaphorePermit) -> Slot {
         let number = {
             let mut connections = self.connections();
             connections.last_number += 1;
@@ -120,8 +121,8 @@
         slot
     }
 
-    /// Takes out the connection that is evicted next.
-    fn take_next_evicted(&self) -> Option<Arc<Notify>> {
+    /// Removes the next connection to evict from the idle ones, and returns its notification.
+    fn remove_next_to_evict(&self) -> Option<Arc<Notify>> {
         let (mut connections, now) = (self.connections(), Instant::now());
         let order = connections
             .idle
@@ -131,25 +132,25 @@
         connections.idle.remove(&number).map(|idle| idle.evicted)
     }
 
-    /// Grants so many slots more, less what was taken ahead of that.
+    /// Adds this many slots, less those that were granted in advance.
     pub fn grant(&self, slots: usize) {
-        let repaid = self.overdraft.load(Ordering::Relaxed).min(slots);
-        self.overdraft.fetch_sub(repaid, Ordering::Relaxed);
-        self.permits.add_permits(slots - repaid);
+        let offset = self.granted_in_advance.load(Ordering::Relaxed).min(slots);
+        self.granted_in_advance.fetch_sub(offset, Ordering::Relaxed);
+        self.permits.add_permits(slots - offset);
     }
 
-    /// Number of slots that are taken.
+    /// Number of slots in use.
     pub fn taken(&self) -> usize {
         self.taken.load(Ordering::Relaxed)
     }
 
-    /// Number of connections with a request at work.
+    /// Number of connections with a request in flight.
     pub fn busy(&self) -> usize {
         self.taken().saturating_sub(self.connections().idle.len())
     }
 
-    /// Returns once all slots are free. It takes none to see that: what is free is counted meanwhile.
-    pub async fn all_free(&self) {
+    /// Waits until all slots are free. It acquires none to do so, because free slots are counted meanwhile.
+    pub async fn wait_all_free(&self) {
         let freed = self.freed.notified();
         tokio::pin!(freed);
         while self.taken() > 0 {
@@ -159,7 +160,7 @@
     }
 }
 
-/// A connection's slot.
+/// Slot of a connection.
 pub struct Slot {
     slots: Arc<ConnectionSlots>,
     number: u64,
@@ -169,25 +170,25 @@
 }
 
 impl Slot {
-    /// The connection has no request at work: it may be evicted.
+    /// Marks the connection as idle: it may be evicted.
     pub fn set_idle(&self) {
         let idle = IdleConnection { monitor: self.monitor.clone(), evicted: self.evicted.clone() };
         self.slots.connections().idle.insert(self.number, idle);
     }
 
-    /// A whole request is at work: the connection stays.
+    /// Marks the connection as having a request in flight: it is not evicted.
     pub fn set_busy(&self) {
         self.slots.connections().idle.remove(&self.number);
     }
 
-    /// Has the next connection evicted in place of this one.
+    /// Evicts the next connection instead of this one.
     pub fn evict_next(&self) {
-        if let Some(evicted) = self.slots.take_next_evicted() {
+        if let Some(evicted) = self.slots.remove_next_to_evict() {
             evicted.notify_one();
         }
     }
 
-    /// Returns once the connection is evicted, and says whether it has ever had an answer.
+    /// Waits until the connection is evicted. Returns whether a request of it was ever answered.
     pub async fn evicted(&self) -> bool {
         self.evicted.notified().await;
         self.monitor.idle_state().was_answered
--- a/node/src/platform/framing.rs
+++ b/node/src/platform/framing.rs
@@ -1,21 +1,22 @@
-//! Boundaries of HTTP requests in a byte stream. They tell what the HTTP library does not: whether a head had both
-//! `Content-Length` and `Transfer-Encoding`, and whether part of a message has come.
+//! Boundaries of HTTP requests in a byte stream. They provide what the HTTP library does not: whether a head
+//! had both `Content-Length` and `Transfer-Encoding`, and whether a message has been received in part.
 
-/// Bytes that are kept of a line: the fields that matter here are shorter.
-const LINE_MAX: usize = 64;
+/// Maximum number of bytes that are kept of a line. The framing headers are shorter.
+const LINE_PREFIX_MAX: usize = 64;
 
-/// How a request's body is framed.
+/// Framing of a request's body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
-    /// By its length; 0 where none is stated.
+    /// By `Content-Length`; without the header, the body is empty.
     ContentLength,
-    /// By chunks. What follows is not followed: the connection must close after the answer.
+    /// By `Transfer-Encoding`. Later messages are not tracked, so the connection must be closed after the
+    /// answer.
     Chunked,
-    /// By both, so that two readers may not agree where it ends.
+    /// By both headers, so that two readers may disagree where the body ends.
     Conflicting,
 }
 
-/// Framing fields of the head that is coming in.
+/// Framing headers of the head that is being received.
 #[derive(Debug, Default)]
 struct HeadFields {
     content_length: Option<u64>,
@@ -23,13 +24,13 @@
 }
 
 impl HeadFields {
-    /// Reads a field's line; others are passed over.
-    fn read(&mut self, line: &[u8]) {
+    /// Parses a header line; ignores all but the framing headers.
+    fn parse_line(&mut self, line: &[u8]) {
         let Some(colon) = line.iter().position(|b| *b == b':') else { return };
         let (name, value) = (&line[..colon], &line[colon + 1..]);
         if name.eq_ignore_ascii_case(b"content-length") {
             let value = std::str::from_utf8(value.trim_ascii()).unwrap_or("");
-            // One that is no number is refused by the HTTP library.
+            // The HTTP library rejects a value that is not a number.
             self.content_length = Some(value.parse().unwrap_or(0));
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.has_transfer_encoding = true;
@@ -45,97 +46,98 @@
     }
 }
 
-/// A head after which nothing is followed.
+/// Request after whose head message boundaries are no longer tracked.
 #[derive(Debug)]
-struct LastHead {
-    number: u64,
+struct UntrackedBody {
+    request: u64,
     framing: Framing,
 }
 
-/// Where in the messages the bytes so far end.
+/// Tracks where in the sequence of messages the bytes received so far end.
 #[derive(Debug, Default)]
 pub struct MessageBoundaries {
-    /// Complete heads so far.
-    heads: u64,
-    /// Bytes of the current body that are still to come.
-    body_left: u64,
-    /// Whether the head that is coming in has a line.
-    has_line: bool,
-    /// Its current line, cut off at [`LINE_MAX`].
+    /// Number of complete heads so far.
+    head_count: u64,
+    /// Number of bytes of the current body that are yet to be received.
+    body_bytes_left: u64,
+    /// Whether the head that is being received has a complete line.
+    has_head_line: bool,
+    /// Its current line, truncated to [`LINE_PREFIX_MAX`].
     line: Vec<u8>,
     fields: HeadFields,
-    last: Option<LastHead>,
+    untracked: Option<UntrackedBody>,
 }
 
 impl MessageBoundaries {
-    /// Follows bytes that have come in.
+    /// Processes received bytes.
     pub fn read(&mut self, mut bytes: &[u8]) {
-        while !bytes.is_empty() && self.last.is_none() {
-            if self.body_left > 0 {
-                let skipped = bytes.len().min(usize::try_from(self.body_left).unwrap_or(usize::MAX));
-                self.body_left -= skipped as u64;
+        while !bytes.is_empty() && self.untracked.is_none() {
+            if self.body_bytes_left > 0 {
+                let skipped = bytes.len().min(usize::try_from(self.body_bytes_left).unwrap_or(usize::MAX));
+                self.body_bytes_left -= skipped as u64;
                 bytes = &bytes[skipped..];
                 continue;
             }
             let end = bytes.iter().position(|b| *b == b'\n');
             let part = &bytes[..end.unwrap_or(bytes.len())];
-            let room = LINE_MAX.saturating_sub(self.line.len()).min(part.len());
-            self.line.extend_from_slice(&part[..room]);
+            let length = LINE_PREFIX_MAX.saturating_sub(self.line.len()).min(part.len());
+            self.line.extend_from_slice(&part[..length]);
             let Some(end) = end else { return };
             bytes = &bytes[end + 1..];
-            self.line_ended();
+            self.finish_line();
         }
     }
 
-    fn line_ended(&mut self) {
+    fn finish_line(&mut self) {
         let mut line = std::mem::take(&mut self.line);
         let text = line.trim_ascii_end();
         if !text.is_empty() {
-            // The first line is the request's, not a field's.
-            if self.has_line {
-                self.fields.read(text);
+            // The first line is the request line, not a header.
+            if self.has_head_line {
+                self.fields.parse_line(text);
             }
-            self.has_line = true;
-        } else if std::mem::take(&mut self.has_line) {
-            // Empty lines before a head are passed over, as the HTTP library does.
-            self.head_ended();
+            self.has_head_line = true;
+        } else if std::mem::take(&mut self.has_head_line) {
+            // Empty lines before a head are ignored, as by the HTTP library.
+            self.finish_head();
         }
         line.clear();
         self.line = line;
     }
 
-    fn head_ended(&mut self) {
-        self.heads += 1;
+    fn finish_head(&mut self) {
+        self.head_count += 1;
         let fields = std::mem::take(&mut self.fields);
         match fields.framing() {
-            Framing::ContentLength => self.body_left = fields.content_length.unwrap_or(0),
-            framing => self.last = Some(LastHead { number: self.heads, framing }),
+            Framing::ContentLength => self.body_bytes_left = fields.content_length.unwrap_or(0),
+            framing => self.untracked = Some(UntrackedBody { request: self.head_count, framing }),
         }
     }
 
-    /// Number of complete heads.
+    /// Number of complete heads so far.
     pub fn head_count(&self) -> u64 {
-        self.heads
+        self.head_count
     }
 
-    /// Whether a head has come after which nothing is followed.
+    /// Whether message boundaries are no longer tracked, because a body was not framed by `Content-Length`
+    /// alone.
     pub fn is_tracking_finished(&self) -> bool {
-        self.last.is_some()
+        self.untracked.is_some()
     }
 
-    /// How the request of this number, from 1 on, is framed.
+    /// Framing of the request with this number, counted from 1.
     pub fn framing(&self, request: u64) -> Framing {
-        let last = self.last.as_ref().filter(|last| last.number == request);
-        last.map_or(Framing::ContentLength, |last| last.framing)
+        let untracked = self.untracked.as_ref().filter(|u| u.request == request);
+        untracked.map_or(Framing::ContentLength, |u| u.framing)
     }
 
-    /// Whether a head is coming in, or is yet to.
+    /// Whether the next byte belongs to a head.
     pub fn is_in_head(&self) -> bool {
-        self.body_left == 0 && self.last.is_none()
+        self.body_bytes_left == 0 && self.untracked.is_none()
     }
 
-    /// Whether nothing of a next message has come.
+    /// Whether no byte of the next message has been received.
     pub fn is_between_messages(&self) -> bool {
-        self.is_in_head() && !self.has_line && self.line.is_empty()
+        self.is_in_head() && !self.has_head_line && self.line.is_empty()
     }
 }
--- a/node/src/platform/in_flight_ids.rs
+++ b/node/src/platform/in_flight_ids.rs
@@ -1,15 +1,16 @@
-//! Wire ids of requests in flight: workers know a request by its id, so two at once must not share one.
+//! Wire ids of requests in flight. Workers identify a request by this id, so two requests in flight must not
+//! share one.
 
 use hyper::header::HeaderValue;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Set of the ids in flight.
+/// Set of the ids of requests in flight.
 #[derive(Clone, Default)]
 pub struct InFlightIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
 impl InFlightIds {
-    /// Adds an id; `None` where it is in flight already.
+    /// Inserts an id; `None` if it is in flight already.
     pub fn insert(&self, value: HeaderValue) -> Option<Arc<InFlightId>> {
         let is_new = self.ids().insert(value.clone());
         is_new.then(|| Arc::new(InFlightId { value, ids: self.clone() }))
@@ -20,8 +21,8 @@
         self.ids().len()
     }
 
-    /// All ids in flight.
-    pub fn all(&self) -> Vec<String> {
+    /// All ids in flight, without those that are not ASCII.
+    pub fn to_strings(&self) -> Vec<String> {
         self.ids().iter().filter_map(|id| id.to_str().ok().map(String::from)).collect()
     }
 
@@ -30,8 +31,8 @@
     }
 }
 
-/// An id in flight. It leaves the set once the request is answered and no attempt is out: when the last reference to
-/// it is dropped.
+/// Id in flight. It is removed from the set when its last reference is dropped: once the request is answered
+/// and none of its attempts is in flight.
 pub struct InFlightId {
     /// The id as the client sent it.
     pub value: HeaderValue,
--- a/node/src/platform/monitored_stream.rs
+++ b/node/src/platform/monitored_stream.rs
@@ -1,4 +1,4 @@
-//! A client's stream that follows the messages that come in and bounds the time that each may take.
+//! Stream of a client connection that tracks incoming messages and limits the time in which each must arrive.
 
 use super::framing::{Framing, MessageBoundaries};
 use std::future::Future;
@@ -10,34 +10,34 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Time that a message may take to come in, from the connection's start or from its own first byte. The platform wants bad
-/// clients to have an answer or a close 3 s after they connect.
+/// Time limit for receiving a message, from the start of the connection or from the message's first byte. The
+/// platform requires that a bad client gets an answer or a close within 3 s after it connects.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 struct State {
     boundaries: MessageBoundaries,
-    /// Whether a message has had its answer.
+    /// Whether a request was answered.
     was_answered: bool,
-    /// Time of the last byte that came, or the last answer, or the start.
+    /// Time of the last received byte, the last answer, or the start of the connection.
     last_activity: Instant,
-    /// When the message that is coming in has to be complete.
+    /// Deadline for receiving the current message.
     deadline: Option<Instant>,
-    /// Whether a complete message waits for its answer.
-    is_serving: bool,
+    /// Whether a complete request waits for its answer.
+    has_request_in_flight: bool,
 }
 
-/// State of a connection that has no request at work.
+/// State of a connection that has no request in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleState {
-    /// Whether part of a message has come.
+    /// Whether a message has been received in part.
     pub has_partial_message: bool,
-    /// Whether an earlier message had its answer.
+    /// Whether an earlier request was answered.
     pub was_answered: bool,
-    /// When the last byte came, or the last answer went out, or when it connected.
+    /// Time of the last received byte, the last answer, or the start of the connection.
     pub last_activity: Instant,
 }
 
-/// View of a connection's messages that its service and its stream share.
+/// State of a connection's messages that its HTTP service and its stream share.
 #[derive(Clone)]
 pub struct MessageMonitor(Arc<Mutex<State>>);
 
@@ -48,7 +48,7 @@
             was_answered: false,
             last_activity: Instant::now(),
             deadline: Some(deadline),
-            is_serving: false,
+            has_request_in_flight: false,
         })))
     }
 
@@ -56,22 +56,22 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How the request of this number, from 1 on, is framed.
+    /// Framing of the request with this number, counted from 1.
     pub fn framing(&self, request: u64) -> Framing {
         self.state().boundaries.framing(request)
     }
 
-    /// When the message that is coming in has to be complete.
+    /// Deadline for receiving the current message.
     pub fn message_deadline(&self) -> Instant {
         self.state().deadline.unwrap_or_else(|| Instant::now() + MESSAGE_TIMEOUT)
     }
 
-    /// Whether nothing follows the message that is at work.
+    /// Whether no byte of the next message has been received.
     pub fn is_between_messages(&self) -> bool {
         self.state().boundaries.is_between_messages()
     }
 
-    /// How the connection is idle.
+    /// State of the connection if it has no request in flight.
     pub fn idle_state(&self) -> IdleState {
         let state = self.state();
         IdleState {
@@ -81,40 +81,42 @@
         }
     }
 
-    /// The message is complete; its answer may take its time.
+    /// Records that the current request is complete. Its answer has no time limit here.
     pub fn request_complete(&self) {
         let mut state = self.state();
         state.deadline = None;
-        state.is_serving = true;
+        state.has_request_in_flight = true;
     }
 
-    /// The message has its answer. The next one's time runs from its own first byte, which may have come by now.
+    /// Records that the current request is answered. The time limit of the next message starts with its first
+    /// byte, which may have been received already.
     pub fn response_sent(&self) {
         let mut state = self.state();
         let has_partial_message = !state.boundaries.is_between_messages();
         state.was_answered = true;
         state.last_activity = Instant::now();
         state.deadline = has_partial_message.then(|| Instant::now() + MESSAGE_TIMEOUT);
-        state.is_serving = false;
+        state.has_request_in_flight = false;
     }
 
-    fn bytes_read(&self, bytes: &[u8]) {
+    fn record_read(&self, bytes: &[u8]) {
         let mut state = self.state();
         state.boundaries.read(bytes);
         state.last_activity = Instant::now();
-        if state.deadline.is_none() && !state.is_serving && !bytes.is_empty() {
+        if state.deadline.is_none() && !state.has_request_in_flight && !bytes.is_empty() {
             state.deadline = Some(Instant::now() + MESSAGE_TIMEOUT);
         }
     }
 
-    /// When reading is to fail, where a head is coming in. A body's time is the service's to keep: it answers.
+    /// Deadline at which reading fails while a head is received. The service enforces the deadline of a body,
+    /// because it can still answer the request.
     fn head_deadline(&self) -> Option<Instant> {
         let state = self.state();
         state.deadline.filter(|_| state.boundaries.is_in_head())
     }
 }
 
-/// A client's stream. Reading fails where a head does not come in time.
+/// Stream of a client connection. Reading fails if a head is not received in time.
 pub struct MonitoredStream<S> {
     stream: S,
     monitor: MessageMonitor,
@@ -122,19 +124,19 @@
 }
 
 impl<S> MonitoredStream<S> {
-    /// Starts with the time of the first message, which runs from now.
+    /// Wraps a stream. The time limit of the first message starts now.
     pub fn new(stream: S) -> MonitoredStream<S> {
         let deadline = Instant::now() + MESSAGE_TIMEOUT;
         let timer = Box::pin(sleep_until(deadline));
         MonitoredStream { stream, monitor: MessageMonitor::new(deadline), timer }
     }
 
-    /// The stream inside.
+    /// The wrapped stream.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
 
-    /// The monitor, for the connection's service.
+    /// The monitor that the connection's HTTP service shares with this stream.
     pub fn monitor(&self) -> MessageMonitor {
         self.monitor.clone()
     }
@@ -144,7 +146,7 @@
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         if Pin::new(&mut self.stream).poll_read(cx, buf)?.is_ready() {
-            self.monitor.bytes_read(&buf.filled()[before..]);
+            self.monitor.record_read(&buf.filled()[before..]);
             return Poll::Ready(Ok(()));
         }
         let Some(deadline) = self.monitor.head_deadline() else { return Poll::Pending };
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -1,5 +1,6 @@
-//! Budget of what the frontend may hold: descriptors of clients and workers, and memory for bodies. It also keeps the ids
-//! and the endpoint list that go to the next process. While two processes are one node, both share what `limits` allows.
+//! Resource budget of the frontend: descriptors for clients and workers, and memory for bodies. It also holds
+//! the wire ids and the endpoint list that are passed to a successor. During a process handover, both
+//! processes share what `limits` allows.
 
 use super::connection_slots::ConnectionSlots;
 use super::in_flight_ids::InFlightIds;
@@ -14,40 +15,43 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Semaphore;
 
-/// Descriptors beside those of clients and workers: standard streams, poller, signals, listeners, discovery, a
-/// link to another process, and those of [`crate::management::MAX_CONNECTIONS`].
+/// Descriptors other than those for clients and workers: standard streams, poller, signals, listeners,
+/// discovery, the link to another process, and connections of operators (up to
+/// [`crate::management::MAX_CONNECTIONS`]).
 pub const FIXED_DESCRIPTORS: usize = 32;
-/// Connections beyond the budget that are held at once to be refused.
+/// Maximum number of connections beyond the budget that are open at the same time to be rejected.
 pub const REJECTION_SLOTS: usize = 32;
-/// Descriptors for clients and workers that a node has however little is left: it serves a little at least.
+/// Minimum number of descriptors for clients and workers, even if another process holds the rest, so that the
+/// node can serve.
 pub const DESCRIPTORS_MIN: usize = 12;
-/// Descriptors for clients and workers of a process whose limit is lower than what is set aside.
-const DESCRIPTORS_OF_TINY_LIMIT: usize = 4;
-/// Divisor of the memory that bodies of clients may hold. Heads and tasks take less than half of the rest.
+/// Descriptors for clients and workers if the limit does not even cover the reserved ones.
+const DESCRIPTORS_FALLBACK: usize = 4;
+/// The memory limit divided by this is available for bodies. Heads and tasks take less than half of the rest.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// What there is for each use.
+/// Allocation of resources to their uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allocation {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Connections to workers.
+    /// Maximum number of worker connections.
     pub workers: usize,
-    /// Memory for bodies, in KiB.
+    /// Memory for request bodies, in KiB.
     pub bodies_kib: usize,
 }
 
 impl Allocation {
-    fn new(limits: Limits, other: HeldResources) -> Allocation {
-        let set_aside = FIXED_DESCRIPTORS + REJECTION_SLOTS;
-        let budget = limits.sockets.saturating_sub(set_aside).max(DESCRIPTORS_OF_TINY_LIMIT);
-        let budget = budget.saturating_sub(other.descriptors).max(DESCRIPTORS_MIN.min(budget));
+    fn new(limits: Limits, other_process: HeldResources) -> Allocation {
+        let reserved = FIXED_DESCRIPTORS + REJECTION_SLOTS;
+        let budget = limits.sockets.saturating_sub(reserved).max(DESCRIPTORS_FALLBACK);
+        let budget = budget.saturating_sub(other_process.descriptors).max(DESCRIPTORS_MIN.min(budget));
         let workers = budget / 3;
-        let bodies_kib = (limits.memory_mb * 1024 / BODY_MEMORY_DIVISOR).saturating_sub(other.bodies_kib);
+        let bodies_kib =
+            (limits.memory_mb * 1024 / BODY_MEMORY_DIVISOR).saturating_sub(other_process.bodies_kib);
         Allocation { clients: budget - workers, workers, bodies_kib }
     }
 
-    /// The larger of the two, use by use.
+    /// Maximum of the two for each use.
     fn max(self, other: Allocation) -> Allocation {
         Allocation {
             clients: self.clients.max(other.clients),
@@ -57,21 +61,21 @@
     }
 }
 
-/// All that is allocated from.
+/// Resource budget of the frontend.
 pub struct ResourceBudget {
-    /// The dispatcher, for the jobs that move.
-    core: Handle<Job>,
-    /// Running jobs that were collected for another process.
-    pub lifted: Arc<Mutex<Vec<FrozenJob>>>,
-    /// Slots for connections of clients.
+    /// Handle to the dispatcher, to freeze requests for the successor.
+    dispatcher: Handle<Job>,
+    /// Frozen requests that were collected for the successor.
+    pub frozen_jobs: Arc<Mutex<Vec<FrozenJob>>>,
+    /// Connection slots for clients.
     pub client_slots: Arc<ConnectionSlots>,
-    /// Slots for connections that are only refused.
+    /// Slots for connections that are only rejected.
     pub rejection_slots: Arc<Semaphore>,
     /// Connections to workers.
     pub(super) pool: Arc<Pool>,
-    /// Memory for bodies, in KiB.
+    /// Memory for request bodies, in KiB.
     pub body_memory_kib: Semaphore,
-    /// Ids of requests in flight.
+    /// Wire ids of requests in flight.
     pub(super) in_flight_ids: InFlightIds,
     /// Latest endpoint list.
     pub latest_list: Arc<Mutex<EndpointList>>,
@@ -80,18 +84,18 @@
 }
 
 impl ResourceBudget {
-    /// What these limits allow beside what another process holds.
+    /// Creates the budget that these limits leave beside what another process holds.
     pub fn new(
-        core: Handle<Job>,
+        dispatcher: Handle<Job>,
         limits: Limits,
-        other: HeldResources,
+        other_process: HeldResources,
         names: &Names,
         counters: Arc<Counters>,
     ) -> ResourceBudget {
-        let allocation = Allocation::new(limits, other);
+        let allocation = Allocation::new(limits, other_process);
         ResourceBudget {
-            core,
-            lifted: Arc::default(),
+            dispatcher,
+            frozen_jobs: Arc::default(),
             client_slots: ConnectionSlots::new(allocation.clients),
             rejection_slots: Arc::new(Semaphore::new(REJECTION_SLOTS)),
             pool: Arc::new(Pool::new(allocation.workers, names, counters)),
@@ -103,7 +107,7 @@
         }
     }
 
-    /// What is allocated to this process now.
+    /// Current allocation of this process.
     pub fn allocation(&self) -> Allocation {
         *self.lock_allocation()
     }
@@ -117,18 +121,18 @@
         self.pool.taken()
     }
 
-    fn bodies_held_kib(&self) -> usize {
+    fn body_memory_used_kib(&self) -> usize {
         self.allocation().bodies_kib.saturating_sub(self.body_memory_kib.available_permits())
     }
 
-    /// Returns once no client is left, not even one that is being refused.
+    /// Waits until no client is connected, including those that are being rejected.
     pub async fn clients_closed(&self) {
-        self.client_slots.all_free().await;
-        // Fails with a closed semaphore only, and this one is never closed.
+        self.client_slots.wait_all_free().await;
+        // Fails only if the semaphore is closed, which never happens.
         let _ = self.rejection_slots.acquire_many(REJECTION_SLOTS as u32).await;
     }
 
-    /// What is held now.
+    /// Current usage of resources.
     pub fn usage(&self) -> ResourceUsage {
         let idle = self.pool.idle();
         ResourceUsage {
@@ -137,34 +141,35 @@
             attempt_connections: self.pool.taken().saturating_sub(idle),
             idle_connections: idle,
             wire_ids: self.in_flight_ids.len(),
-            bodies_kib: self.bodies_held_kib(),
+            bodies_kib: self.body_memory_used_kib(),
         }
     }
 
-    /// The other process now holds no more than this: what it released is allocated here. Nothing is taken away again.
-    pub fn update_other_process_usage(&self, other: HeldResources) {
+    /// Records that the other process now holds at most this, and allocates what it released to this process.
+    /// The allocation never shrinks.
+    pub fn update_other_process_usage(&self, other_process: HeldResources) {
         let mut allocation = self.lock_allocation();
-        let newer = Allocation::new(self.limits, other);
-        self.client_slots.grant(newer.clients.saturating_sub(allocation.clients));
-        self.pool.grant(newer.workers.saturating_sub(allocation.workers));
-        self.body_memory_kib.add_permits(newer.bodies_kib.saturating_sub(allocation.bodies_kib));
-        *allocation = allocation.max(newer);
+        let updated = Allocation::new(self.limits, other_process);
+        self.client_slots.grant(updated.clients.saturating_sub(allocation.clients));
+        self.pool.grant(updated.workers.saturating_sub(allocation.workers));
+        self.body_memory_kib.add_permits(updated.bodies_kib.saturating_sub(allocation.bodies_kib));
+        *allocation = allocation.max(updated);
     }
 }
 
 impl HandoverSource for ResourceBudget {
     fn node_state(&self) -> NodeState {
         let known = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        NodeState { known, ids: self.in_flight_ids.all() }
+        NodeState { known, ids: self.in_flight_ids.to_strings() }
     }
 
     fn held_resources(&self) -> HeldResources {
         let clients = self.client_slots.taken();
-        let refused = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
-        // Each client that waits for an answer may yet have an attempt out.
+        let rejected = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
+        // Each client that waits for an answer may still get an attempt.
         let workers = self.client_slots.busy().max(self.pool.taken());
-        let descriptors = FIXED_DESCRIPTORS + clients + refused + workers;
-        HeldResources { descriptors, bodies_kib: self.bodies_held_kib() }
+        let descriptors = FIXED_DESCRIPTORS + clients + rejected + workers;
+        HeldResources { descriptors, bodies_kib: self.body_memory_used_kib() }
     }
 
     fn close_idle(&self) {
@@ -172,7 +177,7 @@
     }
 
     async fn freeze_jobs(&self) -> Vec<FrozenJob> {
-        self.core.freeze_transferable().await;
-        std::mem::take(&mut *self.lifted.lock().unwrap_or_else(PoisonError::into_inner))
+        self.dispatcher.freeze_transferable().await;
+        std::mem::take(&mut *self.frozen_jobs.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -153,7 +153,7 @@
             names: self.names.clone(),
             counters: self.counters.clone(),
         });
-        let transport = PlatformTransport::new(runner, self.budget.lifted.clone(), rate_publisher);
+        let transport = PlatformTransport::new(runner, self.budget.frozen_jobs.clone(), rate_publisher);
         let settings = platform_settings(self.settings.clone(), &self.first_names, None);
         let dispatcher = Dispatcher::new(settings, self.seed, transport, self.counters.clone());
         let dispatcher = dispatcher.map_err(Error::Settings)?;
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -16,7 +16,7 @@
 pub struct PlatformTransport {
     runner: Arc<AttemptRunner>,
     /// Running jobs that were collected for another process.
-    lifted: Arc<Mutex<Vec<FrozenJob>>>,
+    frozen_jobs: Arc<Mutex<Vec<FrozenJob>>>,
     rate_publisher: Option<RatePublisher>,
 }
 
@@ -24,10 +24,10 @@
     /// A transport that runs attempts with this runner.
     pub fn new(
         runner: Arc<AttemptRunner>,
-        lifted: Arc<Mutex<Vec<FrozenJob>>>,
+        frozen_jobs: Arc<Mutex<Vec<FrozenJob>>>,
         rate_publisher: Option<RatePublisher>,
     ) -> PlatformTransport {
-        PlatformTransport { runner, lifted, rate_publisher }
+        PlatformTransport { runner, frozen_jobs, rate_publisher }
     }
 }
 
@@ -69,9 +69,9 @@
 
     fn freeze_for_transfer(&mut self, tag: AttemptId, sent: &AttemptStart, job: &Job, hold: &AttemptHandle) {
         let moving = TransferredJob::freeze(sent, job, hold, &self.runner.names.borrow());
-        let lifted =
+        let frozen_jobs =
             moving.and_then(|moving| job_handover::frozen_job(&self.runner.handle, tag, job, hold, moving));
-        self.lifted.lock().unwrap_or_else(PoisonError::into_inner).extend(lifted);
+        self.frozen_jobs.lock().unwrap_or_else(PoisonError::into_inner).extend(frozen_jobs);
     }
 
     fn answer(&mut self, job: Job, answer: Answer) {
