--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -55,7 +55,7 @@
 
 /// Connection slots of a frontend.
 pub struct ConnectionSlots {
-    taken: AtomicUsize,
+    in_use: AtomicUsize,
     freed: Notify,
     /// Slots added for transferred connections beyond what was granted; later grants are reduced by them.
     granted_in_advance: AtomicUsize,
@@ -67,7 +67,7 @@
     /// Creates this many slots.
     pub fn new(size: usize) -> Arc<ConnectionSlots> {
         Arc::new(ConnectionSlots {
-            taken: AtomicUsize::new(0),
+            in_use: AtomicUsize::new(0),
             freed: Notify::new(),
             granted_in_advance: AtomicUsize::new(0),
             permits: Arc::new(Semaphore::new(size)),
@@ -109,7 +109,7 @@
             connections.last_number += 1;
             connections.last_number
         };
-        self.taken.fetch_add(1, Ordering::Relaxed);
+        self.in_use.fetch_add(1, Ordering::Relaxed);
         let slot = Slot {
             slots: self.clone(),
             number,
@@ -140,20 +140,20 @@
     }
 
     /// Number of slots in use.
-    pub fn taken(&self) -> usize {
-        self.taken.load(Ordering::Relaxed)
+    pub fn in_use(&self) -> usize {
+        self.in_use.load(Ordering::Relaxed)
     }
 
     /// Number of connections with a request in flight.
     pub fn busy(&self) -> usize {
-        self.taken().saturating_sub(self.connections().idle.len())
+        self.in_use().saturating_sub(self.connections().idle.len())
     }
 
     /// Waits until all slots are free. It acquires none to do so, because free slots are counted meanwhile.
     pub async fn wait_all_free(&self) {
         let freed = self.freed.notified();
         tokio::pin!(freed);
-        while self.taken() > 0 {
+        while self.in_use() > 0 {
             freed.as_mut().await;
             freed.set(self.freed.notified());
         }
@@ -198,7 +198,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.set_busy();
-        self.slots.taken.fetch_sub(1, Ordering::Relaxed);
+        self.slots.in_use.fetch_sub(1, Ordering::Relaxed);
         self.slots.freed.notify_waiters();
     }
 }
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -114,7 +114,7 @@
     let listener = Arc::new(listener);
     let (handle, inbox) = queue();
     let (mut startup, predecessor) = Startup::new(config, dependencies, handle).await;
-    startup.start_receiving_rates();
+    startup.start_rate_receiver();
     let rate_publisher = startup.start_rate_publisher()?;
     let dispatcher = startup.start_dispatcher(inbox, rate_publisher)?;
     startup.start_endpoint_watch();
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -136,7 +136,7 @@
     pub fn usage(&self) -> ResourceUsage {
         let idle = self.pool.idle();
         ResourceUsage {
-            client_connections: self.client_slots.taken(),
+            client_connections: self.client_slots.in_use(),
             busy_clients: self.client_slots.busy(),
             attempt_connections: self.pool.taken().saturating_sub(idle),
             idle_connections: idle,
@@ -164,7 +164,7 @@
     }
 
     fn held_resources(&self) -> HeldResources {
-        let clients = self.client_slots.taken();
+        let clients = self.client_slots.in_use();
         let rejected = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may still get an attempt.
         let workers = self.client_slots.busy().max(self.pool.taken());
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -162,8 +162,8 @@
     }
 }
 
-/// Logs a request. Drops this reference to its id, which stays in flight as long as the job and its attempts
-/// hold theirs.
+/// Logs an accepted request. Drops this reference to its id: the id is in flight as long as the [`Job`] and
+/// its attempts hold theirs.
 fn log_accepted(request: RequestId, id: Arc<InFlightId>, time_left_us: u64, adopted: bool) {
     log::debug!(event = "request_accepted", request, wire_id:? = id.value, time_left_us, adopted;
         "request accepted");
--- a/node/src/platform/server/response.rs
+++ b/node/src/platform/server/response.rs
@@ -52,7 +52,8 @@
     /// The `X-Request-Id` header is missing.
     #[error("X-Request-Id is missing")]
     MissingId,
-    /// Another request with this id is in flight; a worker could not tell the two apart.
+    /// Another request with this id is in flight: workers would take this one for the other or for a copy of
+    /// it.
     #[error("a request with this X-Request-Id is open")]
     IdInFlight,
     /// A field is invalid.
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of settings and cluster size, brought to the dispatcher and the wire while the node serves.
+//! Applies changes of settings and fleet size to the dispatcher and the wire protocol while the node serves.
 
 use super::pool::Pool;
 use super::Job;
@@ -10,27 +10,27 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The task that brings changes to those who need them.
+/// Task that applies changes of settings and fleet size.
 pub struct SettingsUpdates {
-    /// The dispatcher.
+    /// Handle to the dispatcher.
     pub handle: Handle<Job>,
-    /// Connections to workers, whose timeouts change.
+    /// Connection pool, whose timeouts are among the settings.
     pub pool: Arc<Pool>,
     /// Settings in force.
     pub effective_settings: watch::Receiver<EffectiveSettings>,
-    /// Size of the cluster, where membership is configured.
-    pub cluster_size: Option<watch::Receiver<FleetSize>>,
-    /// Names for all parts that speak on wires.
+    /// Size of the fleet, if membership is configured.
+    pub fleet_size: Option<watch::Receiver<FleetSize>>,
+    /// Publishes the names on the wire to all parts of the frontend.
     pub names: watch::Sender<Arc<Names>>,
 }
 
 impl SettingsUpdates {
-    /// Applies each change, without end.
+    /// Applies each change; never returns.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
                 Ok(()) = self.effective_settings.changed() => {}
-                () = changed(&mut self.cluster_size) => {}
+                () = fleet_size_changed(&mut self.fleet_size) => {}
             }
             self.apply();
         }
@@ -39,9 +39,9 @@
     fn apply(&mut self) {
         let EffectiveSettings { settings, names } = self.effective_settings.borrow_and_update().clone();
         self.pool.set_timeouts(&names);
-        let cluster_size = self.cluster_size.as_mut().map(|size| size.borrow_and_update().clone());
-        let settings = platform_settings(settings, &names, cluster_size.as_ref());
-        // The dispatcher first: no request may come with a class that it has not heard of.
+        let fleet_size = self.fleet_size.as_mut().map(|size| size.borrow_and_update().clone());
+        let settings = platform_settings(settings, &names, fleet_size.as_ref());
+        // The dispatcher is updated first: no request may arrive with a class that it does not know yet.
         self.handle.update_settings(settings, names.previous_classes.clone());
         if **self.names.borrow() != names {
             self.names.send_replace(Arc::new(names));
@@ -49,22 +49,22 @@
     }
 }
 
-/// Returns with the next change; never, where there is nothing that could change.
-async fn changed(cluster_size: &mut Option<watch::Receiver<FleetSize>>) {
-    if let Some(cluster_size) = cluster_size {
-        if cluster_size.changed().await.is_ok() {
+/// Waits for the next change of the fleet size; never returns if there is no membership.
+async fn fleet_size_changed(fleet_size: &mut Option<watch::Receiver<FleetSize>>) {
+    if let Some(fleet_size) = fleet_size {
+        if fleet_size.changed().await.is_ok() {
             return;
         }
     }
     std::future::pending().await
 }
 
-/// The settings with what this wire adds (a worker answers 200 once it has accepted a job, and its connection may take as
-/// long as the settings allow to come up) and with what the membership tells.
-pub fn platform_settings(settings: Settings, names: &Names, cluster_size: Option<&FleetSize>) -> Settings {
+/// Completes the settings with properties of this protocol (a worker acknowledges a request with status 200,
+/// and a connection to it may take up to the connect timeout) and with the state of the membership.
+pub fn platform_settings(settings: Settings, names: &Names, fleet_size: Option<&FleetSize>) -> Settings {
     let max_send_delay_us = names.connect_timeout.as_micros() as u64;
     let settings = Settings { acknowledges: true, max_send_delay_us, ..settings };
-    match cluster_size.filter(|size| !size.dispatcher_names.is_empty()) {
+    match fleet_size.filter(|size| !size.dispatcher_names.is_empty()) {
         Some(size) => Settings {
             dispatchers: size.dispatchers,
             ordinal: size.ordinal,
--- a/node/src/platform/socket.rs
+++ b/node/src/platform/socket.rs
@@ -1,5 +1,5 @@
-//! TCP socket that may go to another process while it is in use: what this process does with it can be frozen at any
-//! moment, and what an earlier process has read of it comes first here.
+//! TCP socket that can be transferred to another process while in use. Reads and writes of this process can
+//! be frozen at any time, and bytes that were read before a transfer are replayed first after it.
 
 use crate::transient::{self, FailureBackoff, Retry, IMMEDIATE_RETRIES, RETRY_PAUSE};
 use futures_util::FutureExt;
@@ -14,13 +14,13 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Interval between looks at a socket whose end may hide behind bytes that nobody reads.
+/// Polling interval for the end of a stream that may be hidden behind unread bytes.
 const PEER_CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
 struct State {
     is_frozen: bool,
-    /// Bytes to be read first.
+    /// Bytes that are returned before those of the socket.
     replay: Vec<u8>,
     read: Direction,
     write: Direction,
@@ -29,13 +29,13 @@
 /// One direction of a socket.
 #[derive(Default)]
 struct Direction {
-    /// Who waits for the socket to thaw.
+    /// Task that waits until the socket is thawed.
     waker: Option<Waker>,
     backoff: FailureBackoff,
 }
 
 impl Direction {
-    /// The call's final result; `None` where it is to be made again, once the backoff is ready.
+    /// Final result of a call; `None` if it has to be repeated once the backoff is ready.
     fn final_result<T>(&mut self, result: io::Result<T>) -> Option<io::Result<T>> {
         let retry = match &result {
             Ok(_) => None,
@@ -50,17 +50,17 @@
     }
 }
 
-/// What lies on a socket that nobody has read.
+/// Unread input of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unread {
     Nothing,
     Bytes,
     End,
-    /// The look itself failed: it says nothing about the other end.
+    /// The check itself failed, which says nothing about the peer.
     Unknown,
 }
 
-/// A socket to read and write.
+/// Socket to read and write.
 pub struct Socket(Arc<Inner>);
 
 struct Inner {
@@ -68,31 +68,32 @@
     state: Mutex<State>,
 }
 
-/// Handle to a socket that something else reads and writes.
+/// Handle to a [`Socket`] that another task reads and writes.
 #[derive(Clone)]
 pub struct SocketHandle(Arc<Inner>);
 
-/// Observer of a socket's other end that does not keep the socket open.
+/// Observer of a socket's peer that does not keep the socket open.
 #[derive(Clone)]
 pub struct PeerObserver(Weak<Inner>);
 
 impl PeerObserver {
-    /// Whether the other end has closed, half-closed or reset it by now, or this process has closed it.
+    /// Whether the peer has closed, half-closed or reset the connection, or this process has closed the
+    /// socket.
     pub fn is_peer_closed(&self) -> bool {
         self.0.upgrade().is_none_or(|socket| SocketHandle(socket).is_peer_closed())
     }
 }
 
 impl Socket {
-    /// A socket of this process.
+    /// Wraps a stream that this process opened or accepted.
     pub fn new(stream: TcpStream) -> Socket {
         Socket(Arc::new(Inner { stream, state: Mutex::default() }))
     }
 
-    /// A socket that another process had, and what is to be read first.
+    /// Wraps a socket that another process transferred, with the bytes to read first.
     ///
     /// # Errors
-    /// The system's, if the descriptor cannot be used in this process.
+    /// The operating system's, if the descriptor cannot be used in this process.
     pub fn received(socket: OwnedFd, replay: Vec<u8>) -> io::Result<Socket> {
         let stream = std::net::TcpStream::from(socket);
         stream.set_nonblocking(true)?;
@@ -100,7 +101,7 @@
         Ok(Socket(Arc::new(Inner { stream: TcpStream::from_std(stream)?, state })))
     }
 
-    /// A handle to it.
+    /// Handle to this socket.
     pub fn socket_handle(&self) -> SocketHandle {
         SocketHandle(self.0.clone())
     }
@@ -111,19 +112,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at one byte without taking it; 0 is the end of the stream.
+    /// Peeks at one byte; 0 means the end of the stream.
     fn peek(&self, flags: RecvFlags) -> rustix::io::Result<usize> {
         Ok(recv(&self.stream, &mut [0u8; 1][..], RecvFlags::PEEK | flags)?.1)
     }
 }
 
 impl SocketHandle {
-    /// From here on nothing is read or written until it thaws.
+    /// Suspends all reads and writes until [`Self::thaw`].
     pub fn freeze(&self) {
         self.0.state().is_frozen = true;
     }
 
-    /// All continues where it stood.
+    /// Resumes reads and writes.
     pub fn thaw(&self) {
         let mut state = self.0.state();
         state.is_frozen = false;
@@ -131,7 +132,7 @@
         wakers.into_iter().flatten().for_each(Waker::wake);
     }
 
-    /// Whether nothing is left that an earlier process had read.
+    /// Whether all replayed bytes have been read.
     pub fn is_replay_done(&self) -> bool {
         self.0.state().replay.is_empty()
     }
@@ -152,31 +153,32 @@
         Unread::Unknown
     }
 
-    /// Whether bytes have come that nobody has read.
+    /// Whether received bytes are unread.
     pub fn has_unread(&self) -> bool {
         self.unread() == Unread::Bytes
     }
 
-    /// Whether nothing has come that nobody has read, not even an end.
+    /// Whether there is nothing to read, not even the end of the stream.
     pub fn has_nothing_unread(&self) -> bool {
         self.unread() == Unread::Nothing
     }
 
-    /// Whether the other end has closed, half-closed or reset it by now, as far as the kernel knows.
+    /// Whether the peer has closed, half-closed or reset the connection, as far as the kernel knows.
     pub fn is_peer_closed(&self) -> bool {
         let ready = self.0.stream.ready(Interest::READABLE).now_or_never();
         let is_read_closed = matches!(ready, Some(Ok(ready)) if ready.is_read_closed());
         is_read_closed || self.unread() == Unread::End
     }
 
-    /// Returns once the other end has closed, half-closed or reset it, also behind bytes that nobody has read. While it
-    /// is frozen, that is for the process that gets it to see.
+    /// Waits until the peer has closed, half-closed or reset the connection, even behind unread bytes. While
+    /// the socket is frozen this does not return, because the receiving process has to detect the close.
     pub async fn peer_closed(&self) {
         loop {
             let is_closed = match self.0.stream.ready(Interest::READABLE).await {
                 Ok(ready) if ready.is_read_closed() => true,
                 Ok(_) => {
-                    // Reports 'not ready' where nothing is there, so that the next look waits for an event.
+                    // Clears the readiness if there is nothing to read, so that the next iteration waits for
+                    // an event.
                     let peek = || Ok(self.0.peek(RecvFlags::empty())?);
                     match self.0.stream.try_io(Interest::READABLE, peek) {
                         Ok(bytes) => bytes == 0,
@@ -193,12 +195,12 @@
         }
     }
 
-    /// An observer of the other end.
+    /// Observer of the peer.
     pub fn observer(&self) -> PeerObserver {
         PeerObserver(Arc::downgrade(&self.0))
     }
 
-    /// The socket, for another process.
+    /// The stream, for passing its descriptor to another process.
     pub fn tcp_stream(&self) -> &TcpStream {
         &self.0.stream
     }
@@ -266,7 +268,7 @@
             return Poll::Pending;
         }
         Poll::Ready(match shutdown(&self.0.stream, Shutdown::Write) {
-            Err(rustix::io::Errno::NOTCONN) => Ok(()), // the other end was faster
+            Err(rustix::io::Errno::NOTCONN) => Ok(()), // the peer has already closed the connection
             done => done.map_err(io::Error::from),
         })
     }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -1,4 +1,4 @@
-//! Start of the frontend's parts, each by a step of its own, in the order in which they come up.
+//! Startup of the frontend: one method for each part, in the order in which they are called.
 
 use super::attempt::AttemptRunner;
 use super::endpoint_watch::{EndpointWatch, ListSharing};
@@ -29,18 +29,18 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The frontend while its parts are started.
+/// Frontend during its startup.
 pub struct Startup {
     seed: u64,
-    peer_address: Option<SocketAddr>,
+    peer_listen_address: Option<SocketAddr>,
     peer_addresses: Vec<SocketAddr>,
-    /// Settings at the start.
+    /// Settings at startup.
     settings: Settings,
-    first_names: Names,
-    /// Endpoint list to begin with.
-    known: Option<EndpointList>,
+    initial_names: Names,
+    /// Endpoint list before the first answer of discovery.
+    initial_endpoints: Option<EndpointList>,
     names: watch::Receiver<Arc<Names>>,
-    publish_names: watch::Sender<Arc<Names>>,
+    names_sender: watch::Sender<Arc<Names>>,
     effective_settings: watch::Receiver<EffectiveSettings>,
     handle: Handle<Job>,
     budget: Arc<ResourceBudget>,
@@ -52,32 +52,38 @@
     list_sharing: Option<ListSharing>,
 }
 
-/// The process that served before, from the moment in which this one serves in its place.
-pub struct DisplacedPredecessor {
+/// Predecessor after it has handed over.
+pub struct HandedOverPredecessor {
     link: PredecessorLink,
-    /// Wire ids of requests that are in flight there.
-    ids: Vec<String>,
+    /// Wire ids of the predecessor's requests in flight.
+    in_flight_ids: Vec<String>,
 }
 
 impl Startup {
-    /// Takes the place of the process before, if there is one, and creates what all parts share.
+    /// Takes over from the predecessor, if there is one, and creates the state that all parts share.
     pub async fn new(
         config: Config,
         dependencies: Dependencies,
         handle: Handle<Job>,
-    ) -> (Startup, Option<DisplacedPredecessor>) {
+    ) -> (Startup, Option<HandedOverPredecessor>) {
         let Dependencies { counters, mut effective_settings, predecessor, .. } = dependencies;
-        let EffectiveSettings { settings, names: first_names } =
+        let EffectiveSettings { settings, names: initial_names } =
             effective_settings.borrow_and_update().clone();
-        let (publish_names, names) = watch::channel(Arc::new(first_names.clone()));
-        let (mut known, mut usage, mut displaced) = (config.known_endpoints, HeldResources::default(), None);
+        let (names_sender, names) = watch::channel(Arc::new(initial_names.clone()));
+        let (mut initial_endpoints, mut predecessor_usage, mut handed_over) =
+            (config.known_endpoints, HeldResources::default(), None);
         if let Some(predecessor) = predecessor {
-            known = Some(predecessor.state.known.clone());
-            let (held, predecessor) = displace(predecessor).await;
-            (usage, displaced) = (held, Some(predecessor));
+            initial_endpoints = Some(predecessor.state.known.clone());
+            let (held, predecessor) = take_over(predecessor).await;
+            (predecessor_usage, handed_over) = (held, Some(predecessor));
         }
-        let budget =
-            ResourceBudget::new(handle.clone(), config.limits, usage, &first_names, counters.clone());
+        let budget = ResourceBudget::new(
+            handle.clone(),
+            config.limits,
+            predecessor_usage,
+            &initial_names,
+            counters.clone(),
+        );
         let budget = Arc::new(budget);
         counters.set_usage_source({
             let budget = Arc::downgrade(&budget);
@@ -85,13 +91,13 @@
         });
         let startup = Startup {
             seed: config.seed,
-            peer_address: config.peer_listen,
+            peer_listen_address: config.peer_listen,
             peer_addresses: config.peers,
             settings,
-            first_names,
-            known,
+            initial_names,
+            initial_endpoints,
             names,
-            publish_names,
+            names_sender,
             effective_settings,
             handle,
             budget,
@@ -102,7 +108,7 @@
             membership: dependencies.membership,
             list_sharing: dependencies.list_sharing,
         };
-        (startup, displaced)
+        (startup, handed_over)
     }
 
     fn membership_gossip(&self) -> Option<MembershipGossip> {
@@ -110,14 +116,15 @@
         Some(MembershipGossip::new(membership, self.names.clone()))
     }
 
-    /// Starts to receive rates of other members, where membership is configured.
-    pub fn start_receiving_rates(&self) {
+    /// Starts to receive admission rates from other members, if membership is configured.
+    pub fn start_rate_receiver(&self) {
         if let Some(gossip) = self.membership_gossip() {
             tokio::spawn(gossip.receive(self.handle.clone()));
         }
     }
 
-    /// Opens the way on which rates go to other nodes, if there is one.
+    /// Creates the publisher of admission rates, if membership or peer datagrams are configured. Starts to
+    /// receive peer datagrams, too.
     ///
     /// # Errors
     /// [`Error::BindPeerSocket`] if the socket for other nodes cannot be bound.
@@ -125,7 +132,7 @@
         if let Some(gossip) = self.membership_gossip() {
             return Ok(Some(RatePublisher::Membership(gossip)));
         }
-        let Some(address) = self.peer_address.filter(|_| self.settings.peer_messages) else {
+        let Some(address) = self.peer_listen_address.filter(|_| self.settings.peer_messages) else {
             return Ok(None);
         };
         let peers = std::mem::take(&mut self.peer_addresses);
@@ -137,10 +144,10 @@
         Ok(Some(RatePublisher::Datagrams(socket)))
     }
 
-    /// Starts the dispatcher with the transport to workers, and the removal of expired connections.
+    /// Starts the dispatcher with the transport to workers, and the eviction of expired worker connections.
     ///
     /// # Errors
-    /// [`Error::Settings`] if the decision module refuses the settings.
+    /// [`Error::Settings`] if the decision module rejects the settings.
     pub fn start_dispatcher(
         &self,
         inbox: Inbox<Job>,
@@ -154,7 +161,7 @@
             counters: self.counters.clone(),
         });
         let transport = PlatformTransport::new(runner, self.budget.frozen_jobs.clone(), rate_publisher);
-        let settings = platform_settings(self.settings.clone(), &self.first_names, None);
+        let settings = platform_settings(self.settings.clone(), &self.initial_names, None);
         let dispatcher = Dispatcher::new(settings, self.seed, transport, self.counters.clone());
         let dispatcher = dispatcher.map_err(Error::Settings)?;
         let dispatcher = tokio::spawn(dispatcher.run(inbox));
@@ -162,7 +169,7 @@
         Ok(dispatcher)
     }
 
-    /// Starts to follow discovery.
+    /// Starts the watch of the endpoint list.
     pub fn start_endpoint_watch(&mut self) {
         let endpoint_watch = EndpointWatch {
             handle: self.handle.clone(),
@@ -175,33 +182,33 @@
             latest_list: self.budget.latest_list.clone(),
         };
         let (discovery, sharing) = (self.discovery.clone(), self.list_sharing.take());
-        tokio::spawn(endpoint_watch.run(discovery, sharing, self.known.take()));
+        tokio::spawn(endpoint_watch.run(discovery, sharing, self.initial_endpoints.take()));
     }
 
-    /// Starts to bring changes of settings and cluster size to all who need them.
+    /// Starts to apply changes of settings and fleet size.
     pub fn start_settings_updates(&self) {
         let updates = SettingsUpdates {
             handle: self.handle.clone(),
             pool: self.budget.pool.clone(),
             effective_settings: self.effective_settings.clone(),
-            cluster_size: self.membership.as_ref().map(|membership| membership.fleet_size()),
-            names: self.publish_names.clone(),
+            fleet_size: self.membership.as_ref().map(|membership| membership.fleet_size()),
+            names: self.names_sender.clone(),
         };
         tokio::spawn(updates.run());
     }
 
-    /// Lets the next process take over, as long as there is a listener.
+    /// Offers process handover to successors for as long as the listener exists.
     pub fn offer_handover(&mut self, listener: &Arc<TcpListener>) {
         let Some(path) = self.handover_path.take() else { return };
         let (listener, phases, budget) = (Arc::downgrade(listener), self.phases.clone(), self.budget.clone());
         let membership = self.membership.clone();
-        let displaced = move || membership.iter().for_each(membership::Handle::suspend);
+        let on_taken_over = move || membership.iter().for_each(membership::Handle::suspend);
         tokio::spawn(async move {
-            process_handover::serve_successors(&path, listener, &phases, &*budget, displaced).await
+            process_handover::serve_successors(&path, listener, &phases, &*budget, on_taken_over).await
         });
     }
 
-    /// The server for clients: the last part.
+    /// Creates the server for clients, the last part.
     pub fn into_server(self) -> Arc<Server> {
         Arc::new(Server {
             handle: self.handle,
@@ -214,27 +221,27 @@
     }
 }
 
-/// Serves in place of the process before; returns what it still holds.
-async fn displace(predecessor: Predecessor) -> (HeldResources, DisplacedPredecessor) {
-    let ids = predecessor.state.ids.clone();
+/// Takes over from the predecessor; returns the resources that it still holds.
+async fn take_over(predecessor: Predecessor) -> (HeldResources, HandedOverPredecessor) {
+    let in_flight_ids = predecessor.state.ids.clone();
     let (held, link) = predecessor.take_over().await;
-    (held, DisplacedPredecessor { link, ids })
+    (held, HandedOverPredecessor { link, in_flight_ids })
 }
 
-impl DisplacedPredecessor {
-    /// Continues its running jobs here, and takes up the resources that it releases, until it ends.
+impl HandedOverPredecessor {
+    /// Adopts its transferred requests and allocates the resources that it releases, until it ends.
     pub fn adopt_requests(self, server: Arc<Server>) {
-        // Its ids in flight stay reserved here until their jobs come over, or it ends.
-        let reserved = self.ids.into_iter().filter_map(|id| {
-            let reserved = server.budget.in_flight_ids.insert(HeaderValue::from_str(&id).ok()?)?;
-            Some((id, reserved))
+        // Its ids in flight stay reserved here until their requests are transferred or it ends.
+        let reserved_ids = self.in_flight_ids.into_iter().filter_map(|id| {
+            let reservation = server.budget.in_flight_ids.insert(HeaderValue::from_str(&id).ok()?)?;
+            Some((id, reservation))
         });
-        let mut reserved: HashMap<String, Arc<InFlightId>> = reserved.collect();
+        let mut reserved_ids: HashMap<String, Arc<InFlightId>> = reserved_ids.collect();
         tokio::spawn(async move {
             self.link
                 .run(
                     |held| server.budget.update_other_process_usage(held),
-                    |record, sockets| server.adopt_request(record, sockets, &mut reserved),
+                    |record, sockets| server.adopt_request(record, sockets, &mut reserved_ids),
                 )
                 .await;
         });
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -1,4 +1,4 @@
-//! Transport of the dispatcher's decisions to workers, clients and other nodes.
+//! Executes the dispatcher's decisions towards workers, clients and other nodes.
 
 use super::attempt::{AttemptRequest, AttemptRunner};
 use super::job_handover::{self, AttemptConnection, AttemptHandle, TransferredJob};
@@ -12,16 +12,16 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The platform's transport.
+/// Implementation of [`Frontend`] for the platform's protocol.
 pub struct PlatformTransport {
     runner: Arc<AttemptRunner>,
-    /// Running jobs that were collected for another process.
+    /// Frozen requests that were collected for the successor.
     frozen_jobs: Arc<Mutex<Vec<FrozenJob>>>,
     rate_publisher: Option<RatePublisher>,
 }
 
 impl PlatformTransport {
-    /// A transport that runs attempts with this runner.
+    /// Creates a transport that runs attempts with this runner.
     pub fn new(
         runner: Arc<AttemptRunner>,
         frozen_jobs: Arc<Mutex<Vec<FrozenJob>>>,
@@ -35,47 +35,60 @@
     type Job = Job;
     type Attempt = AttemptHandle;
 
-    fn send(&mut self, tag: AttemptId, job: &Job, worker: WorkerId, until: Instant) -> Self::Attempt {
-        let (stop, stopped) = oneshot::channel();
-        let line = Arc::new(AttemptConnection::default());
+    fn send(
+        &mut self,
+        attempt_id: AttemptId,
+        job: &Job,
+        worker: WorkerId,
+        deadline: Instant,
+    ) -> Self::Attempt {
+        let (stop, stop_receiver) = oneshot::channel();
+        let connection = Arc::new(AttemptConnection::default());
         let request = AttemptRequest {
-            tag,
+            tag: attempt_id,
             worker,
-            deadline: until,
+            deadline,
             id: job.id.clone(),
             key: job.idempotency_key.clone(),
             target: job.target.clone(),
             body: job.body.clone(),
-            line: line.clone(),
+            line: connection.clone(),
             client: job.client.as_ref().map(|client| client.socket_handle.observer()),
         };
         let adopted = job.adopted.lock().unwrap_or_else(PoisonError::into_inner).take();
-        tokio::spawn(self.runner.clone().run(request, adopted, stopped));
-        AttemptHandle { stop, line }
+        tokio::spawn(self.runner.clone().run(request, adopted, stop_receiver));
+        AttemptHandle { stop, line: connection }
     }
 
     fn is_client_waiting(&self, job: &Job) -> bool {
         job.client.as_ref().is_none_or(|client| !client.socket_handle.is_peer_closed())
     }
 
-    fn stop(&mut self, attempt: Self::Attempt, why: Outcome) {
-        // Fails where the attempt has just ended by itself; its own outcome is in the queue then.
-        let _ = attempt.stop.send(why);
+    fn stop(&mut self, attempt: Self::Attempt, outcome: Outcome) {
+        // Fails if the attempt has just ended by itself; its outcome is in the dispatcher's queue then.
+        let _ = attempt.stop.send(outcome);
     }
 
     fn abandon(&mut self, attempt: &Self::Attempt) {
         attempt.line.unwanted.store(true, Ordering::Relaxed);
     }
 
-    fn freeze_for_transfer(&mut self, tag: AttemptId, sent: &AttemptStart, job: &Job, hold: &AttemptHandle) {
-        let moving = TransferredJob::freeze(sent, job, hold, &self.runner.names.borrow());
-        let frozen_jobs =
-            moving.and_then(|moving| job_handover::frozen_job(&self.runner.handle, tag, job, hold, moving));
-        self.frozen_jobs.lock().unwrap_or_else(PoisonError::into_inner).extend(frozen_jobs);
+    fn freeze_for_transfer(
+        &mut self,
+        attempt_id: AttemptId,
+        sent: &AttemptStart,
+        job: &Job,
+        attempt: &AttemptHandle,
+    ) {
+        let transferred = TransferredJob::freeze(sent, job, attempt, &self.runner.names.borrow());
+        let frozen_job = transferred.and_then(|transferred| {
+            job_handover::frozen_job(&self.runner.handle, attempt_id, job, attempt, transferred)
+        });
+        self.frozen_jobs.lock().unwrap_or_else(PoisonError::into_inner).extend(frozen_job);
     }
 
     fn answer(&mut self, job: Job, answer: Answer) {
-        // Fails where the client has just gone; the dispatcher hears of that by itself.
+        // Fails if the client has just left; the dispatcher is notified of that separately.
         let _ = job.reply.send(answer);
     }
 
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -92,10 +92,10 @@
         new.update_other_process_usage(held); // nothing is taken away again
         new.update_other_process_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
-        assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
+        assert_eq!(new.client_slots.in_use() + new.worker_connections(), 0);
         let _all = busy(&new.client_slots, all.clients).await;
         assert_eq!(
-            (new.client_slots.taken(), new.body_memory_kib.available_permits()),
+            (new.client_slots.in_use(), new.body_memory_kib.available_permits()),
             (all.clients, all.bodies_kib)
         );
     }
