--- a/src/class_backoff.rs
+++ b/src/class_backoff.rs
@@ -1,5 +1,5 @@
-//! Backoff of a class or a tenant at one worker that rejects it, or leaves it unanswered, while it serves
-//! others.
+//! Backoff of a class or tenant at a single worker that rejects its requests, or leaves them unanswered,
+//! while it serves others.
 
 use crate::api::{Micros, SECOND};
 use crate::concurrency_limit::REJECTION_GAIN;
@@ -8,21 +8,21 @@
 use crate::table::{ClassId, WorkerIndex};
 use std::collections::BTreeMap;
 
-/// Time for which a class stays away from a worker that left it unanswered.
+/// Backoff of a class at a worker that left its request unanswered.
 const UNANSWERED_BACKOFF: Micros = 10 * SECOND;
-/// The part of attempts without room that a class or tenant has more of at a worker than all requests there,
-/// from which on the worker's rejections are its alone.
-const CLEARLY_MORE: f64 = 0.3;
-/// Doublings of the backoff at a worker that rejects each attempt.
+/// Minimum excess of a class's or tenant's rejection ratio at a worker, over that of all requests there, at
+/// which the rejections are attributed to it alone.
+const MIN_EXCESS_RATIO: f64 = 0.3;
+/// Number of times that the backoff doubles at a worker that rejects every attempt.
 const BACKOFF_DOUBLINGS: f64 = 5.0;
-/// The first backoff after a rejection, as a part of a typical run time.
-const FIRST_BACKOFF: f64 = 1.0 / 8.0;
+/// Initial backoff after a rejection, as a fraction of a typical run time.
+const FIRST_BACKOFF_RATIO: f64 = 1.0 / 8.0;
 
-/// State of an attribute's requests at one worker.
+/// State of one attribute at one worker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backoff {
     until: Micros,
-    /// The part of attempts that found no room.
+    /// Fraction of attempts rejected for lack of capacity.
     rejection_ratio: f64,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl ClassBackoff {
-    /// Whether a request stays away from a worker.
+    /// Returns whether a request must not be sent to a worker at present.
     pub fn excludes(&self, request: &RequestState, worker: WorkerIndex, now: Micros) -> bool {
         if self.backoffs.is_empty() {
             return false;
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Records that a worker rejected a request. Where its class or tenant is rejected there much more often
-    /// than all requests are, that one backs off, and the worker's rejection is none of others. Returns
-    /// whether that is so.
+    /// Records that a worker rejected a request. If its class or tenant is rejected there much more often
+    /// than all requests are, only that class or tenant backs off, and the rejection is not attributed to the
+    /// worker. Returns whether that is the case.
     pub fn record_rejection(
         &mut self,
         worker: WorkerIndex,
@@ -73,25 +73,25 @@
         worker_rejection_ratio: f64,
         backoff_until: impl Fn(f64) -> Micros,
     ) -> bool {
-        let mut is_own = false;
-        for attribute in Attribute::shared_by_many(request) {
+        let mut is_attributed = false;
+        for attribute in Attribute::class_and_tenant(request) {
             let backoff = self.backoffs.entry((worker, attribute)).or_default();
             backoff.rejection_ratio += REJECTION_GAIN * (1.0 - backoff.rejection_ratio);
-            if backoff.rejection_ratio >= worker_rejection_ratio + CLEARLY_MORE {
-                is_own = true;
+            if backoff.rejection_ratio >= worker_rejection_ratio + MIN_EXCESS_RATIO {
+                is_attributed = true;
                 backoff.until = backoff_until(backoff.rejection_ratio);
             }
         }
-        is_own
+        is_attributed
     }
 }
 
-/// How long to stay away after a rejection: the longer, the more attempts are rejected.
+/// Returns the backoff after a rejection, which grows with the rejection ratio.
 pub fn backoff_us(typical_run_us: f64, rejection_ratio: f64) -> Micros {
-    (typical_run_us * FIRST_BACKOFF * (rejection_ratio * BACKOFF_DOUBLINGS).exp2()) as Micros
+    (typical_run_us * FIRST_BACKOFF_RATIO * (rejection_ratio * BACKOFF_DOUBLINGS).exp2()) as Micros
 }
 
-/// Bound of the random part of a backoff.
+/// Returns the upper bound of the random component of a backoff.
 pub fn backoff_jitter(typical_run_us: f64) -> Micros {
-    (typical_run_us * FIRST_BACKOFF) as Micros
+    (typical_run_us * FIRST_BACKOFF_RATIO) as Micros
 }
