--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Workers that the endpoint list names, or once named, and what is known of each.
+//! Workers that are or were in the endpoint list, and the state kept of each.
 
 use crate::api::{Availability, Endpoint, Micros, Settings, WorkerId};
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -13,57 +13,58 @@
 use crate::table::{KindId, RowId, Table, WorkerIndex};
 use std::collections::BTreeMap;
 
-/// Workers up to which each request looks at all of them, and dispatchers up to which one sees enough of them
-/// by itself.
+/// Maximum number of workers that are all considered for each request, and maximum number of dispatchers at
+/// which each one sees enough of the workers by itself.
 pub const SMALL_FLEET: usize = 32;
-/// Workers of this zone in the sample of a larger fleet, and how many times fewer of other zones.
-const SAMPLE: usize = 8;
-const FAR_SAMPLE_PART: usize = 3;
-/// The part of the peak of the workers' weights that stays in a period.
-const PEAK_KEPT: f64 = 0.995;
+/// Workers of this zone in the sample of a larger fleet, and the divisor of that number for workers of other
+/// zones.
+const SAMPLE_SIZE: usize = 8;
+const REMOTE_SAMPLE_DIVISOR: usize = 3;
+/// Factor by which the peak of the total weight decays in each period.
+const PEAK_DECAY: f64 = 0.995;
 
-/// A worker.
+/// State of a worker.
 #[derive(Default)]
 pub struct Worker {
-    /// Its identifier.
+    /// Identifier.
     pub id: WorkerId,
-    /// Its kind.
+    /// Kind.
     pub kind: KindId,
-    /// Where it is.
+    /// Location.
     pub locality: Locality,
-    /// Its capacity relative to other workers; under live weights, that of an idle one of its kind.
+    /// Capacity relative to other workers; with live weights, the weight of an idle worker of its kind.
     pub weight: f64,
     /// Whether new requests may be sent to it.
     pub is_ready: bool,
-    /// Whether the endpoint list names it.
+    /// Whether it is in the endpoint list.
     pub is_listed: bool,
-    /// When it started, by the endpoint list.
+    /// Start time according to the endpoint list.
     reported_start: Micros,
-    /// When it started, by this dispatcher's clock; 0 for long ago.
+    /// Start time by this dispatcher's clock; 0 for long ago.
     pub started_at: Micros,
-    /// Requests in flight there, and how many there may be.
+    /// Requests in flight and their limit.
     pub concurrency: ConcurrencyLimit,
-    /// Requests of all dispatchers in flight there, as live weights tell.
+    /// Requests of all dispatchers in flight, as estimated from live weights.
     pub fleet_in_flight: f64,
-    /// Its run times over the typical ones.
+    /// Run time relative to the typical one.
     pub relative_run_time: RelativeRunTime,
-    /// Its last load report.
+    /// Most recent load report.
     pub load: ReportedLoad,
-    /// What was used of its budget while it warms up.
+    /// Use of its slow-start budget.
     pub slow_start: SlotUsage,
-    /// When an attempt there was last begun or ended; 0 for never.
+    /// When an attempt was last sent or ended; 0 for never.
     pub last_used_at: Micros,
-    /// Its health.
+    /// Health, for outlier detection.
     pub health: Health,
 }
 
 impl Worker {
-    /// A worker that no list has named: it is sent nothing.
+    /// A worker that was never listed: no requests are sent to it.
     fn unlisted(id: WorkerId) -> Worker {
         Worker { id, weight: 1.0, ..Worker::default() }
     }
 
-    /// Forgets what was learned before a restart. Requests that are in flight there stay so.
+    /// Resets what was learned before a restart, but keeps the requests in flight.
     fn restart(&mut self, endpoint: &Endpoint, started_at: Micros) {
         *self = Worker {
             id: endpoint.worker,
@@ -76,14 +77,14 @@
         };
     }
 
-    /// Removes a worker that the list no longer names. Under soft removal, one that responded lately stays in
-    /// use, because lists may be wrong about live workers, and one that did not is probed; the cost is that
-    /// requests may be sent to a process that has gone.
-    fn unlist(&mut self, soft_removal: bool, now: Micros) {
+    /// Handles a worker's removal from the list. With soft removal, a worker that responded recently stays in
+    /// use, because lists may be wrong about live workers, and one that did not is probed. The cost: requests
+    /// may be sent to a process that no longer exists.
+    fn mark_unlisted(&mut self, soft_removal: bool, now: Micros) {
         self.is_listed = false;
         self.is_ready &= soft_removal;
         if self.is_ready {
-            self.health.eject_if_quiet(now);
+            self.health.eject_if_silent(now);
         }
     }
 
@@ -91,43 +92,44 @@
         match availability {
             Availability::Ready => (self.is_ready, self.is_listed) = (true, true),
             Availability::Draining => self.is_ready = false,
-            Availability::Gone => self.unlist(soft_removal, now),
+            Availability::Gone => self.mark_unlisted(soft_removal, now),
         }
     }
 }
 
-/// All workers that were ever listed.
+/// All workers seen so far, from lists or adopted requests.
 #[derive(Default)]
 pub struct Endpoints {
-    /// By index.
+    /// Workers by index.
     pub workers: Table<WorkerIndex, Worker>,
     by_id: BTreeMap<WorkerId, WorkerIndex>,
     lists: ListHistory,
-    /// Ready workers of this dispatcher's zone, and of others.
-    near: Vec<WorkerIndex>,
-    far: Vec<WorkerIndex>,
-    /// Sum of the ready workers' weights, and its peak.
+    /// Ready workers of this dispatcher's zone, and of other zones.
+    same_zone: Vec<WorkerIndex>,
+    other_zones: Vec<WorkerIndex>,
+    /// Total weight of the ready workers, and its decaying peak.
     weight: f64,
     peak_weight: f64,
-    /// Workers with a fresh load report or an open connection, and some that had one.
+    /// Workers with a fresh load report or an open connection; outdated entries are removed when a sample is
+    /// taken.
     recent: Vec<WorkerIndex>,
 }
 
-/// What changes along with the workers.
+/// Models that are updated along with the workers.
 pub struct FleetModels<'a> {
-    /// What is known of each kind.
+    /// History of each kind of worker.
     pub kinds: &'a mut Kinds,
-    /// What live weights tell.
+    /// Estimates from live weights.
     pub live_weights: &'a mut LiveWeights,
 }
 
 impl Endpoints {
-    /// The worker with this identifier, if it was ever heard of.
+    /// Returns the worker with this identifier, if it is known.
     pub fn find(&self, id: WorkerId) -> Option<WorkerIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// The worker with this identifier; one that was never heard of is added, and sent nothing.
+    /// Returns the worker with this identifier. An unknown one is added, but no requests are sent to it.
     pub fn find_or_add(&mut self, id: WorkerId) -> WorkerIndex {
         let next = WorkerIndex::new(self.workers.len());
         let index = *self.by_id.entry(id).or_insert(next);
@@ -137,27 +139,27 @@
         index
     }
 
-    /// Number of workers that are ready.
-    pub fn ready(&self) -> usize {
-        self.near.len() + self.far.len()
+    /// Returns the number of ready workers.
+    pub fn ready_count(&self) -> usize {
+        self.same_zone.len() + self.other_zones.len()
     }
 
-    /// The peak of the ready workers' weights in all.
+    /// Returns the decaying peak of the ready workers' total weight.
     pub fn peak_weight(&self) -> f64 {
         self.peak_weight
     }
 
-    /// Whether there are so many workers that each request looks at a sample.
+    /// Returns whether the fleet is so large that only a sample is considered for each request.
     pub fn is_large(&self) -> bool {
         self.workers.len() > SMALL_FLEET
     }
 
-    /// Lets the peak of the weights decay.
+    /// Decays the peak of the total weight.
     pub fn end_period(&mut self) {
-        self.peak_weight = self.weight.max(self.peak_weight * PEAK_KEPT);
+        self.peak_weight = self.weight.max(self.peak_weight * PEAK_DECAY);
     }
 
-    /// Takes a list, or changes to it.
+    /// Applies a full endpoint list, or changes to it.
     pub fn update(
         &mut self,
         endpoints: &[Endpoint],
@@ -170,26 +172,31 @@
         let earliest_start = self.lists.earliest_start();
         self.lists.record(now);
         if is_full {
-            self.workers.rows_mut().iter_mut().for_each(|worker| worker.unlist(soft_removal, now));
+            self.workers.rows_mut().iter_mut().for_each(|worker| worker.mark_unlisted(soft_removal, now));
         }
         for endpoint in endpoints {
             let kind = KindId::new(usize::from(endpoint.kind));
             models.kinds.grow_to(kind, KindHistory::default);
-            let worker = self.entry(endpoint, earliest_start, now);
+            let worker = self.worker_of_entry(endpoint, earliest_start, now);
             worker.apply(endpoint.availability, soft_removal, now);
-            let is_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
-            worker.weight = if is_weight { endpoint.weight } else { 1.0 };
+            let has_valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
+            worker.weight = if has_valid_weight { endpoint.weight } else { 1.0 };
             if settings.live_weights {
                 let WeightReading { in_flight, size } = models.live_weights.learn(kind, worker.weight);
                 worker.weight = size;
                 worker.fleet_in_flight = if relies_on_live_weights(settings) { in_flight } else { 0.0 };
             }
         }
-        self.group(settings.zone);
+        self.group_by_zone(settings.zone);
     }
 
-    /// The worker of an entry: new where it was never listed, or has restarted.
-    fn entry(&mut self, endpoint: &Endpoint, earliest: Option<Micros>, now: Micros) -> &mut Worker {
+    /// Returns the worker of a list entry, reset if it is new or has restarted.
+    fn worker_of_entry(
+        &mut self,
+        endpoint: &Endpoint,
+        earliest_start: Option<Micros>,
+        now: Micros,
+    ) -> &mut Worker {
         let next = WorkerIndex::new(self.workers.len());
         let index = *self.by_id.entry(endpoint.worker).or_insert(next);
         let is_new = index == next;
@@ -198,38 +205,38 @@
         }
         let worker = &mut self.workers[index];
         if is_new || endpoint.started_at > worker.reported_start {
-            worker.restart(endpoint, local_start(endpoint.started_at, now, earliest));
+            worker.restart(endpoint, local_start(endpoint.started_at, now, earliest_start));
         }
         worker
     }
 
-    fn group(&mut self, zone: u8) {
-        self.near.clear();
-        self.far.clear();
+    fn group_by_zone(&mut self, zone: u8) {
+        self.same_zone.clear();
+        self.other_zones.clear();
         self.weight = 0.0;
         for (index, worker) in self.workers.iter().filter(|(_, worker)| worker.is_ready) {
             if worker.locality.zone == zone {
-                self.near.push(index);
+                self.same_zone.push(index);
             } else {
-                self.far.push(index);
+                self.other_zones.push(index);
             }
             self.weight += worker.weight;
         }
         self.peak_weight = self.peak_weight.max(self.weight);
     }
 
-    /// Keeps a worker in the samples for as long as its report is fresh or its connection open.
+    /// Includes a worker in samples as long as its load report is fresh or its connection is open.
     pub fn keep_in_samples(&mut self, index: WorkerIndex) {
         if !self.recent.contains(&index) {
             self.recent.push(index);
         }
     }
 
-    /// A random sample of the ready workers, and those with a fresh report or a connection that stays open
-    /// for `idle_timeout`. Without `strangers` the latter alone.
+    /// Returns a random sample of the ready workers, plus those with a fresh load report or a connection that
+    /// stays open for `idle_timeout`. Without `include_random`, returns only the latter.
     pub fn sample(
         &mut self,
-        strangers: bool,
+        include_random: bool,
         idle_timeout: Micros,
         rng: &mut Rng,
         now: Micros,
@@ -240,30 +247,33 @@
             now < worker.last_used_at + idle_timeout || worker.load.is_fresh(now)
         });
         let mut sample = self.recent.clone();
-        let mut hash = rng.below(u64::MAX);
-        let near = if strangers { SAMPLE } else { 0 };
-        for (group, count) in [(&self.near, near), (&self.far, near / FAR_SAMPLE_PART)] {
+        let mut draw = rng.below(u64::MAX);
+        let same_zone_count = if include_random { SAMPLE_SIZE } else { 0 };
+        for (group, count) in
+            [(&self.same_zone, same_zone_count), (&self.other_zones, same_zone_count / REMOTE_SAMPLE_DIVISOR)]
+        {
             for _ in 0..count.min(group.len()) {
-                hash = mix(hash.wrapping_add(1));
-                sample.push(group[(hash % group.len() as u64) as usize]);
+                draw = mix(draw.wrapping_add(1));
+                sample.push(group[(draw % group.len() as u64) as usize]);
             }
         }
         sample
     }
 }
 
-/// Whether there are so many dispatchers that one sees little of a worker by itself, and live weights tell
-/// more.
+/// Returns whether live weights are used as the load source: there are so many dispatchers that each one sees
+/// too little of a worker by itself.
 pub fn relies_on_live_weights(settings: &Settings) -> bool {
     settings.live_weights && has_many_senders(settings)
 }
 
-/// Whether there are many dispatchers.
+/// Returns whether there are many dispatchers.
 pub fn has_many_senders(settings: &Settings) -> bool {
     settings.senders() > SMALL_FLEET as u32
 }
 
-/// How many times more seldom each dispatcher probes an ejected worker, since all others do so too.
+/// Returns the factor by which each dispatcher lengthens the probe interval of an ejected worker, as all
+/// other dispatchers probe it too.
 pub fn probe_interval_factor(settings: &Settings) -> Micros {
     (Micros::from(settings.senders()) / SMALL_FLEET as Micros).max(1)
 }
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,70 +1,71 @@
-//! Outlier detection: a worker that fails requests or does not respond is ejected, and only probed by single
-//! requests until it responds.
+//! Outlier detection: a worker that fails requests or does not respond is ejected, and receives only single
+//! probe requests until it responds.
 
 use crate::api::{Micros, SECOND};
 
-/// First interval between probes; it doubles with each failure.
+/// Initial interval between probes; it doubles with each failure.
 pub const PROBE_INTERVAL: Micros = 300_000;
-/// Failures that count at most, and doublings of the interval.
+/// Upper bound of the failure count, and so of the doublings of the interval.
 pub const MAX_FAILURES: u32 = 4;
-/// Failures that one failed request counts for.
-const FAILURE_STEP: u32 = 2;
-/// The longest interval between probes, and that of a worker that is not listed any more.
+/// Failures counted for each failed request.
+const FAILURES_PER_REQUEST: u32 = 2;
+/// Maximum interval between probes, and the interval for workers that are no longer listed.
 pub const MAX_PROBE_INTERVAL: Micros = 10 * SECOND;
-/// Time without a response after which a worker that is removed from the list is ejected.
-const QUIET_TIME: Micros = 2 * SECOND;
+/// Maximum age of the last response at which a worker that is removed from the list is not ejected.
+const MAX_RESPONSE_AGE: Micros = 2 * SECOND;
 
-/// Whether requests are sent to a worker.
+/// State of a worker's circuit breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Breaker {
-    /// They are.
+    /// Requests are sent.
     #[default]
     Closed,
-    /// It failed requests: only probes are sent. Each probe that is served takes a failure back.
+    /// The worker failed requests: only probes are sent. Each served probe decrements the failure count.
     Failing { failures: u32 },
-    /// It owes a response: only probes are sent. Any response ends that; the failures are from before.
+    /// A response is overdue: only probes are sent. Any response ends this state; the failures were counted
+    /// before.
     Unresponsive { failures: u32 },
 }
 
-/// Health of a worker as its requests show it.
+/// Health of a worker, judged by the outcomes of its requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     breaker: Breaker,
-    /// When the next probe may be sent; kept while the breaker is closed.
+    /// When the next probe may be sent; keeps its value while the breaker is closed.
     probe_at: Micros,
-    /// Until when nothing is sent.
+    /// Until when no requests are sent.
     paused_until: Micros,
     last_response_at: Micros,
     last_connection_lost_at: Micros,
 }
 
 impl Health {
-    /// Whether only probes are sent.
+    /// Returns whether only probes are sent.
     pub fn is_ejected(&self) -> bool {
         self.breaker != Breaker::Closed
     }
 
-    /// Whether it is ejected because it owes a response.
+    /// Returns whether the worker is ejected because a response is overdue.
     pub fn is_unresponsive(&self) -> bool {
         matches!(self.breaker, Breaker::Unresponsive { .. })
     }
 
-    /// Whether the next probe may be sent, where it is ejected.
+    /// Returns whether the next probe may be sent to an ejected worker.
     pub fn is_probe_due(&self, now: Micros) -> bool {
         now >= self.probe_at
     }
 
-    /// Whether nothing is sent for now.
+    /// Returns whether sending is paused.
     pub fn is_paused(&self, now: Micros) -> bool {
         now < self.paused_until
     }
 
-    /// When it last responded to anything.
+    /// Returns the time of the last response of any kind.
     pub fn last_response_at(&self) -> Micros {
         self.last_response_at
     }
 
-    /// Sends nothing until this time.
+    /// Pauses sending until this time.
     pub fn pause_until(&mut self, until: Micros) {
         self.paused_until = until;
     }
@@ -84,8 +85,7 @@
         };
     }
 
-    /// Records a response, which may be that a request was served. Returns whether the worker is no longer
-    /// ejected.
+    /// Records a response, and whether it reports a served request. Returns whether the worker is readmitted.
     pub fn record_response(&mut self, now: Micros, served: bool) -> bool {
         let was_ejected = self.is_ejected();
         let mut failures = self.failures();
@@ -98,14 +98,15 @@
         was_ejected && failures == 0
     }
 
-    /// Ejects it for a failed request.
+    /// Ejects the worker after a failed request.
     pub fn record_failure(&mut self, now: Micros, is_listed: bool, interval_factor: Micros) {
-        self.set_failures((self.failures() + FAILURE_STEP).min(MAX_FAILURES));
+        self.set_failures((self.failures() + FAILURES_PER_REQUEST).min(MAX_FAILURES));
         self.schedule_probe(now, is_listed, interval_factor);
     }
 
-    /// Records a lost connection. The first one since its last response makes a pause only, since one
-    /// connection says little of the worker. Returns whether it was not the first, so that it is a failure.
+    /// Records a lost connection. The first one since the last response only pauses sending, because a single
+    /// connection says little about the worker. Returns whether there was an earlier one, so that it counts
+    /// as a failure.
     pub fn record_connection_lost(&mut self, now: Micros) -> bool {
         let previous = std::mem::replace(&mut self.last_connection_lost_at, now);
         if previous > self.last_response_at {
@@ -115,20 +116,20 @@
         false
     }
 
-    /// Ejects it because it owes a response.
+    /// Ejects the worker because a response is overdue.
     pub fn eject_unresponsive(&mut self, now: Micros) {
         self.breaker = Breaker::Unresponsive { failures: self.failures() };
         self.probe_at = now + PROBE_INTERVAL;
     }
 
-    /// Ejects it, removed from the list as it is, where it has not responded for a while.
-    pub fn eject_if_quiet(&mut self, now: Micros) {
-        if now > self.last_response_at + QUIET_TIME {
+    /// Ejects a worker that was removed from the list if it has not responded recently.
+    pub fn eject_if_silent(&mut self, now: Micros) {
+        if now > self.last_response_at + MAX_RESPONSE_AGE {
             self.set_failures(self.failures().max(1));
         }
     }
 
-    /// Records a request that was sent, which is a probe where it is ejected.
+    /// Records a sent request, which is a probe if the worker is ejected.
     pub fn record_sent(&mut self, now: Micros, is_listed: bool, interval_factor: Micros) {
         if self.is_ejected() {
             self.schedule_probe(now, is_listed, interval_factor);
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -63,7 +63,7 @@
     pub(super) fn update_endpoints(&mut self, endpoints: &[Endpoint], is_full: bool) {
         let models = FleetModels { kinds: &mut self.kinds, live_weights: &mut self.live_weights };
         self.endpoints.update(endpoints, is_full, &self.settings, models, self.now);
-        self.window.set_fleet_size(self.endpoints.ready(), self.settings.senders());
+        self.window.set_fleet_size(self.endpoints.ready_count(), self.settings.senders());
     }
 
     /// Repeats a failed poll until one succeeds, so that the list does not go out of date unseen.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,13 +1,13 @@
-//! Retries: the budget of attempts beyond a request's first, and where a request may be executed again.
+//! Retry budget, and the conditions under which a request may be executed again.
 
 use crate::api::{ClassSettings, Idempotency, KeyScope, Micros, Settings};
 use crate::sliding_count::SlidingCount;
 
-/// The part of the budget for requests whose last attempt was not executed: their clients can be told to come
-/// back, so that requests that were lost come first.
-const NOT_EXECUTED_PART: f64 = 0.5;
+/// Fraction of the budget available to requests whose last attempt was not executed. Their clients can be
+/// told to retry, so requests that may have been lost take precedence.
+const NOT_EXECUTED_BUDGET_RATIO: f64 = 0.5;
 
-/// Requests received and retries made, while they count.
+/// Requests received and retries made within the budget's window.
 #[derive(Default)]
 pub struct RetryUsage {
     received: SlidingCount,
@@ -15,7 +15,7 @@
 }
 
 impl RetryUsage {
-    /// Records a request that was received.
+    /// Records a received request.
     pub fn record_received(&mut self, now: Micros) {
         self.received.add(now);
     }
@@ -25,39 +25,41 @@
         self.retries.add(now);
     }
 
-    /// Whether the budget allows one more retry. What lies at the window's edges counts against it.
+    /// Returns whether the budget allows another retry. Events at the edges of the window are counted against
+    /// it.
     pub fn allows(&mut self, settings: &Settings, now: Micros) -> bool {
         self.allows_within(settings, now, 1.0)
     }
 
-    /// Whether the budget allows to retry a request that may have been executed, or surely was not.
+    /// Returns whether the budget allows retrying a request that may have been executed, or that was proven
+    /// not executed.
     pub fn allows_after(&mut self, settings: &Settings, now: Micros, may_have_executed: bool) -> bool {
-        let part = if may_have_executed { 1.0 } else { NOT_EXECUTED_PART };
-        self.allows_within(settings, now, part)
+        let budget_ratio = if may_have_executed { 1.0 } else { NOT_EXECUTED_BUDGET_RATIO };
+        self.allows_within(settings, now, budget_ratio)
     }
 
-    fn allows_within(&mut self, settings: &Settings, now: Micros, part: f64) -> bool {
+    fn allows_within(&mut self, settings: &Settings, now: Micros, budget_ratio: f64) -> bool {
         let Some(budget) = settings.rules.retry_budget else { return true };
-        let from = now.saturating_sub(budget.window_us);
+        let window_start = now.saturating_sub(budget.window_us);
         let resolution = settings.clock_resolution_us;
-        let received = self.received.since(from + resolution + 1) as f64;
+        let received = self.received.since(window_start + resolution + 1) as f64;
         let allowed = budget.min_retries + budget.ratio * received;
-        let made = self.retries.since(from.saturating_sub(resolution)) as f64;
-        made + 1.0 <= allowed * part
+        let retried = self.retries.since(window_start.saturating_sub(resolution)) as f64;
+        retried + 1.0 <= allowed * budget_ratio
     }
 }
 
-/// Zone and cell of a worker.
+/// Location of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
-    /// Its zone.
+    /// Zone.
     pub zone: u8,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
 }
 
-/// Whether a request may be sent to a worker though its first attempt, at another one, may have been
-/// executed.
+/// Returns whether a request may be sent to this worker even though its first attempt, at another worker, may
+/// have been executed.
 pub fn may_execute_again(
     class: &ClassSettings,
     settings: &Settings,
@@ -71,16 +73,16 @@
         Idempotency::NotIdempotent => return false,
         Idempotency::WithKey(scope) => scope,
     };
-    let arrives_by = now + settings.max_send_delay_us + 2 * settings.clock_resolution_us;
+    let latest_arrival = now + settings.max_send_delay_us + 2 * settings.clock_resolution_us;
     let shares_keys = match scope {
         KeyScope::Fleet => true,
         KeyScope::Zone => first.zone == worker.zone,
         KeyScope::Cell => first.cell == worker.cell,
     };
-    arrives_by < deduplicated_until && shares_keys
+    latest_arrival < deduplicated_until && shares_keys
 }
 
-/// Whether a client may be told to retry a request of this class that may have been executed.
+/// Returns whether clients may be told to retry requests of this class that may have been executed.
 pub fn client_may_retry(class: &ClassSettings) -> bool {
     matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::Fleet))
 }
