--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,26 +1,26 @@
-//! Decisions of a dispatcher, in the order of a request's life.
+//! Decision engine of one dispatcher. Each stage of request processing uses these modules:
 //!
-//! - Received and queued by tenant (`policy/receiving.rs`): [`latency_objective`],
-//!   [`poison`](crate::poison).
+//! - Received and queued by tenant (`policy/receiving.rs`): [`latency_objective`], [`poison`](crate::poison).
 //! - Admitted: [`admission`](crate::admission), [`rate_control`](crate::rate_control).
-//! - Placed on a worker and sent (`policy/sending.rs`): [`placement`](crate::placement),
-//!   [`slow_start`](crate::slow_start), [`in_flight_window`](crate::in_flight_window), [`probe`](crate::probe).
+//! - Assigned to a worker and sent (`policy/sending.rs`): [`placement`](crate::placement),
+//!   [`slow_start`](crate::slow_start), [`in_flight_window`](crate::in_flight_window),
+//!   [`probe`](crate::probe).
 //! - In flight (`policy/in_flight.rs`): [`attempt_timeout`](crate::attempt_timeout),
 //!   [`outlier`](crate::outlier).
-//! - Attempt ended (`policy/ending.rs`): [`concurrency_limit`](crate::concurrency_limit),
+//! - Attempt ended (`policy/completion.rs`): [`concurrency_limit`](crate::concurrency_limit),
 //!   [`class_backoff`](crate::class_backoff), [`outlier`](crate::outlier), [`run_time`](crate::run_time).
 //! - Answered, retried or given up (`policy/retrying.rs`): [`retry`](crate::retry),
 //!   [`poison`](crate::poison).
 //!
-//! Beside it, `policy/upkeep.rs` takes endpoint lists and new settings and ends a period each second, in
-//! which rates, quotas and the admission rate are set anew.
+//! `policy/maintenance.rs` applies endpoint lists and new settings, and updates rates, quotas and the
+//! admission rate at the end of each one-second period.
 
-mod ending;
+mod completion;
 mod in_flight;
+mod maintenance;
 mod receiving;
 mod retrying;
 mod sending;
-mod upkeep;
 
 use crate::admission::Admission;
 use crate::api::{Action, Event, InvalidSettings, Micros, Notice, Reason, RequestId, Settings, SECOND};
@@ -44,38 +44,37 @@
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
 
-/// Interval at which room is looked for while requests wait: well under a run time, and cheap.
-const ROOM_INTERVAL: Micros = 20_000;
-/// Waiting requests without a worker after which an event's search ends, and the same where fetches are
-/// charged for.
-const MAX_MISSES: u32 = 4;
-const MAX_MISSES_BY_KEY: u32 = 16;
+/// Interval of capacity checks while requests are pending: well below a typical run time, and cheap.
+const CAPACITY_CHECK_INTERVAL: Micros = 20_000;
+/// Unplaced requests after which the search for workers stops for this event; the second limit applies where
+/// fetches have a price.
+const MAX_UNPLACED: u32 = 4;
+const MAX_UNPLACED_WITH_FETCH_PRICE: u32 = 16;
 
-/// What is due at some time; what is due at the same time is done in this order.
+/// Timer types. Timers due at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     PeriodEnd,
-    LookForRoom,
+    CheckCapacity,
     WatchEndpoints,
     SendBy { id: RequestId },
     AttemptTimeout { id: RequestId, attempt: u32 },
 }
 
-/// Decisions of one dispatcher.
+/// Makes the decisions of one dispatcher.
 pub struct Policy {
     settings: Settings,
     rng: Rng,
     now: Micros,
     started_at: Micros,
-    /// Whether the first event was handled.
-    has_begun: bool,
-    last_notice_at: Micros,
-    timers: TimerQueue<Due>,
-    looks_for_room: bool,
+    first_event_handled: bool,
+    last_notified_at: Micros,
+    timers: TimerQueue<TimerKind>,
+    capacity_check_scheduled: bool,
 
     requests: Requests,
     admission: Admission,
-    rate: RateControl,
+    rate_control: RateControl,
     gossip: Gossip,
     retries: RetryUsage,
     poison: PoisonDetector,
@@ -85,8 +84,8 @@
     mean_work: MeanWork,
 
     endpoints: Endpoints,
-    /// Workers with room at this moment, where fetches are charged for.
-    with_room: Vec<WorkerIndex>,
+    /// Workers with capacity at the current time; only filled where fetches have a price.
+    workers_with_capacity: Vec<WorkerIndex>,
     live_weights: LiveWeights,
     reports: ReportQuality,
     probes: ProbeBudget,
@@ -97,11 +96,11 @@
 }
 
 impl Policy {
-    /// A dispatcher that knows its settings and nothing else.
+    /// Creates a dispatcher's decision engine from its settings, with no other state.
     ///
     /// # Errors
     ///
-    /// Settings that can't be used.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Policy, InvalidSettings> {
         settings.validate()?;
         let mut policy = Policy {
@@ -109,13 +108,13 @@
             rng: Rng::new(seed),
             now,
             started_at: now,
-            has_begun: false,
-            last_notice_at: 0,
+            first_event_handled: false,
+            last_notified_at: 0,
             timers: TimerQueue::default(),
-            looks_for_room: false,
+            capacity_check_scheduled: false,
             requests: Requests::default(),
             admission: Admission::new(now),
-            rate: RateControl::new(now),
+            rate_control: RateControl::new(now),
             gossip: Gossip::default(),
             retries: RetryUsage::default(),
             poison: PoisonDetector::default(),
@@ -123,7 +122,7 @@
             kinds: Kinds::default(),
             mean_work: MeanWork::default(),
             endpoints: Endpoints::default(),
-            with_room: Vec::new(),
+            workers_with_capacity: Vec::new(),
             live_weights: LiveWeights::default(),
             reports: ReportQuality::default(),
             probes: ProbeBudget::default(),
@@ -134,49 +133,50 @@
         };
         policy.configure(settings, &[]);
         let phase = policy.rng.below(SECOND);
-        policy.schedule(SECOND / 2 + phase, Due::PeriodEnd);
+        policy.schedule(SECOND / 2 + phase, TimerKind::PeriodEnd);
         Ok(policy)
     }
 
-    /// Requests sent to workers that warm up beyond this dispatcher's part of their budget. Any is a fault.
+    /// Number of requests sent to warming-up workers beyond this dispatcher's share of their slow-start
+    /// budget. Any value above 0 indicates a bug.
     pub fn slow_start_violations(&self) -> u64 {
         self.slow_start_violations
     }
 
-    /// Handles an event and appends the actions that follow from it.
-    pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions.
+    pub fn handle(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.has_begun, true) && self.settings.polls_endpoints {
-            out.push(Action::WatchEndpoints);
+        if !std::mem::replace(&mut self.first_event_handled, true) && self.settings.polls_endpoints {
+            actions.push(Action::WatchEndpoints);
         }
         if matches!(event, Event::TimerExpired) && !self.timers.expired(self.now) {
-            return; // an earlier timer has replaced it
+            return; // superseded by an earlier timer
         }
-        self.apply(event, out);
-        if may_make_room(event) {
+        self.apply_event(event, actions);
+        if may_free_capacity(event) {
             self.admit();
-            self.place(out);
+            self.place_waiting(actions);
         }
         if let Some(after_us) = self.timers.timer_to_set(self.now) {
-            out.push(Action::SetTimer { after_us });
+            actions.push(Action::SetTimer { after_us });
         }
     }
 
-    fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
+    fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::RequestReceived(request) => self.receive(request, out),
+            Event::RequestReceived(request) => self.receive(request, actions),
             Event::RequestAdopted { request, worker, sent_us, started_us } => {
-                self.adopt(request, *worker, *sent_us, *started_us, out);
+                self.adopt(request, *worker, *sent_us, *started_us, actions);
             }
-            Event::Acknowledged { id, attempt } => self.acknowledged(*id, *attempt, out),
-            Event::Started { id, attempt } => self.started(*id, *attempt, out),
-            Event::Progress { id, attempt, .. } => self.progressed(*id, *attempt, out),
+            Event::Acknowledged { id, attempt } => self.acknowledged(*id, *attempt, actions),
+            Event::Started { id, attempt } => self.started(*id, *attempt, actions),
+            Event::Progress { id, attempt, .. } => self.progressed(*id, *attempt, actions),
             Event::ResponseStreaming { id, attempt } => self.streaming(*id, *attempt),
-            Event::AttemptEnded(end) => self.attempt_ended(end, out),
-            Event::ClientDisconnected { id } => self.client_disconnected(*id, out),
+            Event::AttemptEnded(end) => self.attempt_ended(end, actions),
+            Event::ClientDisconnected { id } => self.client_disconnected(*id, actions),
             Event::EndpointList(endpoints) => self.update_endpoints(endpoints, true),
             Event::EndpointChanges(endpoints) => self.update_endpoints(endpoints, false),
-            Event::EndpointWatchFailed => self.endpoint_watch_failed(out),
+            Event::EndpointWatchFailed => self.endpoint_watch_failed(actions),
             Event::SettingsChanged { settings, continues } => {
                 self.configure((**settings).clone(), continues);
             }
@@ -184,59 +184,59 @@
             Event::PeerMessage { from, bytes } => {
                 self.gossip.receive(*from, bytes, self.admission.tenants(), &self.settings, self.now);
             }
-            Event::TimerExpired => self.do_what_is_due(out),
+            Event::TimerExpired => self.run_due_timers(actions),
         }
     }
 
-    fn do_what_is_due(&mut self, out: &mut Vec<Action>) {
-        while let Some(due) = self.timers.pop_due(self.now) {
-            match due {
-                Due::PeriodEnd => self.end_period(out),
-                Due::LookForRoom => self.looks_for_room = false,
-                Due::WatchEndpoints => out.push(Action::WatchEndpoints),
-                Due::SendBy { id } => self.send_by_passed(id, out),
-                Due::AttemptTimeout { id, attempt } => self.check_attempt(id, attempt, out),
+    fn run_due_timers(&mut self, actions: &mut Vec<Action>) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            match timer {
+                TimerKind::PeriodEnd => self.end_period(actions),
+                TimerKind::CheckCapacity => self.capacity_check_scheduled = false,
+                TimerKind::WatchEndpoints => actions.push(Action::WatchEndpoints),
+                TimerKind::SendBy { id } => self.send_by_passed(id, actions),
+                TimerKind::AttemptTimeout { id, attempt } => self.check_attempt_timeout(id, attempt, actions),
             }
         }
     }
 
-    /// Lets requests out of their tenants' queues.
+    /// Admits requests from the tenants' queues.
     fn admit(&mut self) {
-        let limit = self.rate.limit_per_s();
+        let limit = self.rate_control.limit_per_s();
         self.admission.admit(self.now, limit, self.saturation.is_saturated(), &mut self.requests);
     }
 
-    /// Sends admitted requests, in their order, to workers with room; the others wait on.
-    fn place(&mut self, out: &mut Vec<Action>) {
-        let by_key = self.settings.origin_price > 0.0;
-        if by_key {
-            self.with_room = self.placement().with_room();
+    /// Sends waiting requests, in rank order, to workers with capacity; the others keep waiting.
+    fn place_waiting(&mut self, actions: &mut Vec<Action>) {
+        let prices_fetches = self.settings.origin_price > 0.0;
+        if prices_fetches {
+            self.workers_with_capacity = self.placement().workers_with_capacity();
         }
-        let max_misses = if by_key { MAX_MISSES_BY_KEY } else { MAX_MISSES };
-        let (mut last, mut misses) = (Rank::default(), 0);
-        while let Some(rank) = self.requests.next_waiting(last).filter(|_| misses < max_misses) {
-            last = rank;
+        let max_unplaced = if prices_fetches { MAX_UNPLACED_WITH_FETCH_PRICE } else { MAX_UNPLACED };
+        let (mut previous, mut unplaced) = (Rank::default(), 0);
+        while let Some(rank) = self.requests.next_waiting(previous).filter(|_| unplaced < max_unplaced) {
+            previous = rank;
             let request = self.requests[rank.id];
             if request.attempts > 0 && !self.retries.allows(&self.settings, self.now) {
-                self.give_up(rank.id, Reason::RetryBudgetExhausted, out);
+                self.give_up(rank.id, Reason::RetryBudgetExhausted, actions);
                 continue;
             }
-            match self.select_worker(&request).filter(|&worker| self.placement().is_known(worker)) {
-                Some(worker) => self.send(rank, worker, out),
+            match self.select_worker(&request).filter(|&worker| self.placement().has_known_load(worker)) {
+                Some(worker) => self.send(rank, worker, actions),
                 None => {
-                    self.probe_workers(&request, out);
-                    misses += 1;
+                    self.probe_workers(&request, actions);
+                    unplaced += 1;
                 }
             }
         }
-        let holds = self.requests.any_waiting() || self.admission.any_queued();
-        if holds && !self.looks_for_room {
-            self.looks_for_room = true;
-            self.schedule(ROOM_INTERVAL, Due::LookForRoom);
+        let has_pending = self.requests.any_waiting() || self.admission.any_queued();
+        if has_pending && !self.capacity_check_scheduled {
+            self.capacity_check_scheduled = true;
+            self.schedule(CAPACITY_CHECK_INTERVAL, TimerKind::CheckCapacity);
         }
     }
 
-    /// What is known of workers at this moment.
+    /// Returns a view of the current worker state for placement decisions.
     fn placement(&self) -> Placement<'_> {
         Placement {
             settings: &self.settings,
@@ -250,7 +250,7 @@
             backoff: &self.backoff,
             sender: Sender::of(&self.settings, self.started_at),
             fleet: FleetCapacity {
-                served_per_s: self.rate.served_per_s(),
+                served_per_s: self.rate_control.served_per_s(),
                 mean_work_s: self.mean_work.seconds(),
                 total_weight: self.endpoints.peak_weight(),
             },
@@ -259,36 +259,36 @@
         }
     }
 
-    /// Passes a request's latency, over its objective, to rate control; once for each request.
+    /// Reports a request's latency, relative to its objective, to rate control; at most once per request.
     fn record_latency(&mut self, id: RequestId, latency: f64) {
         let Some(request) = self.requests.get_mut(id).filter(|request| !request.latency_recorded) else {
             return;
         };
         request.latency_recorded = true;
-        self.rate.record_latency(request.class, latency);
+        self.rate_control.record_latency(request.class, latency);
     }
 
     fn objective_us(&self, class: ClassId) -> f64 {
         latency_objective::objective_us(self.settings.class(class), &self.classes[class])
     }
 
-    fn schedule(&mut self, after: Micros, due: Due) {
-        self.timers.add(self.now + after, due);
+    fn schedule(&mut self, delay: Micros, timer: TimerKind) {
+        self.timers.add(self.now + delay, timer);
     }
 
-    /// Notifies on-call staff, once a second at most.
-    fn notify(&mut self, notice: Notice, out: &mut Vec<Action>) {
-        if self.now < self.last_notice_at + SECOND && self.last_notice_at > 0 {
+    /// Notifies on-call staff, at most once per second.
+    fn notify(&mut self, notice: Notice, actions: &mut Vec<Action>) {
+        if self.now < self.last_notified_at + SECOND && self.last_notified_at > 0 {
             return;
         }
-        self.last_notice_at = self.now;
-        out.push(Action::Notify(notice));
+        self.last_notified_at = self.now;
+        actions.push(Action::Notify(notice));
     }
 }
 
-/// Whether requests may be admitted or placed after this event. Reports of running requests and of peers free
-/// nothing.
-fn may_make_room(event: &Event) -> bool {
+/// Returns whether this event can allow further requests to be admitted or placed. Progress reports of
+/// running requests and peer messages free no capacity.
+fn may_free_capacity(event: &Event) -> bool {
     let is_report =
         matches!(event, Event::Acknowledged { .. } | Event::Started { .. } | Event::Progress { .. });
     !is_report && !matches!(event, Event::PeerMessage { .. })
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -1,46 +1,46 @@
-//! Attempts in flight: what their workers report, and what happens when they report nothing.
+//! Handles worker reports about attempts in flight, and timeouts of attempts without reports.
 
-use super::{Due, Policy};
+use super::{Policy, TimerKind};
 use crate::api::{Action, Idempotency, Micros, Notice, RequestId};
 use crate::attempt_timeout::{is_unacknowledged, timeout};
 use crate::rate_control::LATE;
-use crate::requests::{Attempt, FirstExecution, Phase, RequestState};
+use crate::requests::{Attempt, FirstExecution, RequestState, RequestStatus};
 use crate::table::WorkerIndex;
 
-/// What a timeout of an attempt tells.
-struct Silence {
-    /// When its worker last reported anything of it.
+/// Context of an attempt whose report timeout has passed.
+struct ReportTimeout {
+    /// Time of the worker's last report about the attempt.
     since: Micros,
     timeout: Micros,
-    /// Whether its worker owes the acknowledgement: its connection has fallen silent, which tells nothing of
-    /// the worker.
+    /// Whether the acknowledgement is missing: the connection is unresponsive, which says nothing about the
+    /// worker.
     is_unacknowledged: bool,
-    /// Whether its worker responded to other requests since.
-    worker_responds: bool,
-    /// Whether it waits behind other dispatchers' requests.
-    waits_for_others: bool,
+    /// Whether the worker has responded to other requests since then.
+    worker_responded_since: bool,
+    /// Whether the attempt is queued at the worker behind other dispatchers' requests.
+    is_queued_behind_others: bool,
 }
 
 impl Policy {
-    pub(super) fn acknowledged(&mut self, id: RequestId, number: u32, out: &mut Vec<Action>) {
+    pub(super) fn acknowledged(&mut self, id: RequestId, number: u32, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(request) = self.requests.in_flight_mut(id, number) else { return };
         request.attempt.acknowledged = true;
         request.attempt.last_report_at = now;
         let worker = request.attempt.worker;
-        self.worker_responded(worker, false, out);
-        self.schedule(self.attempt_timeout(id), Due::AttemptTimeout { id, attempt: number });
+        self.worker_responded(worker, false, actions);
+        self.schedule(self.attempt_timeout(id), TimerKind::AttemptTimeout { id, attempt: number });
     }
 
-    pub(super) fn progressed(&mut self, id: RequestId, number: u32, out: &mut Vec<Action>) {
+    pub(super) fn progressed(&mut self, id: RequestId, number: u32, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(request) = self.requests.in_flight_mut(id, number) else { return };
         request.attempt.last_report_at = now;
         let worker = request.attempt.worker;
-        self.worker_responded(worker, false, out);
+        self.worker_responded(worker, false, actions);
     }
 
-    pub(super) fn started(&mut self, id: RequestId, number: u32, out: &mut Vec<Action>) {
+    pub(super) fn started(&mut self, id: RequestId, number: u32, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(request) = self.requests.in_flight_mut(id, number) else { return };
         let class = request.class;
@@ -51,9 +51,9 @@
         attempt.overdue = false;
         self.backoff.record_started(worker, class);
         self.endpoints.workers[worker].concurrency.overdue -= u32::from(was_overdue);
-        self.worker_responded(worker, false, out);
+        self.worker_responded(worker, false, actions);
         if is_first && !was_overdue {
-            self.record_room(worker, true);
+            self.record_capacity(worker, true);
         }
     }
 
@@ -63,149 +63,158 @@
         }
     }
 
-    /// Records a sign of life of a worker.
-    pub(super) fn worker_responded(&mut self, index: WorkerIndex, served: bool, out: &mut Vec<Action>) {
+    /// Records a response of any kind from a worker.
+    pub(super) fn worker_responded(&mut self, index: WorkerIndex, served: bool, actions: &mut Vec<Action>) {
         let worker = &mut self.endpoints.workers[index];
         let (id, recovered) = (worker.id, worker.health.record_response(self.now, served));
         if recovered {
-            self.notify(Notice::WorkerRecovered { worker: id }, out);
+            self.notify(Notice::WorkerRecovered { worker: id }, actions);
         }
     }
 
-    /// Records whether an attempt found room at a worker.
-    pub(super) fn record_room(&mut self, index: WorkerIndex, has_room: bool) {
+    /// Records whether the worker had capacity for an attempt.
+    pub(super) fn record_capacity(&mut self, index: WorkerIndex, has_capacity: bool) {
         let concurrency = &mut self.endpoints.workers[index].concurrency;
-        self.saturation.record_room(has_room);
-        concurrency.record_room(has_room);
-        self.window.record_start(has_room);
-        concurrency.adjust(has_room);
+        self.saturation.record_capacity(has_capacity);
+        concurrency.record_capacity(has_capacity);
+        self.window.record_start(has_capacity);
+        concurrency.adjust(has_capacity);
     }
 
-    /// How long the worker of a request's attempt may report nothing of it.
+    /// Returns how long the worker may send no report about a request's attempt.
     pub(super) fn attempt_timeout(&self, id: RequestId) -> Micros {
         let request = &self.requests[id];
         let placement = self.placement();
-        let others_wait = placement.is_filled_by_others(request.attempt.worker);
+        let is_filled_by_others = placement.is_saturated_by_others(request.attempt.worker);
         let estimates_room = self.reports.estimates_room(&self.settings);
-        timeout(&self.settings, request, &self.classes[request.class], others_wait, estimates_room)
+        timeout(&self.settings, request, &self.classes[request.class], is_filled_by_others, estimates_room)
     }
 
-    /// Looks after an attempt whose timeout may have passed: its worker or its connection may hang.
-    pub(super) fn check_attempt(&mut self, id: RequestId, number: u32, out: &mut Vec<Action>) {
+    /// Checks whether an attempt's report timeout has passed, because its worker or its connection may hang.
+    pub(super) fn check_attempt_timeout(&mut self, id: RequestId, number: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).copied() else { return };
-        let is_out = request.phase == Phase::InFlight && request.attempts == number + 1;
-        if !is_out || request.is_streaming || request.attempt.cancelled {
+        let is_in_flight = request.status == RequestStatus::InFlight && request.attempts == number + 1;
+        if !is_in_flight || request.is_streaming || request.attempt.cancelled {
             return;
         }
-        let (attempt, again) = (request.attempt, Due::AttemptTimeout { id, attempt: number });
+        let (attempt, timer) = (request.attempt, TimerKind::AttemptTimeout { id, attempt: number });
         let since = attempt.sent_at.max(attempt.last_report_at);
         let timeout = self.attempt_timeout(id);
         if since + timeout > self.now {
-            return self.timers.add(since + timeout, again);
+            return self.timers.add(since + timeout, timer);
         }
         let is_unacknowledged = is_unacknowledged(&self.settings, &attempt);
-        let owes_start = self.settings.reports_start && attempt.started_at.is_none();
-        if !is_unacknowledged && owes_start && !attempt.overdue {
+        let start_unreported = self.settings.reports_start && attempt.started_at.is_none();
+        if !is_unacknowledged && start_unreported && !attempt.overdue {
             self.mark_overdue(id, attempt.worker);
             let timeout = self.attempt_timeout(id);
-            return self.timers.add(since + timeout, again);
+            return self.timers.add(since + timeout, timer);
         }
-        let silence = self.silence(&attempt, since, timeout, is_unacknowledged);
-        self.blame_silence(id, &request, &silence, out);
+        let report_timeout = self.report_timeout(&attempt, since, timeout, is_unacknowledged);
+        self.attribute_timeout(id, &request, &report_timeout, actions);
         if (self.now - request.admitted_at) as f64 > LATE * self.objective_us(request.class) {
             self.record_latency(id, LATE);
         }
-        if self.should_move(id, &silence) {
+        if self.should_cancel_for_retry(id, &report_timeout) {
             if let Some(request) = self.requests.get_mut(id) {
                 request.attempt.cancelled = true;
             }
-            return out.push(Action::Cancel { id, attempt: number });
+            return actions.push(Action::Cancel { id, attempt: number });
         }
-        self.schedule(timeout, again);
+        self.schedule(timeout, timer);
     }
 
-    fn silence(&self, attempt: &Attempt, since: Micros, timeout: Micros, is_unacknowledged: bool) -> Silence {
+    fn report_timeout(
+        &self,
+        attempt: &Attempt,
+        since: Micros,
+        timeout: Micros,
+        is_unacknowledged: bool,
+    ) -> ReportTimeout {
         let worker = &self.endpoints.workers[attempt.worker];
-        let is_filled = self.placement().is_filled_by_others(attempt.worker);
-        Silence {
+        let is_filled = self.placement().is_saturated_by_others(attempt.worker);
+        ReportTimeout {
             since,
             timeout,
             is_unacknowledged,
-            worker_responds: worker.health.last_response_at() > since,
-            waits_for_others: is_filled && attempt.started_at.is_none() && !is_unacknowledged,
+            worker_responded_since: worker.health.last_response_at() > since,
+            is_queued_behind_others: is_filled && attempt.started_at.is_none() && !is_unacknowledged,
         }
     }
 
-    /// A request that has not started in time seems to wait at its worker: nothing more goes there until it
-    /// starts.
+    /// Marks an attempt that has not started in time and is probably queued at its worker. Nothing more is
+    /// sent to the worker until the attempt starts.
     fn mark_overdue(&mut self, id: RequestId, worker: WorkerIndex) {
         self.endpoints.workers[worker].concurrency.overdue += 1;
-        self.record_room(worker, false);
+        self.record_capacity(worker, false);
         if let Some(request) = self.requests.get_mut(id) {
             request.attempt.overdue = true;
         }
     }
 
-    /// Holds a timeout against the connection, the worker for this class, or the worker.
-    fn blame_silence(
+    /// Attributes a timeout to the connection, to the worker for this class only, or to the worker as a
+    /// whole.
+    fn attribute_timeout(
         &mut self,
         id: RequestId,
         request: &RequestState,
-        silence: &Silence,
-        out: &mut Vec<Action>,
+        report_timeout: &ReportTimeout,
+        actions: &mut Vec<Action>,
     ) {
-        let (worker, responds) = (request.attempt.worker, silence.worker_responds);
-        let waits = silence.waits_for_others;
-        let is_certain = !responds || silence.since + 2 * silence.timeout <= self.now;
-        if silence.is_unacknowledged {
-            self.give_up_attempt(id);
-        } else if self.settings.reports_start && !waits && is_certain {
-            // A worker may leave some classes unanswered: this one stays away, and frees its place.
+        let (worker, has_responded) = (request.attempt.worker, report_timeout.worker_responded_since);
+        let is_queued = report_timeout.is_queued_behind_others;
+        let is_confirmed = !has_responded || report_timeout.since + 2 * report_timeout.timeout <= self.now;
+        if report_timeout.is_unacknowledged {
+            self.release_slots_early(id);
+        } else if self.settings.reports_start && !is_queued && is_confirmed {
+            // A worker may leave some classes unanswered: this class backs off, and the attempt's slots are
+            // released.
             self.backoff.record_unanswered(worker, request.class, self.now);
-            if responds {
-                self.give_up_attempt(id);
+            if has_responded {
+                self.release_slots_early(id);
             }
         }
         let worker = &mut self.endpoints.workers[worker];
-        if !responds && !waits && !worker.health.is_unresponsive() {
+        if !has_responded && !is_queued && !worker.health.is_unresponsive() {
             worker.health.eject_unresponsive(self.now);
             let notice = Notice::WorkerUnresponsive { worker: worker.id };
-            self.notify(notice, out);
+            self.notify(notice, actions);
         }
     }
 
-    /// Frees the place of an attempt at its worker before it has ended.
-    fn give_up_attempt(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id).filter(|request| !request.attempt.given_up) else {
+    /// Releases an attempt's slots at its worker before the attempt has ended.
+    fn release_slots_early(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id).filter(|request| !request.attempt.slots_released)
+        else {
             return;
         };
         let was_overdue = std::mem::take(&mut request.attempt.overdue);
-        request.attempt.given_up = true;
+        request.attempt.slots_released = true;
         let concurrency = &mut self.endpoints.workers[request.attempt.worker].concurrency;
         concurrency.in_flight -= request.slots;
         concurrency.overdue -= u32::from(was_overdue);
         self.window.release(request.slots);
     }
 
-    /// Whether an attempt is cancelled, so that its request is sent elsewhere: where the request may be
-    /// executed again, and that still helps.
-    fn should_move(&mut self, id: RequestId, silence: &Silence) -> bool {
+    /// Returns whether to cancel an attempt and retry its request at another worker: only if the request may
+    /// be executed again and a retry can still succeed.
+    fn should_cancel_for_retry(&mut self, id: RequestId, report_timeout: &ReportTimeout) -> bool {
         let request = self.requests[id];
         let attempt = request.attempt;
         let class = self.settings.class(request.class);
-        let may_move = self.settings.can_cancel && class.idempotency != Idempotency::NotIdempotent;
-        let is_lost = self.endpoints.workers[attempt.worker].health.is_unresponsive()
-            || attempt.given_up
-            || silence.waits_for_others
+        let may_reexecute = self.settings.can_cancel && class.idempotency != Idempotency::NotIdempotent;
+        let is_presumed_lost = self.endpoints.workers[attempt.worker].health.is_unresponsive()
+            || attempt.slots_released
+            || report_timeout.is_queued_behind_others
             || self.reports.estimates_room(&self.settings);
         let deduplicated_until = attempt.sent_at + class.deduplication_window_us;
-        if !may_move || !is_lost || request.attempts >= request.max_attempts {
+        if !may_reexecute || !is_presumed_lost || request.attempts >= request.max_attempts {
             return false;
         }
         if !self.retries.allows(&self.settings, self.now) {
             return false;
         }
-        if silence.is_unacknowledged || silence.waits_for_others {
+        if report_timeout.is_unacknowledged || report_timeout.is_queued_behind_others {
             return true;
         }
         let executed = FirstExecution { worker: attempt.worker, deduplicated_until };
--- a/src/policy/upkeep.rs
+++ b/src/policy/maintenance.rs
@@ -1,43 +1,43 @@
-//! What happens apart from requests: periods end, endpoint lists and settings change.
+//! Handles events that concern no single request: period ends, endpoint lists and settings changes.
 
-use super::{Due, Policy};
+use super::{Policy, TimerKind};
 use crate::api::{Action, Endpoint, Notice, Settings, SECOND};
 use crate::endpoints::FleetModels;
 use crate::gossip::Gossip;
 use crate::run_time::ClassHistory;
 use crate::table::{ClassId, RowId};
 
-/// Parts of the poll interval that a failed poll is repeated after, and the bounds of that wait.
-const POLLS_AGAIN: u64 = 20;
-const MIN_POLL_WAIT: u64 = SECOND / 10;
-const MAX_POLL_WAIT: u64 = SECOND;
+/// Divisor of the poll interval that gives the base delay before a failed poll is retried, and the bounds of
+/// that delay.
+const POLL_RETRY_DIVISOR: u64 = 20;
+const MIN_POLL_RETRY_DELAY: u64 = SECOND / 10;
+const MAX_POLL_RETRY_DELAY: u64 = SECOND;
 
 impl Policy {
-    /// Ends a period: rates, quotas and the admission rate are set anew, and rates are sent to other
-    /// dispatchers.
-    pub(super) fn end_period(&mut self, out: &mut Vec<Action>) {
-        self.schedule(SECOND, Due::PeriodEnd);
-        let Some(gain) = self.rate.end_period(self.now) else {
-            return Gossip::publish(&self.settings, &self.admission, &mut self.rng, out);
+    /// Ends a period: updates rates, quotas and the admission rate, and sends the rates to other dispatchers.
+    pub(super) fn end_period(&mut self, actions: &mut Vec<Action>) {
+        self.schedule(SECOND, TimerKind::PeriodEnd);
+        let Some(gain) = self.rate_control.end_period(self.now) else {
+            return Gossip::publish(&self.settings, &self.admission, &mut self.rng, actions);
         };
         self.admission.end_period(gain);
-        Gossip::publish(&self.settings, &self.admission, &mut self.rng, out);
+        Gossip::publish(&self.settings, &self.admission, &mut self.rng, actions);
         self.set_quotas();
         self.endpoints.end_period();
         self.reports.end_period();
         self.poison.expire(self.now);
-        if let Some(notice) = self.rate.step() {
-            self.notify(notice, out);
+        if let Some(notice) = self.rate_control.step() {
+            self.notify(notice, actions);
         }
     }
 
     fn set_quotas(&mut self) {
-        let is_new = self.rate.is_new(self.now);
-        self.admission.set_quotas(&self.settings, &mut self.gossip, is_new, self.now);
+        let rates_are_new = self.rate_control.is_new(self.now);
+        self.admission.set_quotas(&self.settings, &mut self.gossip, rates_are_new, self.now);
     }
 
-    /// Takes new settings. What was learned stays under the same indexes; settings that lack some of them are
-    /// ignored.
+    /// Applies new settings. Learned state is kept under the same indexes; settings that lack an existing
+    /// class or tenant are ignored.
     pub(super) fn configure(&mut self, settings: Settings, continues: &[Option<usize>]) {
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         if classes < self.classes.len() || tenants < self.settings.tenants.len() {
@@ -50,11 +50,11 @@
                 None => ClassHistory::from_objective(class.objective_us),
             };
             self.classes.push(history);
-            self.rate.add_class();
+            self.rate_control.add_class();
         }
         self.admission.resize(tenants);
         if settings.membership_epoch != self.settings.membership_epoch {
-            self.gossip.clear(); // ordinals stand for other dispatchers now
+            self.gossip.clear(); // ordinals now identify different dispatchers
         }
         self.settings = settings;
         self.set_quotas();
@@ -66,11 +66,12 @@
         self.window.set_fleet_size(self.endpoints.ready_count(), self.settings.senders());
     }
 
-    /// Repeats a failed poll until one succeeds, so that the list does not go out of date unseen.
-    pub(super) fn endpoint_watch_failed(&mut self, out: &mut Vec<Action>) {
-        let wait = (self.settings.rules.poll_interval_us / POLLS_AGAIN).clamp(MIN_POLL_WAIT, MAX_POLL_WAIT);
-        let after = wait / 2 + self.rng.below(wait);
-        self.schedule(after, Due::WatchEndpoints);
-        self.notify(Notice::EndpointListUnavailable, out);
+    /// Retries a failed poll until it succeeds, so that the list does not become outdated unnoticed.
+    pub(super) fn endpoint_watch_failed(&mut self, actions: &mut Vec<Action>) {
+        let base_delay = (self.settings.rules.poll_interval_us / POLL_RETRY_DIVISOR)
+            .clamp(MIN_POLL_RETRY_DELAY, MAX_POLL_RETRY_DELAY);
+        let delay = base_delay / 2 + self.rng.below(base_delay);
+        self.schedule(delay, TimerKind::WatchEndpoints);
+        self.notify(Notice::EndpointListUnavailable, actions);
     }
 }
--- a/src/policy/receiving.rs
+++ b/src/policy/receiving.rs
@@ -1,35 +1,37 @@
-//! Requests that come in, and those that another process of this dispatcher hands over.
+//! Handles newly received requests, and requests adopted from another process of this dispatcher.
 
-use super::{Due, Policy};
+use super::{Policy, TimerKind};
 use crate::api::{Action, Micros, Reason, Request, WorkerId};
 use crate::concurrency_limit::MAX_LIMIT;
 use crate::latency_objective::{head_start, slack_us};
-use crate::requests::{Attempt, Phase, RequestState};
+use crate::requests::{Attempt, RequestState, RequestStatus};
 use crate::run_time::KindHistory;
 use crate::table::{ClassId, KindId, RowId, TenantId};
 
-/// Time before the client gives up by which a request that waits gets its answer.
+/// Time before the client's deadline by which a waiting request gets its answer.
 const ANSWER_MARGIN: Micros = 30_000;
-/// Time by which a client must wait less long than others did, to count as retrying.
-const RETRY_MARGIN: Micros = 5_000;
+/// Minimum difference by which a client must have less time left than others of its class to be treated as
+/// retrying.
+const UNMARKED_RETRY_MARGIN: Micros = 5_000;
 
 impl Policy {
-    /// Takes a request into its tenant's queue, or answers it at once.
-    pub(super) fn receive(&mut self, received: &Request, out: &mut Vec<Action>) {
+    /// Adds a request to its tenant's queue, or answers it at once.
+    pub(super) fn receive(&mut self, received: &Request, actions: &mut Vec<Action>) {
         let class = ClassId::new(received.class.min(self.classes.len() - 1));
         let tenant = TenantId::new(received.tenant.min(self.admission.tenants() - 1));
         let work_us = received.work_hint_us.map_or(self.classes[class].typical_us, |hint| hint as f64);
         self.mean_work.record(work_us);
         let settings = self.settings.class(class);
         let slack = slack_us(settings, work_us, self.settings.late_penalty_weight > 0.0);
-        let late_answers_count = settings.late_weight > 0.0;
-        let spent = self.time_spent(class, received.time_left_us);
-        // A client that waits less long than others did has tried before: a part of its objective is gone.
-        let retries_unmarked = self.settings.unmarked_retries && spent >= RETRY_MARGIN;
-        let slack = if retries_unmarked { (slack - spent as f64).max(0.0) } else { slack };
-        // A marked retry has missed its objective already: it is worth what a late answer is worth.
-        let is_late = received.is_retry && late_answers_count;
-        let is_worthless = received.is_retry && !late_answers_count;
+        let late_answers_have_value = settings.late_weight > 0.0;
+        let already_waited = self.time_already_waited(class, received.time_left_us);
+        // A client with less time left than others has sent the request before: part of its objective has
+        // passed.
+        let is_unmarked_retry = self.settings.unmarked_retries && already_waited >= UNMARKED_RETRY_MARGIN;
+        let slack = if is_unmarked_retry { (slack - already_waited as f64).max(0.0) } else { slack };
+        // A marked retry has already missed its objective, so it is worth only what a late answer is worth.
+        let is_late = received.is_retry && late_answers_have_value;
+        let has_no_value = received.is_retry && !late_answers_have_value;
         let deadline = self.now + received.time_left_us.saturating_sub(ANSWER_MARGIN);
         let send_by = self.now + if is_late { received.time_left_us } else { slack as Micros };
         let request = RequestState {
@@ -37,7 +39,7 @@
             tenant,
             affinity_key: received.affinity_key,
             work_us,
-            // 1 for what is no number
+            // `max` replaces NaN by 1
             slots: f64::min(received.slots.max(received.memory).max(1.0), MAX_LIMIT),
             admitted_at: self.now,
             deadline,
@@ -47,50 +49,56 @@
             max_attempts: self.settings.max_attempts,
             ..RequestState::default()
         };
-        self.enqueue(received, request, is_worthless || retries_unmarked, out);
+        self.enqueue(received, request, has_no_value || is_unmarked_retry, actions);
     }
 
-    fn enqueue(&mut self, received: &Request, request: RequestState, is_retry: bool, out: &mut Vec<Action>) {
+    fn enqueue(
+        &mut self,
+        received: &Request,
+        request: RequestState,
+        is_retry: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let id = received.id;
         self.retries.record_received(self.now);
         self.requests.insert(id, request);
         if self.poison.is_quarantined(&request, self.now) {
-            return self.give_up(id, Reason::Quarantined, out);
+            return self.give_up(id, Reason::Quarantined, actions);
         }
-        self.timers.add(request.send_by, Due::SendBy { id });
+        self.timers.add(request.send_by, TimerKind::SendBy { id });
         if is_retry {
             return self.admission.enqueue_retry(request.tenant, id);
         }
         self.probes.record_received();
         self.admission.enqueue(request.tenant, id);
-        self.rate.record_received(self.now);
+        self.rate_control.record_received(self.now);
     }
 
-    /// By how much less the client waits than others of its class did.
-    fn time_spent(&mut self, class: ClassId, time_left: Micros) -> Micros {
-        let longest = &mut self.classes[class].longest_time_left;
-        *longest = time_left.max(*longest);
-        *longest - time_left
+    /// Returns how much less time the client has left than the longest seen in its class.
+    fn time_already_waited(&mut self, class: ClassId, time_left: Micros) -> Micros {
+        let longest_time_left_seen = &mut self.classes[class].longest_time_left;
+        *longest_time_left_seen = time_left.max(*longest_time_left_seen);
+        *longest_time_left_seen - time_left
     }
 
-    /// Takes a request that is in flight already: it occupies its place at its worker, and its times are
-    /// those it had.
+    /// Adopts a request that is already in flight: it occupies its slots at the worker and keeps its original
+    /// send and start times.
     pub(super) fn adopt(
         &mut self,
         received: &Request,
         worker: WorkerId,
-        sent: Micros,
-        started: Option<Micros>,
-        out: &mut Vec<Action>,
+        sent_us: Micros,
+        started_us: Option<Micros>,
+        actions: &mut Vec<Action>,
     ) {
-        self.receive(received, out);
+        self.receive(received, actions);
         let index = self.endpoints.find_or_add(worker);
         self.kinds.grow_to(KindId::default(), KindHistory::default);
         let now = self.now;
         let Some(request) = self.requests.get_mut(received.id) else { return };
-        let sent_at = now.saturating_sub(sent);
-        let started_at = started.map(|ago| now.saturating_sub(ago));
-        request.phase = Phase::InFlight;
+        let sent_at = now.saturating_sub(sent_us);
+        let started_at = started_us.map(|elapsed| now.saturating_sub(elapsed));
+        request.status = RequestStatus::InFlight;
         request.attempts = 1;
         request.admitted_at = sent_at;
         request.attempt =
@@ -100,6 +108,9 @@
         worker.concurrency.in_flight += slots;
         worker.last_used_at = now;
         self.window.record_sent(slots);
-        self.schedule(self.attempt_timeout(received.id), Due::AttemptTimeout { id: received.id, attempt: 0 });
+        self.schedule(
+            self.attempt_timeout(received.id),
+            TimerKind::AttemptTimeout { id: received.id, attempt: 0 },
+        );
     }
 }
