--- a/src/class_backoff.rs
+++ b/src/class_backoff.rs
@@ -87,11 +87,11 @@
 }
 
 /// Returns the backoff after a rejection, which grows with the rejection ratio.
-pub fn backoff_us(typical_run_us: f64, rejection_ratio: f64) -> Micros {
-    (typical_run_us * FIRST_BACKOFF_RATIO * (rejection_ratio * BACKOFF_DOUBLINGS).exp2()) as Micros
+pub fn backoff_us(median_run_us: f64, rejection_ratio: f64) -> Micros {
+    (median_run_us * FIRST_BACKOFF_RATIO * (rejection_ratio * BACKOFF_DOUBLINGS).exp2()) as Micros
 }
 
 /// Returns the upper bound of the random component of a backoff.
-pub fn backoff_jitter(typical_run_us: f64) -> Micros {
-    (typical_run_us * FIRST_BACKOFF_RATIO) as Micros
+pub fn backoff_jitter(median_run_us: f64) -> Micros {
+    (median_run_us * FIRST_BACKOFF_RATIO) as Micros
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -11,11 +11,11 @@
 use crate::concurrency_limit::MIN_LIMIT;
 use crate::endpoints::{relies_on_live_weights, Endpoints, Worker};
 use crate::live_weights::LiveWeights;
-use crate::load_report::{ReportQuality, ROOM};
+use crate::load_report::{ReportQuality, MIN_FREE_SLOTS};
 use crate::requests::{FirstExecution, RequestState};
 use crate::retry;
-use crate::rng::{mix, unit};
-use crate::run_time::{ClassHistory, Kinds, CLASS_GAIN};
+use crate::rng::{mix, unit_hash};
+use crate::run_time::{ClassHistory, KindHistories, CLASS_GAIN};
 use crate::slow_start::{self, FleetCapacity, Sender, WorkerStart};
 use crate::table::{ClassId, RowId, Table, WorkerIndex};
 
@@ -55,7 +55,7 @@
     /// History of each class.
     pub classes: &'a Table<ClassId, ClassHistory>,
     /// History of each kind of worker.
-    pub kinds: &'a Kinds,
+    pub kinds: &'a KindHistories,
     /// Estimates from live weights.
     pub live_weights: &'a LiveWeights,
     /// Aggregated quality of load reports.
@@ -92,7 +92,7 @@
             LoadSource::FreshReports
         } else if relies_on_live_weights(settings) {
             LoadSource::LiveWeights
-        } else if reports.estimates_room(settings) {
+        } else if reports.estimates_capacity(settings) {
             LoadSource::EstimatedCapacity
         } else {
             LoadSource::OwnRequests
@@ -141,11 +141,11 @@
         }
         let price = self.price(worker);
         if self.chooses_at_random {
-            let draw = -unit(self.seed ^ worker.id.0 ^ self.now).ln();
+            let draw = -unit_hash(self.seed ^ worker.id.0 ^ self.now).ln();
             let draw = draw * (RANDOM_CHOICE_PRICE_WEIGHT * (price.zone + price.connection)).exp();
             return self.load(worker, request).map(|load| draw * load * load);
         }
-        let tie_break = unit(self.seed ^ worker.id.0) * MAX_TIE_BREAK;
+        let tie_break = unit_hash(self.seed ^ worker.id.0) * MAX_TIE_BREAK;
         let rejection_penalty = if self.load_source == LoadSource::EstimatedCapacity {
             0.0
         } else {
@@ -197,16 +197,16 @@
     /// requires, so a popular key has more workers. Returns `None` if the request should rather wait for a
     /// worker that is certain to hold the data.
     fn fetch_price(&self, request: &RequestState, worker: &Worker) -> Option<f64> {
-        if request.affinity_key == 0 || self.settings.origin_price <= 0.0 {
+        if request.affinity_key == 0 || self.settings.origin_fetch_price <= 0.0 {
             return Some(0.0);
         }
-        let fetch_likelihood = (unit(request.affinity_key ^ mix(worker.id.0)) * KEY_SPREAD).min(1.0);
+        let fetch_likelihood = (unit_hash(request.affinity_key ^ mix(worker.id.0)) * KEY_SPREAD).min(1.0);
         let should_wait =
             fetch_likelihood > FETCHES_PER_SLACK * request.waited_ratio(self.now) + CACHED_FETCH_RATIO;
         if should_wait {
             None
         } else {
-            Some(fetch_likelihood * self.settings.origin_price * LOAD_PER_PRICE)
+            Some(fetch_likelihood * self.settings.origin_fetch_price * LOAD_PER_PRICE)
         }
     }
 
@@ -216,7 +216,7 @@
         let settings = self.settings;
         if self.endpoints.is_large() && settings.reports_free_slots && !settings.reports_start {
             let kind = &self.kinds[worker.kind];
-            (kind.relative_run_time, kind.room_ratio.max(MIN_CAPACITY_RATIO))
+            (kind.relative_run_time, kind.free_slots_ratio.max(MIN_CAPACITY_RATIO))
         } else {
             (worker.relative_run_time.get(), 1.0)
         }
@@ -227,8 +227,8 @@
         let is_ejected = worker.health.is_ejected();
         let has_overdue_requests =
             worker.concurrency.overdue > 0 && !worker.health.is_unresponsive() && self.settings.reports_start;
-        let warmth = self.warmth(worker);
-        let is_slow_start_limited = warmth < 1.0 && !self.slow_start_allows(worker, request);
+        let capacity_ratio = self.capacity_ratio(worker);
+        let is_slow_start_limited = capacity_ratio < 1.0 && !self.slow_start_allows(worker, request);
         if has_overdue_requests || worker.health.is_paused(self.now) || is_slow_start_limited {
             return None;
         }
@@ -237,7 +237,7 @@
         }
         match self.load_source {
             LoadSource::FreshReports => self.reported_load(worker, request),
-            LoadSource::LiveWeights => self.live_weight_load(worker, request, warmth),
+            LoadSource::LiveWeights => self.live_weight_load(worker, request, capacity_ratio),
             LoadSource::EstimatedCapacity => self.estimated_load(worker, request),
             LoadSource::OwnRequests => self.own_load(worker, request),
         }
@@ -266,7 +266,8 @@
     /// Load according to a fresh report; without one, an estimate that determines which workers are probed.
     fn reported_load(&self, worker: &Worker, request: &RequestState) -> Option<f64> {
         if worker.load.is_fresh(self.now) {
-            return Some(1.0 / (1.0 + worker.load.free)).filter(|_| worker.load.free >= ROOM);
+            return Some(1.0 / (1.0 + worker.load.free_slots))
+                .filter(|_| worker.load.free_slots >= MIN_FREE_SLOTS);
         }
         let load = self.slots_with(worker, request) / worker.concurrency.limit().max(MIN_LIMIT);
         Some((1.0 + load) / self.run_time_and_capacity_ratio(worker).1)
@@ -274,12 +275,12 @@
 
     /// Load according to live weights. If the worst-served class counts, better-served classes leave full
     /// workers to it.
-    fn live_weight_load(&self, worker: &Worker, request: &RequestState, warmth: f64) -> Option<f64> {
+    fn live_weight_load(&self, worker: &Worker, request: &RequestState, capacity_ratio: f64) -> Option<f64> {
         let settings = self.settings;
-        let cores = self.live_weights.cores(worker.kind) * warmth;
+        let cores = self.live_weights.cores(worker.kind) * capacity_ratio;
         let served = self.classes[request.class].served_ratio;
         let is_worse = |class: ClassId| self.classes[class].served_ratio + CLASS_GAIN < served;
-        let weight = if warmth < 1.0 { worker.weight / SLOW_START_LOAD } else { worker.weight };
+        let weight = if capacity_ratio < 1.0 { worker.weight / SLOW_START_LOAD } else { worker.weight };
         let load = (1.0 + worker.fleet_in_flight / cores) / weight;
         let is_full = worker.fleet_in_flight + 0.5 > cores;
         let yields_capacity =
@@ -310,15 +311,15 @@
     /// warming-up worker.
     pub fn exceeds_slow_start(&self, index: WorkerIndex, request: &RequestState) -> bool {
         let worker = &self.endpoints.workers[index];
-        self.warmth(worker) < 1.0 && !self.slow_start_allows(worker, request)
+        self.capacity_ratio(worker) < 1.0 && !self.slow_start_allows(worker, request)
     }
 
-    fn warmth(&self, worker: &Worker) -> f64 {
-        slow_start::warmth(&self.settings.rules, worker.started_at, self.now)
+    fn capacity_ratio(&self, worker: &Worker) -> f64 {
+        slow_start::capacity_ratio(&self.settings.rules, worker.started_at, self.now)
     }
 
     fn slow_start_allows(&self, worker: &Worker, request: &RequestState) -> bool {
-        let capacity_per_s = self.fleet.capacity(self.settings, worker.weight);
+        let capacity_per_s = self.fleet.worker_capacity_per_s(self.settings, worker.weight);
         let start = WorkerStart { worker: worker.id, started_at: worker.started_at, capacity_per_s };
         let size = request.work_us / SECOND as f64 / self.fleet.mean_work_s;
         slow_start::may_send(&self.settings.rules, self.sender, start, worker.slow_start, self.now, size)
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -39,7 +39,7 @@
 use crate::requests::{Rank, Requests};
 use crate::retry::RetryUsage;
 use crate::rng::Rng;
-use crate::run_time::{ClassHistory, Kinds, MeanWork};
+use crate::run_time::{ClassHistory, KindHistories, MeanWork};
 use crate::slow_start::{FleetCapacity, Sender};
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
@@ -80,7 +80,7 @@
     poison: PoisonDetector,
 
     classes: Table<ClassId, ClassHistory>,
-    kinds: Kinds,
+    kinds: KindHistories,
     mean_work: MeanWork,
 
     endpoints: Endpoints,
@@ -119,7 +119,7 @@
             retries: RetryUsage::default(),
             poison: PoisonDetector::default(),
             classes: Table::default(),
-            kinds: Kinds::default(),
+            kinds: KindHistories::default(),
             mean_work: MeanWork::default(),
             endpoints: Endpoints::default(),
             workers_with_capacity: Vec::new(),
@@ -165,8 +165,8 @@
     fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::RequestReceived(request) => self.receive(request, actions),
-            Event::RequestAdopted { request, worker, sent_us, started_us } => {
-                self.adopt(request, *worker, *sent_us, *started_us, actions);
+            Event::RequestAdopted { request, worker, since_sent_us, since_started_us } => {
+                self.adopt(request, *worker, *since_sent_us, *since_started_us, actions);
             }
             Event::Acknowledged { id, attempt } => self.acknowledged(*id, *attempt, actions),
             Event::Started { id, attempt } => self.started(*id, *attempt, actions),
@@ -177,10 +177,10 @@
             Event::EndpointList(endpoints) => self.update_endpoints(endpoints, true),
             Event::EndpointChanges(endpoints) => self.update_endpoints(endpoints, false),
             Event::EndpointWatchFailed => self.endpoint_watch_failed(actions),
-            Event::SettingsChanged { settings, continues } => {
-                self.configure((**settings).clone(), continues);
+            Event::SettingsChanged { settings, inherits_from } => {
+                self.configure((**settings).clone(), inherits_from);
             }
-            Event::ProbeEnded { worker, ok, report } => self.probe_ended(*worker, *ok, *report),
+            Event::ProbeEnded { worker, responded, report } => self.probe_ended(*worker, *responded, *report),
             Event::PeerMessage { from, bytes } => {
                 self.gossip.receive(*from, bytes, self.admission.tenants(), &self.settings, self.now);
             }
@@ -208,7 +208,7 @@
 
     /// Sends waiting requests, in rank order, to workers with capacity; the others keep waiting.
     fn place_waiting(&mut self, actions: &mut Vec<Action>) {
-        let prices_fetches = self.settings.origin_price > 0.0;
+        let prices_fetches = self.settings.origin_fetch_price > 0.0;
         if prices_fetches {
             self.workers_with_capacity = self.placement().workers_with_capacity();
         }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -4,7 +4,7 @@
 use crate::api::{Action, AttemptEnd, LoadReport, Notice, Outcome, RequestId};
 use crate::class_backoff::{backoff_jitter, backoff_us};
 use crate::endpoints::{has_many_senders, probe_interval_factor};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{RequestState, RequestStatus};
 use crate::table::WorkerIndex;
 
@@ -26,12 +26,12 @@
         }
         if end.request_done || end.outcome == Outcome::Success {
             let latency = (self.now - request.admitted_at) as f64 / self.objective_us(request.class);
-            self.record_latency(end.id, latency.min(LATE));
+            self.record_latency(end.id, latency.min(LATE_LATENCY_RATIO));
             self.requests.remove(end.id);
             return;
         }
         if !end.outcome.proves_not_executed() {
-            self.record_latency(end.id, LATE);
+            self.record_latency(end.id, LATE_LATENCY_RATIO);
         }
         self.retry_or_give_up(end.id, end.outcome, actions);
     }
@@ -54,9 +54,9 @@
     }
 
     fn record_outcome(&mut self, request: &RequestState, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let (attempt, typical_us) = (request.attempt, self.classes[request.class].typical_us);
+        let (attempt, median_run_us) = (request.attempt, self.classes[request.class].median_run_us);
         let is_poison = self.record_poison_failure(request, end);
-        let ran_long = (self.now - attempt.sent_at) as f64 > LATE_CONNECTION_LOSS * typical_us;
+        let ran_long = (self.now - attempt.sent_at) as f64 > LATE_CONNECTION_LOSS * median_run_us;
         match end.outcome {
             Outcome::Success => self.served(request, end.report, actions),
             Outcome::Rejected => self.rejected(request, actions),
@@ -100,8 +100,8 @@
         if report.is_some_and(|report| report.free_slots.is_some()) {
             self.load_reported(attempt.worker, report);
         } else {
-            let typical_us = self.classes[request.class].typical_us;
-            self.record_capacity(attempt.worker, run_us < PROMPT_RUN_RATIO * typical_us);
+            let median_run_us = self.classes[request.class].median_run_us;
+            self.record_capacity(attempt.worker, run_us < PROMPT_RUN_RATIO * median_run_us);
         }
     }
 
@@ -110,10 +110,10 @@
     /// whole worker is paused.
     fn rejected(&mut self, request: &RequestState, actions: &mut Vec<Action>) {
         let index = request.attempt.worker;
-        let typical_us = self.classes[request.class].typical_us;
+        let median_run_us = self.classes[request.class].median_run_us;
         self.worker_responded(index, false, actions);
-        let backoff_start = self.now + self.rng.below(backoff_jitter(typical_us));
-        let until = |rejection_ratio: f64| backoff_start + backoff_us(typical_us, rejection_ratio);
+        let backoff_start = self.now + self.rng.below(backoff_jitter(median_run_us));
+        let until = |rejection_ratio: f64| backoff_start + backoff_us(median_run_us, rejection_ratio);
         let rejection_ratio = self.endpoints.workers[index].concurrency.rejection_ratio;
         if self.backoff.record_rejection(index, request, rejection_ratio, until) {
             return;
@@ -121,7 +121,7 @@
         self.record_capacity(index, false);
         let worker = &mut self.endpoints.workers[index];
         worker.health.pause_until(until(worker.concurrency.rejection_ratio));
-        worker.load.free = worker.load.free.min(0.0);
+        worker.load.free_slots = worker.load.free_slots.min(0.0);
     }
 
     fn connection_lost(&mut self, index: WorkerIndex, actions: &mut Vec<Action>) {
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -3,7 +3,7 @@
 use super::{Policy, TimerKind};
 use crate::api::{Action, Idempotency, Micros, Notice, RequestId};
 use crate::attempt_timeout::{is_unacknowledged, timeout};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{Attempt, FirstExecution, RequestState, RequestStatus};
 use crate::table::WorkerIndex;
 
@@ -86,8 +86,14 @@
         let request = &self.requests[id];
         let placement = self.placement();
         let is_filled_by_others = placement.is_saturated_by_others(request.attempt.worker);
-        let estimates_room = self.reports.estimates_room(&self.settings);
-        timeout(&self.settings, request, &self.classes[request.class], is_filled_by_others, estimates_room)
+        let estimates_capacity = self.reports.estimates_capacity(&self.settings);
+        timeout(
+            &self.settings,
+            request,
+            &self.classes[request.class],
+            is_filled_by_others,
+            estimates_capacity,
+        )
     }
 
     /// Checks whether an attempt's report timeout has passed, because its worker or its connection may hang.
@@ -112,8 +118,8 @@
         }
         let report_timeout = self.report_timeout(&attempt, since, timeout, is_unacknowledged);
         self.attribute_timeout(id, &request, &report_timeout, actions);
-        if (self.now - request.admitted_at) as f64 > LATE * self.objective_us(request.class) {
-            self.record_latency(id, LATE);
+        if (self.now - request.admitted_at) as f64 > LATE_LATENCY_RATIO * self.objective_us(request.class) {
+            self.record_latency(id, LATE_LATENCY_RATIO);
         }
         if self.should_cancel_for_retry(id, &report_timeout) {
             if let Some(request) = self.requests.get_mut(id) {
@@ -206,7 +212,7 @@
         let is_presumed_lost = self.endpoints.workers[attempt.worker].health.is_unresponsive()
             || attempt.slots_released
             || report_timeout.is_queued_behind_others
-            || self.reports.estimates_room(&self.settings);
+            || self.reports.estimates_capacity(&self.settings);
         let deduplicated_until = attempt.sent_at + class.deduplication_window_us;
         if !may_reexecute || !is_presumed_lost || request.attempts >= request.max_attempts {
             return false;
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -38,15 +38,15 @@
 
     /// Applies new settings. Learned state is kept under the same indexes; settings that lack an existing
     /// class or tenant are ignored.
-    pub(super) fn configure(&mut self, settings: Settings, continues: &[Option<usize>]) {
+    pub(super) fn configure(&mut self, settings: Settings, inherits_from: &[Option<usize>]) {
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         if classes < self.classes.len() || tenants < self.settings.tenants.len() {
             return;
         }
         for (position, class) in settings.classes.iter().enumerate().skip(self.classes.len()) {
-            let continued = continues.get(position).copied().flatten().map(ClassId::new);
-            let history = match continued.and_then(|other| self.classes.get(other)) {
-                Some(other) => ClassHistory::continuing(other),
+            let inherited = inherits_from.get(position).copied().flatten().map(ClassId::new);
+            let history = match inherited.and_then(|other| self.classes.get(other)) {
+                Some(base) => ClassHistory::inheriting(base),
                 None => ClassHistory::from_objective(class.objective_us),
             };
             self.classes.push(history);
--- a/src/policy/receiving.rs
+++ b/src/policy/receiving.rs
@@ -19,7 +19,7 @@
     pub(super) fn receive(&mut self, received: &Request, actions: &mut Vec<Action>) {
         let class = ClassId::new(received.class.min(self.classes.len() - 1));
         let tenant = TenantId::new(received.tenant.min(self.admission.tenants() - 1));
-        let work_us = received.work_hint_us.map_or(self.classes[class].typical_us, |hint| hint as f64);
+        let work_us = received.work_hint_us.map_or(self.classes[class].median_run_us, |hint| hint as f64);
         self.mean_work.record(work_us);
         let settings = self.settings.class(class);
         let slack = slack_us(settings, work_us, self.settings.late_penalty_weight > 0.0);
@@ -87,8 +87,8 @@
         &mut self,
         received: &Request,
         worker: WorkerId,
-        sent_us: Micros,
-        started_us: Option<Micros>,
+        since_sent_us: Micros,
+        since_started_us: Option<Micros>,
         actions: &mut Vec<Action>,
     ) {
         self.receive(received, actions);
@@ -96,8 +96,8 @@
         self.kinds.grow_to(KindId::default(), KindHistory::default);
         let now = self.now;
         let Some(request) = self.requests.get_mut(received.id) else { return };
-        let sent_at = now.saturating_sub(sent_us);
-        let started_at = started_us.map(|elapsed| now.saturating_sub(elapsed));
+        let sent_at = now.saturating_sub(since_sent_us);
+        let started_at = since_started_us.map(|elapsed| now.saturating_sub(elapsed));
         request.status = RequestStatus::InFlight;
         request.attempts = 1;
         request.admitted_at = sent_at;
--- a/src/policy/retrying.rs
+++ b/src/policy/retrying.rs
@@ -2,7 +2,7 @@
 
 use super::{Policy, TimerKind};
 use crate::api::{Action, Idempotency, Micros, Notice, Outcome, Reason, RequestId};
-use crate::rate_control::LATE;
+use crate::rate_control::LATE_LATENCY_RATIO;
 use crate::requests::{FirstExecution, RequestState, RequestStatus};
 use crate::retry;
 
@@ -67,8 +67,8 @@
     fn try_mark_late(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         // Where capacity is estimated, a request may wait at its worker for up to one run time.
-        let run_count = if self.reports.estimates_room(&self.settings) { 2 } else { 1 };
-        let run_us = self.classes[request.class].typical_us as Micros;
+        let run_count = if self.reports.estimates_capacity(&self.settings) { 2 } else { 1 };
+        let run_us = self.classes[request.class].median_run_us as Micros;
         let send_by = request.deadline.saturating_sub(run_count * run_us);
         let late_has_no_value = self.settings.class(request.class).late_weight <= 0.0;
         if request.is_late || late_has_no_value || self.now >= send_by {
@@ -83,7 +83,7 @@
     /// otherwise a failure.
     pub(super) fn give_up(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         if self.requests.get(id).is_some_and(|request| request.status != RequestStatus::Queued) {
-            self.record_latency(id, LATE);
+            self.record_latency(id, LATE_LATENCY_RATIO);
         }
         let Some(request) = self.requests.remove(id) else { return };
         actions.push(Action::Notify(Notice::RequestGivenUp { request: id, reason }));
