--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! Decision engine of one dispatcher. Each stage of request processing uses these modules:
+//! Decisions of one dispatcher. Each stage of request processing uses these modules:
 //!
 //! - Received and queued by tenant (`policy/receiving.rs`): [`latency_objective`], [`poison`](crate::poison).
 //! - Admitted: [`admission`](crate::admission), [`rate_control`](crate::rate_control).
@@ -96,7 +96,7 @@
 }
 
 impl Policy {
-    /// Creates a dispatcher's decision engine from its settings, with no other state.
+    /// Creates a dispatcher's policy from its settings, with no other state.
     ///
     /// # Errors
     ///
