--- a/coordination/src/client.rs
+++ b/coordination/src/client.rs
@@ -1,4 +1,4 @@
-//! Client of the voters: acquires leases, renews and releases them, and knows by its own clock how long each is valid.
+//! Client of the voters: acquires, renews and releases leases, and tracks by its own clock how long each is valid.
 
 mod action;
 mod lease;
@@ -15,15 +15,15 @@
 use std::time::Duration;
 use voter_directory::VoterDirectory;
 
-/// Longest interval between requests that were not answered.
+/// Maximum interval between retries of a request without a response.
 const RETRY_INTERVAL_MAX: Duration = Duration::from_millis(500);
 
-/// Client of the voters; without I/O, clock or thread of its own.
+/// Client of the voters: a state machine without I/O, clock or threads.
 pub struct Client {
     process: Holder,
     timing: Timing,
     directory: VoterDirectory,
-    /// Time of the last response of a leader.
+    /// Time of the last response from a leader.
     last_response: Option<Duration>,
     leases: BTreeMap<String, LeaseState>,
     last_request_id: u64,
@@ -49,7 +49,7 @@
         self.actions.pop_front()
     }
 
-    /// Requests a lease, and renews it, until it is released.
+    /// Requests a lease and keeps renewing it until [`Client::release`].
     pub fn acquire(&mut self, now: Duration, lease: &str) {
         let state = self.leases.entry(lease.to_string()).or_default();
         if !state.wanted {
@@ -58,20 +58,20 @@
         }
     }
 
-    /// Releases a lease if it is held, and requests it no longer.
+    /// Releases a lease if it is held, and stops requesting it.
     pub fn release(&mut self, now: Duration, lease: &str) {
         let Some(state) = self.leases.get_mut(lease) else { return };
         state.wanted = false;
         if let Some(grant) = state.grant.take() {
-            // The lease is lost here before the voters hear of it.
+            // The client stops using the lease before the voters learn of the release.
             state.start_release(now, grant);
-            self.lost(lease, grant.token, LeaseLost::Released);
+            self.report_lost(lease, grant.token, LeaseLost::Released);
         } else if state.releasing.is_none() {
             self.leases.remove(lease);
         }
     }
 
-    /// Saves state for the next holder of a lease that is held.
+    /// Saves state for the next holder of a lease that this process holds.
     pub fn save_state(&mut self, now: Duration, lease: &str, saved: Vec<u8>) {
         if let Some(state) = self.leases.get_mut(lease).filter(|state| state.grant.is_some()) {
             state.unsaved = Some(saved);
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Returns whether saved state of a lease is not confirmed yet.
+    /// Returns whether the voters have yet to confirm the saved state of a lease.
     pub fn is_saving_state(&self, lease: &str) -> bool {
         self.leases.get(lease).is_some_and(|state| state.unsaved.is_some())
     }
 
-    /// Returns the fencing token of a lease if it is valid at this moment. To be called right before each act.
+    /// Returns the fencing token of a lease if the lease is valid now. Must be called right before each operation under it.
     pub fn valid_token(&self, now: Duration, lease: &str) -> Option<u64> {
         self.leases.get(lease)?.valid_grant(now).map(|grant| grant.token)
     }
 
-    /// Returns the leases that are valid now, with token and remaining time of each.
+    /// Returns the leases that are valid now, with the token and the remaining time of each.
     pub fn held_leases(&self, now: Duration) -> impl Iterator<Item = (&str, u64, Duration)> {
         self.leases.iter().filter_map(move |(lease, state)| {
             let grant = state.valid_grant(now)?;
@@ -97,13 +97,13 @@
         })
     }
 
-    /// Returns name and token of the other holder of a lease that is requested here, as the voters said last.
+    /// Returns the name and token of another process that holds a requested lease, as last reported by the voters.
     pub fn other_holder(&self, lease: &str) -> Option<(&str, u64)> {
         let (name, token) = self.leases.get(lease)?.other_holder.as_ref()?;
         Some((name, *token))
     }
 
-    /// Returns the time at which [`Client::tick`] is due next.
+    /// Returns the time at which [`Client::tick`] must be called next.
     pub fn next_tick(&self) -> Duration {
         self.leases.values().map(LeaseState::next_tick).min().unwrap_or(Duration::MAX)
     }
@@ -111,7 +111,7 @@
     /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         self.expire_grants(now);
-        // A released lease of which no voter heard has expired by itself by then.
+        // A release that reached no voter is dropped once the lease has expired.
         self.leases.retain(|_, state| state.wanted || state.is_releasing(now));
         let is_due = |state: &LeaseState| now >= state.next_request;
         let due: Vec<String> =
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Sends an operator's request; returns it, so that its response can be recognized.
+    /// Sends a request of an operator, and returns it so that its response can be matched.
     pub fn request(&mut self, now: Duration, to: SocketAddr, operation: Operation) -> Request {
         self.last_request_id += 1;
         let request = Request {
@@ -134,7 +134,7 @@
         request
     }
 
-    /// Returns the voter to ask next: the leader, if it is known.
+    /// Returns the voter that the next request goes to: the leader, if it is known.
     pub fn target_voter(&self) -> Option<SocketAddr> {
         self.directory.target()
     }
@@ -156,36 +156,36 @@
         }
         let id = response.request_id;
         if let Outcome::NotLeader(leader) = response.outcome {
-            return self.redirected(now, from, id, leader);
+            return self.handle_not_leader(now, from, id, leader);
         }
-        // Only a leader's response counts: another voter may be reachable while the leader is not.
+        // Only a response from a leader counts: other voters may be reachable while the leader is not.
         self.last_response = Some(now);
-        self.directory.leader_found(from);
+        self.directory.set_leader(from);
         if response.outcome == Outcome::ConfirmReceipt {
-            return self.retry_soon(now, id);
+            return self.retry_now(now, id);
         }
         let Some((lease, sent_at)) = self.find_request(id) else { return };
         match response.outcome {
             Outcome::Granted { lease: granted, token, state } if granted == lease => {
-                self.granted(now, &lease, token, state, sent_at);
+                self.handle_granted(now, &lease, token, state, sent_at);
             }
             Outcome::HeldByOther { holder, token, .. } => {
                 if let Some(state) = self.leases.get_mut(&lease) {
                     state.other_holder = Some((holder, token));
                 }
             }
-            Outcome::NotHolder { token, .. } => self.not_holder(now, &lease, token),
-            Outcome::Done => self.done(&lease),
+            Outcome::NotHolder { token, .. } => self.handle_not_holder(now, &lease, token),
+            Outcome::Done => self.handle_done(&lease),
             _ => {}
         }
     }
 
-    fn redirected(&mut self, now: Duration, from: SocketAddr, id: u64, leader: Option<SocketAddr>) {
+    fn handle_not_leader(&mut self, now: Duration, from: SocketAddr, id: u64, leader: Option<SocketAddr>) {
         match leader {
             Some(leader) => {
                 if self.directory.leader != Some(leader) {
                     self.directory.leader = Some(leader);
-                    self.retry_soon(now, id);
+                    self.retry_now(now, id);
                 }
             }
             None => {
@@ -196,50 +196,57 @@
         }
     }
 
-    /// Lease and time of a request whose response may still come.
+    /// Returns the lease and the send time of an outstanding request.
     fn find_request(&self, id: u64) -> Option<(String, Duration)> {
         self.leases.iter().find_map(|(lease, state)| Some((lease.clone(), state.sent_at(id)?)))
     }
 
-    fn granted(&mut self, now: Duration, lease: &str, token: u64, saved: Vec<u8>, sent_at: Duration) {
+    fn handle_granted(
+        &mut self,
+        now: Duration,
+        lease: &str,
+        token: u64,
+        saved_state: Vec<u8>,
+        sent_at: Duration,
+    ) {
         let validity = self.timing.holder_validity();
         let valid_until = sent_at + validity;
         let Some(state) = self.leases.get_mut(lease) else { return };
         if token <= state.last_released || !state.wanted {
-            // It was released already: the voters have to hear of that (again).
+            // This process has already released the lease: the voters must be told, again if necessary.
             if state.releasing.is_none() {
                 state.start_release(now, Grant { token, valid_until: now + validity });
             }
             return;
         }
         if now >= valid_until {
-            return; // too late: the next request finds the lease held by this process, and renews it
+            return; // too late; the next request renews the lease, which the voters still assign to this process
         }
         state.other_holder = None;
         match &mut state.grant {
             Some(grant) if grant.token == token => grant.valid_until = grant.valid_until.max(valid_until),
             Some(grant) if grant.token > token => {}
             _ => {
-                let before = state.grant.replace(Grant { token, valid_until });
-                if let Some(before) = before {
-                    self.lost(lease, before.token, LeaseLost::TakenOver);
+                let previous = state.grant.replace(Grant { token, valid_until });
+                if let Some(previous) = previous {
+                    self.report_lost(lease, previous.token, LeaseLost::TakenOver);
                 }
                 let lease = lease.to_string();
-                self.actions.push_back(ClientAction::Acquired { lease, token, state: saved });
+                self.actions.push_back(ClientAction::Acquired { lease, token, state: saved_state });
             }
         }
     }
 
-    fn not_holder(&mut self, now: Duration, lease: &str, token: u64) {
+    fn handle_not_holder(&mut self, now: Duration, lease: &str, token: u64) {
         let Some(state) = self.leases.get_mut(lease) else { return };
         state.releasing = None;
         if let Some(grant) = state.grant.take_if(|grant| grant.token <= token) {
             state.next_request = now + self.timing.renew_interval();
-            self.lost(lease, grant.token, LeaseLost::TakenOver);
+            self.report_lost(lease, grant.token, LeaseLost::TakenOver);
         }
     }
 
-    fn done(&mut self, lease: &str) {
+    fn handle_done(&mut self, lease: &str) {
         let Some(state) = self.leases.get_mut(lease) else { return };
         state.unsaved = None;
         if state.releasing.take().is_some() && !state.wanted {
@@ -255,12 +262,12 @@
             }
         }
         for (lease, token) in expired {
-            self.lost(&lease, token, LeaseLost::Expired);
+            self.report_lost(&lease, token, LeaseLost::Expired);
         }
     }
 
-    /// Repeats a request at once.
-    fn retry_soon(&mut self, now: Duration, id: u64) {
+    /// Makes the next request for the lease of this request due immediately.
+    fn retry_now(&mut self, now: Duration, id: u64) {
         for state in self.leases.values_mut().filter(|state| state.sent_at(id).is_some()) {
             state.next_request = now;
         }
@@ -270,7 +277,7 @@
         self.last_response.map_or(u64::MAX, |at| (now - at).as_millis() as u64)
     }
 
-    fn lost(&mut self, lease: &str, token: u64, reason: LeaseLost) {
+    fn report_lost(&mut self, lease: &str, token: u64, reason: LeaseLost) {
         self.actions.push_back(ClientAction::Lost { lease: lease.to_string(), token, reason });
     }
 
@@ -279,7 +286,7 @@
         let Some(to) = self.directory.target() else { return };
         let renew_interval = self.timing.renew_interval();
         let Some(state) = self.leases.get_mut(lease) else { return };
-        // Without a response requests follow sooner: a lost message must not cost the lease.
+        // Retries are more frequent than renewals, so that a lost message does not cost the lease.
         let is_settled =
             state.releasing.is_none() && state.unsaved.is_none() && self.directory.leader.is_some();
         let retry_interval = (renew_interval / 2).min(RETRY_INTERVAL_MAX);
@@ -287,7 +294,7 @@
         let operation = state.next_operation(lease);
         let id = self.request(now, to, operation).id;
         if let Some(state) = self.leases.get_mut(lease) {
-            state.sent(id, now);
+            state.record_sent(id, now);
         }
     }
 }
--- a/coordination/src/client/action.rs
+++ b/coordination/src/client/action.rs
@@ -1,9 +1,9 @@
-//! What a client asks its embedder to do.
+//! Actions that a client returns to its embedder.
 
 use crate::message::Request;
 use std::net::SocketAddr;
 
-/// Action for the embedder of a client.
+/// Action that the embedder of a client carries out.
 #[derive(Debug, PartialEq)]
 pub enum ClientAction {
     /// Send a request to a voter.
@@ -13,32 +13,32 @@
         /// The request.
         request: Request,
     },
-    /// This process holds a lease from now on.
+    /// This process now holds a lease.
     Acquired {
         /// Name of the lease.
         lease: String,
-        /// Fencing token; it goes with each act.
+        /// Fencing token, which must accompany each operation under the lease.
         token: u64,
-        /// State that the last holder saved.
+        /// State that the previous holder saved.
         state: Vec<u8>,
     },
-    /// This process holds a lease no longer: whatever is under way must not go on.
+    /// This process no longer holds a lease; operations in progress under it must be aborted.
     Lost {
         /// Name of the lease.
         lease: String,
-        /// Its fencing token.
+        /// Fencing token under which the lease was held.
         token: u64,
-        /// Why.
+        /// Reason for the loss.
         reason: LeaseLost,
     },
 }
 
-/// Why a lease was lost.
+/// Reason for which a lease was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseLost {
-    /// No voter confirmed a renewal in time.
+    /// No renewal was confirmed in time.
     Expired,
-    /// The voters say that another process holds it.
+    /// The voters report that the lease is no longer assigned under this token.
     TakenOver,
     /// This process released it.
     Released,
--- a/coordination/src/client/lease.rs
+++ b/coordination/src/client/lease.rs
@@ -1,36 +1,36 @@
-//! State of one lease at a client.
+//! State of one lease in the client.
 
 use crate::message::Operation;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests of one lease whose responses may still come.
+/// Maximum number of outstanding requests that are tracked for a lease.
 const OUTSTANDING_MAX: usize = 4;
 
-/// A grant by the voters.
+/// Grant of a lease by the voters.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Grant {
     pub(super) token: u64,
-    /// Time until which this process may act, by its own clock.
+    /// Time until which this process may use the lease, by its own clock.
     pub(super) valid_until: Duration,
 }
 
-/// State of one lease at a client.
+/// State of one lease in the client.
 #[derive(Default)]
 pub(super) struct LeaseState {
-    /// The lease is to be acquired and renewed.
+    /// Whether the lease is to be acquired and renewed.
     pub(super) wanted: bool,
     pub(super) grant: Option<Grant>,
-    /// Grant that is being released; it was reported as lost before.
+    /// Grant that is being released, already reported to the embedder as lost.
     pub(super) releasing: Option<Grant>,
-    /// Token that was released last. A late response must not bring it back.
+    /// Token that was released last; a late response must not reinstate it.
     pub(super) last_released: u64,
-    /// State for the next holder that the voters have not confirmed.
+    /// State for the next holder that the voters have not confirmed yet.
     pub(super) unsaved: Option<Vec<u8>>,
-    /// Ids and times of the last requests.
+    /// Ids and send times of the last requests.
     outstanding: VecDeque<(u64, Duration)>,
     pub(super) next_request: Duration,
-    /// Name and token of the other holder.
+    /// Name and token of another process that holds the lease.
     pub(super) other_holder: Option<(String, u64)>,
 }
 
@@ -53,7 +53,7 @@
         self.next_request = now;
     }
 
-    /// Operation that the next request is for.
+    /// Returns the operation of the next request.
     pub(super) fn next_operation(&self, lease: &str) -> Operation {
         let lease = lease.to_string();
         match (&self.grant, self.releasing, &self.unsaved) {
@@ -66,14 +66,14 @@
         }
     }
 
-    pub(super) fn sent(&mut self, id: u64, at: Duration) {
+    pub(super) fn record_sent(&mut self, id: u64, at: Duration) {
         if self.outstanding.len() >= OUTSTANDING_MAX {
             self.outstanding.pop_front();
         }
         self.outstanding.push_back((id, at));
     }
 
-    /// Time at which a request was sent whose response may still come.
+    /// Returns the send time of an outstanding request.
     pub(super) fn sent_at(&self, id: u64) -> Option<Duration> {
         self.outstanding.iter().find(|(sent, _)| *sent == id).map(|(_, at)| *at)
     }
--- a/coordination/src/client/voter_directory.rs
+++ b/coordination/src/client/voter_directory.rs
@@ -1,19 +1,19 @@
-//! Voters that a client knows, and which of them it asks.
+//! Voters that a client knows, and the choice of the one that requests go to.
 
 use std::net::SocketAddr;
 
-/// Most voters that are known at once.
+/// Maximum number of voters that are remembered.
 const VOTERS_MAX: usize = 16;
-/// Requests without a response after which the next voter is asked.
+/// Consecutive requests without a response after which the client switches to the next voter.
 const UNANSWERED_MAX: u32 = 2;
 
-/// Voters that a client knows.
+/// Voters that a client knows, and the current leader.
 pub(super) struct VoterDirectory {
     voters: Vec<SocketAddr>,
     pub(super) leader: Option<SocketAddr>,
-    /// Position of the voter that is asked while no leader is known.
+    /// Position of the voter that requests go to while no leader is known.
     position: usize,
-    /// Requests since the last response of a leader.
+    /// Requests since the last response from a leader.
     unanswered: u32,
 }
 
@@ -23,7 +23,7 @@
         VoterDirectory { voters, leader: None, position: 0, unanswered: 0 }
     }
 
-    /// Voter to ask next: the leader, if it is known.
+    /// Returns the voter that the next request goes to: the leader, if it is known.
     pub(super) fn target(&self) -> Option<SocketAddr> {
         match self.leader {
             Some(leader) => Some(leader),
@@ -44,12 +44,12 @@
         }
     }
 
-    pub(super) fn leader_found(&mut self, leader: SocketAddr) {
+    pub(super) fn set_leader(&mut self, leader: SocketAddr) {
         self.leader = Some(leader);
         self.unanswered = 0;
     }
 
-    /// Counts a request; a voter that did not respond to the last ones may be gone.
+    /// Counts a request, and switches to the next voter if the last ones had no response.
     pub(super) fn count_request(&mut self) {
         self.unanswered += 1;
         if self.unanswered > UNANSWERED_MAX {
--- a/coordination/src/fencing.rs
+++ b/coordination/src/fencing.rs
@@ -1,31 +1,31 @@
-//! Fencing guard: protects whatever is acted on from a holder that was stalled in the middle of an act and goes on after its
-//! lease has expired.
+//! Fencing guard: protects a resource from a lease holder that stalls in the middle of an operation and resumes it after
+//! its lease has expired.
 
 use crate::lease_table::LEASES_MAX;
 use std::collections::BTreeMap;
 
-/// Highest fencing token seen of each lease.
+/// Records the highest fencing token of each lease and rejects lower ones.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
     highest: BTreeMap<String, u64>,
 }
 
-/// Rejection of an act under a token that is over.
+/// Error for an operation whose fencing token is lower than one seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the token {token} is over: {highest} was seen")]
+#[error("fencing token {token} is stale: the highest token seen is {highest}")]
 pub struct StaleToken {
-    /// Token of the act.
+    /// Token of the rejected operation.
     pub token: u64,
-    /// Highest token seen.
+    /// Highest token seen for the lease; `u64::MAX` if the guard is full.
     pub highest: u64,
 }
 
 impl FencingGuard {
-    /// Checks the token of an act on a lease, and remembers it.
+    /// Checks the fencing token of an operation under a lease, and records it.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] if a higher token was seen, or if the guard knows as many leases as the voters may grant.
+    /// [`StaleToken`] if a higher token was seen, or if the lease is unknown and the guard is full.
     pub fn check(&mut self, lease: &str, token: u64) -> Result<(), StaleToken> {
         let is_full = self.highest.len() >= LEASES_MAX;
         match self.highest.get_mut(lease) {
@@ -34,7 +34,7 @@
                 *highest = token;
                 Ok(())
             }
-            // A peer that makes up names must not fill the memory: the voters grant no more leases than this.
+            // Bounds memory against a peer that invents lease names: the voters grant no more leases than this.
             None if is_full => Err(StaleToken { token, highest: u64::MAX }),
             None => {
                 self.highest.insert(lease.to_string(), token);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the highest token seen of a lease; 0 if there was none.
+    /// Returns the highest token seen for a lease; 0 if there was none.
     pub fn highest(&self, lease: &str) -> u64 {
         self.highest.get(lease).copied().unwrap_or(0)
     }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,27 +1,28 @@
-//! Leases that one node of a fleet holds at a time, and what their holders do.
+//! Exclusive leases for the nodes of a fleet, and the tasks of their holders.
 //!
-//! A majority of a few voters grants each lease for a limited time, with a fencing token that only grows. All nodes are
-//! clients of the voters. The holder of a lease makes scheduled calls, follows discovery for its zone, or restarts the nodes
-//! of the fleet one after another.
+//! A small Raft group of voters grants each lease for a limited time, with a monotonically increasing fencing token. All
+//! nodes are clients of the voters. A lease holder makes scheduled calls, polls discovery on behalf of its zone, or performs
+//! a rolling restart of the fleet.
 //!
 //! | type | role |
 //! | --- | --- |
 //! | [`Voter`] | member of the Raft group that grants leases |
 //! | [`Store`] | durable store of a voter, on `redb` |
-//! | [`Client`] | acquires and renews leases, knows how long each is valid |
-//! | [`FencingGuard`] | rejects acts under a token that is over |
+//! | [`Client`] | acquires and renews leases, and tracks how long each is valid |
+//! | [`FencingGuard`] | rejects operations with a stale fencing token |
 //! | [`ListBroadcast`] | distribution of a zone's endpoint list from the lease holder to all nodes |
 //! | [`RollingRestart`] | restart of a fleet's nodes by the lease holder |
 //!
-//! These types have no I/O, clock or thread of their own: messages, timers and the outcomes of writes go in together with the
-//! time, and actions come out. The same code runs over sockets and in emulated time.
+//! These types are state machines without I/O, clocks or threads: the embedder passes in messages, timer ticks and the
+//! outcomes of writes together with the current time, and carries out the actions that they return. The same code runs over
+//! sockets and in emulated time.
 //!
-//! Times are durations on a clock of the embedder that only runs forward and goes on while the machine sleeps. Clocks of two
-//! processes are never compared.
+//! Times are durations on a monotonic clock of the embedder that keeps running while the machine is suspended. Clocks of
+//! different processes are never compared.
 //!
 //! # Example
 //!
-//! Three voters grant a lease to a client; all messages arrive at once.
+//! Three voters grant a lease to a client; messages are delivered without delay.
 //!
 //! ```
 //! use coordination::{
--- a/coordination/src/list_broadcast.rs
+++ b/coordination/src/list_broadcast.rs
@@ -1,15 +1,15 @@
-//! Broadcast of a zone's endpoint list. The holder of the zone's lease follows discovery and sends each version down a tree
-//! of the zone's nodes; a node that receives nothing for a while polls discovery itself.
+//! Broadcast of a zone's endpoint list. The holder of the zone's lease polls discovery and sends each version down a tree of
+//! the zone's nodes; a node that receives no heartbeats for a while polls discovery itself.
 //!
-//! An entry has a key and may be removed; the rest of its contents is the embedder's. Versions are discovery's, so a list
-//! never goes back, whoever sends it, and the holder's fencing token keeps the messages of an earlier holder out.
+//! An entry has a key and a removal flag; its contents are opaque. Versions are assigned by discovery, so a list never goes
+//! back to an older version, whoever sends it. The fencing token excludes messages of an earlier holder.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `message` | messages, actions and counters |
-//! | `tree` | which nodes a node sends to |
-//! | `heartbeat` | heartbeats of the holder, and what their absence means |
-//! | `state_transfer` | versions of the list, and how they are sent in chunks |
+//! | `tree` | the nodes that each node sends to |
+//! | `heartbeat` | heartbeats of the holder, and the fallback to polling without them |
+//! | `state_transfer` | versions of the list, and their transfer in chunks |
 
 mod heartbeat;
 mod message;
@@ -25,16 +25,16 @@
 use std::time::Duration;
 use tree::Peer;
 
-/// One node's part in the broadcast of its zone's list; without I/O, clock or thread of its own.
+/// Broadcast of a zone's list at one node: a state machine without I/O, clock or threads.
 pub struct ListBroadcast {
     name: String,
     /// Nodes of the zone by name, this one included.
     peers: Vec<Peer>,
     /// Fencing token of the zone's lease, if this node holds it.
     own_token: Option<u64>,
-    /// The holder with the highest token that is known.
+    /// Holder with the highest token seen.
     holder: KnownHolder,
-    /// Which discovery service the versions are of.
+    /// Id of the discovery service that assigned the versions.
     source: u64,
     list: VersionedList,
     assembly: Option<ChunkAssembly>,
@@ -45,8 +45,8 @@
 }
 
 impl ListBroadcast {
-    /// Returns the part of a node that has just started: it polls discovery until it receives a holder's heartbeat.
-    /// `source` identifies the discovery service.
+    /// Returns the initial state of a node, which polls discovery until it receives a heartbeat of a holder. `source`
+    /// identifies the discovery service.
     pub fn new(name: &str, source: u64) -> ListBroadcast {
         ListBroadcast {
             name: name.to_string(),
@@ -73,12 +73,12 @@
         self.metrics
     }
 
-    /// Returns the version of the list here; 0 if there is none.
+    /// Returns the version of this node's list; 0 if it has none.
     pub fn version(&self) -> u64 {
         self.list.version()
     }
 
-    /// Returns the entries of the list here, by key.
+    /// Returns the entries of this node's list, ordered by key.
     pub fn entries(&self) -> impl ExactSizeIterator<Item = &ListEntry> {
         self.list.entries()
     }
@@ -88,13 +88,13 @@
         self.polls_discovery
     }
 
-    /// Sets the nodes of the zone that take requests: name and address of each.
+    /// Sets the names and addresses of the zone's nodes that accept requests.
     pub fn set_peers(&mut self, peers: Vec<(String, SocketAddr)>) {
         self.peers = peers.into_iter().map(|(name, address)| Peer { name, address }).collect();
         self.peers.sort();
     }
 
-    /// Sets the discovery service. The versions of another one can't be compared with those before.
+    /// Sets the id of the discovery service. Versions of different services are not comparable.
     pub fn set_source(&mut self, source: u64) {
         if self.source != source {
             self.source = source;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Tells that this node acquired the zone's lease under this token.
+    /// Handles the acquisition of the zone's lease by this node, with its fencing token.
     pub fn lease_acquired(&mut self, now: Duration, token: u64) {
         self.own_token = Some(token);
         self.holder = KnownHolder { token, name: self.name.clone(), sequence: 0 };
@@ -110,7 +110,7 @@
         self.set_polling(true);
     }
 
-    /// Tells that this node lost the zone's lease. It polls discovery until it receives the next holder's heartbeat.
+    /// Handles the loss of the zone's lease. The node polls discovery until it receives a heartbeat of the next holder.
     pub fn lease_lost(&mut self, now: Duration) {
         if self.own_token.take().is_some() {
             self.timer.last_received = Some(now);
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Publishes what discovery told this node; it goes to the other nodes if `may_act`, that is if this node's lease is
-    /// valid at this moment.
-    pub fn publish(&mut self, now: Duration, delta: &ListDelta, may_act: bool) {
+    /// Publishes a change from discovery. It is sent to the other nodes if this node holds the lease and `is_lease_valid`
+    /// tells that the lease is valid now.
+    pub fn publish(&mut self, now: Duration, delta: &ListDelta, is_lease_valid: bool) {
         if !self.list.apply(delta) {
             return;
         }
-        if let Some(token) = self.own_token.filter(|_| may_act) {
+        if let Some(token) = self.own_token.filter(|_| is_lease_valid) {
             self.forward(token, delta);
             self.schedule_heartbeats_after_change(now);
         }
     }
 
-    /// Handles a message of another node.
+    /// Handles a message from another node.
     pub fn receive(&mut self, now: Duration, from: SocketAddr, message: BroadcastMessage) {
         match message {
             BroadcastMessage::Heartbeat { token, holder, sequence, source, version } => {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns whether a message is of an earlier holder, and counts it.
+    /// Returns whether a message with this token belongs to an earlier holder, and counts it if so.
     fn is_stale(&mut self, token: u64) -> bool {
         let is_stale = token < self.holder.token;
         self.metrics.stale_messages += u64::from(is_stale);
--- a/coordination/src/list_broadcast/heartbeat.rs
+++ b/coordination/src/list_broadcast/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the holder. They repair lost messages, and without them the nodes poll discovery, one after another.
+//! Heartbeats of the holder. They reveal lost list messages; when they stop, the nodes start to poll discovery one by one.
 
 use super::{BroadcastMessage, ListBroadcast};
 use std::net::SocketAddr;
@@ -6,17 +6,19 @@
 
 /// Interval between heartbeats of the holder.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// Shorter interval for the first heartbeats after a change, so that a lost message is repaired quickly.
+/// Shorter interval for the first heartbeats after a change, so that a lost message is detected quickly.
 const FAST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
+/// Number of heartbeats at the shorter interval.
 const FAST_HEARTBEATS: u32 = 4;
-/// Time without a heartbeat after which the first node polls discovery.
+/// Time without a heartbeat after which the first node starts to poll discovery.
 pub(super) const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay of each node's turn to poll discovery after the one before it ...
-const TURN_DELAY: Duration = Duration::from_millis(20);
-/// ... and of the last one's after the first: nodes must not learn of a draining endpoint at very different times.
-const TURN_DELAY_MAX: Duration = Duration::from_millis(300);
+/// Delay between the starts of polling at consecutive nodes ...
+const POLL_STAGGER: Duration = Duration::from_millis(20);
+/// ... and limit of the delay between the first node and the last, so that all nodes learn of a draining endpoint at about
+/// the same time.
+const POLL_STAGGER_MAX: Duration = Duration::from_millis(300);
 
-/// Holder of the zone's lease, as the highest token shows it.
+/// Holder of the zone's lease with the highest token seen.
 #[derive(Default)]
 pub(super) struct KnownHolder {
     pub(super) token: u64,
@@ -27,42 +29,42 @@
 
 /// Timers of heartbeats sent and received.
 pub(super) struct HeartbeatTimer {
-    /// Time of the next heartbeat, as the holder.
+    /// Time at which this node sends its next heartbeat as the holder.
     pub(super) next_heartbeat: Duration,
-    /// Fast heartbeats that are left.
-    fast_heartbeats: u32,
+    /// Remaining heartbeats at the shorter interval.
+    fast_heartbeats_left: u32,
     /// Time of the last heartbeat received.
     pub(super) last_received: Option<Duration>,
 }
 
 impl Default for HeartbeatTimer {
     fn default() -> Self {
-        HeartbeatTimer { next_heartbeat: Duration::MAX, fast_heartbeats: 0, last_received: None }
+        HeartbeatTimer { next_heartbeat: Duration::MAX, fast_heartbeats_left: 0, last_received: None }
     }
 }
 
 impl ListBroadcast {
-    /// Returns the time at which [`ListBroadcast::tick`] is due next.
+    /// Returns the time at which [`ListBroadcast::tick`] must be called next.
     pub fn next_tick(&self) -> Duration {
         match (self.own_token, self.polls_discovery) {
             (Some(_), _) => self.timer.next_heartbeat,
             (None, false) => {
-                let timeout = HOLDER_TIMEOUT + self.turn_delay();
+                let timeout = HOLDER_TIMEOUT + self.poll_delay();
                 self.timer.last_received.map_or(Duration::MAX, |at| at + timeout)
             }
             (None, true) => Duration::MAX,
         }
     }
 
-    /// Runs the timers that are due. `may_act` tells whether this node's lease is valid at this moment.
-    pub fn tick(&mut self, now: Duration, may_act: bool) {
+    /// Runs the timers that are due. `is_lease_valid` tells whether this node's lease is valid now.
+    pub fn tick(&mut self, now: Duration, is_lease_valid: bool) {
         match self.own_token {
             Some(token) if now >= self.timer.next_heartbeat => {
-                let is_fast = self.timer.fast_heartbeats > 0;
+                let is_fast = self.timer.fast_heartbeats_left > 0;
                 self.timer.next_heartbeat =
                     now + if is_fast { FAST_HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL };
-                self.timer.fast_heartbeats = self.timer.fast_heartbeats.saturating_sub(1);
-                if may_act {
+                self.timer.fast_heartbeats_left = self.timer.fast_heartbeats_left.saturating_sub(1);
+                if is_lease_valid {
                     self.holder.sequence += 1;
                     self.send_heartbeats(token, self.holder.sequence);
                 }
@@ -75,12 +77,12 @@
         }
     }
 
-    /// The next heartbeats come fast. Nodes that know no holder yet don't forward anything: before the first heartbeat they
-    /// are told at once.
+    /// Switches to the shorter interval. The first heartbeat of a holder is sent at once, because nodes that know no holder
+    /// forward nothing.
     pub(super) fn schedule_heartbeats_after_change(&mut self, now: Duration) {
         let is_first = self.holder.sequence == 0;
         self.timer.next_heartbeat = if is_first { now } else { now + FAST_HEARTBEAT_INTERVAL };
-        self.timer.fast_heartbeats = FAST_HEARTBEATS;
+        self.timer.fast_heartbeats_left = FAST_HEARTBEATS;
     }
 
     pub(super) fn receive_heartbeat(
@@ -103,7 +105,7 @@
         self.holder = holder;
         self.timer.last_received = Some(now);
         if source != self.source {
-            return; // it follows another discovery service, and is of no use until this node does, too
+            return; // the holder polls another discovery service, whose versions are not comparable
         }
         if version > self.list.version() {
             self.send(from, BroadcastMessage::Fetch { source, version: self.list.version() });
@@ -113,7 +115,7 @@
         self.send_heartbeats(token, sequence);
     }
 
-    /// Sends a heartbeat of the holder down the tree.
+    /// Sends a heartbeat of the holder to this node's children in the trees.
     fn send_heartbeats(&mut self, token: u64, sequence: u64) {
         let heartbeat = BroadcastMessage::Heartbeat {
             token,
@@ -127,10 +129,10 @@
         }
     }
 
-    /// Delay of this node's turn to poll discovery after the first node's.
-    fn turn_delay(&self) -> Duration {
+    /// Returns the delay before this node starts to poll discovery, relative to the first node.
+    fn poll_delay(&self) -> Duration {
         let position = self.position(&self.name).unwrap_or(0) as u32;
-        let each = TURN_DELAY.min(TURN_DELAY_MAX / (self.peers.len() as u32).max(1));
-        each * position
+        let delay_per_node = POLL_STAGGER.min(POLL_STAGGER_MAX / (self.peers.len() as u32).max(1));
+        delay_per_node * position
     }
 }
--- a/coordination/src/list_broadcast/message.rs
+++ b/coordination/src/list_broadcast/message.rs
@@ -1,5 +1,5 @@
-//! Messages, actions and counters of the list broadcast. Messages are encoded by `postcard`: their bytes depend on the order
-//! of variants and fields.
+//! Messages, actions and counters of the list broadcast. Messages are encoded with `postcard`: their bytes depend on the
+//! order of variants and fields, not on their names.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -9,53 +9,53 @@
 pub struct ListEntry {
     /// Key, such as an endpoint's id.
     pub key: String,
-    /// The entry is removed.
+    /// Whether the entry is removed from the list.
     pub removed: bool,
-    /// Contents, in the embedder's format.
+    /// Contents, in a format of the embedder.
     pub bytes: Vec<u8>,
 }
 
-/// Change of a list to a newer version.
+/// Change that brings a list to a newer version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListDelta {
     /// Version after the change.
     pub version: u64,
-    /// `entries` is the complete list.
+    /// Whether `entries` is the complete list.
     pub complete: bool,
-    /// Changed entries, or all of them.
+    /// Changed entries, or all entries of a complete list.
     pub entries: Vec<ListEntry>,
 }
 
-/// Message between nodes of a zone.
+/// Message between the nodes of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BroadcastMessage {
-    /// The holder is alive; forwarded down the tree.
+    /// Heartbeat of the holder, forwarded down the tree.
     Heartbeat {
-        /// The holder's fencing token.
+        /// Fencing token of the holder.
         token: u64,
-        /// The holder's name.
+        /// Name of the holder.
         holder: String,
-        /// Sequence number of the heartbeat; it grows under one token.
+        /// Sequence number of the heartbeat, increasing under one token.
         sequence: u64,
-        /// Which discovery service the version is of.
+        /// Id of the discovery service that assigned the version.
         source: u64,
-        /// Version of the list at the sender.
+        /// Version of the sender's list.
         version: u64,
     },
-    /// Request for what is newer than this version; for the complete list if it is 0.
+    /// Request for the changes since a version, or for the complete list if the version is 0.
     Fetch {
-        /// Which discovery service the version is of.
+        /// Id of the discovery service that assigned the version.
         source: u64,
-        /// Version of the list at the sender.
+        /// Version of the sender's list.
         version: u64,
     },
-    /// Chunk of a change, as an answer or forwarded unasked.
+    /// Chunk of a change, sent in response to a fetch or forwarded down the tree.
     Chunk {
         /// Fencing token of the holder that published the change.
         token: u64,
-        /// Which discovery service the versions are of.
+        /// Id of the discovery service that assigned the versions.
         source: u64,
-        /// Version that the change applies to; 0 if it is the complete list.
+        /// Version that the change applies to; 0 if the change is a complete list.
         base_version: u64,
         /// Version after the change.
         version: u64,
@@ -68,7 +68,7 @@
     },
 }
 
-/// Action for the embedder.
+/// Action that the embedder carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BroadcastAction {
     /// Send a message to a node of the zone.
@@ -78,24 +78,24 @@
         /// The message.
         message: BroadcastMessage,
     },
-    /// Apply a change in place of one from discovery.
+    /// Apply a change that was received from another node instead of discovery.
     Apply(ListDelta),
-    /// Start to poll discovery, or stop.
+    /// Start (`true`) or stop (`false`) polling discovery.
     PollDiscovery(bool),
 }
 
-/// Counters of one node's part since its start.
+/// Counters of the list broadcast at one node since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BroadcastMetrics {
     /// Messages sent.
     pub sent: u64,
-    /// Versions applied from other nodes.
+    /// Versions that were received from other nodes and applied.
     #[serde(rename = "fed")]
     pub applied: u64,
-    /// How often this node had to poll discovery because no heartbeat came.
+    /// Number of times this node started to poll discovery because heartbeats stopped.
     #[serde(rename = "silences")]
     pub holder_timeouts: u64,
-    /// Messages of an earlier holder.
+    /// Messages with the token of an earlier holder.
     #[serde(rename = "refused")]
     pub stale_messages: u64,
 }
--- a/coordination/src/list_broadcast/state_transfer.rs
+++ b/coordination/src/list_broadcast/state_transfer.rs
@@ -6,23 +6,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Deltas that are kept for nodes that lag behind.
+/// Maximum number of deltas that are kept for nodes that lag behind.
 const DELTAS_MAX: usize = 16;
-/// Most bytes of entries in one chunk.
+/// Maximum size of the entries in a chunk, in bytes.
 const CHUNK_BYTES_MAX: usize = 40 * 1024;
-/// Estimate of an entry's bytes in a chunk beside its key and contents.
+/// Estimated encoding overhead of an entry, in addition to its key and contents.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
-/// Most chunks of one transfer.
+/// Maximum number of chunks in a transfer.
 const CHUNKS_MAX: usize = 256;
 
 /// Delta that is kept for nodes that lag behind.
 struct KeptDelta {
-    from: u64,
-    to: u64,
+    base_version: u64,
+    version: u64,
     entries: Vec<ListEntry>,
 }
 
-/// The list with its last deltas.
+/// List with its most recent deltas.
 #[derive(Default)]
 pub(super) struct VersionedList {
     version: u64,
@@ -39,7 +39,7 @@
         self.entries.values()
     }
 
-    /// The versions that follow are of another discovery service.
+    /// Resets the version, because another discovery service assigns the next ones.
     pub(super) fn forget_versions(&mut self) {
         self.version = 0;
         self.deltas.clear();
@@ -55,7 +55,7 @@
             self.deltas.clear();
         } else {
             let entries = delta.entries.clone();
-            self.deltas.push_back(KeptDelta { from: self.version, to: delta.version, entries });
+            self.deltas.push_back(KeptDelta { base_version: self.version, version: delta.version, entries });
             if self.deltas.len() > DELTAS_MAX {
                 self.deltas.pop_front();
             }
@@ -71,17 +71,17 @@
         true
     }
 
-    /// Version that the last delta applies to; 0 if it was a complete list.
+    /// Returns the version that the last applied delta is based on; 0 if it was a complete list.
     fn base_of(&self, delta: &ListDelta) -> u64 {
         match self.deltas.back() {
-            Some(last) if last.to == delta.version && !delta.complete => last.from,
+            Some(last) if last.version == delta.version && !delta.complete => last.base_version,
             _ => 0,
         }
     }
 
-    /// Entries that changed after this version, if all deltas since then are kept.
+    /// Returns the entries that changed after a version, if all deltas since then are kept.
     fn changed_since(&self, version: u64) -> Option<Vec<ListEntry>> {
-        let first = self.deltas.iter().position(|delta| delta.from == version)?;
+        let first = self.deltas.iter().position(|delta| delta.base_version == version)?;
         let mut changed: BTreeMap<&str, &ListEntry> = BTreeMap::new();
         for delta in self.deltas.iter().skip(first) {
             changed.extend(delta.entries.iter().map(|entry| (entry.key.as_str(), entry)));
@@ -90,7 +90,7 @@
     }
 }
 
-/// Which transfer a chunk belongs to.
+/// Identifies the transfer that a chunk belongs to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct TransferId {
     pub(super) token: u64,
@@ -100,14 +100,14 @@
     pub(super) count: u16,
 }
 
-/// Chunks of one transfer that were received.
+/// Received chunks of an incomplete transfer.
 pub(super) struct ChunkAssembly {
     id: TransferId,
     chunks: Vec<Option<Vec<ListEntry>>>,
 }
 
 impl ListBroadcast {
-    /// Handles a chunk of the discovery service that this node follows.
+    /// Handles a chunk whose version was assigned by this node's discovery service.
     pub(super) fn receive_chunk(
         &mut self,
         now: Duration,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Adds a chunk to its transfer; returns all entries once the transfer is complete.
+    /// Adds a chunk to its transfer, and returns all entries once the transfer is complete.
     fn assemble(&mut self, id: TransferId, index: u16, entries: Vec<ListEntry>) -> Option<Vec<ListEntry>> {
         let count = usize::from(id.count);
         if usize::from(index) >= count || count > CHUNKS_MAX {
@@ -151,7 +151,7 @@
         Some(self.assembly.take()?.chunks.into_iter().flatten().flatten().collect())
     }
 
-    /// Sends a delta that was just applied down the tree.
+    /// Sends the delta that was applied last down the tree.
     pub(super) fn forward(&mut self, token: u64, delta: &ListDelta) {
         let base_version = self.list.base_of(delta);
         for to in self.children() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Sends what changed after this version; the complete list if not all deltas since then are kept.
+    /// Sends the changes since a version, or the complete list if not all deltas since then are kept.
     pub(super) fn send_since(&mut self, to: SocketAddr, version: u64) {
         let token = self.holder.token;
         let changed = if version == 0 { None } else { self.list.changed_since(version) };
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Sends entries in chunks, unless there are too many: then each node polls discovery.
+    /// Sends entries in chunks. Sends nothing if there are too many; the nodes then poll discovery.
     fn send_chunks(&mut self, to: SocketAddr, token: u64, base_version: u64, entries: &[ListEntry]) {
         let chunks = split(entries);
         if chunks.len() > CHUNKS_MAX {
@@ -188,18 +188,18 @@
     }
 }
 
-/// Splits entries into chunks of at most [`CHUNK_BYTES_MAX`]; one larger entry is a chunk of its own.
+/// Splits entries into chunks of at most [`CHUNK_BYTES_MAX`]; a larger entry gets a chunk of its own.
 fn split(entries: &[ListEntry]) -> Vec<Vec<ListEntry>> {
     let mut chunks = Vec::new();
     let mut chunk: Vec<ListEntry> = Vec::new();
-    let mut room = CHUNK_BYTES_MAX;
+    let mut remaining_bytes = CHUNK_BYTES_MAX;
     for entry in entries {
         let size = entry.bytes.len() + entry.key.len() + ENTRY_OVERHEAD_BYTES;
-        if size > room && !chunk.is_empty() {
+        if size > remaining_bytes && !chunk.is_empty() {
             chunks.push(std::mem::take(&mut chunk));
-            room = CHUNK_BYTES_MAX;
+            remaining_bytes = CHUNK_BYTES_MAX;
         }
-        room = room.saturating_sub(size);
+        remaining_bytes = remaining_bytes.saturating_sub(size);
         chunk.push(entry.clone());
     }
     chunks.push(chunk);
