--- a/coordination/src/lease_table.rs
+++ b/coordination/src/lease_table.rs
@@ -1,23 +1,23 @@
-//! Lease table: the replicated state machine of the voters. The same commands in the same order give the same table at each
-//! voter; it knows no time.
+//! Lease table: the replicated state machine of the voters. It is deterministic and reads no clock, so the same commands in
+//! the same order produce the same table at each voter.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Most leases; bounds the table, and with it each snapshot.
+/// Maximum number of leases, which bounds the size of the table and its snapshots.
 pub const LEASES_MAX: usize = 64;
-/// Changes that the history keeps.
+/// Maximum number of changes in the history.
 pub const HISTORY_MAX: usize = 32;
-/// Most bytes of state that a holder may save for the next one.
+/// Maximum size of the state that a holder may save for the next one, in bytes.
 pub const STATE_MAX: usize = 512;
 
-/// Process that holds a lease. A process that was started again is another holder.
+/// Process that holds a lease. A restarted process is a different holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// Name of the node.
     pub name: String,
-    /// Id of the process, drawn at each start.
+    /// Id of the process, chosen at random at each start.
     #[serde(rename = "boot")]
     pub process_id: u64,
 }
@@ -25,14 +25,14 @@
 /// Record of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Holder; `None` after a release. The holder of an expired lease stays here until the next grant.
+    /// Current holder; `None` after a release. The holder of an expired lease remains until the next grant.
     pub holder: Option<Holder>,
     /// Fencing token of the last grant.
     pub token: u64,
-    /// Unix time of the grant in milliseconds, by the clock of the leader that granted it: for display, never compared.
+    /// Unix time of the grant in milliseconds, by the clock of the leader that granted it; for display only.
     #[serde(rename = "since_ms")]
     pub granted_at_ms: u64,
-    /// State that the last holder saved for the next one.
+    /// State that the previous holder saved for the next one.
     #[serde(rename = "left")]
     pub state: Vec<u8>,
 }
@@ -42,11 +42,11 @@
 pub struct VoterMember {
     /// Name of the node.
     pub name: String,
-    /// Address at which the other nodes reach it.
+    /// Address at which the other nodes reach the voter.
     pub address: SocketAddr,
 }
 
-/// Kind of a change of a lease.
+/// Kind of a change to a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
@@ -57,7 +57,7 @@
     Released,
 }
 
-/// Change of a lease, as the history keeps it.
+/// Change to a lease, as recorded in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseChange {
     /// Name of the lease.
@@ -66,12 +66,12 @@
     /// Kind of the change.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
-    /// Name of the node that got or released the lease.
+    /// Name of the node that acquired or released the lease.
     #[serde(rename = "name")]
     pub holder: String,
     /// Fencing token.
     pub token: u64,
-    /// Unix time in milliseconds, by the clock of the leader.
+    /// Unix time in milliseconds by the leader's clock.
     pub at_ms: u64,
 }
 
@@ -84,7 +84,7 @@
         lease: String,
         /// The new holder.
         holder: Holder,
-        /// Token of the grant before; if another grant came in between, the command is ignored.
+        /// Token of the previous grant. The command is ignored if another grant was applied in the meantime.
         previous_token: u64,
         /// Unix time in milliseconds by the leader's clock.
         at_ms: u64,
@@ -93,7 +93,7 @@
     Release {
         /// Name of the lease.
         lease: String,
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: u64,
         /// Unix time in milliseconds by the leader's clock.
         at_ms: u64,
@@ -102,14 +102,14 @@
     SaveState {
         /// Name of the lease.
         lease: String,
-        /// The holder's token.
+        /// Fencing token of the holder.
         token: u64,
         /// The state.
         state: Vec<u8>,
     },
 }
 
-/// Result of an applied command.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
     /// The lease was granted.
@@ -129,35 +129,35 @@
         /// Name of the lease.
         lease: String,
     },
-    /// The command was ignored: its token is not the lease's, or a bound is reached.
+    /// The command was ignored: its token does not match the lease, or a limit is reached.
     Ignored {
         /// Name of the lease.
         lease: String,
     },
 }
 
-/// All leases, and the voters.
+/// Leases and voters of a cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// Last fencing token that was granted, of any lease.
+    /// Last fencing token that was granted for any lease.
     pub last_token: u64,
-    /// Leases that were ever granted, by name.
+    /// All leases that have ever been granted, by name.
     #[serde(rename = "held")]
     pub leases: BTreeMap<String, LeaseRecord>,
     /// Voters by disk id.
     #[serde(rename = "seats")]
     pub voters: BTreeMap<u64, VoterMember>,
-    /// Last changes, oldest first.
+    /// Most recent changes, oldest first.
     pub history: VecDeque<LeaseChange>,
 }
 
 impl LeaseTable {
-    /// Returns the fencing token of a lease's last grant; 0 if there was none.
+    /// Returns the fencing token of a lease's last grant; 0 if it was never granted.
     pub fn token(&self, lease: &str) -> u64 {
         self.leases.get(lease).map_or(0, |record| record.token)
     }
 
-    /// Returns the holder of a lease, as far as the log tells.
+    /// Returns the holder of a lease according to the log, which does not record expirations.
     pub fn holder(&self, lease: &str) -> Option<&Holder> {
         self.leases.get(lease)?.holder.as_ref()
     }
@@ -174,20 +174,20 @@
     }
 
     fn grant(&mut self, lease: String, holder: Holder, previous_token: u64, at_ms: u64) -> ApplyResult {
-        let has_room = self.leases.contains_key(&lease) || self.leases.len() < LEASES_MAX;
-        if self.token(&lease) != previous_token || !has_room {
+        let has_capacity = self.leases.contains_key(&lease) || self.leases.len() < LEASES_MAX;
+        if self.token(&lease) != previous_token || !has_capacity {
             return ApplyResult::Ignored { lease };
         }
-        // The first token is no lower than the time, so that tokens go on growing when all voters were lost and a new
-        // cluster is formed, for those that remember the old tokens.
+        // The first token is at least the current time, so that tokens keep increasing for fencing guards that remember the
+        // old ones when all voters are lost and a new cluster is formed.
         self.last_token = if self.last_token == 0 { at_ms.max(1) } else { self.last_token + 1 };
         let token = self.last_token;
-        let name = holder.name.clone();
+        let holder_name = holder.name.clone();
         let state = self.leases.remove(&lease).map_or(Vec::new(), |record| record.state);
         let record = LeaseRecord { holder: Some(holder), token, granted_at_ms: at_ms, state };
         self.leases.insert(lease.clone(), record);
         let kind = ChangeKind::Granted;
-        self.record(LeaseChange { lease: lease.clone(), kind, holder: name, token, at_ms });
+        self.add_to_history(LeaseChange { lease: lease.clone(), kind, holder: holder_name, token, at_ms });
         ApplyResult::Granted { lease, token }
     }
 
@@ -197,7 +197,7 @@
             return ApplyResult::Ignored { lease };
         };
         let kind = ChangeKind::Released;
-        self.record(LeaseChange { lease: lease.clone(), kind, holder: holder.name, token, at_ms });
+        self.add_to_history(LeaseChange { lease: lease.clone(), kind, holder: holder.name, token, at_ms });
         ApplyResult::Released { lease }
     }
 
@@ -212,7 +212,7 @@
         }
     }
 
-    fn record(&mut self, change: LeaseChange) {
+    fn add_to_history(&mut self, change: LeaseChange) {
         while self.history.len() >= HISTORY_MAX {
             self.history.pop_front();
         }
--- a/coordination/src/raft_log.rs
+++ b/coordination/src/raft_log.rs
@@ -1,9 +1,9 @@
-//! In-memory Raft log, as the Raft library reads it. Snapshots bound its length; [`crate::store`] keeps it on the disk.
+//! In-memory Raft log that the Raft library reads. Snapshots bound its length; [`crate::store`] makes it durable.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// A snapshot and the entries after it.
+/// Snapshot and the entries that follow it.
 #[derive(Default)]
 pub(crate) struct RaftLog {
     pub hard_state: HardState,
@@ -14,23 +14,23 @@
 
 impl RaftLog {
     /// Returns the index of the snapshot.
-    pub fn base(&self) -> u64 {
+    pub fn base_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    fn last(&self) -> u64 {
-        self.base() + self.entries.len() as u64
+    fn end_index(&self) -> u64 {
+        self.base_index() + self.entries.len() as u64
     }
 
-    /// Appends entries; they replace the ones that they conflict with.
+    /// Appends entries, replacing existing ones from the first new index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        let keep = first.index.saturating_sub(self.base() + 1) as usize;
+        let keep = first.index.saturating_sub(self.base_index() + 1) as usize;
         self.entries.truncate(keep);
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the whole log by a snapshot of another voter.
+    /// Replaces the whole log with a snapshot from another voter.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.hard_state.commit = self.hard_state.commit.max(meta.index);
@@ -40,9 +40,9 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the entries up to the snapshot's index by the snapshot.
+    /// Replaces the entries up to the snapshot's index with the snapshot.
     pub fn compact(&mut self, snapshot: Snapshot) {
-        let covered = (snapshot.get_metadata().index - self.base()) as usize;
+        let covered = (snapshot.get_metadata().index - self.base_index()) as usize;
         self.entries.drain(..covered.min(self.entries.len()));
         self.snapshot = snapshot;
     }
@@ -60,39 +60,39 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.base() {
+        if low <= self.base_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.end_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let position = |index: u64| (index - self.base() - 1) as usize;
+        let position = |index: u64| (index - self.base_index() - 1) as usize;
         let mut entries = self.entries[position(low)..position(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.base() {
+        if index == self.base_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.base() {
+        if index < self.base_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let position = (index - self.base() - 1) as usize;
+        let position = (index - self.base_index() - 1) as usize;
         self.entries.get(position).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.base() + 1)
+        Ok(self.base_index() + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.last())
+        Ok(self.end_index())
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> Result<Snapshot> {
-        if self.base() < request_index || self.base() == 0 {
+        if self.base_index() < request_index || self.base_index() == 0 {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -1,5 +1,5 @@
-//! Durable store of a voter: the identity of its disk, its votes and its log. A batch is on the disk as a whole when
-//! [`Store::write`] returns, or not at all.
+//! Durable store of a voter: the identity of its disk, its votes and its log. [`Store::write`] is atomic: a batch is on the
+//! disk as a whole or not at all.
 
 mod error;
 mod format;
@@ -9,8 +9,8 @@
 
 use crate::raft_log::RaftLog;
 use format::{
-    open_record, seal_record, FACTS, FORMAT, FORMAT_RECORD, HARD_STATE_RECORD, IDENTITY_RECORD, LOG,
-    SNAPSHOT_RECORD,
+    decode_record, encode_record, FORMAT, FORMAT_RECORD, HARD_STATE_RECORD, IDENTITY_RECORD, LOG_TABLE,
+    METADATA_TABLE, SNAPSHOT_RECORD,
 };
 use protobuf::Message;
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -18,18 +18,18 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Most bytes that `redb` keeps in memory.
+/// Size of `redb`'s cache, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Batch of changes that is written as a whole.
+/// Batch of changes that is written atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WriteBatch {
-    /// Number for [`crate::Voter::persisted`].
+    /// Number of the batch, to be passed to [`crate::Voter::persisted`].
     pub number: u64,
     pub(crate) identity: Option<DiskIdentity>,
     pub(crate) hard_state: Option<HardState>,
     pub(crate) snapshot: Option<Snapshot>,
-    /// The snapshot is another voter's and replaces the whole log.
+    /// Whether the snapshot replaces the whole log, not only the entries that it covers.
     pub(crate) replaces_log: bool,
     pub(crate) entries: Vec<Entry>,
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Contents of a store when it was opened.
+/// Contents of a store at the time when it was opened.
 pub struct StoreContents {
     /// Identity of the disk.
     pub identity: DiskIdentity,
@@ -53,12 +53,12 @@
 }
 
 impl Store {
-    /// Opens the store on this disk, or creates one with the id `disk_id` if the disk is empty. The start is counted on
-    /// the disk before this returns. `location` tells the file from a copy of it, such as by its inode.
+    /// Opens a store, or creates one with the id `disk_id` if the backend is empty. The increased number of starts is durable
+    /// when this returns. `location` distinguishes the file from copies of it, for example by its inode.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the disk fails, its contents are corrupt or of a newer format, or it belongs to another node.
+    /// [`StoreError`] if the disk fails, or if the store is corrupt, has a newer format or belongs to another node.
     pub fn open(
         backend: impl StorageBackend,
         fleet: &str,
@@ -77,8 +77,8 @@
             cluster_id: None,
             peer_starts: BTreeMap::new(),
         };
-        let new = || StoreContents { identity: new_identity(), log: RaftLog::default() };
-        let mut contents = store.load()?.unwrap_or_else(new);
+        let empty = || StoreContents { identity: new_identity(), log: RaftLog::default() };
+        let mut contents = store.load()?.unwrap_or_else(empty);
         let identity = &mut contents.identity;
         if (identity.fleet.as_str(), identity.node.as_str()) != (fleet, node) {
             return Err(StoreError::WrongOwner {
@@ -94,25 +94,25 @@
 
     fn load(&self) -> Result<Option<StoreContents>, StoreError> {
         let read = self.db.begin_read()?;
-        match read.open_table(FACTS) {
+        match read.open_table(METADATA_TABLE) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            facts => drop(facts?),
+            metadata => drop(metadata?),
         }
         check_format(&read)?;
-        let identity = read_record(&read, IDENTITY_RECORD)?.ok_or_else(|| unreadable(IDENTITY_RECORD))?;
-        let identity = postcard::from_bytes(&identity).map_err(|_| unreadable(IDENTITY_RECORD))?;
+        let identity = read_record(&read, IDENTITY_RECORD)?.ok_or_else(|| corrupt_record(IDENTITY_RECORD))?;
+        let identity = postcard::from_bytes(&identity).map_err(|_| corrupt_record(IDENTITY_RECORD))?;
         let log = read_log(&read)?;
         Ok(Some(StoreContents { identity, log }))
     }
 
-    /// Writes a batch. All of it is on the disk when this returns, or none of it.
+    /// Writes a batch atomically. All of it is durable when this returns `Ok`.
     ///
     /// # Errors
     ///
     /// [`StoreError`] if the disk fails.
     pub fn write(&self, batch: &WriteBatch) -> Result<(), StoreError> {
         let write = self.db.begin_write()?;
-        write_facts(&write, batch)?;
+        write_metadata(&write, batch)?;
         write_log(&write, batch)?;
         write.commit()?;
         Ok(())
@@ -120,24 +120,24 @@
 }
 
 fn open_database(backend: impl StorageBackend) -> Result<Database, StoreError> {
-    // The library may panic on a disk whose structure was changed.
-    let unreadable = || StoreError::Corrupt("its structure can't be read".into());
+    // `redb` may panic on a file whose structure is damaged.
+    let unreadable = || StoreError::Corrupt("the database structure cannot be read".into());
     let open = || Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend);
     let mut db = catch_unwind(AssertUnwindSafe(open)).map_err(|_| unreadable())??;
     let check = catch_unwind(AssertUnwindSafe(|| db.check_integrity()));
     if !check.map_err(|_| unreadable())?? {
-        return Err(StoreError::Corrupt("its structure was changed".into()));
+        return Err(StoreError::Corrupt("the integrity check of the database failed".into()));
     }
     Ok(db)
 }
 
-fn unreadable(name: &str) -> StoreError {
-    StoreError::Corrupt(format!("the record '{name}' can't be read"))
+fn corrupt_record(name: &str) -> StoreError {
+    StoreError::Corrupt(format!("record '{name}' cannot be decoded"))
 }
 
 fn check_format(read: &ReadTransaction) -> Result<(), StoreError> {
-    let format = read_record(read, FORMAT_RECORD)?.ok_or_else(|| unreadable(FORMAT_RECORD))?;
-    let format = u32::from_be_bytes(format.try_into().map_err(|_| unreadable(FORMAT_RECORD))?);
+    let format = read_record(read, FORMAT_RECORD)?.ok_or_else(|| corrupt_record(FORMAT_RECORD))?;
+    let format = u32::from_be_bytes(format.try_into().map_err(|_| corrupt_record(FORMAT_RECORD))?);
     if format > FORMAT {
         return Err(StoreError::NewerFormat(format));
     }
@@ -145,32 +145,33 @@
 }
 
 fn read_record(read: &ReadTransaction, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
-    let record = read.open_table(FACTS)?.get(name)?;
-    record.map(|record| open_record(name, record.value()).map(<[u8]>::to_vec)).transpose()
+    let record = read.open_table(METADATA_TABLE)?.get(name)?;
+    record.map(|record| decode_record(name, record.value()).map(<[u8]>::to_vec)).transpose()
 }
 
 fn read_log(read: &ReadTransaction) -> Result<RaftLog, StoreError> {
     let mut log = RaftLog::default();
     if let Some(bytes) = read_record(read, HARD_STATE_RECORD)? {
-        log.hard_state = HardState::parse_from_bytes(&bytes).map_err(|_| unreadable(HARD_STATE_RECORD))?;
+        log.hard_state =
+            HardState::parse_from_bytes(&bytes).map_err(|_| corrupt_record(HARD_STATE_RECORD))?;
     }
     if let Some(bytes) = read_record(read, SNAPSHOT_RECORD)? {
-        log.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(|_| unreadable(SNAPSHOT_RECORD))?;
+        log.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(|_| corrupt_record(SNAPSHOT_RECORD))?;
         log.conf_state = log.snapshot.get_metadata().get_conf_state().clone();
     }
-    for record in read.open_table(LOG)?.range(log.base() + 1..)? {
+    for record in read.open_table(LOG_TABLE)?.range(log.base_index() + 1..)? {
         let (index, bytes) = record?;
-        let name = format::entry_record(index.value());
-        let entry = Entry::parse_from_bytes(open_record(&name, bytes.value())?);
-        let entry = entry.map_err(|_| unreadable(&name))?;
-        let next = log.base() + log.entries.len() as u64 + 1;
-        if entry.index != next || index.value() != next {
-            return Err(StoreError::Corrupt(format!("entry {next} is missing")));
+        let name = format::entry_record_name(index.value());
+        let entry = Entry::parse_from_bytes(decode_record(&name, bytes.value())?);
+        let entry = entry.map_err(|_| corrupt_record(&name))?;
+        let expected = log.base_index() + log.entries.len() as u64 + 1;
+        if entry.index != expected || index.value() != expected {
+            return Err(StoreError::Corrupt(format!("log entry {expected} is missing")));
         }
         log.entries.push(entry);
     }
-    if log.hard_state.commit > log.base() + log.entries.len() as u64 {
-        return Err(StoreError::Corrupt("entries that were agreed on are missing".into()));
+    if log.hard_state.commit > log.base_index() + log.entries.len() as u64 {
+        return Err(StoreError::Corrupt("committed log entries are missing".into()));
     }
     Ok(log)
 }
@@ -179,10 +180,10 @@
     message.write_to_bytes().map_err(|e| StoreError::Disk(e.to_string()))
 }
 
-fn write_facts(write: &WriteTransaction, batch: &WriteBatch) -> Result<(), StoreError> {
-    let mut facts = write.open_table(FACTS)?;
+fn write_metadata(write: &WriteTransaction, batch: &WriteBatch) -> Result<(), StoreError> {
+    let mut metadata = write.open_table(METADATA_TABLE)?;
     let mut put = |name: &str, bytes: &[u8]| -> Result<(), StoreError> {
-        facts.insert(name, seal_record(name, bytes).as_slice())?;
+        metadata.insert(name, encode_record(name, bytes).as_slice())?;
         Ok(())
     };
     if let Some(identity) = &batch.identity {
@@ -200,7 +201,7 @@
 }
 
 fn write_log(write: &WriteTransaction, batch: &WriteBatch) -> Result<(), StoreError> {
-    let mut log = write.open_table(LOG)?;
+    let mut log = write.open_table(LOG_TABLE)?;
     if let Some(snapshot) = &batch.snapshot {
         log.retain(|index, _| !batch.replaces_log && index > snapshot.get_metadata().index)?;
     }
@@ -208,8 +209,8 @@
         log.retain_in(first.index.., |_, _| false)?;
     }
     for entry in &batch.entries {
-        let name = format::entry_record(entry.index);
-        log.insert(entry.index, seal_record(&name, &encode(entry)?).as_slice())?;
+        let name = format::entry_record_name(entry.index);
+        log.insert(entry.index, encode_record(&name, &encode(entry)?).as_slice())?;
     }
     Ok(())
 }
--- a/coordination/src/store/error.rs
+++ b/coordination/src/store/error.rs
@@ -2,24 +2,24 @@
 
 use super::format::FORMAT;
 
-/// Why a store can't be opened or written.
+/// Error of opening or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk fails: it is full, read-only or gone.
-    #[error("the disk refuses: {0}")]
+    /// The disk failed: it is full, read-only or unavailable.
+    #[error("storage failed: {0}")]
     Disk(String),
-    /// The contents are not what was written.
-    #[error("it is damaged: {0}")]
+    /// The contents differ from what was written.
+    #[error("the store is corrupt: {0}")]
     Corrupt(String),
-    /// A later version of the program wrote it, in this format.
-    #[error("it has format {0}, and this program knows {FORMAT} at most")]
+    /// A later version of the program wrote the store, in this format.
+    #[error("the store has format {0}; this program supports formats up to {FORMAT}")]
     NewerFormat(u32),
-    /// It belongs to another fleet or node.
-    #[error("it belongs to node {node} of fleet {fleet}")]
+    /// The store belongs to another fleet or node.
+    #[error("the store belongs to node {node} of fleet {fleet}")]
     WrongOwner {
-        /// The fleet that it belongs to.
+        /// Fleet that the store belongs to.
         fleet: String,
-        /// The node that it belongs to.
+        /// Node that the store belongs to.
         node: String,
     },
 }
--- a/coordination/src/voter/raft_driver.rs
+++ b/coordination/src/voter/raft_driver.rs
@@ -88,7 +88,7 @@
             id: self.identity.disk_id,
             election_tick: TICKS_PER_ELECTION,
             heartbeat_tick: TICKS_PER_HEARTBEAT,
-            applied: log.base(),
+            applied: log.base_index(),
             max_size_per_msg: MESSAGE_BYTES_MAX,
             max_inflight_msgs: MESSAGES_IN_FLIGHT_MAX,
             check_quorum: true,
@@ -96,7 +96,7 @@
             max_uncommitted_size: UNCOMMITTED_BYTES_MAX,
             ..Config::default()
         };
-        self.applied_index = log.base();
+        self.applied_index = log.base_index();
         let table = postcard::from_bytes(log.snapshot.get_data());
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         match (RawNode::new(&config, log, &logger), table, self.applied_index) {
@@ -290,7 +290,7 @@
     fn compact_log(&mut self) {
         let Some(raft) = self.raft.running_mut() else { return };
         // A voter that was just added takes only a snapshot that names it.
-        let base = raft.store().base();
+        let base = raft.store().base_index();
         let is_due = self.applied_index >= base + ENTRIES_PER_SNAPSHOT || self.voter_added_at > base;
         if self.persistence.snapshot.is_some() || !is_due {
             return;
--- a/coordination/tests/golden_bytes/messages.rs
+++ b/coordination/tests/golden_bytes/messages.rs
@@ -212,7 +212,7 @@
         VoterState::Leader,
         VoterState::NotMember,
         VoterState::StaleCopy,
-        VoterState::StorageFailed("the disk refuses: full".into()),
+        VoterState::StorageFailed("storage failed: full".into()),
     ];
     fn json<T: Serialize + DeserializeOwned + PartialEq>(name: &str, value: &T) -> (String, String) {
         let text = serde_json::to_string(value).unwrap();
--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -446,7 +446,7 @@
     assert!(told(disk.copy(), "f", "w").contains("belongs to"));
     let full = disk.copy();
     full.refuse(true);
-    assert!(told(full, "f", "v").contains("refuses"));
+    assert!(told(full, "f", "v").contains("storage failed"));
     let (mut found, mut same, mut rng) = (0, 0, SmallRng::seed_from_u64(61));
     std::panic::set_hook(Box::new(|_| {})); // the library's, on a structure that was changed
     for _ in 0..400 {
