--- a/coordination/src/rolling_restart.rs
+++ b/coordination/src/rolling_restart.rs
@@ -1,6 +1,6 @@
-//! Rolling restart of a fleet. The lease holder lets the nodes drain and restart one after another, with a bounded number
-//! unavailable in each zone. The next holder continues from the saved progress. The restart halts when jobs fail, when a
-//! node does not come back, or when other nodes disappear.
+//! Rolling restart of a fleet. The lease holder makes the nodes drain and restart one after another, with a bounded number
+//! unavailable in each zone. The next holder resumes from the saved progress. The restart is aborted when too many requests
+//! fail, when a node does not return, or when other nodes disappear.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -8,40 +8,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time in which a node has to restart.
+/// Time within which a node must restart.
 pub const RETURN_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time for which other nodes may be missing from the view, which may lag behind.
+/// Time for which other nodes may be missing; the membership view may lag behind.
 pub const MISSING_TOLERANCE: Duration = Duration::from_secs(5);
-/// Most nodes that restart at once; bounds the saved progress.
+/// Maximum number of nodes that restart at once, which bounds the size of the saved progress.
 pub const IN_PROGRESS_MAX: usize = 4;
-/// Interval between requests to a node that has not restarted yet.
-const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Fewest ended jobs from which the ratio of failed ones is judged.
-const JOBS_MIN: u64 = 20;
-/// The restart halts if more than one in this many jobs failed.
-const JOBS_PER_FAILURE: u64 = 20;
+/// Interval between restart requests to a node that has not restarted yet.
+const RESTART_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum number of ended requests for which the ratio of failed ones is evaluated.
+const REQUESTS_MIN: u64 = 20;
+/// The restart is aborted if more than one in this many requests failed.
+const REQUESTS_PER_FAILURE: u64 = 20;
 
 /// Outcome of a rolling restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartOutcome {
-    /// All nodes restarted.
+    /// All nodes have restarted.
     #[serde(rename = "Done")]
     Completed,
     /// An operator cancelled it.
     #[serde(rename = "Asked")]
     Cancelled,
-    /// This node did not come back.
+    /// This node did not return in time.
     #[serde(rename = "NotBack")]
     NodeNotReturned(String),
-    /// This number of nodes disappeared without having been told to restart.
+    /// This number of nodes disappeared without a request to restart.
     #[serde(rename = "Missing")]
     NodesMissing(u16),
-    /// Too many jobs failed: the number of failed jobs, and of all that ended.
+    /// Too many requests failed: the numbers of failed and of ended requests.
     #[serde(rename = "JobsFail")]
     RequestsFailed(u64, u64),
 }
 
-/// The text that operators see.
+/// Formats the outcome for operators, with the variant names of the serialized form.
 impl fmt::Display for RestartOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -54,76 +54,76 @@
     }
 }
 
-/// Progress of a rolling restart, as a holder saves it for the next one.
+/// Progress of a rolling restart, which a holder saves for the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartProgress {
     /// Id of the restart: Unix time in milliseconds at which it was requested.
     pub id: u64,
-    /// Most nodes of one zone that may be unavailable at once.
+    /// Maximum number of nodes of a zone that may be unavailable at once.
     #[serde(rename = "away")]
     pub max_unavailable: u8,
-    /// Last node, by name, that was chosen to restart.
+    /// Name of the last node that was selected to restart; nodes restart in the order of their names.
     pub cursor: String,
-    /// Nodes that restart now, with the process that is to end.
+    /// Nodes that are restarting: the name and the id of the process that is to end.
     #[serde(rename = "under_way")]
     pub in_progress: Vec<(String, u64)>,
     /// Number of nodes at the start.
     pub total: u16,
-    /// Number of nodes that came back.
+    /// Number of nodes that have returned.
     #[serde(rename = "done")]
     pub completed: u16,
-    /// Outcome, once it has ended.
+    /// Outcome, once the restart has ended.
     #[serde(rename = "end")]
     pub outcome: Option<RestartOutcome>,
 }
 
-/// Node that takes jobs.
+/// Node of the fleet that accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetMember {
     /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Address at which the other nodes reach it.
+    /// Address at which the other nodes reach the node.
     pub address: SocketAddr,
-    /// Id of its process.
+    /// Id of the node's process.
     pub process_id: u64,
 }
 
-/// Action for the embedder.
+/// Action that the embedder carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestartStep {
-    /// Save the progress for the next holder; the steps that follow wait for it.
+    /// Save the progress for the next holder. Later steps must wait until it is saved.
     SaveProgress(RestartProgress),
-    /// Tell a process to drain and end.
+    /// Request that a process drain and exit.
     Restart {
         /// Name of the node.
         name: String,
         /// Address of the node.
         address: SocketAddr,
-        /// The process.
+        /// Id of the process.
         process_id: u64,
     },
 }
 
-/// Times of the requests to a node that restarts.
-struct RequestTimes {
+/// Times of the restart requests to a node.
+struct RestartRequestTimes {
     first: Duration,
     last: Duration,
 }
 
-/// Rolling restart at the holder of its lease.
+/// Rolling restart, driven by the holder of its lease.
 pub struct RollingRestart {
     own_name: String,
     progress: RestartProgress,
     zones: BTreeMap<String, String>,
-    requested: BTreeMap<String, RequestTimes>,
+    requested: BTreeMap<String, RestartRequestTimes>,
     missing_since: Option<Duration>,
     steps: VecDeque<RestartStep>,
 }
 
 impl RollingRestart {
-    /// Starts a rolling restart of these nodes. `own_name` is the holder's.
+    /// Starts a rolling restart of these nodes. `own_name` is the name of the holder.
     pub fn start(own_name: &str, id: u64, max_unavailable: u8, members: &[FleetMember]) -> RollingRestart {
         let progress = RestartProgress {
             id,
@@ -135,7 +135,7 @@
             outcome: None,
         };
         let mut restart = RollingRestart::resume(own_name, progress);
-        restart.save();
+        restart.save_progress();
         restart
     }
 
@@ -161,30 +161,31 @@
         self.steps.pop_front()
     }
 
-    /// Ends the restart, unless it has ended.
+    /// Ends the restart with this outcome, unless it has already ended.
     pub fn stop(&mut self, outcome: RestartOutcome) {
         if self.progress.outcome.is_none() {
             self.progress.outcome = Some(outcome);
-            self.save();
+            self.save_progress();
         }
     }
 
-    /// Records the jobs that failed and ended since the start, at all nodes that were asked; halts if too many failed.
+    /// Evaluates the numbers of requests that failed and ended since the start, at all nodes that were queried, and aborts
+    /// the restart if too many failed.
     pub fn record_requests(&mut self, failed: u64, ended: u64) {
-        if ended >= JOBS_MIN && failed * JOBS_PER_FAILURE > ended {
+        if ended >= REQUESTS_MIN && failed * REQUESTS_PER_FAILURE > ended {
             self.stop(RestartOutcome::RequestsFailed(failed, ended));
         }
     }
 
-    /// Continues with the nodes that take jobs now.
+    /// Advances the restart, given the nodes that accept requests now.
     pub fn advance(&mut self, now: Duration, members: &[FleetMember]) {
         if self.progress.outcome.is_some() {
             return;
         }
-        let before = self.progress.clone();
+        let previous = self.progress.clone();
         self.zones.extend(members.iter().map(|m| (m.name.clone(), m.zone.clone())));
         self.record_returned(members);
-        if let Some(name) = self.overdue(now) {
+        if let Some(name) = self.find_overdue(now) {
             return self.stop(RestartOutcome::NodeNotReturned(name));
         }
         let missing = self.count_missing(members);
@@ -195,21 +196,21 @@
         if remaining.is_empty() && self.progress.in_progress.is_empty() && missing == 0 {
             return self.stop(RestartOutcome::Completed);
         }
-        // No more nodes are chosen while some are missing, or the view is not complete yet.
+        // No further nodes are selected while nodes are missing or the view is still incomplete.
         if missing == 0 {
-            self.choose(&remaining);
+            self.select_next(&remaining);
         }
-        // What the next holder has to know is saved before any node is told.
-        if self.progress != before {
-            self.save();
+        // The progress is saved before any node is asked to restart, so that the next holder knows of each request.
+        if self.progress != previous {
+            self.save_progress();
         }
         self.request_restarts(now, members);
     }
 
-    /// Counts the nodes that came back with another process.
+    /// Counts the nodes that have returned with a new process.
     fn record_returned(&mut self, members: &[FleetMember]) {
         let has_returned = |(name, process_id): &(String, u64)| {
-            find(members, name).is_some_and(|member| member.process_id != *process_id)
+            find_member(members, name).is_some_and(|member| member.process_id != *process_id)
         };
         let returned = self.progress.in_progress.iter().filter(|node| has_returned(node)).count();
         self.progress.completed += returned as u16;
@@ -218,16 +219,16 @@
         self.requested.retain(|name, _| in_progress.iter().any(|(node, _)| node == name));
     }
 
-    /// Name of a node that did not come back in time.
-    fn overdue(&self, now: Duration) -> Option<String> {
-        let is_overdue = |times: &RequestTimes| now.saturating_sub(times.first) >= RETURN_TIMEOUT;
+    /// Returns the name of a node that did not return in time.
+    fn find_overdue(&self, now: Duration) -> Option<String> {
+        let is_overdue = |times: &RestartRequestTimes| now.saturating_sub(times.first) >= RETURN_TIMEOUT;
         self.requested.iter().find(|(_, times)| is_overdue(times)).map(|(name, _)| name.clone())
     }
 
-    /// Number of nodes that disappeared without having been told to restart.
+    /// Returns the number of nodes that disappeared without a request to restart.
     fn count_missing(&self, members: &[FleetMember]) -> usize {
         let in_progress = self.progress.in_progress.iter();
-        let restarting = in_progress.filter(|(name, _)| find(members, name).is_none()).count();
+        let restarting = in_progress.filter(|(name, _)| find_member(members, name).is_none()).count();
         usize::from(self.progress.total).saturating_sub(members.len() + restarting)
     }
 
@@ -240,7 +241,7 @@
         now.saturating_sub(since) >= MISSING_TOLERANCE
     }
 
-    /// Nodes that have not been chosen yet, in the order in which they restart.
+    /// Returns the nodes that have not been selected yet, in the order in which they restart.
     fn remaining<'a>(&self, members: &'a [FleetMember]) -> Vec<&'a FleetMember> {
         let mut remaining: Vec<&FleetMember> =
             members.iter().filter(|member| member.name > self.progress.cursor).collect();
@@ -248,14 +249,14 @@
         remaining
     }
 
-    /// Chooses the next nodes to restart.
-    fn choose(&mut self, remaining: &[&FleetMember]) {
+    /// Selects the next nodes to restart.
+    fn select_next(&mut self, remaining: &[&FleetMember]) {
         for member in remaining {
             let is_full = self.progress.in_progress.len() >= IN_PROGRESS_MAX;
             if is_full || self.unavailable_in(&member.zone) >= usize::from(self.progress.max_unavailable) {
                 break;
             }
-            // The holder restarts alone, so that the next holder has only that node to wait for.
+            // The holder restarts alone, so that the next holder only has to wait for this one node.
             let is_holder = member.name == self.own_name;
             if is_holder && !self.progress.in_progress.is_empty() {
                 break;
@@ -268,24 +269,25 @@
         }
     }
 
+    /// Returns the number of restarting nodes in a zone.
     fn unavailable_in(&self, zone: &str) -> usize {
         let is_in_zone = |name: &str| self.zones.get(name).is_some_and(|other| other == zone);
         self.progress.in_progress.iter().filter(|(name, _)| is_in_zone(name)).count()
     }
 
-    /// Tells the chosen nodes to restart, again and again until they are gone.
+    /// Sends restart requests to the selected nodes, and repeats them until the processes have ended.
     fn request_restarts(&mut self, now: Duration, members: &[FleetMember]) {
         for (name, process_id) in &self.progress.in_progress {
             let times = self.requested.get(name);
-            let Some(member) = find(members, name).filter(|m| m.process_id == *process_id) else {
+            let Some(member) = find_member(members, name).filter(|m| m.process_id == *process_id) else {
                 if times.is_none() {
-                    self.requested.insert(name.clone(), RequestTimes { first: now, last: now });
+                    self.requested.insert(name.clone(), RestartRequestTimes { first: now, last: now });
                 }
                 continue;
             };
-            if times.is_none_or(|times| now.saturating_sub(times.last) >= REQUEST_INTERVAL) {
+            if times.is_none_or(|times| now.saturating_sub(times.last) >= RESTART_REQUEST_INTERVAL) {
                 let first = times.map_or(now, |times| times.first);
-                self.requested.insert(name.clone(), RequestTimes { first, last: now });
+                self.requested.insert(name.clone(), RestartRequestTimes { first, last: now });
                 self.steps.push_back(RestartStep::Restart {
                     name: name.clone(),
                     address: member.address,
@@ -295,11 +297,11 @@
         }
     }
 
-    fn save(&mut self) {
+    fn save_progress(&mut self) {
         self.steps.push_back(RestartStep::SaveProgress(self.progress.clone()));
     }
 }
 
-fn find<'a>(members: &'a [FleetMember], name: &str) -> Option<&'a FleetMember> {
+fn find_member<'a>(members: &'a [FleetMember], name: &str) -> Option<&'a FleetMember> {
     members.iter().find(|member| member.name == name)
 }
--- a/coordination/src/store.rs
+++ b/coordination/src/store.rs
@@ -53,8 +53,8 @@
 }
 
 impl Store {
-    /// Opens a store, or creates one with the id `disk_id` if the backend is empty. The increased number of starts is durable
-    /// when this returns. `location` distinguishes the file from copies of it, for example by its inode.
+    /// Opens a store, or creates one with the id `disk_id` if the backend is empty. The new number of starts is durable when
+    /// this returns. `location` distinguishes the file from copies of it, for example by its inode.
     ///
     /// # Errors
     ///
--- a/coordination/src/store/format.rs
+++ b/coordination/src/store/format.rs
@@ -8,8 +8,8 @@
 //! | `facts` | `snapshot` | Raft's `Snapshot`, encoded with `protobuf`; its data is the lease table, encoded with `postcard` |
 //! | `log` | index | Raft's `Entry`, encoded with `protobuf`; its data is a lease command, encoded with `postcard` |
 //!
-//! Each value is preceded by the first [`DIGEST_BYTES`] bytes of the SHA-256 digest of the record's name, a zero byte and the
-//! value. A record that changed on the disk is detected before any lease is granted on its contents.
+//! Each value is preceded by the first [`DIGEST_BYTES`] bytes of the SHA-256 digest of the record's name, a zero byte and
+//! the value. A record that changed on the disk is detected before any lease is granted based on it.
 
 use super::StoreError;
 use redb::TableDefinition;
--- a/coordination/src/voter.rs
+++ b/coordination/src/voter.rs
@@ -1,17 +1,17 @@
 //! Voter: a member of the Raft group that grants leases.
 //!
-//! The expiration of a lease is not in the replicated log. The leader extends a lease in memory once a majority has
-//! confirmed its leadership; a new leader assumes that each lease was extended up to the moment of its election.
+//! Lease expirations are not in the replicated log. The leader extends a lease in memory once a majority has confirmed its
+//! leadership; a new leader assumes that each lease was extended until the moment of its election.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `eligibility` | handshakes between voters: whether this voter may vote |
-//! | `formation` | the first voters agree on who they are |
+//! | `eligibility` | handshakes between voters, which determine whether this voter may vote |
+//! | `formation` | formation of a new cluster by the initial voters |
 //! | `raft_driver` | the Raft node: messages, ready states, committed entries, log compaction |
-//! | `persistence` | what waits for the disk, and what waits for a write |
-//! | `requests` | requests of clients |
-//! | `leases` | grants, renewals and releases, as the leader |
-//! | `voter_changes` | voters added and removed |
+//! | `persistence` | pending writes, and the actions that depend on them |
+//! | `requests` | requests from clients |
+//! | `leases` | grants, renewals and releases by the leader |
+//! | `voter_changes` | addition and removal of voters |
 
 mod action;
 mod config;
@@ -39,12 +39,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Interval between handshakes with the other voters while this one may not vote yet.
+/// Interval between handshakes with the other voters while this voter may not vote yet.
 const FAST_HANDSHAKE_INTERVAL: Duration = Duration::from_millis(300);
-/// Interval between handshakes with the other voters while this one votes.
+/// Interval between handshakes with the other voters while this voter votes.
 const HANDSHAKE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A member of the Raft group that grants leases; without I/O, clock or thread of its own.
+/// Member of the Raft group that grants leases: a state machine without I/O, clock or threads.
 pub struct Voter {
     config: VoterConfig,
     identity: DiskIdentity,
@@ -53,23 +53,23 @@
     /// Leases and voters as of the last applied entry.
     table: LeaseTable,
     applied_index: u64,
-    /// Index of the entry that added a voter last.
-    voter_added_at: u64,
+    /// Index of the last entry that added a voter.
+    last_voter_addition: u64,
     leadership: Option<Leadership>,
-    /// Number of the last renewal that waits for a majority; no later term uses it again.
+    /// Number of the last renewal that was submitted for confirmation by a majority; not reused in later terms.
     last_renewal: u64,
     persistence: Persistence,
     next_raft_tick: Duration,
     next_handshake: Duration,
     actions: VecDeque<VoterAction>,
     metrics: VoterMetrics,
-    /// Why the store can no longer be used.
+    /// Reason for which the store can no longer be used.
     failure: Option<String>,
 }
 
 impl Voter {
-    /// Returns a voter with the contents of its store. It does not vote before enough other voters have confirmed that
-    /// the store is not an older copy.
+    /// Returns a voter with the contents of its store. It does not vote until enough other voters have confirmed that the
+    /// store is not an older copy.
     pub fn new(config: VoterConfig, contents: StoreContents, now: Duration) -> Voter {
         let StoreContents { identity, log } = contents;
         let mut voter = Voter {
@@ -79,7 +79,7 @@
             raft: RaftInstance::NotStarted(Box::new(log)),
             table: LeaseTable::default(),
             applied_index: 0,
-            voter_added_at: 0,
+            last_voter_addition: 0,
             leadership: None,
             last_renewal: 0,
             persistence: Persistence::default(),
@@ -103,7 +103,7 @@
         self.actions.pop_front()
     }
 
-    /// Returns the time at which [`Voter::tick`] is due next.
+    /// Returns the time at which [`Voter::tick`] must be called next.
     pub fn next_tick(&self) -> Duration {
         if self.is_stopped() {
             return Duration::MAX;
@@ -129,7 +129,7 @@
         self.metrics
     }
 
-    /// Returns the leases and voters that this voter knows to be agreed on; it may lag behind the leader.
+    /// Returns the committed leases and voters as far as this voter has applied them; it may lag behind the leader.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
@@ -146,7 +146,8 @@
             return;
         }
         if now >= self.next_raft_tick {
-            // One tick, however late: if this process was stopped, the silence of the others is not their fault.
+            // One tick regardless of the delay: after a pause of this process, the missing messages are not evidence that
+            // the others have failed.
             self.next_raft_tick = now + self.config.timing.election / TICKS_PER_ELECTION as u32;
             if let Some(raft) = self.raft.running_mut().filter(|_| self.eligibility.may_vote) {
                 raft.tick();
@@ -158,7 +159,7 @@
         self.drive(now);
     }
 
-    /// Handles a message for a voter.
+    /// Handles a message that was received from this address.
     pub fn receive(&mut self, now: Duration, from: SocketAddr, message: Message) {
         if self.is_stopped() {
             return;
@@ -178,11 +179,11 @@
         match outcome {
             Ok(()) => {
                 self.metrics.writes += 1;
-                self.release(write);
+                self.complete_write(write);
                 self.drive(now);
             }
             Err(error) => {
-                // Nothing that depends on this write has left, and nothing more will.
+                // No action that depends on this write has been or will be returned.
                 self.fail(error.to_string());
                 self.raft = RaftInstance::Stopped;
                 self.lose_leadership();
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Transfers the leadership, if it is here, to the voter that is most up to date. Called before the process ends, so
-    /// that no election has to time out.
+    /// Transfers the leadership, if this voter leads, to the most up-to-date voter. To be called before the process exits,
+    /// so that the other voters need not wait for an election timeout.
     pub fn transfer_leadership(&mut self, now: Duration) {
         if self.leadership.is_some() {
             self.transfer_raft_leadership();
@@ -204,8 +205,8 @@
     }
 
     fn send_handshakes(&mut self, now: Duration) {
-        let votes = self.eligibility.may_vote && self.raft.running().is_some();
-        self.next_handshake = now + if votes { HANDSHAKE_INTERVAL } else { FAST_HANDSHAKE_INTERVAL };
+        let is_voting = self.eligibility.may_vote && self.raft.running().is_some();
+        self.next_handshake = now + if is_voting { HANDSHAKE_INTERVAL } else { FAST_HANDSHAKE_INTERVAL };
         for to in self.other_voters() {
             let handshake = self.handshake(None);
             self.send(to, Message::Handshake(handshake));
@@ -225,7 +226,7 @@
         self.actions.push_back(VoterAction::Report(event));
     }
 
-    /// Stops this voter for good.
+    /// Stops this voter permanently after a failure of its store.
     fn fail(&mut self, reason: String) {
         self.report(VoterEvent::StorageFailed { reason: reason.clone() });
         self.failure = Some(reason);
--- a/coordination/src/voter/action.rs
+++ b/coordination/src/voter/action.rs
@@ -1,11 +1,11 @@
-//! What a voter asks its embedder to do, and what it reports.
+//! Actions and events that a voter returns to its embedder.
 
 use crate::lease_table::Holder;
 use crate::message::Message;
 use crate::store::WriteBatch;
 use std::net::SocketAddr;
 
-/// Action for the embedder of a voter.
+/// Action that the embedder of a voter carries out.
 #[derive(Debug, PartialEq)]
 pub enum VoterAction {
     /// Send a message.
@@ -15,16 +15,16 @@
         /// The message.
         message: Message,
     },
-    /// Write a batch to the store, then call [`crate::Voter::persisted`]. At most one write is under way.
+    /// Write a batch to the store, then call [`crate::Voter::persisted`]. At most one write is in progress at a time.
     Write(WriteBatch),
     /// Log an event.
     Report(VoterEvent),
 }
 
-/// Event of a voter that is worth a log record.
+/// Event of a voter for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterEvent {
-    /// The founders formed a cluster, this voter among them.
+    /// The initial voters, including this one, formed a cluster.
     ClusterFormed {
         /// Id of the new cluster.
         cluster_id: u64,
@@ -33,18 +33,18 @@
     VotingEnabled,
     /// This voter was elected.
     BecameLeader {
-        /// The term that it leads.
+        /// Term that it leads.
         term: u64,
     },
-    /// This voter leads no longer.
+    /// This voter is no longer the leader.
     LeadershipLost,
-    /// The store is an older copy or a copy in another place: this voter never votes again.
+    /// The store is an older copy, or a copy at another location: this voter never votes again.
     StaleCopy,
-    /// This voter's disk is not among the voters.
+    /// This voter's disk is not among the voters of the cluster.
     NotMember,
-    /// The store failed: this voter grants nothing and votes no longer.
+    /// The store failed: this voter no longer votes or grants leases.
     StorageFailed {
-        /// Why.
+        /// Reason for the failure.
         reason: String,
     },
     /// A voter was added or removed.
@@ -52,13 +52,13 @@
         /// Names of all voters.
         names: Vec<String>,
     },
-    /// This voter, as the leader, granted a lease.
+    /// This voter granted a lease as the leader.
     LeaseGranted {
         /// Name of the lease.
         lease: String,
-        /// The new holder.
+        /// New holder.
         holder: Holder,
-        /// The new fencing token.
+        /// New fencing token.
         token: u64,
     },
 }
--- a/coordination/src/voter/config.rs
+++ b/coordination/src/voter/config.rs
@@ -8,14 +8,14 @@
 pub struct VoterConfig {
     /// Name and address of this voter.
     pub member: VoterMember,
-    /// Voters that form a new cluster together, with this one if it is one of them.
+    /// Voters that form a new cluster; includes this voter if it is one of them.
     pub initial_voters: Vec<VoterMember>,
-    /// Duration of leases and elections.
+    /// Durations of leases and elections.
     pub timing: Timing,
-    /// Id of this process, drawn at each start.
+    /// Id of this process, chosen at random at each start.
     pub process_id: u64,
-    /// Seed of the election timeouts.
+    /// Seed of the randomized election timeouts.
     pub seed: u64,
-    /// Unix time in milliseconds at which the embedder's clock shows zero.
+    /// Unix time in milliseconds at the zero point of the embedder's clock.
     pub clock_origin_unix_ms: u64,
 }
--- a/coordination/src/voter/eligibility.rs
+++ b/coordination/src/voter/eligibility.rs
@@ -1,5 +1,5 @@
-//! Eligibility to vote. Voters exchange handshakes with the number of starts of their stores; a voter whose store is an
-//! older copy could vote twice in one term, so it votes only once a majority knows of no later start.
+//! Eligibility to vote. A voter whose store is an older copy could vote twice in one term. Voters therefore exchange
+//! handshakes with the number of starts of their stores, and a voter votes only once a majority knows of no later start.
 
 use super::raft_driver::RaftInstance;
 use super::{Voter, VoterAction, VoterEvent};
@@ -10,41 +10,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for which a received handshake counts.
+/// Time for which a received handshake is valid.
 pub(super) const HANDSHAKE_VALIDITY: Duration = Duration::from_secs(5);
-/// Most voters, or processes that would be voters, that are remembered.
+/// Maximum number of voters and would-be voters that are remembered.
 const PEERS_MAX: usize = 32;
 
-/// Last handshake of another voter.
+/// Last handshake from another voter.
 pub(super) struct PeerHandshake {
     pub(super) handshake: Handshake,
     pub(super) address: SocketAddr,
     pub(super) received_at: Duration,
 }
 
-/// Whether this voter may vote, and who has confirmed it.
+/// Eligibility of this voter, and the voters that have confirmed it.
 #[derive(Default)]
 pub(super) struct Eligibility {
-    /// Enough other voters know of no later start of this store.
+    /// Enough other voters have confirmed that they know of no later start of this store.
     pub(super) may_vote: bool,
-    /// Another voter said that this disk is not among the voters.
+    /// Another voter reported that this disk is not among the voters of the cluster.
     pub(super) is_removed: bool,
+    /// Disk ids of the voters that have confirmed this store.
     confirmed_by: BTreeSet<u64>,
-    /// Recent handshakes by disk id.
+    /// Recent handshakes from other voters, by disk id.
     pub(super) peers: BTreeMap<u64, PeerHandshake>,
 }
 
 impl Voter {
-    /// Addresses of all other voters and founders.
+    /// Returns the addresses of all other voters, including the initial ones.
     pub(super) fn other_voters(&self) -> BTreeSet<SocketAddr> {
         let members = self.config.initial_voters.iter().chain(self.table.voters.values());
         members.map(|m| m.address).filter(|address| *address != self.config.member.address).collect()
     }
 
-    /// Hash of the founders' names and addresses.
+    /// Returns a hash of the names and addresses of the initial voters.
     pub(super) fn initial_voters_digest(&self) -> u64 {
-        let founders = self.config.initial_voters.iter();
-        let mut lines: Vec<String> = founders.map(|m| format!("{} {}", m.name, m.address)).collect();
+        let voters = self.config.initial_voters.iter();
+        let mut lines: Vec<String> = voters.map(|m| format!("{} {}", m.name, m.address)).collect();
         lines.sort();
         hash(&lines.join("\n"))
     }
@@ -78,7 +79,7 @@
             Some(answer) if answer.start == self.own_start() => {
                 self.receive_status(now, &handshake, answer.status);
             }
-            // It was for the process before this one.
+            // The answer is for an earlier process of this voter.
             Some(_) => {}
         }
         let peers = &mut self.eligibility.peers;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A process of another cluster is not a voter of this one, whatever its disk.
+    /// Returns whether a handshake comes from another cluster; such a process is not a voter of this one, whatever its disk.
     fn is_of_another_cluster(&self, handshake: &Handshake) -> bool {
         let both_belong = handshake.cluster_id.is_some() && self.identity.cluster_id.is_some();
         both_belong && handshake.cluster_id != self.identity.cluster_id
@@ -101,24 +102,25 @@
         ProcessStart { starts: self.identity.starts, process_id: self.config.process_id }
     }
 
-    /// Remembers the latest start of another voter's store; returns whether a later one is known, so that this one is an
-    /// older copy whose votes must not count twice.
+    /// Records the latest start of another voter's store. Returns whether a later start is known, in which case the store is
+    /// an older copy, which must not vote.
     fn record_start(&mut self, disk_id: u64, start: ProcessStart) -> bool {
         let latest = self.identity.peer_starts.get(&disk_id).copied();
         let is_stale = latest.is_some_and(|latest| {
             start.starts < latest.starts
                 || (start.starts == latest.starts && start.process_id != latest.process_id)
         });
-        let has_room = latest.is_some() || self.identity.peer_starts.len() < PEERS_MAX;
-        if !is_stale && latest != Some(start) && has_room {
+        let has_capacity = latest.is_some() || self.identity.peer_starts.len() < PEERS_MAX;
+        if !is_stale && latest != Some(start) && has_capacity {
             self.identity.peer_starts.insert(disk_id, start);
             self.persistence.identity_changed = true;
         }
         is_stale
     }
 
+    /// Returns the status of another voter, as reported in the answer to its handshake.
     fn status_of(&self, disk_id: u64, is_stale: bool) -> VoterStatus {
-        // A voter that was just added knows nothing of the others yet, and says nothing of them.
+        // A voter that was just added has an empty voter list and cannot tell who is a member.
         let voters = &self.table.voters;
         let is_member = self.raft.running().is_none() || voters.contains_key(&disk_id) || voters.is_empty();
         match (is_stale, is_member) {
@@ -128,14 +130,14 @@
         }
     }
 
-    /// Answers once the start that was recorded is on the disk.
+    /// Answers a handshake once its recorded start is durable.
     fn answer_handshake(&mut self, to: SocketAddr, start: ProcessStart, status: VoterStatus) {
         let answer = HandshakeAnswer { start, status };
         let message = Message::Handshake(self.handshake(Some(answer)));
         self.persistence.after_write.push(VoterAction::Send { to, message });
     }
 
-    /// Handles what this voter is to another.
+    /// Handles the status of this voter, as reported by another voter.
     fn receive_status(&mut self, now: Duration, handshake: &Handshake, status: VoterStatus) {
         match status {
             VoterStatus::StaleCopy => {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Joins a cluster with a disk that has never voted: it may vote at once, with what the leader sends.
+    /// Joins a cluster with a disk that has never voted. It may vote at once, because it has no earlier vote to contradict.
     fn join_cluster(&mut self, now: Duration, cluster_id: Option<u64>) {
         self.identity.cluster_id = cluster_id;
         self.persistence.identity_changed = true;
@@ -172,7 +174,8 @@
         self.next_raft_tick = now;
     }
 
-    /// With this voter, those that have confirmed it are a majority, so no majority knows of a later start.
+    /// Enables voting once the voters that have confirmed this store are a majority together with this one, so that no
+    /// majority can know of a later start.
     fn enable_voting_if_confirmed(&mut self) {
         let Some(raft) = self.raft.running().filter(|_| !self.eligibility.may_vote) else { return };
         let voters: Vec<u64> = raft.raft.prs().conf().voters().ids().iter().collect();
@@ -184,7 +187,7 @@
     }
 }
 
-/// First eight bytes of a SHA-256 digest.
+/// Returns the first eight bytes of the SHA-256 digest as a big-endian number.
 pub(super) fn hash(text: &str) -> u64 {
     let digest = Sha256::digest(text);
     digest.iter().take(8).fold(0, |n, byte| n << 8 | u64::from(*byte))
--- a/coordination/src/voter/leases.rs
+++ b/coordination/src/voter/leases.rs
@@ -1,4 +1,4 @@
-//! Leases as the leader grants, renews and releases them.
+//! Grants, renewals and releases of leases by the leader.
 
 use super::requests::PendingRequest;
 use super::{Voter, VoterEvent};
@@ -7,48 +7,48 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Most renewals that wait for a majority.
-const RENEWALS_MAX: usize = 512;
-/// Most requests that wait for one lease.
+/// Maximum number of renewals that wait for confirmation by a majority.
+const PENDING_RENEWALS_MAX: usize = 512;
+/// Maximum number of requests that wait for one lease.
 const WAITERS_MAX: usize = 8;
 
-/// A renewal that waits until a majority has confirmed the leadership.
+/// Renewal that waits until a majority has confirmed the leadership.
 struct PendingRenewal {
     request: PendingRequest,
     lease: String,
 }
 
-/// A request for a lease that another process holds.
+/// Request that waits for a lease that another process holds.
 struct Waiter {
-    since: Duration,
+    queued_at: Duration,
     request: PendingRequest,
 }
 
-/// What only the leader knows; it ends with the term.
+/// State of the leader, which is not replicated and is dropped at the end of its term.
 #[derive(Default)]
 pub(super) struct Leadership {
     pub(super) term: u64,
-    /// Time until which each lease is held, by lease name.
+    /// Expiration time of each lease, by lease name.
     expirations: BTreeMap<String, Duration>,
-    /// Requests whose command was proposed, by lease name.
+    /// Requests whose command was proposed and is not applied yet, by lease name.
     proposals: BTreeMap<String, PendingRequest>,
     waiters: BTreeMap<String, VecDeque<Waiter>>,
     renewals: BTreeMap<u64, PendingRenewal>,
-    /// Renewals that a majority confirmed, with the index that has to be applied first.
+    /// Renewals that a majority has confirmed, with the log index that must be applied first.
     confirmed_renewals: Vec<(u64, PendingRenewal)>,
-    /// Request to add or remove a voter whose change was proposed.
+    /// Request to add or remove a voter whose change was proposed and is not applied yet.
     pub(super) voter_change: Option<PendingRequest>,
 }
 
 impl Leadership {
-    /// Time left of each lease, in milliseconds.
+    /// Returns the remaining time of each lease, in milliseconds.
     pub(super) fn remaining_ms(&self, now: Duration) -> Vec<(String, u64)> {
         let remaining = |until: &Duration| until.saturating_sub(now).as_millis() as u64;
         self.expirations.iter().map(|(lease, until)| (lease.clone(), remaining(until))).collect()
     }
 
-    /// A majority confirmed the leadership after this renewal had been requested.
-    pub(super) fn renewal_confirmed(&mut self, number: u64, index: u64) {
+    /// Handles the confirmation of the leadership by a majority, which followed the request of this renewal.
+    pub(super) fn confirm_renewal(&mut self, number: u64, index: u64) {
         if let Some(renewal) = self.renewals.remove(&number) {
             self.confirmed_renewals.push((index, renewal));
         }
@@ -58,7 +58,7 @@
         self.expirations.get(lease).is_some_and(|until| now < *until)
     }
 
-    /// Takes the confirmed renewals up to this index.
+    /// Takes the confirmed renewals whose index is at most `applied_index`.
     fn take_confirmed(&mut self, applied_index: u64) -> Vec<PendingRenewal> {
         let renewals = std::mem::take(&mut self.confirmed_renewals);
         let (confirmed, later): (Vec<_>, Vec<_>) =
@@ -69,7 +69,7 @@
 }
 
 impl Voter {
-    /// Starts a term as the leader, unless it has started already.
+    /// Starts this voter's leadership in the current term, unless it has already started.
     pub(super) fn become_leader(&mut self, now: Duration) {
         let term = self.raft.running().map_or(0, |raft| raft.raft.term);
         if self.leadership.as_ref().is_some_and(|leadership| leadership.term == term) {
@@ -77,7 +77,7 @@
         }
         self.lose_leadership();
         self.metrics.elections += 1;
-        // The leader before may have extended each lease up to the moment at which a majority voted for this one.
+        // The previous leader may have extended each lease until the moment at which a majority voted for this voter.
         let until = now + self.config.timing.lease;
         let held = self.table.leases.iter().filter(|(_, record)| record.holder.is_some());
         let expirations = held.map(|(lease, _)| (lease.clone(), until)).collect();
@@ -91,27 +91,27 @@
         }
     }
 
-    /// Grants a lease, renews it, or lets the request wait.
+    /// Grants or renews a lease, or queues the request if another process holds the lease.
     pub(super) fn acquire(&mut self, now: Duration, request: PendingRequest, lease: String, token: u64) {
         let Some(leadership) = &mut self.leadership else { return };
         if let Some(earlier) = leadership.proposals.get_mut(&lease) {
             if earlier.client == request.client {
-                *earlier = request; // the response to the first may be lost, or too old by now
+                *earlier = request; // a response to the earlier request may come too late to be useful
                 return;
             }
-            return self.wait(now, request, lease);
+            return self.enqueue(now, request, lease);
         }
         let last_token = self.table.token(&lease);
         match self.table.holder(&lease) {
-            Some(holder) if *holder == request.client => self.renew(request, lease),
-            // The client lost the lease without knowing it, and has to learn that first.
+            Some(holder) if *holder == request.client => self.request_renewal(request, lease),
+            // The client has lost the lease without knowing it, and must learn that before it can acquire it again.
             _ if token != 0 => self.respond(&request, Outcome::NotHolder { lease, token: last_token }),
-            Some(_) if leadership.is_held(&lease, now) => self.wait(now, request, lease),
-            _ => self.grant(now, request, lease),
+            Some(_) if leadership.is_held(&lease, now) => self.enqueue(now, request, lease),
+            _ => self.propose_grant(now, request, lease),
         }
     }
 
-    fn grant(&mut self, now: Duration, request: PendingRequest, lease: String) {
+    fn propose_grant(&mut self, now: Duration, request: PendingRequest, lease: String) {
         let command = Command::Grant {
             lease: lease.clone(),
             holder: request.client.clone(),
@@ -121,7 +121,7 @@
         self.propose(request, lease, command);
     }
 
-    /// Proposes a command that only the holder of the lease's last token may request.
+    /// Proposes a command that requires the request to come from the holder of the lease's last token.
     pub(super) fn propose_as_holder(
         &mut self,
         request: PendingRequest,
@@ -131,7 +131,7 @@
     ) {
         let is_proposed = |leadership: &Leadership| leadership.proposals.contains_key(&lease);
         if self.leadership.as_ref().is_some_and(is_proposed) {
-            return; // the client asks again
+            return; // the client retries
         }
         let last_token = self.table.token(&lease);
         match self.table.holder(&lease) {
@@ -145,7 +145,7 @@
     fn propose(&mut self, request: PendingRequest, lease: String, command: Command) {
         let Some(raft) = self.raft.running_mut() else { return };
         let Ok(data) = postcard::to_stdvec(&command) else { return };
-        // An error means that this voter leads no longer or has too much under way: the client asks again.
+        // Fails if this voter is no longer the leader or has too many uncommitted entries; the client retries.
         if raft.propose(Vec::new(), data).is_ok() {
             if let Some(leadership) = &mut self.leadership {
                 leadership.proposals.insert(lease, request);
@@ -153,28 +153,30 @@
         }
     }
 
-    /// Requests older than this are dropped: their clients have asked again.
+    /// Returns the age at which waiting requests are dropped; their clients have retried by then.
     fn waiter_validity(&self) -> Duration {
         self.config.timing.renew_interval() * 2
     }
 
-    fn wait(&mut self, now: Duration, request: PendingRequest, lease: String) {
+    /// Responds that another process holds the lease, and queues the request in case the lease is released soon.
+    fn enqueue(&mut self, now: Duration, request: PendingRequest, lease: String) {
         let validity = self.waiter_validity();
         let holder = self.table.holder(&lease).map_or(String::new(), |holder| holder.name.clone());
         let outcome = Outcome::HeldByOther { lease: lease.clone(), holder, token: self.table.token(&lease) };
         self.respond(&request, outcome);
         let Some(leadership) = &mut self.leadership else { return };
         let queue = leadership.waiters.entry(lease).or_default();
-        queue.retain(|w| w.request.client != request.client && now - w.since < validity);
+        queue.retain(|w| w.request.client != request.client && now - w.queued_at < validity);
         if queue.len() < WAITERS_MAX {
-            queue.push_back(Waiter { since: now, request });
+            queue.push_back(Waiter { queued_at: now, request });
         }
     }
 
-    /// Extends a holder's lease once a majority has confirmed, after the request, that this voter still leads.
-    fn renew(&mut self, request: PendingRequest, lease: String) {
+    /// Requests confirmation by a majority that this voter still leads, after which the holder's lease is extended.
+    fn request_renewal(&mut self, request: PendingRequest, lease: String) {
         let Some(raft) = self.raft.running_mut() else { return };
-        let Some(leadership) = self.leadership.as_mut().filter(|l| l.renewals.len() < RENEWALS_MAX) else {
+        let Some(leadership) = self.leadership.as_mut().filter(|l| l.renewals.len() < PENDING_RENEWALS_MAX)
+        else {
             return;
         };
         self.last_renewal += 1;
@@ -183,12 +185,12 @@
         leadership.renewals.insert(self.last_renewal, PendingRenewal { request, lease });
     }
 
-    /// Answers the renewals that a majority confirmed and whose index is applied.
-    pub(super) fn confirm_renewals(&mut self, now: Duration) {
+    /// Carries out the renewals that a majority has confirmed and whose log index is applied.
+    pub(super) fn complete_renewals(&mut self, now: Duration) {
         let Some(leadership) = &mut self.leadership else { return };
         for PendingRenewal { request, lease } in leadership.take_confirmed(self.applied_index) {
             let is_holder = self.table.holder(&lease) == Some(&request.client);
-            // A lease whose next grant is proposed must not be extended.
+            // A lease must not be extended while its next grant is proposed.
             let is_proposed = |leadership: &Leadership| leadership.proposals.contains_key(&lease);
             if !is_holder || self.leadership.as_ref().is_some_and(is_proposed) {
                 let token = self.table.token(&lease);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Extends a lease from now on and tells its holder.
+    /// Extends a lease by the full duration from now, and responds to its holder.
     fn extend(&mut self, now: Duration, request: &PendingRequest, lease: String) {
         self.set_expiration(now, &lease);
         let record = self.table.leases.get(&lease);
@@ -219,14 +221,14 @@
         self.leadership.as_mut()?.proposals.remove(lease)
     }
 
-    /// Answers the request whose command was applied.
-    pub(super) fn command_applied(&mut self, now: Duration, result: ApplyResult) {
+    /// Responds to the request whose command was applied.
+    pub(super) fn handle_applied(&mut self, now: Duration, result: ApplyResult) {
         if self.leadership.is_none() {
             return;
         }
         match result {
-            ApplyResult::Granted { lease, token } => self.lease_granted(now, lease, token),
-            ApplyResult::Released { lease } => self.lease_released(now, lease),
+            ApplyResult::Granted { lease, token } => self.handle_grant_applied(now, lease, token),
+            ApplyResult::Released { lease } => self.handle_release_applied(now, lease),
             ApplyResult::StateSaved { lease } => {
                 if let Some(request) = self.take_proposal(&lease) {
                     self.respond(&request, Outcome::Done);
@@ -241,7 +243,7 @@
         }
     }
 
-    fn lease_granted(&mut self, now: Duration, lease: String, token: u64) {
+    fn handle_grant_applied(&mut self, now: Duration, lease: String, token: u64) {
         let request = self.take_proposal(&lease);
         let Some(holder) = self.table.holder(&lease).cloned() else { return };
         self.metrics.grants += 1;
@@ -252,7 +254,7 @@
         }
     }
 
-    fn lease_released(&mut self, now: Duration, lease: String) {
+    fn handle_release_applied(&mut self, now: Duration, lease: String) {
         if let Some(leadership) = &mut self.leadership {
             leadership.expirations.remove(&lease);
         }
@@ -262,9 +264,9 @@
         let validity = self.waiter_validity();
         let Some(leadership) = &mut self.leadership else { return };
         let queue = leadership.waiters.remove(&lease).unwrap_or_default();
-        // A lease granted to an older request would have expired before its client heard of it.
-        if let Some(next) = queue.into_iter().find(|waiter| now - waiter.since < validity) {
-            self.grant(now, next.request, lease);
+        // A lease granted for an older request would have expired before its client received the response.
+        if let Some(waiter) = queue.into_iter().find(|w| now - w.queued_at < validity) {
+            self.propose_grant(now, waiter.request, lease);
         }
     }
 }
--- a/coordination/src/voter/persistence.rs
+++ b/coordination/src/voter/persistence.rs
@@ -1,26 +1,26 @@
-//! What waits for the disk, and what waits for a write. Nothing that depends on a write leaves before the write is done.
+//! Pending writes, and the actions that depend on them. Such an action is returned only after its write has completed.
 
 use super::{Voter, VoterAction};
 use crate::store::WriteBatch;
 use raft::eraftpb::Snapshot;
 
-/// Snapshot that goes into the next write.
+/// Snapshot to include in the next write.
 pub(super) struct PendingSnapshot {
     pub(super) snapshot: Snapshot,
-    /// It is another voter's, and replaces all of the log before it.
+    /// Whether the snapshot replaces the whole log, not only the entries that it covers.
     pub(super) replaces_log: bool,
 }
 
-/// Write that the embedder carries out.
+/// Write that the embedder is carrying out.
 pub(super) struct PendingWrite {
     number: u64,
-    /// Raft's ready state that the write completes.
+    /// Number of the Raft ready state that the write makes durable.
     pub(super) ready: Option<u64>,
     /// Actions that depend on the write.
     pub(super) actions: Vec<VoterAction>,
 }
 
-/// What is to be written.
+/// Changes that are to be written, and the write in progress.
 #[derive(Default)]
 pub(super) struct Persistence {
     pub(super) identity_changed: bool,
@@ -36,7 +36,7 @@
         self.in_flight.is_some()
     }
 
-    /// Empty batch for the next write.
+    /// Returns an empty batch for the next write.
     pub(super) fn next_batch(&self) -> WriteBatch {
         WriteBatch { number: self.last_number + 1, ..WriteBatch::default() }
     }
@@ -46,20 +46,20 @@
         self.in_flight = Some(PendingWrite { number: self.last_number, ready, actions });
     }
 
-    /// The write under way, if it has this number.
+    /// Takes the write in progress, if it has this number.
     pub(super) fn finish(&mut self, number: u64) -> Option<PendingWrite> {
         self.in_flight.take_if(|write| write.number == number)
     }
 }
 
 impl Voter {
-    /// Continues with what depended on a write.
-    pub(super) fn release(&mut self, write: PendingWrite) {
+    /// Queues the actions that depend on a write, after its completion.
+    pub(super) fn complete_write(&mut self, write: PendingWrite) {
         self.raft_persisted(write.ready);
         write.actions.into_iter().for_each(|action| self.push(action));
     }
 
-    /// Tells Raft that the ready state with this number is on the disk.
+    /// Notifies Raft that the ready state with this number is durable.
     pub(super) fn raft_persisted(&mut self, ready: Option<u64>) {
         if let (Some(raft), Some(ready)) = (self.raft.running_mut(), ready) {
             raft.on_persist_ready(ready);
--- a/coordination/src/voter/raft_driver.rs
+++ b/coordination/src/voter/raft_driver.rs
@@ -1,4 +1,4 @@
-//! The Raft node of a voter: messages in and out, ready states, committed entries, log compaction.
+//! Raft node of a voter: messages, ready states, committed entries and log compaction.
 
 use super::persistence::PendingSnapshot;
 use super::{Voter, VoterAction};
@@ -13,23 +13,24 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Raft's ticks in an election timeout, and in the interval between heartbeats.
+/// Raft ticks in the minimum election timeout.
 pub(super) const TICKS_PER_ELECTION: usize = 10;
+/// Raft ticks between heartbeats of the leader.
 const TICKS_PER_HEARTBEAT: usize = 2;
-/// Entries that are kept before a snapshot replaces them.
+/// Number of applied entries after which a snapshot replaces them.
 const ENTRIES_PER_SNAPSHOT: u64 = 256;
-/// Most bytes of entries in one Raft message.
+/// Maximum size of the entries in a Raft message, in bytes.
 const MESSAGE_BYTES_MAX: u64 = 16 * 1024;
-/// Most bytes of entries that are proposed and not committed.
+/// Maximum size of the proposed entries that are not committed yet, in bytes.
 const UNCOMMITTED_BYTES_MAX: u64 = 256 * 1024;
-/// Most Raft messages with entries under way to one voter.
+/// Maximum number of Raft messages with entries that are in flight to one voter.
 const MESSAGES_IN_FLIGHT_MAX: usize = 16;
 
 /// Raft node of a voter.
 pub(super) enum RaftInstance {
-    /// The voter belongs to no cluster yet; this is the log of its store.
+    /// The voter belongs to no cluster yet; holds the log of its store.
     NotStarted(Box<RaftLog>),
-    /// The node runs.
+    /// The Raft node is running.
     Running(Box<RawNode<RaftLog>>),
     /// The store failed or is a stale copy.
     Stopped,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes the log of a node that was not started.
+    /// Takes the log of a Raft node that has not been started.
     fn take_log(&mut self) -> Option<RaftLog> {
         match std::mem::replace(self, RaftInstance::Stopped) {
             RaftInstance::NotStarted(log) => Some(*log),
@@ -62,10 +63,10 @@
     }
 }
 
-/// One pass of [`Voter::drive`].
+/// Changes and actions collected in one pass of [`Voter::drive`].
 struct Pass {
     batch: WriteBatch,
-    /// Number of Raft's ready state, if it had one.
+    /// Number of the Raft ready state, if there was one.
     ready: Option<u64>,
     /// Actions that depend on the batch.
     after_write: Vec<VoterAction>,
@@ -104,15 +105,15 @@
                 self.raft = RaftInstance::Running(Box::new(raft));
                 self.table = table;
             }
-            // It was added and has received nothing of the log yet.
+            // The voter was just added and has not received a snapshot yet.
             (Ok(raft), _, 0) => self.raft = RaftInstance::Running(Box::new(raft)),
-            (Ok(_), Err(_), _) => self.fail("its snapshot can't be read".to_string()),
+            (Ok(_), Err(_), _) => self.fail("the stored snapshot cannot be decoded".to_string()),
             (Err(error), ..) => self.fail(error.to_string()),
         }
     }
 
-    /// The library draws election timeouts from the system's randomness, so no run could be repeated: they are replaced
-    /// by ones from this voter's seed and the term after whatever may have made it draw.
+    /// Replaces the election timeout with one derived from this voter's seed and the term. The Raft library draws timeouts
+    /// from the system's random numbers, which makes runs irreproducible, so this is called wherever it may have drawn one.
     pub(super) fn set_election_timeout(&mut self) {
         let Some(raft) = self.raft.running_mut() else { return };
         let mut rng = SmallRng::seed_from_u64(self.config.seed ^ raft.raft.term.rotate_left(32));
@@ -125,14 +126,14 @@
         let message = RaftMessage::parse_from_bytes(bytes).ok().filter(|m| m.from == from && m.to == to);
         match (self.raft.running_mut(), message) {
             (Some(raft), Some(message)) if is_for_this_disk && self.eligibility.may_vote => {
-                drop(raft.step(message)); // an error is a message that came too late
+                drop(raft.step(message)); // fails for an outdated message
             }
             (Some(_), Some(_)) if is_for_this_disk => {}
             _ => self.metrics.rejected += 1,
         }
     }
 
-    /// Transfers the leadership to the voter that is most up to date.
+    /// Transfers the leadership to the most up-to-date voter.
     pub(super) fn transfer_raft_leadership(&mut self) {
         let own = self.identity.disk_id;
         let Some(raft) = self.raft.running_mut() else { return };
@@ -143,24 +144,25 @@
         }
     }
 
-    /// Passes on what is ready until a write is under way or nothing is left. What depends on a write waits for it.
+    /// Processes Raft's ready states until a write is in progress or nothing is left to do. Actions that depend on a write
+    /// are held back until it completes.
     pub(super) fn drive(&mut self, now: Duration) {
         while !self.persistence.is_writing() && self.drive_once(now) {}
     }
 
-    /// Returns whether there may be more to do.
+    /// Runs one pass; returns whether another one may be needed.
     fn drive_once(&mut self, now: Duration) -> bool {
         let mut pass = self.start_pass();
         self.set_election_timeout();
         if self.take_ready(now, &mut pass).is_err() {
-            self.fail("a snapshot can't be read".to_string());
+            self.fail("a received snapshot cannot be decoded".to_string());
             return false;
         }
         let is_empty = pass.is_empty();
         for entry in pass.committed {
             self.apply(now, &entry);
         }
-        self.confirm_renewals(now);
+        self.complete_renewals(now);
         self.compact_log();
         if is_empty && self.persistence.snapshot.is_none() {
             return false;
@@ -175,7 +177,7 @@
         true
     }
 
-    /// Collects what waits for a write already.
+    /// Starts a pass with the changes and actions that already wait for a write.
     fn start_pass(&mut self) -> Pass {
         let mut batch = self.persistence.next_batch();
         if std::mem::take(&mut self.persistence.identity_changed) {
@@ -190,7 +192,7 @@
         Pass { batch, ready: None, after_write, committed: Vec::new() }
     }
 
-    /// Takes Raft's ready state, if it has one: stores and sends what it holds.
+    /// Takes Raft's ready state, if there is one: adds its changes to the batch, and queues its messages.
     fn take_ready(&mut self, now: Duration, pass: &mut Pass) -> Result<(), postcard::Error> {
         let may_vote = self.eligibility.may_vote;
         let Some(raft) = self.raft.running_mut().filter(|raft| may_vote && raft.has_ready()) else {
@@ -204,9 +206,9 @@
         self.install_snapshot(&ready, &mut pass.batch)?;
         let role = ready.ss().map(|soft_state| soft_state.raft_state);
         self.append(ready, pass);
-        let immediate: Vec<VoterAction> = immediate.iter().filter_map(|m| self.raft_message(m)).collect();
+        let immediate: Vec<VoterAction> = immediate.iter().filter_map(|m| self.send_action(m)).collect();
         immediate.into_iter().for_each(|action| self.push(action));
-        pass.after_write.extend(persisted.iter().filter_map(|m| self.raft_message(m)));
+        pass.after_write.extend(persisted.iter().filter_map(|m| self.send_action(m)));
         match role {
             Some(StateRole::Leader) => self.become_leader(now),
             Some(_) => self.lose_leadership(),
@@ -215,18 +217,18 @@
         Ok(())
     }
 
-    /// Notes up to which index each confirmed renewal has to be applied.
+    /// Passes on the confirmed renewals, with the log index that must be applied before each.
     fn take_read_states(&mut self, states: Vec<ReadState>) {
         let Some(leadership) = &mut self.leadership else { return };
         for state in states {
             let number = state.request_ctx.try_into().map(u64::from_be_bytes);
             if let Ok(number) = number {
-                leadership.renewal_confirmed(number, state.index);
+                leadership.confirm_renewal(number, state.index);
             }
         }
     }
 
-    /// Installs the snapshot of another voter.
+    /// Installs a snapshot from another voter.
     fn install_snapshot(&mut self, ready: &Ready, batch: &mut WriteBatch) -> Result<(), postcard::Error> {
         if ready.snapshot().is_empty() {
             return Ok(());
@@ -242,13 +244,13 @@
         Ok(())
     }
 
-    /// Adds entries and hard state to the log and to the batch.
+    /// Adds the entries and the hard state of a ready state to the log and to the batch.
     fn append(&mut self, mut ready: Ready, pass: &mut Pass) {
         let Some(raft) = self.raft.running_mut() else { return };
         if let Some(hard_state) = ready.hs() {
             raft.mut_store().hard_state = hard_state.clone();
         }
-        // A new commit index alone is not worth a write: it is found out again after a start.
+        // A new commit index alone is not written: Raft determines it again after a restart.
         if ready.must_sync() || pass.batch.snapshot.is_some() {
             pass.batch.hard_state = Some(raft.store().hard_state.clone());
         }
@@ -258,8 +260,8 @@
         raft.advance_append_async(ready);
     }
 
-    /// The message as an action, if the address of its receiver is known.
-    fn raft_message(&self, message: &RaftMessage) -> Option<VoterAction> {
+    /// Returns the action that sends a Raft message, if the address of its receiver is known.
+    fn send_action(&self, message: &RaftMessage) -> Option<VoterAction> {
         let member = self.table.voters.get(&message.to).map(|m| m.address);
         let peer = || self.eligibility.peers.get(&message.to).map(|peer| peer.address);
         let to = member.or_else(peer)?;
@@ -269,6 +271,7 @@
         Some(VoterAction::Send { to, message })
     }
 
+    /// Applies a committed entry.
     fn apply(&mut self, now: Duration, entry: &Entry) {
         self.applied_index = entry.index;
         match entry.get_entry_type() {
@@ -276,7 +279,7 @@
             EntryType::EntryNormal => {
                 if let Ok(command) = postcard::from_bytes::<Command>(&entry.data) {
                     let result = self.table.apply(command);
-                    self.command_applied(now, result);
+                    self.handle_applied(now, result);
                 }
             }
             _ => self.apply_voter_change(entry),
@@ -286,12 +289,12 @@
         }
     }
 
-    /// Replaces the applied entries by a snapshot, once there are enough of them.
+    /// Replaces the applied entries with a snapshot, once there are enough of them or a voter was added.
     fn compact_log(&mut self) {
         let Some(raft) = self.raft.running_mut() else { return };
-        // A voter that was just added takes only a snapshot that names it.
+        // A voter that was just added accepts only a snapshot whose voters include it.
         let base = raft.store().base_index();
-        let is_due = self.applied_index >= base + ENTRIES_PER_SNAPSHOT || self.voter_added_at > base;
+        let is_due = self.applied_index >= base + ENTRIES_PER_SNAPSHOT || self.last_voter_addition > base;
         if self.persistence.snapshot.is_some() || !is_due {
             return;
         }
--- a/coordination/src/voter/requests.rs
+++ b/coordination/src/voter/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, as the leader answers them.
+//! Requests from clients, which the leader handles.
 
 use super::Voter;
 use crate::lease_table::{Command, Holder, STATE_MAX};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request whose response is still to be sent.
+/// Request whose response has yet to be sent.
 pub(super) struct PendingRequest {
     pub(super) from: SocketAddr,
     pub(super) id: u64,
@@ -24,12 +24,12 @@
         if self.leadership.is_none() || !is_ready {
             return self.respond(&pending, Outcome::NotLeader(self.leader_address()));
         }
-        let silence = Duration::from_millis(request.last_response_age_ms);
-        let must_confirm = silence > self.config.timing.lease / 2;
+        let response_age = Duration::from_millis(request.last_response_age_ms);
+        let must_confirm = response_age > self.config.timing.lease / 2;
         self.execute(now, pending, request.operation, must_confirm);
     }
 
-    /// Address of the leader, if another voter is known to lead.
+    /// Returns the address of the leader, if it is known and another voter.
     fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.raft.running().map_or(0, |raft| raft.raft.leader_id);
         let address = self.table.voters.get(&leader).map(|member| member.address);
@@ -58,7 +58,12 @@
             }
             Operation::AddVoter(member) => self.add_voter(request, member),
             Operation::RemoveVoter(name) => self.remove_voter(request, &name),
-            _ => self.respond(&request, Outcome::Rejected("a name or what is left is too long".into())),
+            _ => self.respond(
+                &request,
+                Outcome::Rejected(
+                    "the lease name is empty or too long, or the saved state is too large".into(),
+                ),
+            ),
         }
     }
 
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Unix time in milliseconds by this machine's clock: for display, and the least that a first token is.
+    /// Returns the Unix time in milliseconds by this machine's clock, for display and as the minimum of the first token.
     pub(super) fn unix_ms(&self, now: Duration) -> u64 {
         self.config.clock_origin_unix_ms + now.as_millis() as u64
     }
--- a/coordination/src/voter/state.rs
+++ b/coordination/src/voter/state.rs
@@ -1,26 +1,26 @@
-//! State and counters of a voter, as the node's status shows them.
+//! State and counters of a voter, as reported in the node's status.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a voter votes, and why not.
+/// State of a voter: its role, or the reason for which it does not vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VoterState {
-    /// It waits for the other founders, or to be added.
+    /// It waits for the other initial voters, or to be added to a cluster.
     Waiting,
-    /// It votes once enough other voters have confirmed that its store is not an older copy.
+    /// It will vote once enough other voters have confirmed that its store is not an older copy.
     #[serde(rename = "returning")]
     Recovering,
-    /// It votes.
+    /// It votes and is not the leader.
     #[serde(rename = "voting")]
     Follower,
-    /// It leads.
+    /// It is the leader.
     #[serde(rename = "leading")]
     Leader,
-    /// The other voters say that its disk is not among theirs.
+    /// Another voter reported that its disk is not among the voters of the cluster.
     #[serde(rename = "unseated")]
     NotMember,
-    /// Its store is an older copy, or a copy in another place.
+    /// Its store is an older copy, or a copy at another location.
     #[serde(rename = "older")]
     StaleCopy,
     /// Its store failed, for this reason.
@@ -31,7 +31,7 @@
 /// Counters of a voter since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterMetrics {
-    /// Messages sent.
+    /// Sent messages.
     #[serde(rename = "sent")]
     pub messages_sent: u64,
     /// Completed writes to the store.
@@ -42,7 +42,7 @@
     pub renewals: u64,
     /// Elections won.
     pub elections: u64,
-    /// Messages rejected: of another cluster, for another disk, or malformed.
+    /// Rejected messages: from another cluster, for another disk, or malformed.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
--- a/coordination/src/voter/voter_changes.rs
+++ b/coordination/src/voter/voter_changes.rs
@@ -1,4 +1,4 @@
-//! Voters added and removed, one at a time, by commands of an operator.
+//! Addition and removal of voters, one at a time, on request of an operator.
 
 use super::requests::PendingRequest;
 use super::{Voter, VoterEvent};
@@ -11,7 +11,7 @@
     pub(super) fn add_voter(&mut self, request: PendingRequest, member: VoterMember) {
         let Some(disk_id) = self.latest_disk_of(&member.name) else {
             let reason = format!(
-                "{} was not heard of: start it with a state folder and the voters in its file",
+                "no handshake from {}: start it with a state folder and with the voters in its fleet file",
                 member.name
             );
             return self.respond(&request, Outcome::Rejected(reason));
@@ -20,14 +20,15 @@
             return self.respond(&request, Outcome::Done);
         }
         if self.table.voters.values().any(|voter| voter.name == member.name) {
-            let reason = format!("{} has a seat with another folder: remove it first", member.name);
+            let reason =
+                format!("{} is already a voter with another state folder: remove it first", member.name);
             return self.respond(&request, Outcome::Rejected(reason));
         }
         self.propose_voter_change(request, ConfChangeType::AddNode, disk_id, Some(member));
     }
 
-    /// Disk of the process with this name. If there are several, the latest: the disk before it may have been heard of
-    /// just now, too.
+    /// Returns the disk id in the latest handshake from a process with this name. The disk that it replaced may have sent a
+    /// recent handshake, too.
     fn latest_disk_of(&self, name: &str) -> Option<u64> {
         if name.is_empty() || name.len() > NAME_MAX {
             return None;
@@ -43,10 +44,10 @@
         };
         let other = self.table.voters.keys().find(|id| **id != self.identity.disk_id).copied();
         match (self.raft.running_mut(), other) {
-            (_, None) => self.respond(&request, Outcome::Rejected("it is the last voter".into())),
+            (_, None) => self.respond(&request, Outcome::Rejected("the last voter cannot be removed".into())),
             (Some(raft), Some(other)) if disk_id == self.identity.disk_id => {
                 raft.transfer_leader(other);
-                let reason = "it leads, and hands that on now: ask again";
+                let reason = "this voter is the leader and is transferring its leadership: try again";
                 self.respond(&request, Outcome::Rejected(reason.into()));
             }
             _ => self.propose_voter_change(request, ConfChangeType::RemoveNode, disk_id, None),
@@ -66,7 +67,7 @@
         change.node_id = disk_id;
         change.context = member.and_then(|m| postcard::to_stdvec(&m).ok()).unwrap_or_default().into();
         if raft.raft.has_pending_conf() || raft.propose_conf_change(Vec::new(), change).is_err() {
-            let reason = "another change of voters is under way";
+            let reason = "another change of the voters is in progress";
             return self.respond(&request, Outcome::Rejected(reason.into()));
         }
         if let Some(leadership) = &mut self.leadership {
@@ -83,7 +84,7 @@
         }
         match (change.get_change_type(), postcard::from_bytes::<VoterMember>(&change.context)) {
             (ConfChangeType::AddNode, Ok(member)) => {
-                self.voter_added_at = entry.index;
+                self.last_voter_addition = entry.index;
                 self.table.voters.insert(change.node_id, member);
             }
             _ => drop(self.table.voters.remove(&change.node_id)),
