--- a/coordination/tests/golden_bytes/cluster.rs
+++ b/coordination/tests/golden_bytes/cluster.rs
@@ -1,4 +1,4 @@
-//! Three voters in one thread that hear each other at once and whose writes are done at once: the same bytes at each run.
+//! Cluster of three voters in one thread. Messages and writes complete without delay, so each run produces the same bytes.
 
 #[path = "image.rs"]
 pub mod image;
@@ -13,10 +13,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What the fixed run comes to; recorded from 6e5c6e9.
+/// Results of the fixed run, recorded from version 6e5c6e9.
 pub const TERM: u64 = 2;
 pub const LEADER_DISK: u64 = 101;
-pub const FOUNDED: u64 = 15_296_787_881_804_620_516;
+pub const CLUSTER_ID: u64 = 15_296_787_881_804_620_516;
 pub const TOKENS: [u64; 3] = [1_700_000_021_000, 1_700_000_021_001, 1_700_000_021_002];
 /// Names of the clients.
 pub const CLIENTS: [&str; 3] = ["c0", "c1", "c2"];
@@ -24,35 +24,35 @@
 const FLEET: &str = "golden";
 const STEP: Duration = Duration::from_millis(10);
 const UNIX_MS: u64 = 1_700_000_000_000;
-/// More entries than a log keeps before a snapshot takes their place.
-const ENTRIES: u8 = 255;
+/// Number of saved states; with the other commands, enough log entries for a snapshot.
+const SAVED_STATES: u8 = 255;
 
-/// A disk in memory.
+/// In-memory disk.
 #[derive(Clone, Debug, Default)]
-pub struct Disk(Arc<Mutex<Vec<u8>>>);
+pub struct MemoryDisk(Arc<Mutex<Vec<u8>>>);
 
-impl Disk {
-    pub fn of(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(bytes)))
+impl MemoryDisk {
+    pub fn from_bytes(bytes: Vec<u8>) -> MemoryDisk {
+        MemoryDisk(Arc::new(Mutex::new(bytes)))
     }
 
     pub fn bytes(&self) -> Vec<u8> {
         self.0.lock().unwrap().clone()
     }
 
-    pub fn copy(&self) -> Disk {
-        Disk::of(self.bytes())
+    pub fn copy(&self) -> MemoryDisk {
+        MemoryDisk::from_bytes(self.bytes())
     }
 }
 
-impl redb::StorageBackend for Disk {
+impl redb::StorageBackend for MemoryDisk {
     fn len(&self) -> Result<u64, std::io::Error> {
         Ok(self.0.lock().unwrap().len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
-        let from = offset as usize;
-        out.copy_from_slice(&self.0.lock().unwrap()[from..from + out.len()]);
+        let start = offset as usize;
+        out.copy_from_slice(&self.0.lock().unwrap()[start..start + out.len()]);
         Ok(())
     }
 
@@ -66,15 +66,15 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
-        let from = offset as usize;
-        self.0.lock().unwrap()[from..from + data.len()].copy_from_slice(data);
+        let start = offset as usize;
+        self.0.lock().unwrap()[start..start + data.len()].copy_from_slice(data);
         Ok(())
     }
 }
 
-/// What the leader tells, by names of this test.
+/// Status of the cluster, as reported by the leader.
 pub struct Status {
-    pub founded: u64,
+    pub cluster_id: u64,
     pub term: u64,
     table: LeaseTable,
 }
@@ -84,7 +84,9 @@
         self.table
             .leases
             .iter()
-            .map(|(name, held)| (name.as_str(), held.holder.as_ref().map(|h| h.name.as_str()), held.token))
+            .map(|(name, record)| {
+                (name.as_str(), record.holder.as_ref().map(|h| h.name.as_str()), record.token)
+            })
             .collect()
     }
 
@@ -92,12 +94,12 @@
         self.table.last_token
     }
 
-    pub fn left(&self, duty: &str) -> &[u8] {
-        &self.table.leases[duty].state
+    pub fn saved_state(&self, lease: &str) -> &[u8] {
+        &self.table.leases[lease].state
     }
 
     pub fn voters(&self) -> Vec<&str> {
-        self.table.voters.values().map(|s| s.name.as_str()).collect()
+        self.table.voters.values().map(|voter| voter.name.as_str()).collect()
     }
 
     pub fn history_length(&self) -> usize {
@@ -105,16 +107,16 @@
     }
 }
 
-/// Three voters, and clients that ask the leader.
+/// Three voters, and clients that send requests to the leader.
 pub struct Cluster {
     now: Duration,
-    disks: Vec<Disk>,
+    disks: Vec<MemoryDisk>,
     voters: Vec<(Voter, Store)>,
-    on_the_way: VecDeque<(SocketAddr, SocketAddr, Message)>,
-    answers: Vec<Response>,
-    number: u64,
-    sent: u64,
-    digest: Sha256,
+    in_flight: VecDeque<(SocketAddr, SocketAddr, Message)>,
+    responses: Vec<Response>,
+    last_request_id: u64,
+    messages_sent: u64,
+    messages_digest: Sha256,
 }
 
 fn address(voter: usize) -> SocketAddr {
@@ -126,46 +128,46 @@
 }
 
 impl Cluster {
-    /// Three new voters, run until one leads.
-    pub fn founded() -> Cluster {
-        Cluster::start((0..3).map(|_| Disk::default()).collect(), 0)
+    /// Starts three new voters and runs them until one is the leader.
+    pub fn form() -> Cluster {
+        Cluster::start((0..3).map(|_| MemoryDisk::default()).collect(), 0)
     }
 
-    /// Voters of the stores on these disks, a majority, run until one leads.
-    pub fn reopened(disks: Vec<Disk>) -> Cluster {
+    /// Starts the voters whose stores are on these disks, a majority, and runs them until one is the leader.
+    pub fn reopen(disks: Vec<MemoryDisk>) -> Cluster {
         Cluster::start(disks, 10)
     }
 
-    fn start(disks: Vec<Disk>, boot: u64) -> Cluster {
-        let seat = |voter: usize| VoterMember { name: format!("v{voter}"), address: address(voter) };
+    fn start(disks: Vec<MemoryDisk>, first_process_id: u64) -> Cluster {
+        let member = |voter: usize| VoterMember { name: format!("v{voter}"), address: address(voter) };
         let now = Duration::from_secs(1);
-        let voter = |(i, disk): (usize, &Disk)| {
-            let (name, number) = (format!("v{i}"), 100 + i as u64);
-            let (store, found) = Store::open(disk.clone(), FLEET, &name, number, number).unwrap();
-            assert_eq!(found.identity.disk_id, number);
-            let setup = VoterConfig {
-                member: seat(i),
-                initial_voters: (0..3).map(seat).collect(),
+        let voter = |(i, disk): (usize, &MemoryDisk)| {
+            let (name, disk_id) = (format!("v{i}"), 100 + i as u64);
+            let (store, contents) = Store::open(disk.clone(), FLEET, &name, disk_id, disk_id).unwrap();
+            assert_eq!(contents.identity.disk_id, disk_id);
+            let config = VoterConfig {
+                member: member(i),
+                initial_voters: (0..3).map(member).collect(),
                 timing: Timing { lease: Duration::from_secs(10), election: Duration::from_secs(1) },
-                process_id: boot + 1 + i as u64,
+                process_id: first_process_id + 1 + i as u64,
                 seed: 5 + i as u64,
                 clock_origin_unix_ms: UNIX_MS,
             };
-            (Voter::new(setup, found, now), store)
+            (Voter::new(config, contents, now), store)
         };
         let voters = disks.iter().enumerate().map(voter).collect();
         let mut cluster = Cluster {
             now,
             disks,
             voters,
-            on_the_way: VecDeque::new(),
-            answers: Vec::new(),
-            number: 0,
-            sent: 0,
-            digest: Sha256::new(),
+            in_flight: VecDeque::new(),
+            responses: Vec::new(),
+            last_request_id: 0,
+            messages_sent: 0,
+            messages_digest: Sha256::new(),
         };
         cluster.run(Duration::from_secs(20));
-        assert!(cluster.leader().is_some(), "nobody leads");
+        assert!(cluster.leader().is_some(), "no leader was elected");
         cluster
     }
 
@@ -173,8 +175,8 @@
         (0..self.voters.len()).find(|i| self.voters[*i].0.state() == VoterState::Leader)
     }
 
-    fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             for i in 0..self.voters.len() {
@@ -182,21 +184,21 @@
                     self.voters[i].0.tick(self.now);
                 }
             }
-            self.carry_out();
+            self.carry_out_actions();
         }
     }
 
-    /// Does what the voters want done, until they want nothing more.
-    fn carry_out(&mut self) {
+    /// Carries out the actions of the voters and delivers their messages until nothing is left.
+    fn carry_out_actions(&mut self) {
         loop {
             for i in 0..self.voters.len() {
                 while let Some(action) = self.voters[i].0.next_action() {
                     match action {
                         VoterAction::Send { to, message } => {
-                            self.sent += 1;
-                            self.digest.update(to.to_string());
-                            self.digest.update(postcard::to_stdvec(&message).unwrap());
-                            self.on_the_way.push_back((address(i), to, message));
+                            self.messages_sent += 1;
+                            self.messages_digest.update(to.to_string());
+                            self.messages_digest.update(postcard::to_stdvec(&message).unwrap());
+                            self.in_flight.push_back((address(i), to, message));
                         }
                         VoterAction::Write(batch) => {
                             let outcome = self.voters[i].1.write(&batch);
@@ -206,84 +208,89 @@
                     }
                 }
             }
-            let Some((from, to, message)) = self.on_the_way.pop_front() else { return };
+            let Some((from, to, message)) = self.in_flight.pop_front() else { return };
             match (message, (0..3).find(|i| address(*i) == to)) {
-                (_, Some(i)) if i >= self.voters.len() => {} // it is not there
+                (_, Some(i)) if i >= self.voters.len() => {} // the voter is not running
                 (message, Some(i)) => self.voters[i].0.receive(self.now, from, message),
-                (Message::Response(answer), None) => self.answers.push(answer),
-                (message, None) => panic!("{message:?} to a client"),
+                (Message::Response(response), None) => self.responses.push(response),
+                (message, None) => panic!("unexpected message to a client: {message:?}"),
             }
         }
     }
 
-    /// Asks the leader, and takes its answer to this very request; time passes until it is there.
-    fn ask(&mut self, client: usize, wish: Operation) -> Outcome {
-        self.number += 1;
-        let who = Holder { name: CLIENTS[client].into(), process_id: 50 + client as u64 };
-        let ask = Request { id: self.number, client: who, last_response_age_ms: 0, operation: wish };
+    /// Sends a request to the leader, and runs the cluster until its response has arrived.
+    fn request(&mut self, client: usize, operation: Operation) -> Outcome {
+        self.last_request_id += 1;
+        let process = Holder { name: CLIENTS[client].into(), process_id: 50 + client as u64 };
+        let request =
+            Request { id: self.last_request_id, client: process, last_response_age_ms: 0, operation };
         let leader = self.leader().unwrap();
-        self.voters[leader].0.receive(self.now, client_address(), Message::Request(ask));
-        self.carry_out();
+        self.voters[leader].0.receive(self.now, client_address(), Message::Request(request));
+        self.carry_out_actions();
         for _ in 0..500 {
-            if let Some(at) = self.answers.iter().position(|a| a.request_id == self.number) {
-                return self.answers.remove(at).outcome;
+            if let Some(position) = self.responses.iter().position(|r| r.request_id == self.last_request_id) {
+                return self.responses.remove(position).outcome;
             }
             self.run(STEP);
         }
-        panic!("no answer")
+        panic!("no response from the leader")
     }
 
-    /// Takes or renews a lease; its token.
-    pub fn renew(&mut self, duty: &str, client: usize, token: u64) -> u64 {
-        match self.ask(client, Operation::Acquire { lease: duty.into(), token }) {
-            Outcome::Granted { lease: of, token, .. } if of == duty => token,
+    /// Acquires or renews a lease, and returns its token.
+    pub fn acquire(&mut self, lease: &str, client: usize, token: u64) -> u64 {
+        match self.request(client, Operation::Acquire { lease: lease.into(), token }) {
+            Outcome::Granted { lease: granted, token, .. } if granted == lease => token,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Whether another holds this lease.
-    pub fn is_refused(&mut self, duty: &str, client: usize) -> bool {
+    /// Requests a lease, and returns whether another client holds it.
+    pub fn is_held_by_other(&mut self, lease: &str, client: usize) -> bool {
         matches!(
-            self.ask(client, Operation::Acquire { lease: duty.into(), token: 0 }),
+            self.request(client, Operation::Acquire { lease: lease.into(), token: 0 }),
             Outcome::HeldByOther { .. }
         )
     }
 
-    /// Grants, a release, what a holder leaves for the next, and so many entries that a snapshot is taken.
-    pub fn play_script(&mut self) {
-        let first = self.renew("errand/a", 0, 0);
-        let second = self.renew("lists/z", 1, 0);
-        for n in 0..ENTRIES {
-            let wish = Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![n] };
-            assert_eq!(self.ask(0, wish), Outcome::Done);
+    /// Runs the fixed script: grants, a release, saved states, and enough entries for a snapshot.
+    pub fn run_script(&mut self) {
+        let first = self.acquire("errand/a", 0, 0);
+        let second = self.acquire("lists/z", 1, 0);
+        for state in 0..SAVED_STATES {
+            let operation =
+                Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![state] };
+            assert_eq!(self.request(0, operation), Outcome::Done);
         }
-        let third = self.renew("roll", 2, 0);
+        let third = self.acquire("roll", 2, 0);
         assert!(first < second && second < third);
-        assert_eq!(self.ask(1, Operation::Release { lease: "lists/z".into(), token: second }), Outcome::Done);
-        let wish = Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![7, 3] };
-        assert_eq!(self.ask(0, wish), Outcome::Done);
+        assert_eq!(
+            self.request(1, Operation::Release { lease: "lists/z".into(), token: second }),
+            Outcome::Done
+        );
+        let operation = Operation::SaveState { lease: "errand/a".into(), token: first, state: vec![7, 3] };
+        assert_eq!(self.request(0, operation), Outcome::Done);
         self.run(Duration::from_secs(1));
     }
 
-    /// What the leader tells.
+    /// Requests the status from the leader.
     pub fn status(&mut self) -> Status {
-        match self.ask(0, Operation::Status) {
-            Outcome::Status(told) => {
-                let ClusterStatus { table, cluster_id: founded, term, .. } = *told;
-                Status { founded, term, table }
+        match self.request(0, Operation::Status) {
+            Outcome::Status(status) => {
+                let ClusterStatus { table, cluster_id, term, .. } = *status;
+                Status { cluster_id, term, table }
             }
             other => panic!("{other:?}"),
         }
     }
 
-    /// How many messages were sent, and a digest of their receivers and bytes.
+    /// Returns the number of messages sent by voters, and a digest of their receivers and bytes.
     pub fn sent_digest(&self) -> String {
-        let digest = self.digest.clone().finalize();
-        format!("{} {}", self.sent, digest.iter().map(|b| format!("{b:02x}")).collect::<String>())
+        let digest = self.messages_digest.clone().finalize();
+        format!("{} {}", self.messages_sent, digest.iter().map(|b| format!("{b:02x}")).collect::<String>())
     }
 
-    /// Ends the voters; their disks.
-    pub fn stop(self) -> Vec<Disk> {
+    /// Stops the voters, and returns their disks.
+    pub fn stop(self) -> Vec<MemoryDisk> {
         drop(self.voters);
         self.disks
     }
--- a/coordination/tests/golden_bytes/image.rs
+++ b/coordination/tests/golden_bytes/image.rs
@@ -1,25 +1,26 @@
-//! A file that is mostly zeros as text: its length, then each run of other bytes with its offset.
+//! Text encoding of a file that is mostly zeros: its length, then each run of other bytes with its offset.
 
 use std::fmt::Write;
 
-/// Zeros that end a run.
-const GAP: usize = 16;
+/// Number of consecutive zeros that end a run.
+const ZEROS_PER_GAP: usize = 16;
 
-/// The text of a file.
+/// Encodes a file as text.
 pub fn compress(bytes: &[u8]) -> String {
     let mut text = format!("length {}\n", bytes.len());
-    let mut at = 0;
-    while let Some(start) = bytes[at..].iter().position(|b| *b != 0).map(|i| at + i) {
+    let mut offset = 0;
+    while let Some(start) = bytes[offset..].iter().position(|b| *b != 0).map(|i| offset + i) {
         let rest = &bytes[start..];
-        let length = rest.windows(GAP).position(|w| w.iter().all(|b| *b == 0)).unwrap_or(rest.len());
+        let length =
+            rest.windows(ZEROS_PER_GAP).position(|w| w.iter().all(|b| *b == 0)).unwrap_or(rest.len());
         let run: String = rest[..length].iter().map(|b| format!("{b:02x}")).collect();
-        let _ = writeln!(text, "{start:x} {run}"); // a String takes all
-        at = start + length;
+        let _ = writeln!(text, "{start:x} {run}"); // writing to a String cannot fail
+        offset = start + length;
     }
     text
 }
 
-/// The file that this text is of.
+/// Decodes a file from its text.
 pub fn restore(text: &str) -> Vec<u8> {
     let mut lines = text.lines();
     let length = lines.next().and_then(|l| l.strip_prefix("length ")).unwrap();
--- a/coordination/tests/lease_table.rs
+++ b/coordination/tests/lease_table.rs
@@ -1,4 +1,4 @@
-//! Lease table: commands as the voters apply them.
+//! Lease table: the effects of commands, and the limits of the table.
 
 use coordination::{ApplyResult, Command, Holder, LeaseTable, HISTORY_MAX, LEASES_MAX, STATE_MAX};
 
@@ -10,7 +10,7 @@
 fn token_of(result: ApplyResult) -> u64 {
     match result {
         ApplyResult::Granted { token, .. } => token,
-        other => panic!("{other:?}"),
+        other => panic!("not granted: {other:?}"),
     }
 }
 
@@ -18,20 +18,20 @@
 fn a_grant_applies_only_after_the_token_that_it_was_decided_on() {
     let mut table = LeaseTable::default();
     let first = token_of(table.apply(grant("lists", "a", 0)));
-    assert_eq!(first, 1000, "no lower than the time");
+    assert_eq!(first, 1000, "the first token is at least the current time");
     assert_eq!(table.apply(grant("lists", "b", 0)), ApplyResult::Ignored { lease: "lists".into() });
     let other = token_of(table.apply(grant("roll", "b", 0)));
     let second = token_of(table.apply(grant("lists", "b", first)));
-    assert!(first < other && other < second, "over all leases");
+    assert!(first < other && other < second, "tokens increase across all leases");
     let release = |token| Command::Release { lease: "lists".into(), token, at_ms: 1 };
     let ignored = ApplyResult::Ignored { lease: "lists".into() };
-    assert_eq!(table.apply(release(first)), ignored, "a command of the holder before");
+    assert_eq!(table.apply(release(first)), ignored, "a command from the previous holder is ignored");
     assert_eq!(table.holder("lists").unwrap().name, "b");
     assert_eq!(table.apply(release(second)), ApplyResult::Released { lease: "lists".into() });
-    assert_eq!((table.holder("lists"), table.token("lists")), (None, second), "the token stays");
+    assert_eq!((table.holder("lists"), table.token("lists")), (None, second), "a release keeps the token");
     table.apply(Command::SaveState { lease: "roll".into(), token: other, state: vec![7] });
     assert!(token_of(table.apply(grant("roll", "c", other))) > second);
-    assert_eq!(table.leases["roll"].state, [7], "saved state is kept for the next holder");
+    assert_eq!(table.leases["roll"].state, [7], "the saved state is kept for the next holder");
 }
 
 #[test]
--- a/coordination/tests/list_broadcast.rs
+++ b/coordination/tests/list_broadcast.rs
@@ -1,4 +1,4 @@
-//! List broadcast among the nodes of a zone whose messages arrive at once.
+//! List broadcast among the nodes of a zone, with messages delivered without delay.
 
 use coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
     ListEntry { key: key.into(), removed, bytes: vec![7; length] }
 }
 
-fn at(i: usize) -> SocketAddr {
+fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16))
 }
 
-/// Nodes of a zone, with the deltas that each applied.
+/// Nodes of a zone, with the deltas that each has applied.
 struct Zone {
     nodes: Vec<ListBroadcast>,
     applied: Vec<Vec<ListDelta>>,
@@ -22,7 +22,7 @@
 
 impl Zone {
     fn new(nodes: usize) -> Zone {
-        let peers: Vec<(String, SocketAddr)> = (0..nodes).map(|i| (format!("n{i:03}"), at(i))).collect();
+        let peers: Vec<(String, SocketAddr)> = (0..nodes).map(|i| (format!("n{i:03}"), address(i))).collect();
         let node = |i: usize| {
             let mut node = ListBroadcast::new(&peers[i].0, 1);
             node.set_peers(peers.clone());
@@ -31,20 +31,20 @@
         Zone { nodes: (0..nodes).map(node).collect(), applied: vec![Vec::new(); nodes] }
     }
 
-    /// Delivers all messages but the lost ones; returns the most that one node sent.
-    fn deliver(&mut self, now: Duration, lost: impl Fn(usize, usize) -> bool) -> u64 {
-        let before: Vec<u64> = self.nodes.iter().map(|s| s.metrics().sent).collect();
-        let mut is_quiet = false;
-        while !is_quiet {
-            is_quiet = true;
+    /// Delivers all messages except those that `is_lost` selects; returns the maximum number that one node sent.
+    fn deliver(&mut self, now: Duration, is_lost: impl Fn(usize, usize) -> bool) -> u64 {
+        let sent_before: Vec<u64> = self.nodes.iter().map(|node| node.metrics().sent).collect();
+        let mut is_idle = false;
+        while !is_idle {
+            is_idle = true;
             for from in 0..self.nodes.len() {
                 while let Some(action) = self.nodes[from].next_action() {
-                    is_quiet = false;
+                    is_idle = false;
                     match action {
                         BroadcastAction::Send { to, message } => {
                             let to = (to.port() - 1000) as usize;
-                            if !lost(from, to) {
-                                self.nodes[to].receive(now, at(from), message);
+                            if !is_lost(from, to) {
+                                self.nodes[to].receive(now, address(from), message);
                             }
                         }
                         BroadcastAction::Apply(delta) => self.applied[from].push(delta),
@@ -53,7 +53,12 @@
                 }
             }
         }
-        self.nodes.iter().zip(before).map(|(s, b)| s.metrics().sent - b).max().unwrap_or(0)
+        self.nodes
+            .iter()
+            .zip(sent_before)
+            .map(|(node, before)| node.metrics().sent - before)
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -70,14 +75,17 @@
     zone.nodes[7].publish(now, &complete(3, list.clone()), true);
     zone.nodes[7].tick(now, true);
     let most = zone.deliver(now, |_, _| false);
-    assert!(zone.nodes.iter().all(|s| s.version() == 3 && s.entries().len() == 400));
-    assert!(most <= 16 * 8, "some chunks to each of sixteen: {most}");
-    assert_eq!(zone.nodes.iter().filter(|s| s.polls_discovery()).count(), 1, "the holder alone polls");
-    // A delta costs one message to each child.
+    assert!(zone.nodes.iter().all(|node| node.version() == 3 && node.entries().len() == 400));
+    assert!(most <= 16 * 8, "several chunks to each of 16 nodes: {most}");
+    assert_eq!(zone.nodes.iter().filter(|node| node.polls_discovery()).count(), 1, "only the holder polls");
+    // A small delta is one message to each child.
     let delta = ListDelta { version: 4, complete: false, entries: vec![entry("w3", true, 0)] };
     zone.nodes[7].publish(now, &delta, true);
     let most = zone.deliver(now, |_, _| false);
-    assert!(most <= 16 && zone.nodes.iter().all(|s| s.version() == 4 && s.entries().len() == 399), "{most}");
+    assert!(
+        most <= 16 && zone.nodes.iter().all(|node| node.version() == 4 && node.entries().len() == 399),
+        "{most}"
+    );
 }
 
 #[test]
@@ -97,13 +105,13 @@
     let now = MS * 200;
     zone.nodes[0].tick(now, true);
     zone.deliver(now, |_, _| false);
-    assert!(zone.nodes.iter().all(|s| s.version() == 4 && s.entries().len() == 1));
-    assert_eq!(zone.applied[3].last().unwrap().entries.len(), 1, "the changes, not the whole list");
+    assert!(zone.nodes.iter().all(|node| node.version() == 4 && node.entries().len() == 1));
+    assert_eq!(zone.applied[3].last().unwrap().entries.len(), 1, "only the changes, not the complete list");
 }
 
-/// An old holder's list never replaces a newer one, nor does a new holder's that is behind.
+/// Neither a previous holder nor a new holder that lags behind replaces a list with an older version.
 #[test]
-fn a_list_never_goes_back() {
+fn a_list_never_returns_to_an_older_version() {
     let mut zone = Zone::new(3);
     zone.nodes[0].lease_acquired(MS, 5);
     zone.nodes[0].publish(MS, &complete(9, vec![entry("a", false, 9)]), true);
@@ -111,7 +119,7 @@
     zone.nodes[1].lease_acquired(MS, 6);
     zone.nodes[1].tick(MS, true);
     zone.deliver(MS, |_, _| false);
-    // The old holder was stalled and goes on.
+    // The previous holder resumes after a stall.
     let delta = ListDelta { version: 12, complete: true, entries: vec![] };
     let chunk = BroadcastMessage::Chunk {
         token: 5,
@@ -122,17 +130,17 @@
         count: 1,
         entries: vec![],
     };
-    zone.nodes[2].receive(MS, at(0), chunk);
+    zone.nodes[2].receive(MS, address(0), chunk);
     assert_eq!((zone.nodes[2].version(), zone.nodes[2].metrics().stale_messages), (9, 1));
-    // It receives the heartbeat of the next one, and sends nothing more even if discovery tells it.
+    // It has received the heartbeat of the new holder, and forwards no further changes from discovery.
     zone.nodes[0].publish(MS, &delta, true);
     zone.deliver(MS, |_, _| false);
     assert_eq!(zone.nodes[2].version(), 9);
-    // The new one is told an older list by discovery.
+    // Discovery returns an older list to the new holder.
     zone.nodes[1].publish(MS, &complete(8, vec![]), true);
     zone.deliver(MS, |_, _| false);
     assert!(zone.nodes[2].version() == 9 && zone.nodes[2].entries().len() == 1);
-    // From another discovery nothing counts here, until this node follows that one.
+    // Versions of another discovery service are ignored until this node uses that service.
     let chunk = BroadcastMessage::Chunk {
         token: 7,
         source: 2,
@@ -142,10 +150,10 @@
         count: 1,
         entries: vec![],
     };
-    zone.nodes[2].receive(MS, at(1), chunk.clone());
+    zone.nodes[2].receive(MS, address(1), chunk.clone());
     assert_eq!(zone.nodes[2].version(), 9);
     zone.nodes[2].set_source(2);
-    zone.nodes[2].receive(MS, at(1), chunk);
+    zone.nodes[2].receive(MS, address(1), chunk);
     assert_eq!(zone.nodes[2].version(), 20);
 }
 
@@ -156,25 +164,25 @@
     zone.nodes[0].publish(MS, &complete(1, vec![]), true);
     zone.nodes[0].tick(MS, true);
     zone.deliver(MS, |_, _| false);
-    let mut polling = Vec::new();
+    let mut start_times = Vec::new();
     for ms in 1..1500 {
         let now = MS * ms;
         for i in 1..100 {
             if !zone.nodes[i].polls_discovery() && zone.nodes[i].next_tick() <= now {
                 zone.nodes[i].tick(now, false);
-                polling.push(ms);
+                start_times.push(ms);
             }
         }
     }
-    assert_eq!(polling.len(), 99);
-    assert!(polling[0] > 490 && polling[98] < 900, "{polling:?}");
-    let most = polling.chunk_by(|a, b| a == b).map(<[u32]>::len).max().unwrap();
-    assert!(most <= 2, "{most} at once");
-    // They stop with the heartbeat of the next holder.
+    assert_eq!(start_times.len(), 99);
+    assert!(start_times[0] > 490 && start_times[98] < 900, "{start_times:?}");
+    let most = start_times.chunk_by(|a, b| a == b).map(<[u32]>::len).max().unwrap();
+    assert!(most <= 2, "{most} nodes started at once");
+    // They stop polling at the heartbeat of the next holder.
     zone.nodes[4].lease_acquired(MS * 2000, 6);
     zone.nodes[4].tick(MS * 2000, true);
     zone.deliver(MS * 2000, |_, _| false);
-    assert_eq!(zone.nodes.iter().filter(|s| s.polls_discovery()).count(), 1);
+    assert_eq!(zone.nodes.iter().filter(|node| node.polls_discovery()).count(), 1);
 }
 
 #[test]
--- a/coordination/tests/rolling_restart.rs
+++ b/coordination/tests/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Rolling restart of an emulated fleet.
+//! Rolling restart of an emulated fleet: order, limits and the conditions for an abort.
 
 use coordination::{
     FleetMember, RestartOutcome, RestartProgress, RestartStep, RollingRestart, IN_PROGRESS_MAX,
@@ -19,44 +19,45 @@
     (0..n).map(member).collect()
 }
 
-/// Nodes that are told to restart are gone for one pass, and back with another process at the next.
+/// Advances the restart. Nodes that receive a restart request are absent for one pass and return with a new process at the
+/// next; returns their names.
 fn advance(
     restart: &mut RollingRestart,
     now: Duration,
     members: &mut Vec<FleetMember>,
-    away: &mut Vec<FleetMember>,
+    restarting: &mut Vec<FleetMember>,
 ) -> Vec<String> {
-    members.append(away);
+    members.append(restarting);
     restart.advance(now, members);
-    let mut told = Vec::new();
+    let mut requested = Vec::new();
     while let Some(step) = restart.next_step() {
         if let RestartStep::Restart { name, process_id, .. } = step {
-            let found = members.iter().position(|m| m.name == name && m.process_id == process_id);
-            let member = members.remove(found.expect("it is there"));
-            away.push(FleetMember { process_id: process_id + 1, ..member });
-            told.push(name);
+            let position = members.iter().position(|m| m.name == name && m.process_id == process_id);
+            let member = members.remove(position.expect("the process is a member"));
+            restarting.push(FleetMember { process_id: process_id + 1, ..member });
+            requested.push(name);
         }
     }
-    told
+    requested
 }
 
 #[test]
-fn all_nodes_restart_once_and_never_too_many_of_a_zone() {
-    let (mut members, mut away) = (fleet(8), Vec::new());
+fn each_node_restarts_once_within_the_limit_of_its_zone() {
+    let (mut members, mut restarting) = (fleet(8), Vec::new());
     let mut holder = "n3";
     let mut restart = RollingRestart::start(holder, 7, 1, &members);
     let (mut order, mut now) = (Vec::new(), S);
     while restart.progress().outcome.is_none() {
-        let told = advance(&mut restart, now, &mut members, &mut away);
+        let requested = advance(&mut restart, now, &mut members, &mut restarting);
         for zone in ["z0", "z1"] {
-            assert!(away.iter().filter(|m| m.zone == zone).count() <= 1);
+            assert!(restarting.iter().filter(|m| m.zone == zone).count() <= 1);
         }
-        order.extend(told);
+        order.extend(requested);
         now += S;
         assert!(now < 100 * S, "{:?}", restart.progress());
-        // The holder restarts alone, and another resumes from what it saved.
+        // The holder restarts alone, and the next holder resumes from the saved progress.
         if order.last().is_some_and(|n| n == "n3") && holder == "n3" {
-            assert_eq!(away.len(), 1);
+            assert_eq!(restarting.len(), 1);
             holder = "n0";
             restart = RollingRestart::resume(holder, restart.progress().clone());
         }
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn restart_halts_when_members_disappear() {
+fn restart_aborts_when_members_disappear() {
     let mut restart = RollingRestart::start("n0", 7, 1, &fleet(4));
     let three = fleet(3);
     restart.advance(S, &three);
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn restart_halts_when_too_many_jobs_fail() {
+fn restart_aborts_when_too_many_requests_fail() {
     let mut restart = RollingRestart::start("n0", 7, 1, &fleet(4));
     restart.record_requests(1, 30);
     assert_eq!(restart.progress().outcome, None);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn restart_halts_when_a_node_does_not_come_back() {
+fn restart_aborts_when_a_node_does_not_return() {
     let mut members = fleet(4);
     let mut restart = RollingRestart::start("n0", 7, 1, &members);
     restart.advance(S, &members);
