--- a/coordination/src/client.rs
+++ b/coordination/src/client.rs
@@ -52,16 +52,16 @@
     /// Requests a lease and keeps renewing it until [`Client::release`].
     pub fn acquire(&mut self, now: Duration, lease: &str) {
         let state = self.leases.entry(lease.to_string()).or_default();
-        if !state.wanted {
-            state.wanted = true;
-            state.next_request = now;
+        if !state.is_requested {
+            state.is_requested = true;
+            state.next_request_at = now;
         }
     }
 
     /// Releases a lease if it is held, and stops requesting it.
     pub fn release(&mut self, now: Duration, lease: &str) {
         let Some(state) = self.leases.get_mut(lease) else { return };
-        state.wanted = false;
+        state.is_requested = false;
         if let Some(grant) = state.grant.take() {
             // The client stops using the lease before the voters learn of the release.
             state.start_release(now, grant);
@@ -74,14 +74,14 @@
     /// Saves state for the next holder of a lease that this process holds.
     pub fn save_state(&mut self, now: Duration, lease: &str, saved: Vec<u8>) {
         if let Some(state) = self.leases.get_mut(lease).filter(|state| state.grant.is_some()) {
-            state.unsaved = Some(saved);
-            state.next_request = now;
+            state.unsaved_state = Some(saved);
+            state.next_request_at = now;
         }
     }
 
     /// Returns whether the voters have yet to confirm the saved state of a lease.
     pub fn is_saving_state(&self, lease: &str) -> bool {
-        self.leases.get(lease).is_some_and(|state| state.unsaved.is_some())
+        self.leases.get(lease).is_some_and(|state| state.unsaved_state.is_some())
     }
 
     /// Returns the fencing token of a lease if the lease is valid now. Must be called right before each operation under it.
@@ -112,8 +112,8 @@
     pub fn tick(&mut self, now: Duration) {
         self.expire_grants(now);
         // A release that reached no voter is dropped once the lease has expired.
-        self.leases.retain(|_, state| state.wanted || state.is_releasing(now));
-        let is_due = |state: &LeaseState| now >= state.next_request;
+        self.leases.retain(|_, state| state.is_requested || state.is_releasing(now));
+        let is_due = |state: &LeaseState| now >= state.next_request_at;
         let due: Vec<String> =
             self.leases.iter().filter(|(_, state)| is_due(state)).map(|(lease, _)| lease.clone()).collect();
         for lease in due {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Sends a request of an operator, and returns it so that its response can be matched.
+    /// Sends a request to a voter, such as an operator's, and returns it so that its response can be matched.
     pub fn request(&mut self, now: Duration, to: SocketAddr, operation: Operation) -> Request {
         self.last_request_id += 1;
         let request = Request {
@@ -139,12 +139,12 @@
         self.directory.target()
     }
 
-    /// Turns to the next voter, when the one that was asked does not respond or knows no leader.
+    /// Switches to the next voter, for use when the current one does not respond or knows no leader.
     pub fn try_next_voter(&mut self) {
         self.directory.try_next();
     }
 
-    /// Adds the voters that a leader named.
+    /// Adds the voters in a status that a leader returned.
     pub fn update_voters(&mut self, status: &ClusterStatus) {
         self.directory.add(status.table.voters.values().map(|member| member.address));
     }
@@ -212,8 +212,8 @@
         let validity = self.timing.holder_validity();
         let valid_until = sent_at + validity;
         let Some(state) = self.leases.get_mut(lease) else { return };
-        if token <= state.last_released || !state.wanted {
-            // This process has already released the lease: the voters must be told, again if necessary.
+        if token <= state.last_released || !state.is_requested {
+            // This process has already released the lease, so the release is sent, again if necessary.
             if state.releasing.is_none() {
                 state.start_release(now, Grant { token, valid_until: now + validity });
             }
@@ -241,15 +241,15 @@
         let Some(state) = self.leases.get_mut(lease) else { return };
         state.releasing = None;
         if let Some(grant) = state.grant.take_if(|grant| grant.token <= token) {
-            state.next_request = now + self.timing.renew_interval();
+            state.next_request_at = now + self.timing.renew_interval();
             self.report_lost(lease, grant.token, LeaseLost::TakenOver);
         }
     }
 
     fn handle_done(&mut self, lease: &str) {
         let Some(state) = self.leases.get_mut(lease) else { return };
-        state.unsaved = None;
-        if state.releasing.take().is_some() && !state.wanted {
+        state.unsaved_state = None;
+        if state.releasing.take().is_some() && !state.is_requested {
             self.leases.remove(lease);
         }
     }
@@ -269,7 +269,7 @@
     /// Makes the next request for the lease of this request due immediately.
     fn retry_now(&mut self, now: Duration, id: u64) {
         for state in self.leases.values_mut().filter(|state| state.sent_at(id).is_some()) {
-            state.next_request = now;
+            state.next_request_at = now;
         }
     }
 
@@ -288,9 +288,9 @@
         let Some(state) = self.leases.get_mut(lease) else { return };
         // Retries are more frequent than renewals, so that a lost message does not cost the lease.
         let is_settled =
-            state.releasing.is_none() && state.unsaved.is_none() && self.directory.leader.is_some();
+            state.releasing.is_none() && state.unsaved_state.is_none() && self.directory.leader.is_some();
         let retry_interval = (renew_interval / 2).min(RETRY_INTERVAL_MAX);
-        state.next_request = now + if is_settled { renew_interval } else { retry_interval };
+        state.next_request_at = now + if is_settled { renew_interval } else { retry_interval };
         let operation = state.next_operation(lease);
         let id = self.request(now, to, operation).id;
         if let Some(state) = self.leases.get_mut(lease) {
--- a/coordination/src/client/lease.rs
+++ b/coordination/src/client/lease.rs
@@ -19,17 +19,17 @@
 #[derive(Default)]
 pub(super) struct LeaseState {
     /// Whether the lease is to be acquired and renewed.
-    pub(super) wanted: bool,
+    pub(super) is_requested: bool,
     pub(super) grant: Option<Grant>,
     /// Grant that is being released, already reported to the embedder as lost.
     pub(super) releasing: Option<Grant>,
     /// Token that was released last; a late response must not reinstate it.
     pub(super) last_released: u64,
     /// State for the next holder that the voters have not confirmed yet.
-    pub(super) unsaved: Option<Vec<u8>>,
+    pub(super) unsaved_state: Option<Vec<u8>>,
     /// Ids and send times of the last requests.
     outstanding: VecDeque<(u64, Duration)>,
-    pub(super) next_request: Duration,
+    pub(super) next_request_at: Duration,
     /// Name and token of another process that holds the lease.
     pub(super) other_holder: Option<(String, u64)>,
 }
@@ -44,19 +44,19 @@
     }
 
     pub(super) fn next_tick(&self) -> Duration {
-        self.grant.map_or(self.next_request, |grant| grant.valid_until.min(self.next_request))
+        self.grant.map_or(self.next_request_at, |grant| grant.valid_until.min(self.next_request_at))
     }
 
     pub(super) fn start_release(&mut self, now: Duration, grant: Grant) {
         self.releasing = Some(grant);
         self.last_released = grant.token;
-        self.next_request = now;
+        self.next_request_at = now;
     }
 
     /// Returns the operation of the next request.
     pub(super) fn next_operation(&self, lease: &str) -> Operation {
         let lease = lease.to_string();
-        match (&self.grant, self.releasing, &self.unsaved) {
+        match (&self.grant, self.releasing, &self.unsaved_state) {
             (_, Some(Grant { token, .. }), _) => Operation::Release { lease, token },
             (Some(grant), _, Some(state)) => {
                 Operation::SaveState { lease, token: grant.token, state: state.clone() }
--- a/coordination/src/list_broadcast.rs
+++ b/coordination/src/list_broadcast.rs
@@ -98,7 +98,7 @@
     pub fn set_source(&mut self, source: u64) {
         if self.source != source {
             self.source = source;
-            self.list.forget_versions();
+            self.list.reset_version();
         }
     }
 
--- a/coordination/src/list_broadcast/state_transfer.rs
+++ b/coordination/src/list_broadcast/state_transfer.rs
@@ -40,7 +40,7 @@
     }
 
     /// Resets the version, because another discovery service assigns the next ones.
-    pub(super) fn forget_versions(&mut self) {
+    pub(super) fn reset_version(&mut self) {
         self.version = 0;
         self.deltas.clear();
     }
--- a/coordination/tests/golden_bytes/cluster.rs
+++ b/coordination/tests/golden_bytes/cluster.rs
@@ -138,7 +138,7 @@
         Cluster::start(disks, 10)
     }
 
-    fn start(disks: Vec<MemoryDisk>, first_process_id: u64) -> Cluster {
+    fn start(disks: Vec<MemoryDisk>, process_id_offset: u64) -> Cluster {
         let member = |voter: usize| VoterMember { name: format!("v{voter}"), address: address(voter) };
         let now = Duration::from_secs(1);
         let voter = |(i, disk): (usize, &MemoryDisk)| {
@@ -149,7 +149,7 @@
                 member: member(i),
                 initial_voters: (0..3).map(member).collect(),
                 timing: Timing { lease: Duration::from_secs(10), election: Duration::from_secs(1) },
-                process_id: first_process_id + 1 + i as u64,
+                process_id: process_id_offset + 1 + i as u64,
                 seed: 5 + i as u64,
                 clock_origin_unix_ms: UNIX_MS,
             };
