--- a/coordination/src/store/format.rs
+++ b/coordination/src/store/format.rs
@@ -5,8 +5,8 @@
 //! | `facts` | `format` | [`FORMAT`] as four bytes, big-endian |
 //! | `facts` | `folder` | [`DiskIdentity`], encoded with `postcard` |
 //! | `facts` | `hard` | Raft's `HardState` (term, vote, commit), encoded with `protobuf` |
-//! | `facts` | `snapshot` | Raft's `Snapshot`, encoded with `protobuf`; its data is the lease table, encoded with `postcard` |
-//! | `log` | index | Raft's `Entry`, encoded with `protobuf`; its data is a lease command, encoded with `postcard` |
+//! | `facts` | `snapshot` | Raft's `Snapshot`, encoded with `protobuf`; its data is the lease table in `postcard` |
+//! | `log` | index | Raft's `Entry`, encoded with `protobuf`; its data is a lease command in `postcard` |
 //!
 //! Each value is preceded by the first [`DIGEST_BYTES`] bytes of the SHA-256 digest of the record's name, a zero byte and
 //! the value. A record that changed on the disk is detected before any lease is granted based on it.
--- a/coordination/tests/model.rs
+++ b/coordination/tests/model.rs
@@ -1,6 +1,6 @@
 //! Model of leases and fencing tokens, checked over all reachable states: leaders that are deposed without knowing it, two
-//! nodes that request, hold and release a lease, stall and restart, messages that are delayed, duplicated or lost, and clocks
-//! that drift within the bound. With a guard removed the checker must find a violation; docs/DUTIES-DESIGN.md lists
+//! nodes that request, hold and release a lease, stall and restart, messages that are delayed, duplicated or lost, and
+//! clocks that drift within the bound. With a guard removed the checker must find a violation; docs/DUTIES-DESIGN.md lists
 //! the shortest ones. The full set runs with `TESTBED_LONG=1 cargo test --release -p coordination --test model`.
 //!
 //! Not modeled: the log, which a library implements (a majority of the term's voters commits a command, or it is never
@@ -9,8 +9,8 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Duration of a lease by the leader's clock, and time for which a holder may use it, counted from its request by a clock that
-/// may lose one tick.
+/// Duration of a lease by the leader's clock, and time for which a holder may use it, counted from its request by a clock
+/// that may lose one tick.
 const LEASE: u8 = 2;
 const VALIDITY: u8 = 1;
 /// Bounds of the search.
