--- a/coordination/src/voter/requests.rs
+++ b/coordination/src/voter/requests.rs
@@ -58,12 +58,7 @@
             }
             Operation::AddVoter(member) => self.add_voter(request, member),
             Operation::RemoveVoter(name) => self.remove_voter(request, &name),
-            _ => self.respond(
-                &request,
-                Outcome::Rejected(
-                    "the lease name is empty or too long, or the saved state is too large".into(),
-                ),
-            ),
+            _ => self.respond(&request, Outcome::Rejected("a name or what is left is too long".into())),
         }
     }
 
--- a/coordination/src/voter/voter_changes.rs
+++ b/coordination/src/voter/voter_changes.rs
@@ -11,7 +11,7 @@
     pub(super) fn add_voter(&mut self, request: PendingRequest, member: VoterMember) {
         let Some(disk_id) = self.latest_disk_of(&member.name) else {
             let reason = format!(
-                "no handshake from {}: start it with a state folder and with the voters in its fleet file",
+                "{} was not heard of: start it with a state folder and the voters in its file",
                 member.name
             );
             return self.respond(&request, Outcome::Rejected(reason));
@@ -20,8 +20,7 @@
             return self.respond(&request, Outcome::Done);
         }
         if self.table.voters.values().any(|voter| voter.name == member.name) {
-            let reason =
-                format!("{} is already a voter with another state folder: remove it first", member.name);
+            let reason = format!("{} has a seat with another folder: remove it first", member.name);
             return self.respond(&request, Outcome::Rejected(reason));
         }
         self.propose_voter_change(request, ConfChangeType::AddNode, disk_id, Some(member));
@@ -44,10 +43,10 @@
         };
         let other = self.table.voters.keys().find(|id| **id != self.identity.disk_id).copied();
         match (self.raft.running_mut(), other) {
-            (_, None) => self.respond(&request, Outcome::Rejected("the last voter cannot be removed".into())),
+            (_, None) => self.respond(&request, Outcome::Rejected("it is the last voter".into())),
             (Some(raft), Some(other)) if disk_id == self.identity.disk_id => {
                 raft.transfer_leader(other);
-                let reason = "this voter is the leader and is transferring its leadership: try again";
+                let reason = "it leads, and hands that on now: ask again";
                 self.respond(&request, Outcome::Rejected(reason.into()));
             }
             _ => self.propose_voter_change(request, ConfChangeType::RemoveNode, disk_id, None),
@@ -67,7 +66,7 @@
         change.node_id = disk_id;
         change.context = member.and_then(|m| postcard::to_stdvec(&m).ok()).unwrap_or_default().into();
         if raft.raft.has_pending_conf() || raft.propose_conf_change(Vec::new(), change).is_err() {
-            let reason = "another change of the voters is in progress";
+            let reason = "another change of voters is under way";
             return self.respond(&request, Outcome::Rejected(reason.into()));
         }
         if let Some(leadership) = &mut self.leadership {
