--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,16 +1,16 @@
-//! Fleet membership that the nodes keep themselves: which nodes are alive, suspected, draining, left or dead.
+//! Decentralized fleet membership: each node's view of which nodes are alive, suspect, draining, left or dead.
 //!
-//! [`Machine`] has no I/O, clock or thread of its own: datagrams, the time and requests of the node are its input,
-//! [`Action`]s its output. So the same code runs over sockets and in emulated time. It does SWIM with suspicion and
-//! refutation (the `foca` crate), and above it names, incarnations, zones, leaving on purpose, authenticated messages with
-//! replay protection, and contact with members held dead, so that the halves of a partition find each other again.
+//! [`Machine`] has no I/O, clock or thread of its own: its inputs are datagrams, the time and calls of the embedder, its
+//! output is [`Action`]s. So the same code runs over sockets and in emulated time. The failure detector is SWIM with
+//! suspicion and refutation (the `foca` crate). On top of it, this crate adds names, incarnations, zones, graceful leave,
+//! authenticated messages with replay protection, and contact with dead members, so that a healed partition merges.
 //!
 //! ```
 //! use membership::keys::Keys;
 //! use membership::{Action, Config, Machine, ProcessStart, Timing};
 //! use std::time::Duration;
 //!
-//! /// A machine of the node `name`, which listens at a port of its own and contacts `n1` first.
+//! /// Creates the machine of the node `name`, which listens on the given port and has `n1` as its seed.
 //! fn machine(name: &str, port: u16, process_id: u64) -> Result<Machine, Box<dyn std::error::Error>> {
 //!     let config = Config {
 //!         fleet: "example".into(),
@@ -27,7 +27,7 @@
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let mut machines = [machine("n1", 7001, 1)?, machine("n2", 7002, 2)?];
-//! // The embedder runs the timers and carries the datagrams; here both nodes share one clock and lose nothing.
+//! // The embedder runs the timers and delivers the datagrams; here both nodes share one clock and no datagram is lost.
 //! for now in (0..2000).map(Duration::from_millis) {
 //!     for sender in 0..2 {
 //!         if machines[sender].next_timeout() <= now {
@@ -47,8 +47,8 @@
 //! # }
 //! ```
 //!
-//! Each node has its own view, and views differ for some seconds after a change: nothing that must be exclusive may depend
-//! on them.
+//! Each node has its own view, and views differ for some seconds after a change, so mutual exclusion must not depend on
+//! them.
 #![forbid(unsafe_code)]
 
 mod codec;
--- a/membership/src/machine/view.rs
+++ b/membership/src/machine/view.rs
@@ -13,7 +13,7 @@
         let present = self.members.iter().filter(|member| member.status.is_present());
         let all = present.map(|member| &member.identity).chain([self.foca.identity()]);
         let serving = all.filter(|id: &&Identity| id.phase == Phase::Serving);
-        let mut peers: Vec<Peer> = serving.map(Peer::of).collect();
+        let mut peers: Vec<Peer> = serving.map(Peer::from_identity).collect();
         peers.sort();
         peers
     }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,44 +1,44 @@
-//! Members of the fleet: identity, phase and status, and the view that lists them.
+//! Members of the fleet: their identity, phase and status, and the view that lists them.
 
 use crate::hash::name_hash;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest name of a node, zone or fleet, in bytes. Bounds the size of every message.
+/// Longest name of a node, zone or fleet, in bytes. Bounds the size of messages.
 pub const NAME_MAX: usize = 64;
 
-/// Phase of a member, as it announces it.
+/// Phase that a member announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes jobs.
+    /// Accepts requests.
     Serving,
-    /// It directs its clients elsewhere, and may still run jobs.
+    /// Directs its clients to other nodes, but may still have open requests.
     Draining,
-    /// It has answered all of its jobs and sends nothing more.
+    /// Has answered all requests and sends nothing more.
     Left,
 }
 
-/// Identity of a member in one incarnation. A restart, a return after being held dead and a change of phase each take a
-/// new, higher incarnation; of two identities with one name the higher one prevails.
+/// Identity of a member in one incarnation. A restart, a rejoin after being declared dead and a change of phase each
+/// increase the incarnation; of two identities with the same name, the higher one supersedes the other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "IdentityFields")]
 pub struct Identity {
-    /// Name of the node; unchanged by restarts.
+    /// Name of the node, the same after a restart.
     pub name: String,
-    /// Zone; empty if the installation has none.
+    /// Zone; empty if zones are not configured.
     pub zone: String,
     /// Address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Process number, drawn at random at each start.
+    /// Random id of the process, new at each start.
     pub process_id: u64,
-    /// Incarnation number of the name; only grows. A process begins with its start in Unix time, in milliseconds.
+    /// Incarnation of the name, which only increases. A process starts with the Unix time in milliseconds.
     pub incarnation: u64,
-    /// Phase.
+    /// Phase that the member announces.
     pub phase: Phase,
-    /// Hash of the name, kept because each update on a member compares it with every other member's: hashing anew took a
-    /// third of the processor time of a large fleet.
+    /// Hash of the name. Cached because `foca` compares it with every other member's at each update: computing it there
+    /// took a third of the CPU time in a large fleet.
     #[serde(skip)]
     pub(crate) hash: u64,
 }
@@ -63,12 +63,12 @@
 }
 
 impl Identity {
-    /// Whether this identity prevails over another of the same name. The process number breaks ties, alike at all nodes.
+    /// Whether this identity supersedes another of the same name. The process id breaks ties, the same way at all nodes.
     pub fn supersedes(&self, other: &Identity) -> bool {
         (self.incarnation, self.process_id) > (other.incarnation, other.process_id)
     }
 
-    /// Whether its names are within the allowed lengths.
+    /// Whether its name and zone have allowed lengths.
     pub fn is_valid(&self) -> bool {
         !self.name.is_empty() && self.name.len() <= NAME_MAX && self.zone.len() <= NAME_MAX
     }
@@ -77,7 +77,7 @@
 impl foca::Identity for Identity {
     type Addr = u64;
 
-    /// Never renews by itself: the machine decides whether this process rejoins or yields to another of its name.
+    /// Disables automatic renewal: the machine decides whether this process rejoins or yields its name to another.
     fn renew(&self) -> Option<Self> {
         None
     }
@@ -95,61 +95,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStatus {
-    /// It is present and takes jobs.
+    /// Present, accepts requests.
     Alive,
-    /// It did not answer a probe; it may still refute the suspicion.
+    /// Did not answer a probe, but can still refute the suspicion.
     Suspect,
-    /// It is present and directs its clients elsewhere.
+    /// Present, directs its clients to other nodes.
     Draining,
-    /// It left on purpose.
+    /// Left on purpose.
     Left,
-    /// It is held dead. It may be partitioned from this node and still run jobs.
+    /// Declared dead. It may be partitioned from this node and still send requests to workers.
     Dead,
 }
 
 impl MemberStatus {
-    /// Whether the member is held to be running.
+    /// Whether the member is considered to be running.
     pub fn is_present(self) -> bool {
         matches!(self, MemberStatus::Alive | MemberStatus::Suspect | MemberStatus::Draining)
     }
 }
 
-/// Entry of a view on one member.
+/// Entry of a view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Name.
+    /// Name of the node.
     pub name: String,
-    /// Zone.
+    /// Zone of the node; may be empty.
     pub zone: String,
-    /// Address at which it is reached.
+    /// Address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Incarnation number.
+    /// Incarnation of the name.
     pub incarnation: u64,
-    /// Process number.
+    /// Random id of the process.
     #[serde(rename = "boot")]
     pub process_id: u64,
-    /// Status.
+    /// Status of the member.
     pub status: MemberStatus,
     /// Time in this status, in milliseconds.
     #[serde(rename = "for_ms")]
     pub status_age_ms: u64,
 }
 
-/// A member that takes jobs.
+/// A member that accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
-    /// Name.
+    /// Name of the node.
     pub name: String,
-    /// Zone.
+    /// Zone of the node; may be empty.
     pub zone: String,
-    /// Address at which it is reached.
+    /// Address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Process number.
+    /// Random id of the process.
     pub process_id: u64,
 }
 
 impl Peer {
-    pub(crate) fn of(id: &Identity) -> Peer {
+    pub(crate) fn from_identity(id: &Identity) -> Peer {
         Peer { name: id.name.clone(), zone: id.zone.clone(), address: id.address, process_id: id.process_id }
     }
 }
@@ -159,26 +159,26 @@
 pub struct View {
     /// Name of the fleet.
     pub fleet: String,
-    /// Name of the node whose view it is.
+    /// Name of the node that has this view.
     pub node: String,
     /// Incarnation of that node.
     pub incarnation: u64,
-    /// Address of the process of the same name that it yielded to, if it did; the view is frozen then.
+    /// Address of the process to which this node yielded its name, if it did; the view is no longer updated then.
     pub yielded_to: Option<SocketAddr>,
-    /// Whether it has ever heard of another node.
+    /// Whether another node was ever present.
     pub joined: bool,
-    /// All members, the node included, by name.
+    /// All members, this node included, sorted by name.
     pub members: Vec<MemberInfo>,
 }
 
 impl View {
-    /// Names of the members held to be running, in order.
+    /// Sorted names of the members that are present.
     pub fn present_names(&self) -> impl Iterator<Item = &str> {
         self.members.iter().filter(|m| m.status.is_present()).map(|m| m.name.as_str())
     }
 }
 
-/// A duration in milliseconds, as views and states carry it.
+/// Converts a duration to whole milliseconds, the unit of views and full states.
 pub(crate) fn millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
