--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,9 +1,10 @@
 //! Decentralized fleet membership: each node's view of which nodes are alive, suspect, draining, left or dead.
 //!
-//! [`Machine`] has no I/O, clock or thread of its own: its inputs are datagrams, the time and calls of the embedder, its
-//! output is [`Action`]s. So the same code runs over sockets and in emulated time. The failure detector is SWIM with
-//! suspicion and refutation (the `foca` crate). On top of it, this crate adds names, incarnations, zones, graceful leave,
-//! authenticated messages with replay protection, and contact with dead members, so that a healed partition merges.
+//! [`Machine`] has no I/O, clock or thread of its own: its inputs are datagrams, the time and calls of the embedder,
+//! its output is [`Action`]s. So the same code runs over sockets and in emulated time. The failure detector is SWIM
+//! with suspicion and refutation (the `foca` crate). On top of it, this crate adds names, incarnations, zones,
+//! graceful leave, authenticated messages with replay protection, and contact with dead members, so that a healed
+//! partition merges.
 //!
 //! ```
 //! use membership::keys::Keys;
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -1,6 +1,6 @@
-//! State machine of one node's membership: SWIM, with authenticated datagrams, names and incarnations above it.
+//! State machine of one node's membership: SWIM, with authenticated datagrams, names and incarnations on top.
 //!
-//! It has no I/O: datagrams and the time are its input, [`Action`]s its output. Each module below has one job.
+//! It has no I/O: its inputs are datagrams and the time, its output is [`Action`]s.
 
 mod action;
 mod config;
@@ -21,7 +21,7 @@
 pub use config::{Config, ProcessStart, Timing};
 pub use counters::{Counters, Rejections};
 
-use crate::codec::{ConflictCodec, NameConflicts};
+use crate::codec::{NameConflictCodec, NameConflicts};
 use crate::fragments::Reassembler;
 use crate::hash::name_hash;
 use crate::keys::Keys;
@@ -30,10 +30,10 @@
 use foca::{Foca, NoCustomBroadcast};
 use members::MemberTable;
 use participation::Participation;
-use probing::RivalProbe;
+use probing::ClaimantProbe;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use resend::{ResendBuffer, ResponseLimit};
+use resend::{ChallengeResponseLimit, ResendBuffer};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use swim::{swim_config, SwimEffects};
@@ -41,57 +41,58 @@
 
 /// Membership of one node.
 ///
-/// All times are of one clock of the embedder's that only runs forward, from any start.
+/// All times are readings of one monotonic clock of the embedder, with any origin.
 pub struct Machine {
     config: Config,
     process_id: u64,
     /// Hash of the fleet's name.
     fleet_hash: u64,
-    foca: Foca<Identity, ConflictCodec, SmallRng, NoCustomBroadcast>,
+    foca: Foca<Identity, NameConflictCodec, SmallRng, NoCustomBroadcast>,
     effects: SwimEffects,
     name_conflicts: NameConflicts,
     rng: SmallRng,
     actions: VecDeque<Action>,
     timers: Timers,
     sessions: Sessions,
-    resend: ResendBuffer,
-    responses: ResponseLimit,
+    resend_buffer: ResendBuffer,
+    challenge_response_limit: ChallengeResponseLimit,
     reassembler: Reassembler,
-    /// Packet number of the last datagram.
-    packets_sent: u64,
-    /// Number of the last message of another subsystem.
-    messages_sent: u64,
+    /// Sequence number of the last datagram sent.
+    last_sequence_number: u64,
+    /// Number of the last message sent for another subsystem.
+    last_message_number: u64,
     members: MemberTable,
-    /// Members of `foca`'s that are not in the table: one of this node's own name, or none.
-    unlisted: usize,
-    /// Number of members that `foca` is configured for.
+    /// Number of `foca`'s members that are not in the table: one with this node's own name, or none.
+    untracked_members: usize,
+    /// Number of members for which `foca` is configured.
     configured_members: usize,
-    /// Ages of the deaths in a state while it is applied, by name.
+    /// Ages of the deaths in a full state while it is applied, by name.
     death_ages: BTreeMap<String, Duration>,
-    /// Time since which the digests of other views have differed.
+    /// Local time since which received digests have differed from the own one.
     diverged_since: Option<Duration>,
     next_sync_at: Duration,
     participation: Participation,
-    rival_probe: Option<RivalProbe>,
-    /// Time of the last notification to a rival.
-    rival_notified: Duration,
+    claimant_probe: Option<ClaimantProbe>,
+    /// Local time of the last notification to a claimant.
+    claimant_notified_at: Duration,
     counters: Counters,
 }
 
 impl Machine {
-    /// Creates the machine of a process that has just started, at the time `now`.
+    /// Creates the machine of a process that starts at `now`.
     pub fn new(config: Config, start: ProcessStart, now: Duration) -> Machine {
         let mut rng = SmallRng::seed_from_u64(start.rng_seed);
         let name_conflicts = NameConflicts::default();
-        let codec = ConflictCodec {
+        let codec = NameConflictCodec {
             name: config.name.clone(),
             process_id: start.process_id,
             name_conflicts: name_conflicts.clone(),
         };
         let foca_rng = SmallRng::seed_from_u64(rng.random());
-        let foca = Foca::new(first_identity(&config, start), swim_config(&config.timing, 1), foca_rng, codec);
+        let foca =
+            Foca::new(initial_identity(&config, start), swim_config(&config.timing, 1), foca_rng, codec);
         let mut timers = Timers::default();
-        timers.schedule(now, Timer::Contact, Duration::ZERO);
+        timers.schedule(now, Timer::Reconnect, Duration::ZERO);
         Machine {
             process_id: start.process_id,
             fleet_hash: name_hash(&config.fleet),
@@ -102,47 +103,47 @@
             actions: VecDeque::new(),
             timers,
             sessions: Sessions::default(),
-            resend: ResendBuffer::default(),
-            responses: ResponseLimit::new(now),
+            resend_buffer: ResendBuffer::default(),
+            challenge_response_limit: ChallengeResponseLimit::new(now),
             reassembler: Reassembler::default(),
-            packets_sent: 0,
-            messages_sent: 0,
+            last_sequence_number: 0,
+            last_message_number: 0,
             members: MemberTable::new(now),
-            unlisted: 0,
+            untracked_members: 0,
             configured_members: 1,
             death_ages: BTreeMap::new(),
             diverged_since: None,
             next_sync_at: now,
             participation: Participation::Active,
-            rival_probe: None,
-            rival_notified: now,
+            claimant_probe: None,
+            claimant_notified_at: now,
             counters: Counters::default(),
             config,
         }
     }
 
-    /// Removes and returns the next action to carry out.
+    /// Returns the next action to carry out, in order.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Time at which [`Machine::handle_timeout`] is to be called next.
+    /// Time at which the embedder must call [`Machine::handle_timeout`] next.
     pub fn next_timeout(&self) -> Duration {
-        self.timers.due()
+        self.timers.next_due()
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys, for key rotation.
     pub fn set_keys(&mut self, keys: Keys) {
         self.config.keys = keys;
     }
 
-    /// Runs the timers that have fired.
+    /// Runs the timers that have expired.
     pub fn handle_timeout(&mut self, now: Duration) {
         let now = self.timers.advance(now);
         while let Some(timer) = self.timers.pop(now) {
             match timer {
                 Timer::Foca(timer) => self.run_foca_timer(timer),
-                Timer::Contact => self.contact_missing(now),
+                Timer::Reconnect => self.reconnect(now),
                 Timer::Rejoin => self.rejoin_if_declared_dead(now),
             }
             self.apply_effects(now);
@@ -150,17 +151,17 @@
     }
 
     fn run_foca_timer(&mut self, timer: foca::Timer<Identity>) {
-        if self.is_refuted(&timer) {
+        if self.is_refuted_suspicion(&timer) {
             return;
         }
         self.effects.rescan |= matches!(timer, foca::Timer::RemoveDown(_));
-        // An error is a probe that this process itself delayed; the next one continues.
+        // Fails if this process was late for its own probe; the next probe round continues.
         let _ = self.foca.handle_timer(timer, &mut self.effects);
     }
 }
 
 /// Identity of a process at its start.
-fn first_identity(config: &Config, start: ProcessStart) -> Identity {
+fn initial_identity(config: &Config, start: ProcessStart) -> Identity {
     Identity {
         name: config.name.clone(),
         zone: config.zone.clone(),
--- a/membership/src/machine/action.rs
+++ b/membership/src/machine/action.rs
@@ -1,56 +1,56 @@
-//! Output of a machine: actions for its embedder, and events among them.
+//! Output of a machine: actions for the embedder, and membership events.
 
 use crate::member::Identity;
 use std::net::SocketAddr;
 
-/// An action that the embedder is to carry out.
+/// Action for the embedder to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
         /// Address of the receiver.
         to: SocketAddr,
-        /// Content.
+        /// Encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Synchronize states over a stream: see [`Machine::request_sync`](crate::Machine::request_sync).
+    /// Initiate a state synchronization over a stream: see [`Machine::request_sync`](crate::Machine::request_sync).
     SyncState {
         /// Address of the responder.
         to: SocketAddr,
     },
     /// Handle the tenant rates that another node sent.
     Rates {
-        /// Name of that node.
+        /// Name of the sender.
         from: String,
-        /// Rates by the hash of the tenant's name, in 1/64 of a job per second.
+        /// Rates by the hash of the tenant name, in 1/64 of a request per second.
         rates: Vec<(u64, u16)>,
     },
     /// Handle a message of another subsystem.
     Message {
-        /// Address of the sender, whose process has a session here.
+        /// Address of the sender, which has a session.
         from: SocketAddr,
-        /// Content.
+        /// Complete message.
         bytes: Vec<u8>,
     },
     /// Log an event.
     Event(MembershipEvent),
 }
 
-/// A change of the view, or of this node's place in it.
+/// Change of the view, or of this node's participation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// A member is present: new, again, or with another phase.
+    /// A member is present: it is new, has rejoined, or has changed its identity.
     Up(Identity),
-    /// A member is held dead.
+    /// A member was declared dead.
     Down(Identity),
     /// A member left on purpose.
     Left(Identity),
-    /// A member that was dead or had left is forgotten.
+    /// A dead member, or one that left, was removed from the view.
     Removed(String),
-    /// This node was held dead, or its name was, and has rejoined under this incarnation.
+    /// This node has rejoined with this incarnation: it was declared dead, resumed, or took its name back.
     Rejoined(u64),
-    /// Another process with this node's name prevails; this one stays out of the view.
+    /// This process has yielded its name to another process and left the view.
     Yielded(Identity),
-    /// Another process claims this node's name.
+    /// Another process claims this node's name with an identity that supersedes this one's.
     NameConflict(Identity),
 }
--- a/membership/src/machine/config.rs
+++ b/membership/src/machine/config.rs
@@ -1,21 +1,21 @@
-//! Configuration of a machine, and what is new with each start of a process.
+//! Configuration of a machine, and the values that are new with each start of a process.
 
 use crate::keys::Keys;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals and time limits of the protocol.
+/// Protocol intervals and timeouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Interval between two probes of this node; each is of one member.
+    /// Interval between probes; each is of one member.
     pub probe_interval: Duration,
-    /// Time limit for the answer to a direct probe, before indirect ones are sent.
+    /// Time to wait for the answer to a direct probe before indirect probes are sent.
     pub probe_timeout: Duration,
-    /// Time in which a suspected member can refute before it is held dead.
+    /// Time in which a suspect member can refute before it is declared dead.
     pub suspicion_timeout: Duration,
-    /// Interval between two messages to a member held dead, and to a seed that is not in the view.
+    /// Interval between attempts to reach a dead member, and a seed that is not in the view.
     pub reconnect_interval: Duration,
-    /// Time after which a member that died or left is forgotten.
+    /// Time after which a member that died or left is removed from the view.
     pub remove_after: Duration,
 }
 
@@ -36,28 +36,28 @@
 pub struct Config {
     /// Name of the fleet.
     pub fleet: String,
-    /// Name of the node.
+    /// Name of this node.
     pub name: String,
-    /// Zone of the node; may be empty.
+    /// Zone of this node; may be empty.
     pub zone: String,
-    /// Address at which other nodes reach it.
+    /// Address at which other nodes reach this one.
     pub advertise: SocketAddr,
-    /// Addresses of the nodes to contact first.
+    /// Addresses of the nodes to contact first; may include this node's own.
     pub seeds: Vec<SocketAddr>,
     /// Keys of the fleet.
     pub keys: Keys,
-    /// Intervals and time limits.
+    /// Protocol intervals and timeouts.
     pub timing: Timing,
 }
 
 /// Values that are new with each start of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessStart {
-    /// Process number, drawn at random: tells this process from every other.
+    /// Random id that distinguishes this process from every other.
     pub process_id: u64,
-    /// Unix time in milliseconds, the first incarnation. If the clock was set back, the node first takes a lower one
-    /// than before, and a higher one as soon as it hears of that.
+    /// Unix time in milliseconds, used as the first incarnation. If the clock was set back, the node starts with a
+    /// lower incarnation than before, and rejoins with a higher one as soon as it learns of the old one.
     pub unix_time_ms: u64,
-    /// Seed of the random numbers, among them nonces; must be secret.
+    /// Seed of the random number generator, which also makes the nonces; must be secret.
     pub rng_seed: u64,
 }
--- a/membership/src/machine/counters.rs
+++ b/membership/src/machine/counters.rs
@@ -3,22 +3,22 @@
 use crate::packet::DecodeError;
 use serde::{Deserialize, Serialize};
 
-/// Rejected datagrams and states, by reason.
+/// Rejected datagrams and full states, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejections {
-    /// Longer than any that a node sends.
+    /// Longer than the maximum.
     pub oversized: u64,
-    /// Of another version of the format.
+    /// Another version of the format.
     pub version: u64,
-    /// Not authenticated with one of the keys.
+    /// The MAC matches neither key.
     #[serde(rename = "seal")]
     pub unauthenticated: u64,
-    /// Authenticated, but invalid.
+    /// Authentic, but invalid.
     pub malformed: u64,
-    /// Of another fleet, or for another node.
+    /// From another fleet, or addressed to another node.
     #[serde(rename = "astray")]
     pub misdirected: u64,
-    /// Received before, or too old to tell.
+    /// Duplicate, or older than the replay window.
     pub replayed: u64,
     /// From a process without a session.
     #[serde(rename = "unproven")]
@@ -26,7 +26,7 @@
 }
 
 impl Rejections {
-    /// Counts a message that could not be decoded.
+    /// Counts a datagram or frame that could not be decoded.
     pub(crate) fn count(&mut self, error: DecodeError) {
         let counter = match error {
             DecodeError::Oversized => &mut self.oversized,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Counters of one machine.
+/// Protocol counters of one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Datagrams sent.
@@ -49,7 +49,7 @@
     pub received: u64,
     /// Bytes of the datagrams accepted.
     pub received_bytes: u64,
-    /// Datagrams and states rejected.
+    /// Datagrams and full states rejected.
     #[serde(rename = "refused")]
     pub rejected: Rejections,
     /// Full states accepted.
@@ -58,9 +58,9 @@
     /// Messages with tenant rates accepted.
     #[serde(rename = "rates")]
     pub rate_messages: u64,
-    /// Members that came to be held dead.
+    /// Members declared dead.
     pub deaths: u64,
-    /// How often this node was held dead and rejoined.
+    /// How often this node rejoined.
     #[serde(rename = "returns")]
     pub rejoins: u64,
     /// Sessions and pending challenges.
--- a/membership/src/machine/datagrams.rs
+++ b/membership/src/machine/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams: authentication, replay protection and dispatch of those received, encoding of those sent.
+//! Datagrams: encoding of those sent; authentication, replay protection and dispatch of those received.
 
 use super::{Action, Machine, Participation};
 use crate::fragments::{split, MESSAGE_MAX};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Machine {
-    /// Handles a received datagram, whatever it holds. One that is invalid is counted and ignored.
+    /// Handles a received datagram. An invalid one is counted and ignored.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         let now = self.timers.advance(now);
         let packet: Packet = match decode(&self.config.keys, bytes, DATAGRAM_MAX) {
@@ -27,8 +27,7 @@
         self.apply_effects(now);
     }
 
-    /// Sends the rates of tenants to another node; to none if that node is not present. Rates in excess of
-    /// [`RATES_MAX`] are dropped.
+    /// Sends tenant rates to another node, if it is present in the view. Rates beyond [`RATES_MAX`] are dropped.
     pub fn send_rates(&mut self, now: Duration, to: &str, mut rates: Vec<(u64, u16)>) {
         let now = self.timers.advance(now);
         let to = self.members.get_present(to).map(|member| member.identity.address);
@@ -38,32 +37,32 @@
         }
     }
 
-    /// Sends a message of another subsystem to the node at an address, whatever the view holds of it. Delivery is not
+    /// Sends a message of another subsystem to the node at an address, which need not be in the view. Delivery is not
     /// guaranteed, and a message longer than [`MESSAGE_MAX`] is not sent.
     pub fn send_message(&mut self, now: Duration, to: SocketAddr, bytes: &[u8]) {
         let now = self.timers.advance(now);
         if bytes.len() > MESSAGE_MAX || self.participation == Participation::Left {
             return;
         }
-        self.messages_sent += 1;
+        self.last_message_number += 1;
         for fragment in split(bytes) {
-            self.send(now, to, Body::Fragment(self.messages_sent, fragment));
+            self.send(now, to, Body::Fragment(self.last_message_number, fragment));
         }
     }
 
-    /// Encodes and sends a body, and keeps it for a challenge.
+    /// Encodes and sends a body, and keeps it in case the receiver responds with a challenge.
     pub(super) fn send(&mut self, now: Duration, to: SocketAddr, body: Body) {
-        // Challenges and their responses are not sent again: they answer one datagram of the receiver.
+        // Challenges and challenge responses are not resent: each answers one datagram of the receiver.
         if !matches!(body, Body::Challenge(_) | Body::ChallengeResponse(..)) {
-            self.resend.push(now, to, body.clone());
+            self.resend_buffer.push(now, to, body.clone());
         }
-        self.packets_sent += 1;
+        self.last_sequence_number += 1;
         let packet = Packet {
             fleet_hash: self.fleet_hash,
             process_id: self.process_id,
             from: self.config.advertise,
             to,
-            sequence_number: self.packets_sent,
+            sequence_number: self.last_sequence_number,
             body,
         };
         let bytes = encode(&self.config.keys, &packet);
@@ -72,15 +71,15 @@
         self.actions.push_back(Action::Send { to, bytes });
     }
 
-    /// Handles a packet that is for this node, as its session admits.
+    /// Handles a packet that is addressed to this node: checks its session, then handles the body.
     fn handle_packet(&mut self, now: Duration, packet: Packet, length: usize) {
         let Packet { process_id, from, sequence_number, body, .. } = packet;
         match body {
             Body::Challenge(nonce) => self.respond_to_challenge(now, from, nonce),
-            Body::ChallengeResponse(nonce, again) => {
+            Body::ChallengeResponse(nonce, resent) => {
                 if !self.sessions.complete_challenge(now, process_id, sequence_number, nonce) {
                     self.counters.rejected.replayed += 1;
-                } else if let Some(body) = again {
+                } else if let Some(body) = resent {
                     self.handle_body(now, process_id, from, *body, length);
                 }
             }
@@ -99,15 +98,15 @@
         }
     }
 
-    /// Returns a nonce, to prove that this process runs, with the last body sent to that receiver.
+    /// Echoes a nonce, which proves that this process is running, and resends the last body for that receiver.
     fn respond_to_challenge(&mut self, now: Duration, to: SocketAddr, nonce: u64) {
-        if self.responses.acquire(now) {
-            let again = self.resend.take(now, to).map(Box::new);
-            self.send(now, to, Body::ChallengeResponse(nonce, again));
+        if self.challenge_response_limit.acquire(now) {
+            let resent = self.resend_buffer.take(now, to).map(Box::new);
+            self.send(now, to, Body::ChallengeResponse(nonce, resent));
         }
     }
 
-    /// Handles an accepted body.
+    /// Handles the body of an accepted packet.
     fn handle_body(&mut self, now: Duration, process_id: u64, from: SocketAddr, body: Body, length: usize) {
         self.counters.received += 1;
         self.counters.received_bytes += length as u64;
@@ -140,7 +139,7 @@
         }
     }
 
-    /// Passes the rates of a node on, unless they come from a process other than the member of that name.
+    /// Passes on the rates of a node if they come from the process that is the present member of that name.
     fn handle_rates(&mut self, process_id: u64, name: String, rates: Vec<(u64, u16)>) {
         if self.members.get_present(&name).is_some_and(|member| member.identity.process_id == process_id) {
             self.counters.rate_messages += 1;
--- a/membership/src/machine/effects.rs
+++ b/membership/src/machine/effects.rs
@@ -1,6 +1,6 @@
-//! Carrying out the effects of `foca`, and recording the changes in its members.
+//! Carries out the effects that `foca` requests, and records changes of its members.
 
-use super::swim::{member_status, swim_config, transmissions};
+use super::swim::{max_transmissions, member_status, swim_config};
 use super::timers::Timer;
 use super::{Action, Machine, MembershipEvent, Participation};
 use crate::member::{Identity, MemberStatus, Phase};
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 impl Machine {
-    /// Carries out all effects, until there are none left.
+    /// Carries out effects until none are left.
     pub(super) fn apply_effects(&mut self, now: Duration) {
         loop {
-            if let Some(rival) = self.name_conflicts.take() {
-                self.resolve_name_conflict(now, rival);
+            if let Some(claimant) = self.name_conflicts.take() {
+                self.resolve_name_conflict(now, claimant);
             }
             if std::mem::take(&mut self.effects.defunct) && self.participation == Participation::Active {
                 self.participation = Participation::DeclaredDead;
@@ -21,9 +21,9 @@
             }
             self.schedule_timers(now);
             self.send_gossip(now);
-            // `foca` does not notify of members that it first hears of as dead.
-            let recorded = self.members.len() + self.unlisted;
-            self.effects.rescan |= self.foca.iter_membership_state().len() != recorded;
+            // `foca` does not notify of members that it first learns of as dead.
+            let known_members = self.members.len() + self.untracked_members;
+            self.effects.rescan |= self.foca.iter_membership_state().len() != known_members;
             if self.effects.changed.is_empty() && !self.effects.rescan {
                 return;
             }
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Whether this timer of `foca` is to declare a member dead that has refuted its suspicion: `foca` 2.0 would notify
-    /// that member of its death all the same.
-    pub(super) fn is_refuted(&self, timer: &foca::Timer<Identity>) -> bool {
+    /// Whether this `foca` timer would declare a member dead that has refuted the suspicion. Works around `foca` 2.0,
+    /// which would still notify that member of its death.
+    pub(super) fn is_refuted_suspicion(&self, timer: &foca::Timer<Identity>) -> bool {
         let foca::Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         !self.foca.iter_membership_state().any(|member| {
             member.id() == member_id
@@ -54,7 +54,7 @@
 
     fn send_gossip(&mut self, now: Duration) {
         while let Some((to, data)) = self.effects.sends.pop_front() {
-            // Messages to another process of this name, or to an earlier one at this address, are of no use.
+            // Skips identities with this node's own address: an earlier process, or another one of this name.
             if to.address != self.config.advertise {
                 let body = Body::Gossip(self.view_digest(), data);
                 self.send(now, to.address, body);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Records the members that changed, or compares all if that is not known. Guards a large fleet, in which there
-    /// always is a change, against a comparison of all members at each.
+    /// Records the members that changed; compares all members only if a rescan is requested. A large fleet changes
+    /// all the time, and comparing all its members at each change would be too slow.
     fn record_changes(&mut self, now: Duration) {
         for (id, is_up) in std::mem::take(&mut self.effects.changed) {
             let is_up = is_up.unwrap_or_else(|| self.members.get_present(&id.name).is_some());
@@ -78,20 +78,20 @@
         if std::mem::take(&mut self.effects.rescan) {
             self.rescan(now);
         }
-        let members = self.members.present() + 1;
-        if transmissions(members) != transmissions(self.configured_members) {
-            self.configured_members = members;
-            let _ = self.foca.set_config(swim_config(&self.config.timing, members));
+        let member_count = self.members.present_count() + 1;
+        if max_transmissions(member_count) != max_transmissions(self.configured_members) {
+            self.configured_members = member_count;
+            let _ = self.foca.set_config(swim_config(&self.config.timing, member_count));
         }
     }
 
-    /// Compares all of `foca`'s members with the recorded ones.
+    /// Compares all members of `foca` with the table, and records the differences.
     fn rescan(&mut self, now: Duration) {
-        let (mut changed, mut listed) = (Vec::new(), 0);
+        let (mut changed, mut tracked) = (Vec::new(), 0);
         let all = self.foca.iter_membership_state();
         let total = all.len();
         for member in all.filter(|member| member.id().name != self.config.name) {
-            listed += 1;
+            tracked += 1;
             let status = match member_status(member) {
                 MemberStatus::Suspect => MemberStatus::Alive,
                 status => status,
@@ -100,15 +100,15 @@
                 changed.push((member.id().clone(), status));
             }
         }
-        self.unlisted = total - listed;
+        self.untracked_members = total - tracked;
         changed.into_iter().for_each(|(id, status)| self.record(now, id, status));
-        if listed != self.members.len() {
-            self.forget_removed(now);
+        if tracked != self.members.len() {
+            self.drop_removed(now);
         }
     }
 
-    /// Drops the recorded members that `foca` has removed.
-    fn forget_removed(&mut self, now: Duration) {
+    /// Drops members from the table that `foca` has removed.
+    fn drop_removed(&mut self, now: Duration) {
         let all = self.foca.iter_membership_state();
         let names: HashSet<&str> = all.map(|member| member.id().name.as_str()).collect();
         for name in self.members.retain_names(now, &names) {
@@ -128,7 +128,7 @@
         self.actions.extend(event.map(Action::Event));
     }
 
-    /// Age of a death that the state under application reports; zero for any other.
+    /// Age of a member's death as reported by the full state that is being applied; zero if it reports none.
     fn death_age(&self, name: &str) -> Duration {
         self.death_ages.get(name).copied().unwrap_or_default()
     }
--- a/membership/src/machine/gossip.rs
+++ b/membership/src/machine/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: SWIM messages of other members, and the digests of views that come with them.
+//! Gossip: SWIM messages of other members, and the view digests that accompany them.
 
 use super::{Action, Machine, Participation};
 use crate::member::Identity;
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Shortest time between two state synchronizations that this node initiates.
+/// Minimum interval between state synchronizations that this node initiates.
 const SYNC_INTERVAL: Duration = Duration::from_secs(3);
-/// Time for which two views may differ before their states are synchronized: gossip takes its time.
+/// Time for which two views may differ before a state synchronization: gossip needs some rounds to converge.
 const DIVERGENCE_MAX: Duration = Duration::from_secs(3);
 
 impl Machine {
-    /// Handles a SWIM message, with the digest of the sender's view.
+    /// Handles a SWIM message and the digest of the sender's view.
     pub(super) fn handle_gossip(
         &mut self,
         now: Duration,
@@ -24,7 +24,8 @@
         if matches!(self.participation, Participation::Yielded(_)) {
             return;
         }
-        let Some(source) = source(data).filter(|id| id.process_id == process_id && id.is_valid()) else {
+        let Some(source) = claimed_sender(data).filter(|id| id.process_id == process_id && id.is_valid())
+        else {
             self.counters.rejected.malformed += 1;
             return;
         };
@@ -33,19 +34,20 @@
         }
         if let Some(member) = self.members.get(&source.name) {
             if member.identity.process_id != process_id && member.identity.supersedes(&source) {
-                // Nothing else in its message is used: it may be a process that was stopped and replaced meanwhile.
-                let rival = member.identity.clone();
-                return self.send(now, from, Body::NameConflict(rival));
+                // The rest of the message is ignored: the sender may be a suspended process that was replaced
+                // meanwhile.
+                let current = member.identity.clone();
+                return self.send(now, from, Body::NameConflict(current));
             }
         }
-        // An error is a message that can't be decoded.
+        // Fails if the message can't be decoded.
         if self.foca.handle_data(data, &mut self.effects).is_err() {
             self.counters.rejected.malformed += 1;
         }
         self.compare_digests(now, source.address, digest);
     }
 
-    /// Initiates a state synchronization with the node at an address, unless the last one was too recent.
+    /// Requests a state synchronization with the node at an address, unless the last one was too recent.
     pub(super) fn start_sync(&mut self, now: Duration, to: SocketAddr) {
         if now >= self.next_sync_at && to != self.config.advertise {
             self.next_sync_at = now + SYNC_INTERVAL;
@@ -53,24 +55,24 @@
         }
     }
 
-    /// Starts a state synchronization if the views have differed for too long. Guards against views that differ for good
-    /// because the gossip of a change was lost.
+    /// Starts a state synchronization if the views have differed for too long. Otherwise they would differ forever if
+    /// the gossip about a change was lost.
     fn compare_digests(&mut self, now: Duration, peer: SocketAddr, digest: u64) {
         if digest == self.view_digest() {
             self.diverged_since = None;
             return;
         }
         let since = *self.diverged_since.get_or_insert(now);
-        let settled = now.saturating_sub(self.members.changed_at()) >= DIVERGENCE_MAX / 2;
-        if now - since >= DIVERGENCE_MAX && settled {
+        let is_settled = now.saturating_sub(self.members.changed_at()) >= DIVERGENCE_MAX / 2;
+        if now - since >= DIVERGENCE_MAX && is_settled {
             self.start_sync(now, peer);
         }
     }
 }
 
-/// Identity of the sender as a SWIM message claims it. To be checked against the process that sent the datagram, so that
-/// none can send in the name of another.
-fn source(data: &[u8]) -> Option<Identity> {
+/// Identity of the sender as a SWIM message claims it. The caller must compare it with the process that sent the
+/// datagram, so that no member can impersonate another.
+fn claimed_sender(data: &[u8]) -> Option<Identity> {
     let header = postcard::take_from_bytes::<foca::Header<Identity>>(data);
     header.ok().map(|(header, _)| header.src)
 }
--- a/membership/src/machine/participation.rs
+++ b/membership/src/machine/participation.rs
@@ -1,26 +1,26 @@
-//! This node's place in the view: phases, leaving, rejoining, and conflicts over its name.
+//! This node's participation in the fleet: phase changes, leaving, rejoining, and name conflicts.
 
-use super::probing::RivalProbe;
+use super::probing::ClaimantProbe;
 use super::{Action, Machine, MembershipEvent};
 use crate::member::{Identity, Phase};
 use crate::packet::Body;
 use std::time::Duration;
 
-/// How this node takes part in the fleet.
+/// Participation of this node in the fleet.
 #[derive(PartialEq)]
 pub(super) enum Participation {
-    /// It is in the view.
+    /// It is a member.
     Active,
-    /// It was declared dead, and waits before it rejoins.
+    /// It was declared dead, and will rejoin after a delay.
     DeclaredDead,
-    /// It stays out of the view: this other process of its name prevails.
+    /// It has yielded its name to this other process, and is not a member.
     Yielded(Identity),
     /// It has left.
     Left,
 }
 
 impl Machine {
-    /// Announces whether the node takes jobs or drains.
+    /// Announces that the node drains, or accepts requests again.
     pub fn set_draining(&mut self, now: Duration, draining: bool) {
         let now = self.timers.advance(now);
         let phase = if draining { Phase::Draining } else { Phase::Serving };
@@ -32,7 +32,7 @@
         self.change_identity(now, next);
     }
 
-    /// Announces that the node leaves: it has answered all of its jobs. It sends nothing more after that.
+    /// Announces that the node leaves, once it has answered all requests. Nothing is sent after this announcement.
     pub fn leave(&mut self, now: Duration) {
         let now = self.timers.advance(now);
         if self.participation == Participation::Active {
@@ -40,7 +40,8 @@
             let last = Identity { phase: Phase::Left, incarnation: own.incarnation + 1, ..own };
             self.change_identity(now, last);
             self.participation = Participation::Left;
-            // Two messages to three members each, so that one lost datagram does not turn a leave into a crash.
+            // Sends two messages to three members each, so that the loss of one datagram does not make the leave look
+            // like a crash.
             let _ = self.foca.leave_cluster(&mut self.effects);
             let _ = self.foca.gossip(&mut self.effects);
         } else {
@@ -49,7 +50,7 @@
         self.apply_effects(now);
     }
 
-    /// Rejoins after this process was suspended for another of its node, which has ended.
+    /// Rejoins after this process was suspended in favor of another process of its node, which has ended.
     pub fn resume(&mut self, now: Duration) {
         let now = self.timers.advance(now);
         if self.participation != Participation::Left {
@@ -58,72 +59,76 @@
         self.apply_effects(now);
     }
 
-    /// Rejoins after having been declared dead, unless the node has rejoined already or probes a rival.
+    /// Rejoins after having been declared dead, unless the node has already rejoined or is probing a claimant.
     pub(super) fn rejoin_if_declared_dead(&mut self, now: Duration) {
-        if self.participation == Participation::DeclaredDead && self.rival_probe.is_none() {
+        if self.participation == Participation::DeclaredDead && self.claimant_probe.is_none() {
             self.rejoin(now, 0);
         }
     }
 
-    /// Takes the name, or takes it back, with an incarnation above the own one and `above`.
-    pub(super) fn rejoin(&mut self, now: Duration, above: u64) {
+    /// Joins again under this name, with an incarnation above its own last one and `lower_bound`.
+    pub(super) fn rejoin(&mut self, now: Duration, lower_bound: u64) {
         let own = self.foca.identity().clone();
-        let incarnation = own.incarnation.max(above) + 1;
+        let incarnation = own.incarnation.max(lower_bound) + 1;
         self.participation = Participation::Active;
-        self.rival_probe = None;
+        self.claimant_probe = None;
         self.counters.rejoins += 1;
         self.actions.push_back(Action::Event(MembershipEvent::Rejoined(incarnation)));
         self.change_identity(now, Identity { incarnation, ..own });
     }
 
-    /// Records a claim of another process to this node's name, for [`Machine::resolve_name_conflict`].
+    /// Records that another process claims this node's name, for [`Machine::resolve_name_conflict`].
     pub(super) fn note_name_conflict(&mut self, id: Identity) {
         if id.name == self.config.name && id.process_id != self.process_id {
             self.name_conflicts.add(&id);
         }
     }
 
-    /// Resolves a claim of another process to this node's name. If that process would prevail, it is probed before this
-    /// one yields.
-    pub(super) fn resolve_name_conflict(&mut self, now: Duration, rival: Identity) {
+    /// Resolves a name conflict with another process, the claimant. If the claimant's identity supersedes this one's,
+    /// it is probed first, and this process yields only if it answers.
+    pub(super) fn resolve_name_conflict(&mut self, now: Duration, claimant: Identity) {
         if !matches!(self.participation, Participation::Active | Participation::DeclaredDead) {
             return;
         }
-        if !rival.supersedes(self.foca.identity()) {
-            self.notify_rival(now, rival);
-        } else if rival.address == self.config.advertise {
-            // No other process can be at this node's own address: it is an earlier one, with a clock that was ahead.
-            self.rejoin(now, rival.incarnation);
-        } else if self.rival_probe.as_ref().is_none_or(|probe| probe.rival.process_id != rival.process_id) {
-            self.actions.push_back(Action::Event(MembershipEvent::NameConflict(rival.clone())));
-            self.send(now, rival.address, Body::IdentityRequest);
-            self.rival_probe = Some(RivalProbe { rival, sent: 1 });
+        if !claimant.supersedes(self.foca.identity()) {
+            self.notify_claimant(now, claimant);
+        } else if claimant.address == self.config.advertise {
+            // No other process can have this node's own address, so this is an earlier process whose clock was ahead.
+            self.rejoin(now, claimant.incarnation);
+        } else if self
+            .claimant_probe
+            .as_ref()
+            .is_none_or(|probe| probe.claimant.process_id != claimant.process_id)
+        {
+            self.actions.push_back(Action::Event(MembershipEvent::NameConflict(claimant.clone())));
+            self.send(now, claimant.address, Body::IdentityRequest);
+            self.claimant_probe = Some(ClaimantProbe { claimant, sent: 1 });
         }
     }
 
-    /// Leaves the view in favour of another process of this node's name.
-    pub(super) fn yield_to(&mut self, now: Duration, rival: Identity) {
-        self.rival_probe = None;
-        self.actions.push_back(Action::Event(MembershipEvent::Yielded(rival.clone())));
+    /// Leaves the view in favor of another process with this node's name.
+    pub(super) fn yield_to(&mut self, now: Duration, claimant: Identity) {
+        self.claimant_probe = None;
+        self.actions.push_back(Action::Event(MembershipEvent::Yielded(claimant.clone())));
         let _ = self.foca.leave_cluster(&mut self.effects);
-        self.participation = Participation::Yielded(rival);
+        self.participation = Participation::Yielded(claimant);
         self.apply_effects(now);
     }
 
-    /// Notifies another process of this node's name that this one prevails. Most often the claim is outdated and that
-    /// process gone, so this is limited to one message in each contact interval.
-    fn notify_rival(&mut self, now: Duration, rival: Identity) {
-        let due = now - self.rival_notified >= self.config.timing.reconnect_interval;
-        if rival.address != self.config.advertise && due {
-            self.rival_notified = now;
+    /// Notifies another process with this node's name that this one supersedes it. Most claims are outdated gossip
+    /// about a process that has ended, so at most one notification is sent per reconnect interval.
+    fn notify_claimant(&mut self, now: Duration, claimant: Identity) {
+        let is_due = now - self.claimant_notified_at >= self.config.timing.reconnect_interval;
+        if claimant.address != self.config.advertise && is_due {
+            self.claimant_notified_at = now;
             let own = self.foca.identity().clone();
-            self.send(now, rival.address, Body::NameConflict(own));
+            self.send(now, claimant.address, Body::NameConflict(own));
         }
     }
 
     fn change_identity(&mut self, now: Duration, id: Identity) {
         let _ = self.foca.change_identity(id, &mut self.effects);
-        // Makes `foca` look at its members, so that it starts its timers again.
+        // An empty update makes `foca` restart its timers.
         let _ = self.foca.apply_many(std::iter::empty(), true, &mut self.effects);
         self.effects.rescan = true;
         self.effects.defunct = false;
--- a/membership/src/machine/probing.rs
+++ b/membership/src/machine/probing.rs
@@ -1,4 +1,5 @@
-//! Probing of members, seeds and rivals outside of SWIM: those that are missing from the view are contacted at intervals.
+//! Periodic contact, outside of SWIM, with processes that are not in the view: dead members, seeds, and claimants of
+//! this node's name.
 
 use super::timers::Timer;
 use super::{Machine, Participation};
@@ -8,30 +9,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Probes to a rival before it is taken to be gone.
-const RIVAL_PROBES: u32 = 4;
+/// Unanswered probes after which a claimant is considered gone.
+const CLAIMANT_PROBES_MAX: u32 = 4;
 
-/// A probe of another process with this node's name, which would prevail if it runs.
-pub(super) struct RivalProbe {
-    /// The other process.
-    pub rival: Identity,
-    /// Probes sent so far.
+/// Probe of a claimant: a process with this node's name whose identity supersedes this one's, if it is still running.
+pub(super) struct ClaimantProbe {
+    /// Identity of the other process.
+    pub claimant: Identity,
+    /// Number of probes sent.
     pub sent: u32,
 }
 
 impl Machine {
-    /// Contacts one rival, one member held dead and one seed that is not in the view, and schedules the next time.
-    pub(super) fn contact_missing(&mut self, now: Duration) {
+    /// Contacts the claimant, one dead member and one seed that is not in the view, and schedules the next contact.
+    pub(super) fn reconnect(&mut self, now: Duration) {
         let jitter = 0.8 + 0.4 * self.rng.random::<f64>();
-        self.timers.schedule(now, Timer::Contact, self.config.timing.reconnect_interval.mul_f64(jitter));
-        if let Participation::Yielded(rival) = &self.participation {
-            let rival = rival.clone();
-            let sent = self.rival_probe.as_ref().map_or(0, |probe| probe.sent);
-            self.rival_probe = Some(RivalProbe { rival, sent });
-            self.probe_rival(now);
+        self.timers.schedule(now, Timer::Reconnect, self.config.timing.reconnect_interval.mul_f64(jitter));
+        if let Participation::Yielded(claimant) = &self.participation {
+            let claimant = claimant.clone();
+            let sent = self.claimant_probe.as_ref().map_or(0, |probe| probe.sent);
+            self.claimant_probe = Some(ClaimantProbe { claimant, sent });
+            self.probe_claimant(now);
             return;
         }
-        if self.rival_probe.is_some() && !self.probe_rival(now) {
+        if self.claimant_probe.is_some() && !self.probe_claimant(now) {
             return;
         }
         if self.participation == Participation::Active {
@@ -40,16 +41,16 @@
         }
     }
 
-    /// Handles the identity of a process that was asked for it: a seed, a member that was held dead, or a rival.
+    /// Handles the response to an identity request: of a seed or a claimant.
     pub(super) fn handle_identity_response(&mut self, now: Duration, id: Identity) {
-        if let Participation::Yielded(rival) = &self.participation {
-            if id.process_id == rival.process_id {
-                self.rival_probe = None; // begins anew with the next contact
+        if let Participation::Yielded(claimant) = &self.participation {
+            if id.process_id == claimant.process_id {
+                self.claimant_probe = None; // probing starts over at the next contact
             }
             return;
         }
         if id.name == self.config.name {
-            if self.rival_probe.as_ref().is_some_and(|probe| probe.rival.process_id == id.process_id) {
+            if self.claimant_probe.as_ref().is_some_and(|probe| probe.claimant.process_id == id.process_id) {
                 self.yield_to(now, id);
             } else {
                 self.note_name_conflict(id);
@@ -64,12 +65,13 @@
         }
     }
 
-    /// Probes the rival once more. After [`RIVAL_PROBES`] without a response, takes the name back and returns false.
-    fn probe_rival(&mut self, now: Duration) -> bool {
-        let Some(probe) = &mut self.rival_probe else { return true };
+    /// Sends the next probe to the claimant, if there is one. Takes the name back and returns false if
+    /// [`CLAIMANT_PROBES_MAX`] probes had no response.
+    fn probe_claimant(&mut self, now: Duration) -> bool {
+        let Some(probe) = &mut self.claimant_probe else { return true };
         probe.sent += 1;
-        let (address, incarnation, sent) = (probe.rival.address, probe.rival.incarnation, probe.sent);
-        if sent > RIVAL_PROBES {
+        let (address, incarnation, sent) = (probe.claimant.address, probe.claimant.incarnation, probe.sent);
+        if sent > CLAIMANT_PROBES_MAX {
             self.rejoin(now, incarnation);
             return false;
         }
@@ -77,7 +79,7 @@
         true
     }
 
-    /// Announces this node to one member held dead, so that the two halves of a partition find each other again.
+    /// Announces this node to one random dead member, so that the two sides of a healed partition merge.
     fn contact_dead_member(&mut self) {
         let own = self.config.advertise;
         let is_dead = |status, address| status == MemberStatus::Dead && address != own;
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Asks one seed that is not in the view for its identity.
+    /// Requests the identity of one random seed that is not in the view.
     fn contact_missing_seed(&mut self, now: Duration) {
         let own = self.config.advertise;
         let is_missing = |seed: &SocketAddr| *seed != own && !self.members.has_present_at(*seed);
--- a/membership/src/machine/swim.rs
+++ b/membership/src/machine/swim.rs
@@ -1,4 +1,4 @@
-//! Adapter to `foca`, the SWIM implementation: its configuration for a fleet's size, and the effects that it requests.
+//! Adapter to `foca`, the SWIM implementation: its configuration for a fleet size, and the effects that it requests.
 
 use super::config::Timing;
 use crate::member::{Identity, MemberStatus, Phase};
@@ -8,24 +8,24 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that probe indirectly, and that receive each round of gossip.
+/// Number of members that are asked for indirect probes, and that receive each round of gossip.
 const FANOUT: NonZeroUsize = NonZeroUsize::new(3).expect("above zero");
-/// Interval between two rounds of gossip, while there are updates.
+/// Interval between rounds of gossip while there are updates to send.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Effects that `foca` requested and that the machine has yet to carry out.
+/// Effects requested by `foca` that the machine has not yet carried out.
 #[derive(Default)]
 pub(super) struct SwimEffects {
     /// Messages to send, in order.
     pub sends: VecDeque<(Identity, Vec<u8>)>,
     /// Timers to schedule.
     pub timers: Vec<(foca::Timer<Identity>, Duration)>,
-    /// Members that changed, in order, and whether each is now up; `None` if a member was replaced by another
-    /// incarnation in the same state.
+    /// Changed members, in order, and whether each is now up; `None` if another incarnation replaced a member in the
+    /// same state.
     pub changed: Vec<(Identity, Option<bool>)>,
-    /// There may be changes that `foca` does not notify of: all members are to be compared.
+    /// Whether all members must be compared: there may be changes without a notification from `foca`.
     pub rescan: bool,
-    /// This node was declared dead.
+    /// Whether this node was declared dead.
     pub defunct: bool,
 }
 
@@ -49,15 +49,15 @@
     }
 }
 
-/// Transmissions of each update: enough for it to reach all members, by a margin that grows with the logarithm of their
-/// number.
-pub(super) fn transmissions(members: usize) -> u32 {
+/// Number of transmissions of each update: enough to reach all members, with a margin that grows with the logarithm of
+/// their number.
+pub(super) fn max_transmissions(members: usize) -> u32 {
     4 + 3 * (usize::BITS - members.leading_zeros())
 }
 
 /// Configuration of `foca` for a number of members.
 pub(super) fn swim_config(timing: &Timing, members: usize) -> foca::Config {
-    let transmissions = transmissions(members);
+    let transmissions = max_transmissions(members);
     foca::Config {
         probe_period: timing.probe_interval,
         probe_rtt: timing.probe_timeout,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Status of a member, by its state and phase.
+/// Derives a member's status from its `foca` state and its phase.
 pub(super) fn member_status(member: &Member<Identity>) -> MemberStatus {
     match (member.state(), member.id().phase) {
         (_, Phase::Left) => MemberStatus::Left,
--- a/membership/src/machine/view.rs
+++ b/membership/src/machine/view.rs
@@ -1,4 +1,4 @@
-//! Queries: the view of the fleet, and what is derived from it.
+//! Queries: the view of the fleet, and the peers, digest, counters and fleet size.
 
 use super::members::member_info;
 use super::swim::member_status;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Machine {
-    /// Members that take jobs, this node included, in order of name, zone and address.
+    /// Members that accept requests, this node included, sorted by name, zone and address.
     pub fn peers(&self) -> Vec<Peer> {
         let present = self.members.iter().filter(|member| member.status.is_present());
         let all = present.map(|member| &member.identity).chain([self.foca.identity()]);
@@ -18,23 +18,23 @@
         peers
     }
 
-    /// Counters.
+    /// Protocol counters.
     pub fn counters(&self) -> Counters {
         Counters { sessions: self.sessions.entries() as u64, ..self.counters }
     }
 
-    /// Digest of the members that are present and their incarnations: equal for equal views. `None` while this node is
-    /// not in the view itself.
+    /// Digest of the present members and their incarnations: equal for equal views. `None` while this node is not in
+    /// its own view.
     pub fn digest(&self) -> Option<u64> {
         (self.participation == Participation::Active).then(|| self.view_digest())
     }
 
-    /// Digest of the view, whether or not this node is in it.
+    /// Digest of the view, always including this node's identity.
     pub(super) fn view_digest(&self) -> u64 {
         self.members.digest_with(self.foca.identity())
     }
 
-    /// The view.
+    /// View of the fleet.
     pub fn view(&self, now: Duration) -> View {
         let now = self.timers.local_time(now);
         let own = self.foca.identity();
@@ -44,7 +44,7 @@
             members.push(member_info(member.id(), member_status(member), now.saturating_sub(since)));
         }
         let yielded_to = match &self.participation {
-            Participation::Yielded(rival) => Some(rival.address),
+            Participation::Yielded(claimant) => Some(claimant.address),
             _ => None,
         };
         if yielded_to.is_none() {
@@ -61,15 +61,19 @@
         }
     }
 
-    /// Fleet size, for the node's decisions; `planned` is the number of nodes in the settings.
-    pub fn fleet_size(&self, now: Duration, planned: u32) -> FleetSize {
+    /// Fleet size; `planned_dispatchers` is the number of nodes in the settings.
+    pub fn fleet_size(&self, now: Duration, planned_dispatchers: u32) -> FleetSize {
         let now = self.timers.local_time(now);
         let members = self.members.iter();
         let members: Vec<MemberInfo> = members
             .map(|member| member_info(&member.identity, member.status, now.saturating_sub(member.since)))
             .collect();
         let joined = self.members.joined() && !matches!(self.participation, Participation::Yielded(_));
-        FleetSize::from_members(&self.config.name, &OtherMembers { members: &members, joined }, planned)
+        FleetSize::from_members(
+            &self.config.name,
+            &OtherMembers { members: &members, joined },
+            planned_dispatchers,
+        )
     }
 
     fn own_status(&self) -> MemberStatus {
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -63,7 +63,8 @@
 }
 
 impl Identity {
-    /// Whether this identity supersedes another of the same name. The process id breaks ties, the same way at all nodes.
+    /// Whether this identity supersedes another of the same name. The process id breaks ties, the same way at all
+    /// nodes.
     pub fn supersedes(&self, other: &Identity) -> bool {
         (self.incarnation, self.process_id) > (other.incarnation, other.process_id)
     }
--- a/membership/src/state_sync.rs
+++ b/membership/src/state_sync.rs
@@ -1,5 +1,5 @@
-//! Messages of a full state synchronization over a stream: push-pull anti-entropy for what does not fit a datagram, after
-//! a join, a partition, or when two views differ for long.
+//! Messages of a full state synchronization over a stream: push-pull anti-entropy for what does not fit a datagram,
+//! after a join, a partition, or when two views differ for long.
 //!
 //! The responder sends a nonce first. The initiator returns it with its own state and a nonce of its own, and receives
 //! the responder's state with that. So neither side accepts a replayed state.
