--- a/membership/src/file/raw.rs
+++ b/membership/src/file/raw.rs
@@ -1,10 +1,10 @@
-//! The file as deserialized: values with their positions, not yet validated. Names follow the keys of the file.
+//! Deserialized fleet file: unvalidated values with their positions. Fields are named after the keys in the file.
 
 use serde::Deserialize;
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// The whole file.
+/// Top level of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawFile {
@@ -18,10 +18,10 @@
     pub seeds: Vec<Spanned<String>>,
     #[serde(default)]
     pub timing: RawTiming,
-    pub duties: Option<RawDuties>,
+    pub duties: Option<RawCoordination>,
 }
 
-/// The section `timing`.
+/// Section `timing`.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawTiming {
@@ -32,10 +32,10 @@
     pub forget_s: Option<Spanned<u64>>,
 }
 
-/// The section `duties`.
+/// Section `duties`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RawDuties {
+pub(super) struct RawCoordination {
     pub state: Option<PathBuf>,
     pub voters: Spanned<Vec<RawVoter>>,
     pub lease_ms: Option<Spanned<u64>>,
@@ -45,10 +45,10 @@
     #[serde(default)]
     pub roll: bool,
     #[serde(default)]
-    pub errand: Vec<RawErrand>,
+    pub errand: Vec<RawScheduledCall>,
 }
 
-/// An entry of `voters`.
+/// Entry of `voters`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawVoter {
@@ -56,10 +56,10 @@
     pub at: Spanned<String>,
 }
 
-/// A section `errand`.
+/// Section `errand`: a scheduled call.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RawErrand {
+pub(super) struct RawScheduledCall {
     pub name: Spanned<String>,
     pub at: Spanned<String>,
     pub path: Spanned<String>,
--- a/membership/src/file/validate.rs
+++ b/membership/src/file/validate.rs
@@ -1,6 +1,6 @@
-//! Validation of the deserialized file. Each error names the line of the value.
+//! Validation of the deserialized fleet file. Each error has the line of the invalid value.
 
-use super::raw::{RawDuties, RawErrand, RawFile, RawTiming, RawVoter};
+use super::raw::{RawCoordination, RawFile, RawScheduledCall, RawTiming, RawVoter};
 use super::{CoordinationSection, FileError, FleetFile, ScheduledCall};
 use crate::machine::Timing;
 use crate::member::NAME_MAX;
@@ -9,20 +9,19 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most scheduled calls. Bounds what the voters replicate.
+/// Maximum number of scheduled calls. Bounds the lease table that the voters replicate.
 const SCHEDULED_CALLS_MAX: usize = 32;
 /// Longest name of a scheduled call, in bytes.
 const SCHEDULED_CALL_NAME_MAX: usize = 48;
-/// Milliseconds in a second.
-const SECOND: u64 = 1000;
+const MS_PER_SECOND: u64 = 1000;
 
 type Result<T> = std::result::Result<T, FileError>;
 
-/// Validator of a file, with its text for the lines in errors.
+/// Validator, with the text of the file to look up line numbers.
 pub(super) struct Validator<'a>(pub &'a str);
 
 impl Validator<'_> {
-    /// The line, from 1, of a byte position.
+    /// Line number, from 1, of a byte position.
     pub fn line(&self, position: usize) -> usize {
         self.0[..position.min(self.0.len())].matches('\n').count() + 1
     }
@@ -30,7 +29,7 @@
     /// Validates the whole file.
     pub fn file(&self, raw: RawFile) -> Result<FleetFile> {
         let timing = self.timing(&raw.timing)?;
-        let coordination = raw.duties.as_ref().map(|duties| self.coordination(duties)).transpose()?;
+        let coordination = raw.duties.as_ref().map(|section| self.coordination(section)).transpose()?;
         let listen = self.address(&raw.listen)?;
         Ok(FleetFile {
             fleet: self.name(&raw.fleet, "the fleet's name")?,
@@ -61,19 +60,24 @@
                 default.reconnect_interval,
                 100..=60_000,
             )?,
-            remove_after: self.duration(&raw.forget_s, SECOND, default.remove_after, 10..=31_536_000)?,
+            remove_after: self.duration(
+                &raw.forget_s,
+                MS_PER_SECOND,
+                default.remove_after,
+                10..=31_536_000,
+            )?,
         };
         let span = |value: &Option<Spanned<u64>>| value.as_ref().map_or(0..0, Spanned::span);
         if timing.probe_timeout * 2 > timing.probe_interval {
-            return self.error(span(&raw.answer_ms), "answer_ms must be half of probe_ms at most");
+            return self.error_at(span(&raw.answer_ms), "answer_ms must be at most half of probe_ms");
         }
         if timing.remove_after < timing.suspicion_timeout * 2 {
-            return self.error(span(&raw.forget_s), "forget_s must be twice suspicion_ms at least");
+            return self.error_at(span(&raw.forget_s), "forget_s must be at least twice suspicion_ms");
         }
         Ok(timing)
     }
 
-    fn coordination(&self, raw: &RawDuties) -> Result<CoordinationSection> {
+    fn coordination(&self, raw: &RawCoordination) -> Result<CoordinationSection> {
         Ok(CoordinationSection {
             voters: self.voters(&raw.voters)?,
             scheduled_calls: self.scheduled_calls(&raw.errand)?,
@@ -90,33 +94,33 @@
         for voter in raw.get_ref() {
             let name = self.name(&voter.name, "a voter's name")?;
             if voters.iter().any(|(other, _)| *other == name) {
-                return self.error(voter.name.span(), "this voter was named before");
+                return self.error_at(voter.name.span(), "duplicate voter name");
             }
             voters.push((name, self.address(&voter.at)?));
         }
         if ![3, 5].contains(&voters.len()) {
-            return self.error(raw.span(), "3 or 5 voters are wanted");
+            return self.error_at(raw.span(), "expected 3 or 5 voters");
         }
         Ok(voters)
     }
 
-    fn scheduled_calls(&self, raw: &[RawErrand]) -> Result<Vec<ScheduledCall>> {
+    fn scheduled_calls(&self, raw: &[RawScheduledCall]) -> Result<Vec<ScheduledCall>> {
         let mut calls: Vec<ScheduledCall> = Vec::new();
         for call in raw {
             let name = self.name(&call.name, "an errand's name")?;
             if name.len() > SCHEDULED_CALL_NAME_MAX || calls.len() >= SCHEDULED_CALLS_MAX {
-                let reason = "the name is too long, or there are too many errands";
-                return self.error(call.name.span(), reason);
+                let reason = "the errand's name is too long, or there are too many errands";
+                return self.error_at(call.name.span(), reason);
             }
             if calls.iter().any(|other| other.name == name) {
-                return self.error(call.name.span(), "this errand was named before");
+                return self.error_at(call.name.span(), "duplicate errand name");
             }
             let path = call.path.get_ref().clone();
             if !path.starts_with('/') || !path.bytes().all(|byte| byte.is_ascii_graphic()) {
-                return self.error(call.path.span(), "a path is wanted, such as /run");
+                return self.error_at(call.path.span(), "expected a URL path, such as /run");
             }
-            let every = self.duration(&call.every_ms, 1, Duration::from_secs(1), 10..=86_400_000)?;
-            calls.push(ScheduledCall { name, address: self.address(&call.at)?, path, interval: every });
+            let interval = self.duration(&call.every_ms, 1, Duration::from_secs(1), 10..=86_400_000)?;
+            calls.push(ScheduledCall { name, address: self.address(&call.at)?, path, interval });
         }
         Ok(calls)
     }
@@ -124,35 +128,37 @@
     fn address(&self, value: &Spanned<String>) -> Result<SocketAddr> {
         match value.get_ref().parse::<SocketAddr>() {
             Ok(address) if !address.ip().is_unspecified() => Ok(address),
-            _ => self.error(value.span(), "an address and a port are wanted, such as 127.0.0.1:7946"),
+            _ => self.error_at(value.span(), "expected an IP address and a port, such as 127.0.0.1:7946"),
         }
     }
 
-    fn name(&self, value: &Spanned<String>, what: &str) -> Result<String> {
+    fn name(&self, value: &Spanned<String>, description: &str) -> Result<String> {
         match value.get_ref().as_str() {
-            "" => self.error(value.span(), &format!("{what} is empty")),
-            name if name.len() > NAME_MAX => self.error(value.span(), &format!("{what} is too long")),
+            "" => self.error_at(value.span(), &format!("{description} is empty")),
+            name if name.len() > NAME_MAX => {
+                self.error_at(value.span(), &format!("{description} is too long"))
+            }
             name => Ok(name.to_string()),
         }
     }
 
-    /// A number of units, each of some milliseconds, that lies in a range.
+    /// Converts a number of units, each of `unit_ms` milliseconds, after checking that it is in the allowed range.
     fn duration(
         &self,
         value: &Option<Spanned<u64>>,
-        unit: u64,
+        unit_ms: u64,
         default: Duration,
         allowed: RangeInclusive<u64>,
     ) -> Result<Duration> {
         let Some(number) = value else { return Ok(default) };
         if !allowed.contains(number.get_ref()) {
-            let reason = format!("{} to {} is allowed", allowed.start(), allowed.end());
-            return self.error(number.span(), &reason);
+            let reason = format!("expected a value from {} to {}", allowed.start(), allowed.end());
+            return self.error_at(number.span(), &reason);
         }
-        Ok(Duration::from_millis(number.get_ref() * unit))
+        Ok(Duration::from_millis(number.get_ref() * unit_ms))
     }
 
-    fn error<T>(&self, span: Range<usize>, reason: &str) -> Result<T> {
+    fn error_at<T>(&self, span: Range<usize>, reason: &str) -> Result<T> {
         Err(FileError { line: self.line(span.start), reason: reason.into() })
     }
 }
--- a/membership/src/fragments.rs
+++ b/membership/src/fragments.rs
@@ -1,30 +1,30 @@
-//! Messages of other subsystems, split into fragments that fit a datagram and put together again in bounded memory.
+//! Fragmentation of messages of other subsystems into datagrams, and reassembly in bounded memory.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Payload of one fragment, in bytes.
+/// Longest payload of a fragment, in bytes.
 pub const FRAGMENT_MAX: usize = 1200;
 /// Longest message of another subsystem, in bytes.
 pub const MESSAGE_MAX: usize = 64 * 1024;
-/// Incomplete messages held at once; the oldest is evicted for a new one.
+/// Maximum number of incomplete messages; the oldest is evicted for a new one.
 pub const INCOMPLETE_MAX: usize = 32;
-/// Age at which an incomplete message is lost.
+/// Age at which an incomplete message expires.
 const REASSEMBLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One fragment of a message. The order of the fields is part of the datagram format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Position in the message, from 0.
+    /// Index in the message, from 0.
     pub index: u16,
-    /// Fragments that the message consists of.
+    /// Number of fragments of the message.
     pub count: u16,
     /// Payload.
     pub bytes: Vec<u8>,
 }
 
-/// Splits a message into fragments, in order. An empty message is one empty fragment.
+/// Splits a message into fragments, in order. An empty message becomes one empty fragment.
 pub fn split(message: &[u8]) -> impl Iterator<Item = Fragment> + '_ {
     let count = message.len().div_ceil(FRAGMENT_MAX).max(1);
     (0..count).map(move |index| {
@@ -34,26 +34,25 @@
     })
 }
 
-struct Incomplete {
+struct IncompleteMessage {
     fragments: Vec<Option<Vec<u8>>>,
     missing: usize,
-    started: Duration,
+    started_at: Duration,
 }
 
-/// Incomplete messages, by the sending process and its message number.
+/// Incomplete messages, by process id of the sender and message number.
 ///
-/// Guards memory: at most [`INCOMPLETE_MAX`] messages of [`MESSAGE_MAX`] bytes are held, whatever arrives.
+/// Memory is bounded against any input: at most [`INCOMPLETE_MAX`] messages of [`MESSAGE_MAX`] bytes are held.
 #[derive(Default)]
-pub struct Reassembler(HashMap<(u64, u64), Incomplete>);
+pub struct Reassembler(HashMap<(u64, u64), IncompleteMessage>);
 
 impl Reassembler {
-    /// Adds a fragment and returns the message once it is complete. A fragment that is invalid or was received before
-    /// is ignored.
+    /// Adds a fragment, and returns the message if that completes it. An invalid or duplicate fragment is ignored.
     pub fn insert(
         &mut self,
         now: Duration,
         process_id: u64,
-        message: u64,
+        message_number: u64,
         fragment: Fragment,
     ) -> Option<Vec<u8>> {
         let Fragment { index, count, bytes } = fragment;
@@ -64,12 +63,12 @@
         if count == 1 {
             return Some(bytes);
         }
-        let key = (process_id, message);
+        let key = (process_id, message_number);
         if !self.0.contains_key(&key) {
-            self.make_room(now);
+            self.evict_for_insert(now);
         }
-        let new = || Incomplete { fragments: vec![None; count], missing: count, started: now };
-        let incomplete = self.0.entry(key).or_insert_with(new);
+        let empty = || IncompleteMessage { fragments: vec![None; count], missing: count, started_at: now };
+        let incomplete = self.0.entry(key).or_insert_with(empty);
         let slot = incomplete.fragments.get_mut(index).filter(|slot| slot.is_none())?;
         *slot = Some(bytes);
         incomplete.missing -= 1;
@@ -85,16 +84,16 @@
         self.0.len()
     }
 
-    /// Makes room for one more message: drops expired ones, and the oldest if that is not enough.
-    fn make_room(&mut self, now: Duration) {
+    /// If the table is full, drops expired messages, and the oldest one if none has expired.
+    fn evict_for_insert(&mut self, now: Duration) {
         if self.0.len() < INCOMPLETE_MAX {
             return;
         }
-        self.0.retain(|_, incomplete| now.saturating_sub(incomplete.started) < REASSEMBLY_TIMEOUT);
+        self.0.retain(|_, incomplete| now.saturating_sub(incomplete.started_at) < REASSEMBLY_TIMEOUT);
         if self.0.len() < INCOMPLETE_MAX {
             return;
         }
-        let oldest = self.0.iter().min_by_key(|(key, incomplete)| (incomplete.started, **key));
+        let oldest = self.0.iter().min_by_key(|(key, incomplete)| (incomplete.started_at, **key));
         if let Some(key) = oldest.map(|(key, _)| *key) {
             self.0.remove(&key);
         }
--- a/membership/src/machine/view.rs
+++ b/membership/src/machine/view.rs
@@ -20,7 +20,7 @@
 
     /// Protocol counters.
     pub fn counters(&self) -> Counters {
-        Counters { sessions: self.sessions.entries() as u64, ..self.counters }
+        Counters { sessions: self.sessions.entry_count() as u64, ..self.counters }
     }
 
     /// Digest of the present members and their incarnations: equal for equal views. `None` while this node is not in
--- a/membership/src/session.rs
+++ b/membership/src/session.rs
@@ -1,137 +1,153 @@
 //! Replay protection: a session for each remote process.
 //!
-//! Datagrams of a process are accepted only once it has returned a nonce that was just drawn, which shows that it runs
-//! now. From then on each of its packet numbers is accepted once.
+//! A process must first echo a fresh nonce, which proves that it is running now. After that, each of its sequence
+//! numbers is accepted once.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Sessions held at once: more than the largest fleet tested, so that none is evicted in normal operation.
+/// Maximum number of sessions: more than the largest fleet tested has nodes, so none is evicted in normal operation.
 pub const SESSIONS_MAX: usize = 4096;
-/// Challenges pending at once; the oldest is evicted.
+/// Maximum number of pending challenges; the oldest is evicted.
 pub const CHALLENGES_MAX: usize = 1024;
-/// Lifetime of a challenge.
+/// Time after which a pending challenge expires.
 const CHALLENGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Shortest time between two challenges to one process.
+/// Minimum interval between challenges to one process.
 const CHALLENGE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time without a datagram after which a session expires and its process is challenged again.
+/// Time without a datagram after which a session expires, and its process is challenged again.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
-/// Packet numbers below the highest one that are still accepted.
+/// Size of the replay window: sequence numbers this far below the highest received, or further, are rejected.
 pub const REPLAY_WINDOW: u64 = 128;
 
 struct Session {
-    newest: u64,
-    /// Bit `n` is set once the packet `n` below the newest was received.
-    seen: u128,
-    last_received: Duration,
+    highest: u64,
+    /// Bit `n` is set if the sequence number `highest - n` was received.
+    received: u128,
+    last_received_at: Duration,
 }
 
 struct PendingChallenge {
     nonce: u64,
-    at: Duration,
+    sent_at: Duration,
 }
 
-/// Decision on a datagram.
+/// Result of the replay check of a datagram.
 #[derive(Debug, PartialEq)]
 pub enum ReplayCheck {
-    /// It is accepted.
+    /// The sequence number is new.
     Accepted,
-    /// It was received before, or is too old to tell.
+    /// The sequence number is a duplicate, or older than the replay window.
     Replayed,
-    /// Its process has no session: challenge it with this nonce.
+    /// The process has no session: send it a challenge with this nonce.
     Challenge(u64),
-    /// Its process has no session, and was challenged just now.
+    /// The process has no session, and a challenge was sent to it recently.
     ChallengePending,
 }
 
-/// Established sessions and pending challenges, by process.
+/// Established sessions and pending challenges, by process id.
 ///
-/// Guards memory: both tables are bounded, whatever arrives.
+/// Memory is bounded against any input: both tables have a maximum size.
 #[derive(Default)]
 pub struct Sessions {
     established: HashMap<u64, Session>,
-    challenged: HashMap<u64, PendingChallenge>,
+    challenges: HashMap<u64, PendingChallenge>,
 }
 
 impl Sessions {
-    /// Decides on a datagram by its packet number; `draw` returns a nonce that nobody can predict.
+    /// Checks the sequence number of a datagram; `generate_nonce` must return an unpredictable value.
     pub fn check(
         &mut self,
         now: Duration,
         process_id: u64,
-        number: u64,
-        draw: impl FnOnce() -> u64,
+        sequence_number: u64,
+        generate_nonce: impl FnOnce() -> u64,
     ) -> ReplayCheck {
-        if let Some(session) =
-            self.established.get_mut(&process_id).filter(|s| now - s.last_received < IDLE_TIMEOUT)
+        if let Some(session) = self
+            .established
+            .get_mut(&process_id)
+            .filter(|session| now - session.last_received_at < IDLE_TIMEOUT)
         {
-            if !session.accept(number) {
+            if !session.accept(sequence_number) {
                 return ReplayCheck::Replayed;
             }
-            session.last_received = now;
+            session.last_received_at = now;
             return ReplayCheck::Accepted;
         }
-        if let Some(open) = self.challenged.get(&process_id) {
-            if now - open.at < CHALLENGE_INTERVAL {
+        if let Some(pending) = self.challenges.get(&process_id) {
+            if now - pending.sent_at < CHALLENGE_INTERVAL {
                 return ReplayCheck::ChallengePending;
             }
-            if now - open.at < CHALLENGE_TIMEOUT {
-                return ReplayCheck::Challenge(open.nonce);
+            if now - pending.sent_at < CHALLENGE_TIMEOUT {
+                return ReplayCheck::Challenge(pending.nonce);
             }
         }
-        if self.challenged.len() >= CHALLENGES_MAX {
-            self.challenged.retain(|_, o| now - o.at < CHALLENGE_TIMEOUT);
-            drop_oldest(&mut self.challenged, CHALLENGES_MAX - 1, |o| (o.at, o.nonce));
+        if self.challenges.len() >= CHALLENGES_MAX {
+            self.challenges.retain(|_, pending| now - pending.sent_at < CHALLENGE_TIMEOUT);
+            evict_oldest(&mut self.challenges, CHALLENGES_MAX - 1, |pending| {
+                (pending.sent_at, pending.nonce)
+            });
         }
-        let nonce = draw();
-        self.challenged.insert(process_id, PendingChallenge { nonce, at: now });
+        let nonce = generate_nonce();
+        self.challenges.insert(process_id, PendingChallenge { nonce, sent_at: now });
         ReplayCheck::Challenge(nonce)
     }
 
     /// Handles the response to a challenge, and returns whether it established a session.
-    pub fn complete_challenge(&mut self, now: Duration, process_id: u64, number: u64, nonce: u64) -> bool {
-        let right = |o: &PendingChallenge| o.nonce == nonce && now - o.at < CHALLENGE_TIMEOUT;
-        if !self.challenged.get(&process_id).is_some_and(right) {
+    pub fn complete_challenge(
+        &mut self,
+        now: Duration,
+        process_id: u64,
+        sequence_number: u64,
+        nonce: u64,
+    ) -> bool {
+        let is_answered =
+            |pending: &PendingChallenge| pending.nonce == nonce && now - pending.sent_at < CHALLENGE_TIMEOUT;
+        if !self.challenges.get(&process_id).is_some_and(is_answered) {
             return false;
         }
-        self.challenged.remove(&process_id);
-        drop_oldest(&mut self.established, SESSIONS_MAX - 1, |s| (s.last_received, s.newest));
-        // Datagrams sent before the response may be replayed ones: none of them is accepted.
-        self.established.insert(process_id, Session { newest: number, seen: u128::MAX, last_received: now });
+        self.challenges.remove(&process_id);
+        evict_oldest(&mut self.established, SESSIONS_MAX - 1, |session| {
+            (session.last_received_at, session.highest)
+        });
+        // Rejects all sequence numbers before the response: those datagrams may be replayed ones.
+        self.established.insert(
+            process_id,
+            Session { highest: sequence_number, received: u128::MAX, last_received_at: now },
+        );
         true
     }
 
     /// Number of sessions and pending challenges.
-    pub fn entries(&self) -> usize {
-        self.established.len() + self.challenged.len()
+    pub fn entry_count(&self) -> usize {
+        self.established.len() + self.challenges.len()
     }
 }
 
 impl Session {
-    /// Marks a packet number as received, and returns whether it was new.
-    fn accept(&mut self, number: u64) -> bool {
-        if number > self.newest {
-            let step = number - self.newest;
-            self.seen = if step < REPLAY_WINDOW { self.seen << step | 1 } else { 1 };
-            self.newest = number;
+    /// Marks a sequence number as received, and returns whether it is new and within the replay window.
+    fn accept(&mut self, sequence_number: u64) -> bool {
+        if sequence_number > self.highest {
+            let shift = sequence_number - self.highest;
+            self.received = if shift < REPLAY_WINDOW { self.received << shift | 1 } else { 1 };
+            self.highest = sequence_number;
             return true;
         }
-        let behind = self.newest - number;
-        if behind >= REPLAY_WINDOW || self.seen >> behind & 1 == 1 {
+        let offset = self.highest - sequence_number;
+        if offset >= REPLAY_WINDOW || self.received >> offset & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.received |= 1 << offset;
         true
     }
 }
 
-fn drop_oldest<T>(all: &mut HashMap<u64, T>, most: usize, age: impl Fn(&T) -> (Duration, u64)) {
-    while all.len() > most {
-        let oldest = all
+fn evict_oldest<T>(entries: &mut HashMap<u64, T>, limit: usize, age_key: impl Fn(&T) -> (Duration, u64)) {
+    while entries.len() > limit {
+        let oldest = entries
             .iter()
-            .min_by_key(|(process_id, t)| (age(t), **process_id))
+            .min_by_key(|(process_id, entry)| (age_key(entry), **process_id))
             .map(|(process_id, _)| *process_id);
         let Some(oldest) = oldest else { return };
-        all.remove(&oldest);
+        entries.remove(&oldest);
     }
 }
--- a/membership/tests/file.rs
+++ b/membership/tests/file.rs
@@ -1,14 +1,14 @@
-//! Errors in the configuration file.
+//! Errors in the fleet file.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::file::FleetFile;
 
-const GOOD: &str = "fleet = \"scp\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"fleet.key\"\n";
+const VALID: &str = "fleet = \"scp\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"fleet.key\"\n";
 
 #[test]
-fn a_bad_file_is_told_by_its_line() {
-    assert_eq!(FleetFile::parse(GOOD).unwrap().advertise.port(), 7946);
-    for (more, line) in [
+fn parse_errors_have_the_line_of_the_invalid_value() {
+    assert_eq!(FleetFile::parse(VALID).unwrap().advertise.port(), 7946);
+    for (addition, line) in [
         ("seeds = [\"127.0.0.1:1\",\n\"nowhere\"]", 5),
         ("zome = \"koper\"", 4),
         ("zone = \"\"", 4),
@@ -23,9 +23,9 @@
         ("[duties]\nvoters = [{ name = \"a\", at = \"127.0.0.1:1\" },\n{ name = \"a\", at = \"127.0.0.1:2\" }]", 6),
         ("fleet = \"scp\"", 4),
     ] {
-        let bad = FleetFile::parse(&format!("{GOOD}{more}")).unwrap_err();
-        assert_eq!(bad.line(), line, "{more}: {bad}");
-        assert!(!bad.to_string().contains('\n'), "{bad}");
+        let error = FleetFile::parse(&format!("{VALID}{addition}")).unwrap_err();
+        assert_eq!(error.line(), line, "{addition}: {error}");
+        assert!(!error.to_string().contains('\n'), "{error}");
     }
     assert!(FleetFile::parse("").is_err());
 }
--- a/membership/tests/fragments.rs
+++ b/membership/tests/fragments.rs
@@ -10,24 +10,24 @@
 }
 
 #[test]
-fn a_message_is_complete_once_all_fragments_have_arrived_in_any_order() {
+fn a_message_is_complete_once_all_fragments_arrived_in_any_order() {
     let (mut reassembler, s) = (Reassembler::default(), Duration::from_secs(1));
     assert_eq!(reassembler.insert(s, 1, 1, fragment(0, 1, vec![9])), Some(vec![9]));
     assert_eq!(reassembler.insert(s, 1, 2, fragment(2, 3, vec![3])), None);
     assert_eq!(reassembler.insert(s, 1, 2, fragment(0, 3, vec![1])), None);
-    assert_eq!(reassembler.insert(s, 1, 2, fragment(0, 3, vec![7])), None, "twice");
-    assert_eq!(reassembler.insert(s, 2, 2, fragment(1, 3, vec![8])), None, "of another process");
+    assert_eq!(reassembler.insert(s, 1, 2, fragment(0, 3, vec![7])), None, "duplicate");
+    assert_eq!(reassembler.insert(s, 2, 2, fragment(1, 3, vec![8])), None, "another process");
     assert_eq!(reassembler.insert(s, 1, 2, fragment(1, 3, vec![2])), Some(vec![1, 2, 3]));
 }
 
 #[test]
-fn fragments_that_never_complete_a_message_are_bounded() {
+fn incomplete_messages_are_bounded() {
     let mut reassembler = Reassembler::default();
     for i in 0..1000 {
         let now = Duration::from_millis(i);
         assert_eq!(reassembler.insert(now, i, i, fragment(0, 2, vec![0; FRAGMENT_MAX])), None);
-        assert_eq!(reassembler.insert(now, i, i, fragment(3, 2, vec![0])), None, "no such piece");
-        assert_eq!(reassembler.insert(now, i, i, fragment(0, 999, vec![0])), None, "too many");
+        assert_eq!(reassembler.insert(now, i, i, fragment(3, 2, vec![0])), None, "index out of range");
+        assert_eq!(reassembler.insert(now, i, i, fragment(0, 999, vec![0])), None, "too many fragments");
     }
     assert!(reassembler.incomplete_count() <= INCOMPLETE_MAX);
 }
--- a/membership/tests/golden_bytes.rs
+++ b/membership/tests/golden_bytes.rs
@@ -1,8 +1,8 @@
-//! Bytes that nodes exchange, recorded once: every kind of datagram, every frame of a state synchronization, the
-//! datagrams of a small fleet that goes through joins, a death, draining and leaving, and the texts of errors in the
-//! operators' files. A change of any of them separates nodes of two versions, or changes what operators read.
+//! Golden tests of the wire format and of error messages: every kind of datagram, the frames of a state
+//! synchronization, all datagrams of a small fleet (joins, a death, draining, leaving), and the messages for errors in
+//! the fleet file and the key file. A changed byte makes nodes of two versions incompatible.
 //!
-//! `GOLDEN_RECORD=1` writes the files anew.
+//! `GOLDEN_RECORD=1` records the files again.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use foca::{Member, State};
@@ -23,17 +23,17 @@
 
 const KEY: &str = "current 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
-/// Compares text with a recorded file, and names the first line that differs.
+/// Compares a text with a recorded file. The panic message has the first line that differs.
 fn assert_golden(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_RECORD").is_some() {
         std::fs::write(&path, text).unwrap();
     }
-    let golden = std::fs::read_to_string(&path).unwrap();
-    for (line, (want, got)) in golden.lines().zip(text.lines()).enumerate() {
-        assert_eq!(got, want, "{name}, line {}", line + 1);
+    let recorded = std::fs::read_to_string(&path).unwrap();
+    for (line, (expected, actual)) in recorded.lines().zip(text.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", line + 1);
     }
-    assert_eq!(text, golden, "{name}");
+    assert_eq!(text, recorded, "{name}");
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -43,7 +43,7 @@
     })
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).unwrap()).collect()
 }
 
@@ -55,7 +55,7 @@
     SocketAddr::from(([10, 0, 0, 1], 1000 + i))
 }
 
-/// An identity, from the fields that are serialized; `phase` by its position among the variants.
+/// Creates an identity from its serialized fields; `phase` is the index of the variant.
 fn identity(i: u16, incarnation: u64, phase: u8) -> Identity {
     let fields = (format!("n{i}"), "west", address(i), 70 + u64::from(i), incarnation, phase);
     postcard::from_bytes(&postcard::to_stdvec(&fields).unwrap()).unwrap()
@@ -66,8 +66,11 @@
     let fragment = Fragment { index: 1, count: 3, bytes: b"fragment".to_vec() };
     let bodies = [
         ("challenge", Body::Challenge(0x0123_4567_89ab_cdef)),
-        ("proof", Body::ChallengeResponse(7, None)),
-        ("proof_with_body", Body::ChallengeResponse(7, Some(Box::new(Body::Gossip(3, vec![1, 2, 3]))))),
+        ("challenge_response", Body::ChallengeResponse(7, None)),
+        (
+            "challenge_response_with_body",
+            Body::ChallengeResponse(7, Some(Box::new(Body::Gossip(3, vec![1, 2, 3])))),
+        ),
         ("gossip", Body::Gossip(u64::MAX, vec![9; 20])),
         ("identity_request", Body::IdentityRequest),
         ("identity_response_serving", Body::IdentityResponse(identity(1, 1_700_000_000_000, 0))),
@@ -91,14 +94,14 @@
         writeln!(text, "{name} {}", hex(&bytes)).unwrap();
     }
     assert_golden("datagrams.txt", &text);
-    for line in std::fs::read_to_string(golden("datagrams.txt")).unwrap().lines() {
+    for line in std::fs::read_to_string(golden_path("datagrams.txt")).unwrap().lines() {
         let (name, recorded) = line.split_once(' ').unwrap();
-        let packet: Packet = decode(&keys(), &unhex(recorded), DATAGRAM_MAX).unwrap();
+        let packet: Packet = decode(&keys(), &decode_hex(recorded), DATAGRAM_MAX).unwrap();
         assert_eq!(hex(&encode(&keys(), &packet)), recorded, "{name}, decoded and encoded again");
     }
 }
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
@@ -110,7 +113,7 @@
         (Member::down(identity(3, 7, 0)), 86_400_000),
     ];
     let mut text = String::new();
-    for (name, me, nonce, members) in [
+    for (name, sender, nonce, members) in [
         ("initiator", Some(identity(9, 8, 0)), 44, members.clone()),
         ("responder", Some(identity(9, 8, 2)), 0, members),
         ("yielded", None, 1, Vec::new()),
@@ -123,20 +126,20 @@
             to,
             echoed_nonce: 33,
             nonce,
-            sender: me,
+            sender,
             members,
         };
         writeln!(text, "{name} {}", hex(&encode(&keys(), &state))).unwrap();
     }
     assert_golden("states.txt", &text);
-    for line in std::fs::read_to_string(golden("states.txt")).unwrap().lines() {
+    for line in std::fs::read_to_string(golden_path("states.txt")).unwrap().lines() {
         let (name, recorded) = line.split_once(' ').unwrap();
-        let state: FullState = decode(&keys(), &unhex(recorded), FRAME_MAX).unwrap();
+        let state: FullState = decode(&keys(), &decode_hex(recorded), FRAME_MAX).unwrap();
         assert_eq!(hex(&encode(&keys(), &state)), recorded, "{name}, decoded and encoded again");
     }
 }
 
-/// Four machines with fixed seeds and immediate delivery, and all that comes out of them.
+/// Machines with fixed seeds and immediate delivery, and a trace of their actions.
 struct Trace {
     machines: Vec<Machine>,
     running: Vec<bool>,
@@ -147,8 +150,8 @@
 }
 
 impl Trace {
-    /// Datagrams recorded in full; the others by their digest.
-    const FULL: usize = 60;
+    /// Number of datagrams that are recorded in full; the others only as a digest.
+    const FULL_DATAGRAMS_MAX: usize = 60;
 
     fn new(nodes: u16) -> Trace {
         let machine = |i: u16| {
@@ -186,40 +189,41 @@
                 if self.machines[i].next_timeout() <= self.now {
                     self.machines[i].handle_timeout(self.now);
                 }
-                self.drain(i);
+                self.run_actions(i);
             }
         }
         let digest = hex(&self.digest.clone().finalize());
         writeln!(self.text, "{} ms: {} datagrams, {digest}", self.now.as_millis(), self.datagrams).unwrap();
     }
 
-    fn drain(&mut self, i: usize) {
+    fn run_actions(&mut self, i: usize) {
         while let Some(action) = self.machines[i].next_action() {
-            let at = format!("{} ms n{i}", self.now.as_millis());
+            let prefix = format!("{} ms n{i}", self.now.as_millis());
             match action {
-                Action::Send { to, bytes } => self.deliver(&at, to, &bytes),
+                Action::Send { to, bytes } => self.deliver(&prefix, to, &bytes),
                 Action::SyncState { to } => {
-                    writeln!(self.text, "{at} synchronizes with {to}").unwrap();
+                    writeln!(self.text, "{prefix} synchronizes with {to}").unwrap();
                     self.synchronize(i, usize::from(to.port() - 1000));
                 }
                 Action::Rates { from, rates } => {
-                    writeln!(self.text, "{at} rates of {from}: {rates:?}").unwrap()
+                    writeln!(self.text, "{prefix} rates of {from}: {rates:?}").unwrap()
                 }
                 Action::Message { from, bytes } => {
                     let digest = hex(&Sha256::digest(&bytes));
-                    writeln!(self.text, "{at} message of {from}: {} bytes, {digest}", bytes.len()).unwrap();
+                    writeln!(self.text, "{prefix} message of {from}: {} bytes, {digest}", bytes.len())
+                        .unwrap();
                 }
-                Action::Event(event) => writeln!(self.text, "{at} {}", describe(&event)).unwrap(),
+                Action::Event(event) => writeln!(self.text, "{prefix} {}", describe(&event)).unwrap(),
             }
         }
     }
 
-    fn deliver(&mut self, at: &str, to: SocketAddr, bytes: &[u8]) {
+    fn deliver(&mut self, prefix: &str, to: SocketAddr, bytes: &[u8]) {
         self.datagrams += 1;
         self.digest.update(to.to_string());
         self.digest.update(bytes);
-        if self.datagrams <= Trace::FULL {
-            writeln!(self.text, "{at} to {to}: {}", hex(bytes)).unwrap();
+        if self.datagrams <= Trace::FULL_DATAGRAMS_MAX {
+            writeln!(self.text, "{prefix} to {to}: {}", hex(bytes)).unwrap();
         }
         let to = usize::from(to.port() - 1000);
         if self.running[to] {
@@ -233,32 +237,32 @@
         }
         let challenge = self.machines[to].generate_nonce();
         let (pending, state) = self.machines[from].request_sync(self.now, address(to as u16), challenge);
-        let answer = self.machines[to].respond_to_sync(self.now, challenge, &state);
+        let response = self.machines[to].respond_to_sync(self.now, challenge, &state);
         writeln!(self.text, "state {}", hex(&state)).unwrap();
-        if let Some(probe_timeout) = answer {
-            writeln!(self.text, "answer {}", hex(&probe_timeout)).unwrap();
-            self.machines[from].complete_sync(self.now, pending, &probe_timeout);
+        if let Some(response) = response {
+            writeln!(self.text, "response {}", hex(&response)).unwrap();
+            self.machines[from].complete_sync(self.now, pending, &response);
         }
     }
 }
 
 fn describe(event: &MembershipEvent) -> String {
-    let of = |what: &str, id: &Identity| {
-        format!("{what} {} {:?} {} {} {}", id.name, id.zone, id.address, id.process_id, id.incarnation)
+    let with_identity = |event_name: &str, id: &Identity| {
+        format!("{event_name} {} {:?} {} {} {}", id.name, id.zone, id.address, id.process_id, id.incarnation)
     };
     match event {
-        MembershipEvent::Up(id) => of("up", id),
-        MembershipEvent::Down(id) => of("down", id),
-        MembershipEvent::Left(id) => of("left", id),
-        MembershipEvent::Removed(name) => format!("forgotten {name}"),
-        MembershipEvent::Rejoined(incarnation) => format!("returned {incarnation}"),
-        MembershipEvent::Yielded(id) => of("yielded", id),
-        MembershipEvent::NameConflict(id) => of("conflict", id),
+        MembershipEvent::Up(id) => with_identity("up", id),
+        MembershipEvent::Down(id) => with_identity("down", id),
+        MembershipEvent::Left(id) => with_identity("left", id),
+        MembershipEvent::Removed(name) => format!("removed {name}"),
+        MembershipEvent::Rejoined(incarnation) => format!("rejoined {incarnation}"),
+        MembershipEvent::Yielded(id) => with_identity("yielded", id),
+        MembershipEvent::NameConflict(id) => with_identity("name_conflict", id),
     }
 }
 
-/// A small fleet through joins, messages of other subsystems, draining, a death, a state synchronization, a return and
-/// leaving: each datagram and event in order.
+/// Runs a small fleet through joins, messages of other subsystems, draining, a death, a state synchronization, a rejoin
+/// and a leave, and compares each datagram and event.
 #[test]
 fn a_small_fleet_exchanges_the_recorded_datagrams() {
     let mut trace = Trace::new(4);
@@ -278,7 +282,7 @@
     trace.running[3] = true;
     trace.run(10);
     trace.machines[2].leave(trace.now);
-    trace.drain(2);
+    trace.run_actions(2);
     trace.running[2] = false;
     trace.run(15);
     for machine in &trace.machines {
@@ -291,13 +295,13 @@
     assert_golden("trace.txt", &trace.text);
 }
 
-/// The text that operators see for each wrong line of the fleet file and the key file.
+/// Error messages for invalid fleet files and key files.
 #[test]
-fn errors_in_operators_files_keep_their_texts() {
+fn errors_in_fleet_and_key_files_keep_their_messages() {
     let head = "fleet = \"f\"\nlisten = \"127.0.0.1:7946\"\nkey_file = \"k\"\n";
     let voters = "voters = [{name=\"a\",at=\"1.1.1.1:1\"},{name=\"b\",at=\"1.1.1.1:2\"},{name=\"c\",at=\"1.1.1.1:3\"}]\n";
-    let duties = format!("{head}[duties]\n{voters}");
-    let errand = |lines: &str| format!("{duties}[[duties.errand]]\n{lines}");
+    let with_duties = format!("{head}[duties]\n{voters}");
+    let with_errand = |lines: &str| format!("{with_duties}[[duties.errand]]\n{lines}");
     let call = "name = \"x\"\nat = \"1.1.1.1:1\"\npath = \"/run\"\n";
     let files = [
         String::new(),
@@ -314,15 +318,15 @@
         format!("{head}[timing]\nsuspicion_ms = 600000\nforget_s = 10\n"),
         format!("{head}[timing]\nforget_s = \"day\"\n"),
         format!("{head}[duties]\nvoters = [{{name=\"a\",at=\"1.1.1.1:1\"}}]\n"),
-        duties.replace("name=\"b\"", "name=\"a\""),
-        duties.replace("1.1.1.1:3", "none"),
-        format!("{duties}lease_ms = 1\n"),
-        format!("{duties}election_ms = 70000\n"),
-        errand(&call.replace("/run", "run")),
-        errand(&call.replace("\"x\"", &format!("\"{}\"", "x".repeat(49)))),
-        errand(&call.replace("\"x\"", "\"\"")),
-        errand(&format!("{call}every_ms = 1\n")),
-        errand(&format!("{call}[[duties.errand]]\n{call}")),
+        with_duties.replace("name=\"b\"", "name=\"a\""),
+        with_duties.replace("1.1.1.1:3", "none"),
+        format!("{with_duties}lease_ms = 1\n"),
+        format!("{with_duties}election_ms = 70000\n"),
+        with_errand(&call.replace("/run", "run")),
+        with_errand(&call.replace("\"x\"", &format!("\"{}\"", "x".repeat(49)))),
+        with_errand(&call.replace("\"x\"", "\"\"")),
+        with_errand(&format!("{call}every_ms = 1\n")),
+        with_errand(&format!("{call}[[duties.errand]]\n{call}")),
     ];
     let mut text = String::new();
     for file in files {
--- a/membership/tests/keys.rs
+++ b/membership/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Key files and message authentication.
+//! Key files, and message authentication with them.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::keys::Keys;
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn a_change_of_keys_leaves_no_moment_without_talk() {
-    // Told first as one that opens only, then as the one that seals, then alone.
+fn messages_verify_throughout_a_key_rotation() {
+    // The new key is first configured for verification only, then for signing, then alone.
     let steps = [
         format!("current {OLD}"),
         format!("current {OLD}\nprevious {NEW} # next week's"),
@@ -33,22 +33,22 @@
 }
 
 #[test]
-fn what_was_changed_on_the_way_does_not_open() {
+fn a_modified_or_truncated_message_does_not_verify() {
     let keys = keys(&format!("current {OLD}"));
     let mut message = b"hello".to_vec();
     keys.sign(&mut message);
     for i in 0..message.len() {
         for bit in 0..8 {
-            let mut bad = message.clone();
-            bad[i] ^= 1 << bit;
-            assert_eq!(keys.verify(&bad), None);
+            let mut modified = message.clone();
+            modified[i] ^= 1 << bit;
+            assert_eq!(keys.verify(&modified), None);
         }
         assert_eq!(keys.verify(&message[..i]), None);
     }
 }
 
 #[test]
-fn a_bad_key_file_is_told_by_its_line() {
+fn parse_errors_have_the_line_of_the_invalid_entry() {
     for (text, line) in [
         ("", 1),
         ("# nothing\n\n", 2),
@@ -59,7 +59,7 @@
         (&format!("current {OLD}\nnext {NEW}"), 2),
         (&format!("previous {OLD}"), 1),
     ] {
-        let Err(bad) = Keys::parse(text) else { panic!("{text}") };
-        assert_eq!(bad.line(), line, "{text}: {bad}");
+        let Err(error) = Keys::parse(text) else { panic!("{text}") };
+        assert_eq!(error.line(), line, "{text}: {error}");
     }
 }
