--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -1,4 +1,4 @@
-//! Command `molevale fleet show`: requests a node's status report from its management address and formats it.
+//! Command `molevale fleet show`: requests the status report of a node at its management address and formats it.
 
 use crate::operator_client::{call, CallError};
 use comfy_table::presets::NOTHING;
@@ -10,33 +10,33 @@
 /// Error of the command.
 #[derive(Debug, thiserror::Error)]
 pub enum ShowError {
-    /// The node can't be reached, or does not answer.
+    /// The node can't be reached or does not answer.
     #[error(transparent)]
     Request(#[from] CallError),
-    /// The node rejects the request.
+    /// The node returned an error status.
     #[error("{address}: {reason}")]
     Rejected {
         /// Management address.
         address: SocketAddr,
-        /// Text of the answer.
+        /// Body of the response.
         reason: String,
     },
-    /// The answer is not a status report.
-    #[error("{address}: an answer that can't be read: {source}")]
-    Unreadable {
+    /// The response is not a status report.
+    #[error("{address}: invalid status report: {source}")]
+    InvalidReport {
         /// Management address.
         address: SocketAddr,
-        /// Error of the parser.
+        /// JSON error.
         source: serde_json::Error,
     },
 }
 
-/// Requests the status of the node at a management address, and returns the text to print: a table, or the report itself
-/// in JSON.
+/// Requests the status report of the node at a management address, and returns the text to print: a table, or the JSON
+/// report itself.
 ///
 /// # Errors
 ///
-/// Fails if the node can't be reached, rejects the request, or returns no status report.
+/// Fails if the node can't be reached, returns an error status, or returns no status report.
 pub async fn show(address: SocketAddr, json: bool) -> Result<String, ShowError> {
     let (code, body) = call(address, Method::GET, "/fleet").await?;
     if code != StatusCode::OK {
@@ -46,7 +46,8 @@
     if json {
         return Ok(String::from_utf8_lossy(&body).into_owned());
     }
-    let status = serde_json::from_slice(&body).map_err(|source| ShowError::Unreadable { address, source })?;
+    let status =
+        serde_json::from_slice(&body).map_err(|source| ShowError::InvalidReport { address, source })?;
     Ok(format_status(&status))
 }
 
@@ -56,17 +57,20 @@
     for member in &status.view.members {
         table.add_row(member_row(member, member.name == status.view.node));
     }
-    format!("{}\n{table}\n", headline(status))
+    format!("{}\n{table}\n", summary_line(status))
 }
 
-fn headline(status: &Status) -> String {
+fn summary_line(status: &Status) -> String {
     let Status { view, fleet_size, .. } = status;
     let summary = match view.yielded_to {
-        Some(other) => format!("it yielded to a process of its name at {other}"),
-        None if !view.joined => "it has heard of nobody yet".to_string(),
-        None => format!("{} take jobs, {} may be sending", fleet_size.dispatchers, fleet_size.senders),
+        Some(other) => format!("it yielded its name to the process at {other}"),
+        None if !view.joined => "no other node was seen yet".to_string(),
+        None => format!(
+            "{} nodes accept requests, {} may send to workers",
+            fleet_size.dispatchers, fleet_size.senders
+        ),
     };
-    format!("fleet {}, as {} sees it: {summary}", view.fleet, view.node)
+    format!("fleet {}, view of {}: {summary}", view.fleet, view.node)
 }
 
 fn member_row(member: &MemberInfo, is_own: bool) -> [String; 6] {
--- a/node/src/membership/state_sync.rs
+++ b/node/src/membership/state_sync.rs
@@ -1,6 +1,6 @@
-//! State synchronization over TCP. The responder sends a nonce, the initiator its state, the responder its own.
+//! State synchronization over TCP: the responder sends a nonce, the initiator its full state, the responder its own.
 //!
-//! Frames are a length of four bytes, big endian, and at most [`FRAME_MAX`] bytes.
+//! Each full state is a frame: a big-endian length of four bytes, then at most [`FRAME_MAX`] bytes.
 
 use membership::{PendingSync, FRAME_MAX};
 use std::io::{self, ErrorKind};
@@ -11,51 +11,51 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Time limit of one synchronization, from its connection on.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of one synchronization; for the initiator, it includes the connection setup.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Request of a stream to the task that owns the machine.
+/// Request of a synchronization to the membership task, which owns the machine.
 pub enum SyncRequest {
-    /// Returns this node's state, for a responder that sent this challenge.
-    Open { to: SocketAddr, challenge: u64, reply: oneshot::Sender<(PendingSync, Vec<u8>)> },
-    /// Applies an initiator's state and returns this node's; no reply if it is rejected.
+    /// Creates this node's full state for a responder that sent this challenge.
+    CreateState { to: SocketAddr, challenge: u64, reply: oneshot::Sender<(PendingSync, Vec<u8>)> },
+    /// Applies the initiator's full state and creates this node's; no reply if it is rejected.
     Respond { challenge: u64, bytes: Vec<u8>, reply: oneshot::Sender<Vec<u8>> },
-    /// Applies a responder's state.
-    Finish { pending: PendingSync, bytes: Vec<u8> },
-    /// The synchronization that this node initiated has ended.
-    Done,
+    /// Applies the responder's full state.
+    Apply { pending: PendingSync, bytes: Vec<u8> },
+    /// Reports that the synchronization that this node initiated has ended.
+    Ended,
 }
 
-/// Initiates a synchronization, from the address at which this node is known.
+/// Initiates a synchronization, from this node's own IP address.
 ///
 /// # Errors
 ///
-/// Fails if the connection fails, the responder rejects the state, or the time limit is over.
+/// Fails if the connection fails, the responder rejects the state, or the time limit expires.
 pub async fn initiate(
-    own: SocketAddr,
+    own_address: SocketAddr,
     to: SocketAddr,
     requests: &mpsc::Sender<SyncRequest>,
 ) -> io::Result<()> {
     let exchange = async {
         let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        socket.bind(SocketAddr::new(own.ip(), 0))?;
+        socket.bind(SocketAddr::new(own_address.ip(), 0))?;
         let mut stream = socket.connect(to).await?;
         let challenge = stream.read_u64().await?;
         let (reply, state) = oneshot::channel();
-        submit(requests, SyncRequest::Open { to, challenge, reply }).await?;
+        submit(requests, SyncRequest::CreateState { to, challenge, reply }).await?;
         let (pending, state) = state.await.map_err(|_| ErrorKind::BrokenPipe)?;
         write_frame(&mut stream, &state).await?;
         let bytes = read_frame(&mut stream).await?;
-        submit(requests, SyncRequest::Finish { pending, bytes }).await
+        submit(requests, SyncRequest::Apply { pending, bytes }).await
     };
-    timeout(TIMEOUT, exchange).await?
+    timeout(SYNC_TIMEOUT, exchange).await?
 }
 
 /// Responds to a synchronization that another node initiates.
 ///
 /// # Errors
 ///
-/// Fails if the connection fails, this node rejects the state, or the time limit is over.
+/// Fails if the connection fails, this node rejects the state, or the time limit expires.
 pub async fn respond(
     mut stream: TcpStream,
     challenge: u64,
@@ -66,11 +66,11 @@
         let bytes = read_frame(&mut stream).await?;
         let (reply, state) = oneshot::channel();
         submit(&requests, SyncRequest::Respond { challenge, bytes, reply }).await?;
-        // The machine sends no reply to a state that it rejects.
+        // There is no reply if the machine rejects the state.
         let state = state.await.map_err(|_| ErrorKind::InvalidData)?;
         write_frame(&mut stream, &state).await
     };
-    timeout(TIMEOUT, exchange).await?
+    timeout(SYNC_TIMEOUT, exchange).await?
 }
 
 async fn submit(requests: &mpsc::Sender<SyncRequest>, request: SyncRequest) -> io::Result<()> {
@@ -84,7 +84,7 @@
 
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await? as usize;
-    // Guards memory against a forged length.
+    // Bounds memory against a forged length.
     if length > FRAME_MAX {
         return Err(ErrorKind::InvalidData.into());
     }
--- a/node/src/membership/task.rs
+++ b/node/src/membership/task.rs
@@ -1,4 +1,4 @@
-//! Membership task: a loop over sockets, timers, commands and changes of the process.
+//! Membership task: event loop over sockets, timers, commands, synchronizations, key changes and phase changes.
 
 use super::datagram_budget::DatagramBudget;
 use super::handle::{Command, Rates, ReceivedMessage, LEAVE_TIMEOUT};
@@ -15,18 +15,18 @@
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{interval_at, sleep, sleep_until, Instant, Interval, MissedTickBehavior};
 
-/// Datagrams read before the task yields.
+/// Maximum number of datagrams read before the task yields.
 const READ_BATCH: u32 = 32;
-/// Interval at which the published fleet size and peers are updated.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between attempts to listen for streams while another process of this node still does.
+/// Interval between updates of the published fleet size and peers.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between attempts to listen for streams while another process of this node is listening.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for the last datagrams of a node that leaves to be sent.
-const LAST_DATAGRAMS_DELAY: Duration = LEAVE_TIMEOUT.checked_div(10).expect("above zero");
-/// Longest wait for a timer of the machine: one that never fires is too far ahead for a point in time.
-const TIMER_WAIT_MAX: Duration = Duration::from_secs(3600);
+/// Delay before the task of a node that leaves ends, for its last datagrams to be sent.
+const LEAVE_FLUSH_DELAY: Duration = LEAVE_TIMEOUT.checked_div(10).expect("above zero");
+/// Upper bound on the machine's next timeout, which would overflow an `Instant` if there is no timer.
+const NEXT_TIMEOUT_MAX: Duration = Duration::from_secs(3600);
 
-/// Channels to the other parts of the node.
+/// Channels from the task to the other parts of the node.
 pub(super) struct Outputs {
     pub fleet_size: watch::Sender<FleetSize>,
     pub peers: watch::Sender<Vec<Peer>>,
@@ -34,37 +34,37 @@
     pub messages: mpsc::Sender<ReceivedMessage>,
 }
 
-/// Whether this process takes part in the fleet, or another process of this node does in its place.
+/// Whether this process takes part in the fleet, or another process of this node does.
 #[derive(Clone, Copy, PartialEq)]
 enum Activity {
-    /// It takes part.
+    /// Takes part.
     Active,
-    /// It is silent for as long as the other process runs.
+    /// Does not take part while the other process is running.
     Suspended,
-    /// It is silent for good.
+    /// Does not take part any more: the other process has taken over for good.
     Replaced,
 }
 
-/// The task.
+/// State of the membership task.
 pub(super) struct Task {
     machine: Machine,
     /// Origin of the machine's clock.
-    started: Instant,
+    clock_origin: Instant,
     socket: UdpSocket,
     listener: Option<TcpListener>,
     listen_retry_at: Instant,
     outputs: Outputs,
     commands: mpsc::Receiver<Command>,
-    update: Interval,
+    publish_interval: Interval,
     activity: Activity,
     budget: DatagramBudget,
-    /// How often the budget was used up.
+    /// How often reading stopped because the datagram budget was used up.
     floods: u64,
     sync_requests: mpsc::Sender<SyncRequest>,
-    sync_queue: mpsc::Receiver<SyncRequest>,
-    /// Whether a state synchronization that this node initiated is under way.
-    syncing: bool,
-    /// One for each state synchronization that another node initiated.
+    received_sync_requests: mpsc::Receiver<SyncRequest>,
+    /// Whether a state synchronization that this node initiated is running.
+    sync_running: bool,
+    /// Permits for state synchronizations that other nodes initiate.
     sync_permits: Arc<Semaphore>,
     dependencies: Dependencies,
 }
@@ -78,24 +78,24 @@
         dependencies: Dependencies,
     ) -> Task {
         let now = Instant::now();
-        let mut update = interval_at(now + UPDATE_INTERVAL, UPDATE_INTERVAL);
-        update.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (sync_requests, sync_queue) = mpsc::channel(2 * SYNC_STREAMS_MAX);
+        let mut publish_interval = interval_at(now + PUBLISH_INTERVAL, PUBLISH_INTERVAL);
+        publish_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let (sync_requests, received_sync_requests) = mpsc::channel(2 * SYNC_STREAMS_MAX);
         Task {
             machine,
-            started: now,
+            clock_origin: now,
             socket,
             listener: None,
             listen_retry_at: now,
             outputs,
             commands,
-            update,
+            publish_interval,
             activity: Activity::Active,
             budget: DatagramBudget::new(now),
             floods: 0,
             sync_requests,
-            sync_queue,
-            syncing: false,
+            received_sync_requests,
+            sync_running: false,
             sync_permits: Arc::new(Semaphore::new(SYNC_STREAMS_MAX)),
             dependencies,
         }
@@ -106,18 +106,18 @@
         self.run_actions();
         loop {
             self.listen_if_due();
-            let timer = self.started + self.machine.next_timeout().min(TIMER_WAIT_MAX);
+            let next_timeout = self.clock_origin + self.machine.next_timeout().min(NEXT_TIMEOUT_MAX);
             let is_active = self.activity == Activity::Active;
             tokio::select! {
                 _ = self.socket.readable(), if self.budget.is_available() => self.read_datagrams().await,
-                () = sleep_until(timer), if is_active => self.run_timers(),
-                _ = self.update.tick() => self.publish(),
+                () = sleep_until(next_timeout), if is_active => self.run_timers(),
+                _ = self.publish_interval.tick() => self.publish(),
                 Some(command) = self.commands.recv() => {
                     if let Some(done) = self.run_command(command) {
-                        return self.end(done).await;
+                        return self.finish_leaving(done).await;
                     }
                 }
-                Some(request) = self.sync_queue.recv() => self.run_sync_request(request),
+                Some(request) = self.received_sync_requests.recv() => self.run_sync_request(request),
                 Ok(()) = self.dependencies.phase.changed() => self.apply_phase(),
                 Ok(()) = self.dependencies.keys.changed() => self.apply_keys(),
                 Ok(stream) = accept(self.listener.as_ref()) => self.respond_to_sync(stream),
@@ -127,26 +127,26 @@
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.clock_origin.elapsed()
     }
 
     fn own_address(&self) -> SocketAddr {
         self.dependencies.config.file.listen
     }
 
-    fn is_silent(&self) -> bool {
+    fn is_inactive(&self) -> bool {
         self.activity != Activity::Active
     }
 
     fn listen_if_due(&mut self) {
-        if self.listener.is_some() || self.is_silent() || Instant::now() < self.listen_retry_at {
+        if self.listener.is_some() || self.is_inactive() || Instant::now() < self.listen_retry_at {
             return;
         }
         match listen_for_streams(self.own_address()) {
             Ok(listener) => self.listener = Some(listener),
             Err(error) => {
                 log::debug!(event = "sync_listen_failed", address:% = self.own_address(), error:%;
-                    "cannot listen for state synchronizations yet");
+                    "cannot listen for state synchronizations; retrying");
                 self.listen_retry_at = Instant::now() + LISTEN_RETRY_INTERVAL;
             }
         }
@@ -159,10 +159,10 @@
                 self.floods += 1;
                 break;
             }
-            // Also fails if the receiver of an earlier datagram was unreachable, which says nothing of the next one.
+            // Also fails if the receiver of an earlier datagram was unreachable; the socket stays usable.
             let Ok((length, _)) = self.socket.try_recv_from(&mut bytes) else { break };
             self.budget.consume();
-            if !self.is_silent() {
+            if !self.is_inactive() {
                 self.machine.handle_datagram(self.now(), &bytes[..length]);
             }
         }
@@ -174,10 +174,10 @@
         self.machine.handle_timeout(now);
     }
 
-    /// Refills the budget, and publishes peers and fleet size if they have changed.
+    /// Refills the datagram budget, and publishes the peers and the fleet size if they have changed.
     fn publish(&mut self) {
         self.budget.refill(Instant::now());
-        if self.is_silent() {
+        if self.is_inactive() {
             return;
         }
         if !self.outputs.peers.is_closed() {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Runs a command. Returns whom to notify once the last datagrams are sent if the node leaves.
+    /// Runs a command. For [`Command::Leave`], returns the sender to notify once the last datagrams are sent.
     fn run_command(&mut self, command: Command) -> Option<oneshot::Sender<()>> {
         let now = self.now();
         match command {
@@ -200,9 +200,9 @@
             }
             Command::SendMessage(to, bytes) => self.machine.send_message(now, to, &bytes),
             Command::Status(reply) => drop(reply.send(self.status(now))),
-            Command::Suspend => self.activity = Activity::Replaced,
-            // While another process of this node serves, the node does not leave.
-            Command::Leave(done) if self.is_silent() => drop(done),
+            Command::StopParticipating => self.activity = Activity::Replaced,
+            // The node does not leave while another process of it takes part.
+            Command::Leave(done) if self.is_inactive() => drop(done),
             Command::Leave(done) => {
                 self.machine.leave(now);
                 return Some(done);
@@ -211,11 +211,11 @@
         None
     }
 
-    /// Sends the announcement of a node that leaves.
-    async fn end(mut self, done: oneshot::Sender<()>) {
+    /// Sends the last datagrams of the node, then notifies the caller of [`Handle::leave`](super::Handle::leave).
+    async fn finish_leaving(mut self, done: oneshot::Sender<()>) {
         self.run_actions();
-        sleep(LAST_DATAGRAMS_DELAY).await;
-        let _ = done.send(()); // fails if nobody waits any more
+        sleep(LEAVE_FLUSH_DELAY).await;
+        let _ = done.send(()); // fails if the caller has stopped waiting
     }
 
     fn status(&self, now: Duration) -> Status {
@@ -245,7 +245,8 @@
             (_, Activity::Replaced) | (Phase::Closing, Activity::Suspended) => {}
             (phase, activity) => {
                 if activity == Activity::Suspended {
-                    log::info!(event = "membership_resumed"; "the process that replaced this one has ended");
+                    log::info!(event = "membership_resumed";
+                        "resumed membership: the process that took over has ended");
                     self.activity = Activity::Active;
                     self.machine.resume(now);
                 }
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Starts a task that responds to the state synchronization of another node, unless too many run.
+    /// Starts a task that responds to a state synchronization of another node, unless too many are running.
     fn respond_to_sync(&mut self, stream: TcpStream) {
         let Ok(permit) = self.sync_permits.clone().try_acquire_owned() else { return };
         let (challenge, requests) = (self.machine.generate_nonce(), self.sync_requests.clone());
@@ -266,25 +267,25 @@
         });
     }
 
-    /// Starts a task that initiates a state synchronization with the node at an address, unless one runs.
+    /// Starts a task that initiates a state synchronization with the node at an address, unless one is running.
     fn initiate_sync(&mut self, to: SocketAddr) {
-        if std::mem::replace(&mut self.syncing, true) {
+        if std::mem::replace(&mut self.sync_running, true) {
             return;
         }
-        let (own, requests) = (self.own_address(), self.sync_requests.clone());
+        let (own_address, requests) = (self.own_address(), self.sync_requests.clone());
         tokio::spawn(async move {
-            if let Err(error) = state_sync::initiate(own, to, &requests).await {
+            if let Err(error) = state_sync::initiate(own_address, to, &requests).await {
                 log::debug!(event = "sync_failed", role = "initiator", address:% = to, error:%;
                     "state synchronization failed");
             }
-            let _ = requests.send(SyncRequest::Done).await; // fails once the task has ended
+            let _ = requests.send(SyncRequest::Ended).await; // fails once the task has ended
         });
     }
 
     fn run_sync_request(&mut self, request: SyncRequest) {
         let now = self.now();
         match request {
-            SyncRequest::Open { to, challenge, reply } => {
+            SyncRequest::CreateState { to, challenge, reply } => {
                 let _ = reply.send(self.machine.request_sync(now, to, challenge));
             }
             SyncRequest::Respond { challenge, bytes, reply } => {
@@ -292,17 +293,17 @@
                     let _ = reply.send(state);
                 }
             }
-            SyncRequest::Finish { pending, bytes } => drop(self.machine.complete_sync(now, pending, &bytes)),
-            SyncRequest::Done => self.syncing = false,
+            SyncRequest::Apply { pending, bytes } => drop(self.machine.complete_sync(now, pending, &bytes)),
+            SyncRequest::Ended => self.sync_running = false,
         }
     }
 
-    /// Carries out what the machine requests.
+    /// Carries out the actions that the machine requests.
     fn run_actions(&mut self) {
         while let Some(action) = self.machine.next_action() {
             match action {
                 Action::Send { to, bytes } => {
-                    // A datagram that can't be sent now is lost.
+                    // A datagram that can't be sent now is dropped.
                     let _ = self.socket.try_send_to(&bytes, to);
                 }
                 Action::SyncState { to } => self.initiate_sync(to),
@@ -315,7 +316,7 @@
     }
 }
 
-/// Publishes a value if it differs from the current one, and returns whether it does.
+/// Replaces the value of a channel if the new one differs, and returns whether it does.
 fn replace_if_changed<T: PartialEq>(channel: &watch::Sender<T>, value: T) -> bool {
     channel.send_if_modified(|current| {
         let differs = *current != value;
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -195,7 +195,7 @@
         let Some(path) = self.handover_path.take() else { return };
         let (listener, phases, budget) = (Arc::downgrade(listener), self.phases.clone(), self.budget.clone());
         let membership = self.membership.clone();
-        let displaced = move || membership.iter().for_each(membership::Handle::suspend);
+        let displaced = move || membership.iter().for_each(membership::Handle::stop_participating);
         tokio::spawn(async move {
             process_handover::serve_successors(&path, listener, &phases, &*budget, displaced).await
         });
