--- a/membership/src/fragments.rs
+++ b/membership/src/fragments.rs
@@ -10,7 +10,7 @@
 pub const MESSAGE_MAX: usize = 64 * 1024;
 /// Maximum number of incomplete messages; the oldest is evicted for a new one.
 pub const INCOMPLETE_MAX: usize = 32;
-/// Age at which an incomplete message expires.
+/// Age from which an incomplete message is dropped if the table is full.
 const REASSEMBLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One fragment of a message. The order of the fields is part of the datagram format.
--- a/membership/src/machine/participation.rs
+++ b/membership/src/machine/participation.rs
@@ -1,6 +1,6 @@
 //! This node's participation in the fleet: phase changes, leaving, rejoining, and name conflicts.
 
-use super::probing::ClaimantProbe;
+use super::reconnect::ClaimantProbe;
 use super::{Action, Machine, MembershipEvent};
 use crate::member::{Identity, Phase};
 use crate::packet::Body;
