--- a/node/src/acceptor.rs
+++ b/node/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! Acceptor of connections: outlasts transient errors of `accept`, and tells how long a connection may have waited in the
-//! backlog.
+//! Accepts connections: retries after transient errors of `accept`, and bounds the time that a connection may have
+//! waited in the backlog.
 
 use crate::transient::{self, FailureBackoff};
 use std::future::poll_fn;
@@ -9,53 +9,54 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
 
-/// Pause between calls of `accept` where the process or the machine has no descriptor left.
+/// Pause between calls of `accept` while the process or the machine has no free descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Limit of the time for which the backlog is emptied where `accept` fails all the time.
-const EMPTYING_LIMIT: Duration = Duration::from_secs(1);
+/// Longest time for emptying the backlog while `accept` keeps failing.
+const BACKLOG_DRAIN_LIMIT: Duration = Duration::from_secs(1);
 
-/// Connection out of the backlog.
+/// Accepted connection.
 pub struct Accepted {
-    /// The connection.
+    /// Socket of the connection.
     pub socket: TcpStream,
-    /// Upper bound of its time in the backlog; what its client has sent may be as old.
+    /// Upper bound of its time in the backlog. Bytes that its client has sent may be as old.
     pub backlog_wait: Duration,
 }
 
-/// Acceptor of one listener's connections.
+/// Accepts the connections of one listener.
 pub struct Acceptor {
-    /// Since when nobody has seen the backlog empty; `None` while it is, as far as the kernel has told.
-    unseen_since: Option<Instant>,
+    /// Time since which the backlog may hold connections; `None` if the last poll found it empty.
+    maybe_queued_since: Option<Instant>,
     backoff: FailureBackoff,
 }
 
 impl Default for Acceptor {
     fn default() -> Self {
-        Acceptor { unseen_since: Some(Instant::now()), backoff: FailureBackoff::default() }
+        Acceptor { maybe_queued_since: Some(Instant::now()), backoff: FailureBackoff::default() }
     }
 }
 
 impl Acceptor {
-    /// Notes that nobody looks at the backlog from now on until the next call.
+    /// Notes that the listener is not polled until the next call, so that connections may queue from now on.
     pub fn stop_watching(&mut self) {
-        self.unseen_since.get_or_insert_with(Instant::now);
+        self.maybe_queued_since.get_or_insert_with(Instant::now);
     }
 
-    /// Waits for the next connection. Cancel safe: a call that is dropped takes none.
+    /// Waits for the next connection. Cancel safe: a call that is dropped has accepted none.
     pub async fn accept(&mut self, listener: &TcpListener) -> Accepted {
         poll_fn(|context| self.poll_accept(listener, context)).await
     }
 
-    /// Takes the next connection that lies in the backlog already; `None` once it is empty.
+    /// Accepts a connection that is in the backlog already. Returns `None` once the backlog is empty, or if `accept`
+    /// keeps failing for a second.
     pub async fn accept_queued(&mut self, listener: &TcpListener) -> Option<Accepted> {
         let started = Instant::now();
         loop {
-            // A timeout of zero polls the listener once all the same.
+            // A zero timeout still polls the listener once.
             if let Ok(accepted) = timeout(Duration::ZERO, self.accept(listener)).await {
                 return Some(accepted);
             }
             let pause = self.backoff.take_pause();
-            if self.unseen_since.is_none() || started.elapsed() > EMPTYING_LIMIT {
+            if self.maybe_queued_since.is_none() || started.elapsed() > BACKLOG_DRAIN_LIMIT {
                 return None;
             }
             if let Some(pause) = pause {
@@ -69,7 +70,7 @@
             ready!(self.backoff.poll_ready(context));
             match listener.poll_accept(context) {
                 Poll::Pending => {
-                    self.unseen_since = None;
+                    self.maybe_queued_since = None;
                     return Poll::Pending;
                 }
                 Poll::Ready(Ok((socket, _))) => return Poll::Ready(self.accepted(socket)),
@@ -79,18 +80,18 @@
     }
 
     fn accepted(&mut self, socket: TcpStream) -> Accepted {
-        let backlog_wait = self.unseen_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let backlog_wait = self.maybe_queued_since.map_or(Duration::ZERO, |since| since.elapsed());
         self.backoff.reset();
         self.stop_watching();
         Accepted { socket, backlog_wait }
     }
 
     fn record_failure(&mut self, error: &io::Error) {
-        log::debug!(event = "accept_failed", error:%; "no connection accepted");
+        log::debug!(event = "accept_failed", error:%; "accept failed");
         self.stop_watching();
-        // The connection stays in the backlog where no descriptor is left: without a pause, this would spin.
+        // Without a free descriptor the connection stays in the backlog, so retrying without a pause would spin.
         if self.backoff.record_failure(transient::accept_retry(error), ACCEPT_PAUSE) {
-            log::warn!(event = "accept_paused", error:%; "no connection accepted: next attempt after a pause");
+            log::warn!(event = "accept_paused", error:%; "accept failed; retrying after a pause");
         }
     }
 }
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -7,101 +7,101 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Dispatches declaration jobs. Without a command it runs a node, as RELAY_CONFIG tells it.
+/// Dispatches declaration requests to workers. Without a command, runs a node with the file that RELAY_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "molevale", version, args_conflicts_with_subcommands = true)]
 pub struct Cli {
-    /// The operator's file of the Faktory front; off without one.
+    /// Configuration file of the Faktory frontend, which is off without one.
     #[arg(long, value_name = "FILE")]
     pub faktory: Option<PathBuf>,
-    /// The operator's file that lets this node talk to others; off without one.
+    /// Configuration file of the fleet; without one the node runs without membership and coordination.
     #[arg(long, value_name = "FILE")]
     pub fleet: Option<PathBuf>,
-    /// What to do in place of running a node.
+    /// Command to execute instead of running a node.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do in place of running a node.
+/// Command to execute instead of running a node.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Asks a node of its fleet.
+    /// Shows or changes the state of a fleet.
     #[command(subcommand)]
     Fleet(FleetCommand),
 }
 
-/// What to ask.
+/// Command about a fleet.
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
     /// Shows a node's view of the fleet.
     Show {
-        /// The node's management address, such as 127.0.0.1:9000.
+        /// Management address of the node, such as 127.0.0.1:9000.
         address: SocketAddr,
-        /// As the node tells it, in JSON.
+        /// Prints the node's answer as it is, in JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Shows the duties that one node holds at a time: who holds which, and what changed last.
+    /// Shows the leases (duties that one node holds at a time): their holders and latest changes.
     Duties {
-        /// A node's management address.
+        /// Management address of a node.
         address: SocketAddr,
-        /// As the node tells it, in JSON.
+        /// Prints the node's answer as it is, in JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Adds or removes one of those that grant the duties.
+    /// Adds or removes a voter, one of the nodes that grant the leases.
     #[command(subcommand)]
     Voter(VoterCommand),
-    /// Has all nodes drain and end, one after another, to be started anew by whoever runs them.
+    /// Starts or stops a rolling restart: each node in turn drains and exits, and its supervisor starts it again.
     Roll {
-        /// A node's management address.
+        /// Management address of a node.
         address: SocketAddr,
-        /// Nodes of one zone that may be away at once.
+        /// Nodes of one zone that may be unavailable at once.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=4))]
         away: u8,
-        /// Stops the roll that is under way.
+        /// Stops the rolling restart in progress.
         #[arg(long, conflicts_with = "away")]
         stop: bool,
     },
 }
 
-/// What to do with a voter.
+/// Change of the voters.
 #[derive(Debug, Subcommand)]
 pub enum VoterCommand {
-    /// Gives a node a seat; it runs with a state folder and the voters in its file.
+    /// Adds a node to the voters. Its fleet file must name a state directory and the voters.
     Add {
-        /// A node's management address.
+        /// Management address of a node.
         address: SocketAddr,
-        /// The new voter's name.
+        /// Name of the new voter.
         name: String,
-        /// Where the others reach it.
+        /// Address at which the other voters reach it.
         at: SocketAddr,
     },
-    /// Takes a voter's seat away, also one that is gone for good.
+    /// Removes a voter, also one whose node no longer exists.
     Remove {
-        /// A node's management address.
+        /// Management address of a node.
         address: SocketAddr,
-        /// The voter's name.
+        /// Name of the voter.
         name: String,
     },
 }
 
-/// Error of a command to a node.
+/// Error of a fleet command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The status of membership could not be shown.
+    /// The membership status could not be shown.
     #[error(transparent)]
     Membership(#[from] membership::ShowError),
-    /// The status of coordination could not be shown, or the command was not obeyed.
+    /// The coordination status could not be shown, or the command was rejected.
     #[error(transparent)]
     Coordination(#[from] coordination::PrintError),
 }
 
 impl FleetCommand {
-    /// Calls the node, and returns the text to print.
+    /// Calls the node and returns the text to print.
     ///
     /// # Errors
-    /// Where the node can't be reached, rejects the command, or gives an answer that can't be read.
+    /// If the node can't be reached, rejects the command, or sends an answer that can't be read.
     pub async fn run(self) -> Result<String, CommandError> {
         let (address, path) = match self {
             FleetCommand::Show { address, json } => return Ok(membership::show(address, json).await?),
@@ -121,12 +121,12 @@
     }
 }
 
-/// Error in the command line, in one line.
+/// Error in the command line; its message is a single line.
 #[derive(Debug, Error)]
 #[error("{message}")]
 pub struct ArgumentError {
     message: String,
-    /// Error of the parser, with its hints on usage.
+    /// Error of the parser, with its usage hints.
     source: clap::Error,
 }
 
@@ -140,11 +140,10 @@
     }
 }
 
-/// Parses the command line. Help and version are printed here; then there is nothing left to do, and the result is
-/// `None`.
+/// Parses the command line. Prints help and version itself; the result is `None` then.
 ///
 /// # Errors
-/// Where an argument is unknown, missing or invalid.
+/// If an argument is unknown, missing or invalid.
 pub fn parse(arguments: impl Iterator<Item = std::ffi::OsString>) -> Result<Option<Cli>, ArgumentError> {
     match Cli::try_parse_from(arguments) {
         Ok(cli) => Ok(Some(cli)),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration of a node, at its start and when it is reloaded: environment, JSON configuration and the operators'
-//! files.
+//! Configuration of a node, read at the start and at each reload: environment variables, the node's JSON file, and the
+//! TOML files of the Faktory frontend and of the fleet.
 
 use crate::dispatcher::stable_hash;
 use crate::endpoint_list::EndpointList;
@@ -15,22 +15,22 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Descriptors that the platform's front end needs at least.
-const SOCKETS_MIN: usize = 128;
+/// Fewest descriptors with which the platform frontend works.
+const MIN_PLATFORM_SOCKETS: usize = 128;
 
 /// Error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Neither front end is configured.
+    /// No frontend is configured.
     #[error("RELAY_CONFIG is not set")]
     NotConfigured,
-    /// The fleet's file is given without the configuration that names the node.
+    /// A fleet file is given without the configuration that names the node.
     #[error("--fleet: RELAY_CONFIG is not set, so the node has no name")]
     FleetWithoutConfig,
-    /// The node's name is unfit for the fleet.
+    /// The node's name is empty or too long for a fleet.
     #[error("--fleet: the node needs a name of 1 to {NAME_MAX} bytes")]
     InvalidNodeName,
-    /// A file cannot be read.
+    /// A file can't be read.
     #[error("cannot read {}: {source}", path.display())]
     ReadFile {
         /// Path of the file.
@@ -38,7 +38,7 @@
         /// Error of the system call.
         source: io::Error,
     },
-    /// The configuration is not JSON, or has a missing or mistyped key.
+    /// The configuration is not valid JSON, or has a missing or mistyped key.
     #[error("configuration: {0}")]
     Syntax(#[from] serde_json::Error),
     /// A value is not an address.
@@ -49,40 +49,40 @@
         /// The value.
         text: String,
     },
-    /// An address that is needed is missing.
-    #[error("configuration: no {0}")]
+    /// A required address is missing.
+    #[error("configuration: {0} is not set")]
     MissingAddress(&'static str),
-    /// The address of another node is malformed.
+    /// The address of a peer is malformed.
     #[error("configuration: peers: {0} is not an address")]
     InvalidPeerAddress(String),
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] ParseError),
-    /// The operator's file of the Faktory front end is invalid.
+    /// The Faktory frontend's file is invalid.
     #[error(transparent)]
     Faktory(#[from] faktory::ConfigError),
-    /// The Faktory front end's connections and the platform's do not fit the descriptor limit.
+    /// The connections of the Faktory frontend leave too few descriptors for the platform frontend.
     #[error("operator's file: connections leave the platform too few sockets")]
     TooFewSockets,
-    /// The fleet's file is invalid.
+    /// The fleet file is invalid.
     #[error("{}: {source}", path.display())]
     FleetFile {
         /// Path of the file.
         path: PathBuf,
-        /// The line and what is wrong with it.
+        /// The line and its error.
         source: FileError,
     },
-    /// The fleet's key file is invalid.
+    /// The key file of the fleet is invalid.
     #[error("{}: {source}", path.display())]
     KeyFile {
         /// Path of the file.
         path: PathBuf,
-        /// The line and what is wrong with it.
+        /// The line and its error.
         source: KeyError,
     },
 }
 
-/// The configuration file as written. The parser's messages to operators name this type: the name stays.
+/// The configuration file as deserialized. Error messages that operators read name this type, so its name is fixed.
 #[derive(Deserialize)]
 struct Raw {
     #[serde(default)]
@@ -101,13 +101,13 @@
     settings: Value,
 }
 
-/// What the node may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors of the process.
+    /// File descriptors.
     pub sockets: usize,
-    /// Memory of the process.
+    /// Memory, in MB.
     pub memory_mb: usize,
 }
 
@@ -117,35 +117,36 @@
     }
 }
 
-/// A node's configuration.
+/// Configuration of the node and its platform frontend.
 #[derive(Clone)]
 pub struct Config {
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call; off if not set.
+    /// Address of the management server, which is off without one.
     pub management: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// Resource limits.
     pub limits: Limits,
-    /// The workers as last known.
+    /// Endpoint list until discovery answers.
     pub known_endpoints: Option<EndpointList>,
-    /// Where the platform's other nodes send their datagrams; none come if not set.
+    /// Address at which datagrams of peers arrive; none are received without one.
     pub peer_listen: Option<SocketAddr>,
-    /// Where they are reached, by number, and come from.
+    /// Addresses of the peers, by number: to which datagrams are sent and from which they are accepted.
     pub peers: Vec<SocketAddr>,
-    /// The module's settings, and what the wires need beside them.
+    /// Settings of the decision module, and what the frontends need in addition.
     pub effective_settings: EffectiveSettings,
-    /// All that it was read from, less what is for starts only.
+    /// The file's content, without the keys that only a start uses.
     pub document: Value,
 }
 
 impl Config {
-    /// What differs from a newer one and holds until a restart. (`known` and `seed` are for starts only.)
+    /// Keys that differ in a newer configuration and take effect only after a restart. (Only a start uses `known` and
+    /// `seed`.)
     fn restart_required(&self, newer: &Config) -> Vec<&'static str> {
         [
             ("name", self.name != newer.name),
@@ -160,25 +161,25 @@
     }
 }
 
-/// All that the fronts are told; one that is off has nothing.
+/// All configuration as read; parts that are off are `None`.
 #[derive(Clone)]
 pub struct LoadedConfig {
-    /// The platform's front.
+    /// The node and its platform frontend.
     pub node: Option<Config>,
-    /// The Faktory front.
+    /// The Faktory frontend.
     pub faktory: Option<FaktoryConfig>,
-    /// The talk between nodes.
+    /// Membership and coordination.
     pub membership: Option<MembershipConfig>,
 }
 
-/// What lets a node talk to others.
+/// Configuration of membership and coordination.
 #[derive(Clone, PartialEq)]
 pub struct MembershipConfig {
-    /// The operator's file.
+    /// The fleet file.
     pub file: FleetFile,
-    /// The keys that it names.
+    /// The keys in the file's key file.
     pub keys: Keys,
-    /// The folder that the file stands in: relative names in it are meant from there.
+    /// Directory of the file, to which relative paths in it refer.
     pub directory: PathBuf,
 }
 
@@ -186,101 +187,105 @@
     fn read(path: &Path) -> Result<MembershipConfig, Error> {
         let file = FleetFile::parse(&read_file(path)?);
         let file = file.map_err(|source| Error::FleetFile { path: path.to_path_buf(), source })?;
-        // A relative name is meant from where the file stands, wherever the node was started.
-        let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
-        let key_path = folder.join(&file.key_file);
+        // Relative to the file, not to the directory in which the node was started.
+        let directory = path.parent().unwrap_or(Path::new("")).to_path_buf();
+        let key_path = directory.join(&file.key_file);
         let keys = Keys::parse(&read_file(&key_path)?);
         let keys = keys.map_err(|source| Error::KeyFile { path: key_path, source })?;
-        Ok(MembershipConfig { file, keys, directory: folder })
+        Ok(MembershipConfig { file, keys, directory })
     }
 }
 
 impl LoadedConfig {
-    /// What differs from a newer one and holds until a restart.
+    /// Keys and files that differ in a newer configuration and take effect only after a restart.
     pub fn restart_required(&self, newer: &LoadedConfig) -> Vec<&'static str> {
-        let mut all = match (&self.node, &newer.node) {
+        let mut changed = match (&self.node, &newer.node) {
             (Some(old), Some(new)) => old.restart_required(new),
             _ => Vec::new(),
         };
         if self.faktory != newer.faktory {
-            all.push("the operator's file");
+            changed.push("the Faktory file");
         }
-        if self.membership.as_ref().map(|t| &t.file) != newer.membership.as_ref().map(|t| &t.file) {
-            all.push("the fleet's file");
+        if self.membership.as_ref().map(|m| &m.file) != newer.membership.as_ref().map(|m| &m.file) {
+            changed.push("the fleet file");
         }
-        all
+        changed
     }
 }
 
-/// Where a node's configuration stands: it can be read again from there.
+/// Files of a node's configuration, which can be read again.
 pub struct ConfigSources {
-    /// The platform's JSON file.
+    /// JSON file of the node.
     pub node: Option<PathBuf>,
-    /// The operator's file of the Faktory front.
+    /// TOML file of the Faktory frontend.
     pub faktory: Option<PathBuf>,
-    /// The operator's file that lets nodes talk.
+    /// TOML file of the fleet.
     pub membership: Option<PathBuf>,
 }
 
 impl ConfigSources {
-    /// Sources from the command line's files and the environment.
+    /// Sources from the command line's files and RELAY_CONFIG.
     ///
     /// # Errors
-    /// If no front end is configured, or a fleet's file stands without the node's configuration.
-    pub fn new(operator: Option<PathBuf>, fleet: Option<PathBuf>) -> Result<ConfigSources, Error> {
-        let config = variable("RELAY_CONFIG").map(PathBuf::from);
-        // Without a platform configuration, the Faktory front end may run alone.
-        if config.is_none() && operator.is_none() {
+    /// If no frontend is configured, or a fleet file is given without the node's configuration.
+    pub fn new(faktory: Option<PathBuf>, membership: Option<PathBuf>) -> Result<ConfigSources, Error> {
+        let node = environment_variable("RELAY_CONFIG").map(PathBuf::from);
+        // Without the node's configuration, the Faktory frontend may run alone.
+        if node.is_none() && faktory.is_none() {
             return Err(Error::NotConfigured);
         }
-        if config.is_none() && fleet.is_some() {
+        if node.is_none() && membership.is_some() {
             return Err(Error::FleetWithoutConfig);
         }
-        Ok(ConfigSources { node: config, faktory: operator, membership: fleet })
+        Ok(ConfigSources { node, faktory, membership })
     }
 
-    /// Reads all files for the start: variables, where set, come before the platform's file.
+    /// Reads all files for the start. Environment variables override the node's file.
     ///
     /// # Errors
     /// The first error in a file or variable.
     pub fn read(&self) -> Result<LoadedConfig, Error> {
-        self.read_with(variable)
+        self.read_with(environment_variable)
     }
 
-    /// Reads all files again: the file's address of discovery now holds, also against the environment.
+    /// Reads all files again for a reload. RELAY_DISCOVERY no longer overrides the file, so that a reload can change the
+    /// address of discovery.
     ///
     /// # Errors
     /// The first error in a file or variable.
     pub fn read_again(&self) -> Result<LoadedConfig, Error> {
-        self.read_with(|name| variable(name).filter(|_| name != "RELAY_DISCOVERY"))
+        self.read_with(|name| environment_variable(name).filter(|_| name != "RELAY_DISCOVERY"))
     }
 
     fn read_with(&self, variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, Error> {
-        let operator = match &self.faktory {
+        let faktory = match &self.faktory {
             Some(path) => Some(FaktoryConfig::parse(&read_file(path)?)?),
             None => None,
         };
-        let mut config = match &self.node {
+        let mut node = match &self.node {
             Some(path) => Some(parse(&read_file(path)?, variable)?),
             None => None,
         };
-        if let (Some(config), Some(operator)) = (&mut config, &operator) {
-            // The descriptor limit is the process's: the platform gets what the Faktory front end leaves.
-            let left = config.limits.sockets.checked_sub(operator.connections);
-            config.limits.sockets = left.filter(|left| *left >= SOCKETS_MIN).ok_or(Error::TooFewSockets)?;
+        if let (Some(node), Some(faktory)) = (&mut node, &faktory) {
+            // The limit is that of the process: the platform frontend gets what the Faktory frontend leaves.
+            let left = node.limits.sockets.checked_sub(faktory.connections);
+            node.limits.sockets =
+                left.filter(|left| *left >= MIN_PLATFORM_SOCKETS).ok_or(Error::TooFewSockets)?;
         }
-        let fleet = match &self.membership {
+        let membership = match &self.membership {
             Some(path) => Some(MembershipConfig::read(path)?),
             None => None,
         };
-        if fleet.is_some() && config.as_ref().is_some_and(|c| c.name.is_empty() || c.name.len() > NAME_MAX) {
+        if membership.is_some() && node.as_ref().is_some_and(|c| c.name.is_empty() || c.name.len() > NAME_MAX)
+        {
             return Err(Error::InvalidNodeName);
         }
-        Ok(LoadedConfig { node: config, faktory: operator, membership: fleet })
+        Ok(LoadedConfig { node, faktory, membership })
     }
 }
 
-fn variable(name: &str) -> Option<String> {
+/// Value of an environment variable; an empty one counts as unset.
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
 
@@ -288,36 +293,38 @@
     std::fs::read_to_string(path).map_err(|source| Error::ReadFile { path: path.to_path_buf(), source })
 }
 
-/// Parses the platform's configuration; a variable, where set, comes before the key of the same meaning.
+/// Parses the node's configuration. A variable that is set overrides the key of the same meaning.
 ///
 /// # Errors
-/// The first value that is wrong.
+/// The first invalid value.
 pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Error> {
-    let mut text: Value = serde_json::from_str(text)?;
-    let file: Raw = serde_json::from_value(text.clone())?;
-    if let Some(keys) = text.as_object_mut() {
+    let mut document: Value = serde_json::from_str(text)?;
+    let file: Raw = serde_json::from_value(document.clone())?;
+    if let Some(keys) = document.as_object_mut() {
         keys.retain(|key, _| key != "known" && key != "seed");
     }
-    let optional = |key: &'static str, given: Option<String>| match variable(key).or(given) {
+    let optional_address = |key: &'static str, configured: Option<String>| match variable(key).or(configured)
+    {
         Some(text) => text.parse().map(Some).map_err(|_| Error::InvalidAddress { key, text }),
         None => Ok(None),
     };
-    let address =
-        |key, given| -> Result<SocketAddr, Error> { optional(key, given)?.ok_or(Error::MissingAddress(key)) };
-    let peer = |text: &String| text.parse().map_err(|_| Error::InvalidPeerAddress(text.clone()));
-    let peers = file.peers.iter().map(peer).collect::<Result<_, _>>()?;
+    let address = |key, configured| -> Result<SocketAddr, Error> {
+        optional_address(key, configured)?.ok_or(Error::MissingAddress(key))
+    };
+    let parse_peer = |text: &String| text.parse().map_err(|_| Error::InvalidPeerAddress(text.clone()));
+    let peers = file.peers.iter().map(parse_peer).collect::<Result<_, _>>()?;
     let (settings, names) = parse_settings(&file.settings)?;
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
-        document: text,
+        document,
         listen: address("RELAY_LISTEN", file.listen)?,
         discovery: address("RELAY_DISCOVERY", file.discovery)?,
-        management: optional("RELAY_MANAGEMENT", file.management)?,
+        management: optional_address("RELAY_MANAGEMENT", file.management)?,
         name: variable("RELAY_NAME").unwrap_or(file.name),
         seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| stable_hash(&file.seed)),
         limits: file.limits,
         known_endpoints: file.known,
-        peer_listen: optional("peer_listen", file.peer_listen)?,
+        peer_listen: optional_address("peer_listen", file.peer_listen)?,
         peers,
     })
 }
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -246,7 +246,7 @@
     said("serving");
     std::fs::write(&path, text(9)).unwrap();
     node.signal("-HUP");
-    said("event=configuration_reloaded changes=\"changed, but in force only after a restart: the operator's file\"");
+    said("event=configuration_reloaded changes=\"changed, but in force only after a restart: the Faktory file\"");
     node.signal("-TERM");
     assert!(node.0.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
