--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of one front and its dispatcher, logged on SIGUSR1 and at the end of the process.
+//! Counters of one frontend and its dispatcher, logged at SIGUSR1 and at the end of the process.
 
 use crate::invariants::Violations;
 use crate::metrics::{Counter, Gauge};
@@ -6,18 +6,18 @@
 use std::fmt;
 use std::sync::OnceLock;
 
-/// Resources that a front holds now. All of them are released when nothing is in flight.
+/// Resources that a frontend holds. All of them are released when nothing is in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Client connections.
     pub client_connections: usize,
-    /// Client connections with a request in flight.
+    /// Client connections with an open request.
     pub busy_clients: usize,
-    /// Worker connections that an attempt holds.
+    /// Worker connections that attempts hold.
     pub attempt_connections: usize,
     /// Idle worker connections.
     pub idle_connections: usize,
-    /// Wire ids in flight.
+    /// Ids (X-Request-Id) of open requests.
     pub wire_ids: usize,
     /// Memory for bodies, in KiB.
     pub bodies_kib: usize,
@@ -43,10 +43,10 @@
 
 type UsageSource = Box<dyn Fn() -> ResourceUsage + Send + Sync>;
 
-/// Defines [`Counters`] from the names of the fields and the labels under which operators read them.
+/// Defines [`Counters`] from the names of the fields and the labels that operators read, which are fixed.
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident $label:literal,)*) => {
-        /// Counters of one front and its dispatcher.
+        /// Counters of one frontend and its dispatcher.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $field: Counter,)*
@@ -63,7 +63,7 @@
 
         impl Counters {
             /// Labels and values, in the order in which they are logged.
-            fn labelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+            fn labeled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
                 [$(($label, self.$field.get()),)*].into_iter()
             }
         }
@@ -75,70 +75,70 @@
     connections_accepted "accepted",
     /// Requests passed to the decision module.
     requests_accepted "taken",
-    /// Running requests transferred to the next process.
+    /// Requests transferred with their running attempt to the successor process.
     transferred_out "moved",
-    /// Running requests transferred from the previous process.
+    /// Requests adopted with their running attempt from the predecessor process.
     transferred_in "adopted",
-    /// Requests answered without the decision module: malformed, not found, too large, or over the descriptor budget.
+    /// Requests answered without the decision module: malformed, not found, too large, or over the resource budget.
     rejected_early "turned_away",
-    /// Final answers: served.
+    /// Final answers with a worker's result.
     served "served",
-    /// Final answers: refused.
+    /// Final answers that shed the request: not executed, may be retried.
     shed "refused",
-    /// Final answers: failed.
+    /// Final answers that report a failure: the request may have been executed.
     failed "failed",
     /// Clients that left before their answer.
     client_left "left",
-    /// Attempts started.
+    /// Attempts that the dispatcher sent.
     attempts_sent "sent",
-    /// Attempts that their worker acknowledged.
+    /// Attempts that the worker acknowledged.
     acknowledged "word",
-    /// Attempts that could not be sent.
+    /// Attempts that the decision module chose and that were not sent.
     not_sent "moot",
-    /// Attempts that the send guard held back right before their first byte.
+    /// Attempts that the last check before the first byte blocked.
     send_blocked "held_back",
-    /// Attempts that ended as served.
+    /// Attempts that ended with a result.
     succeeded "ok",
     /// Attempts that ended with an error.
     errors "error",
-    /// Attempts that the worker rejected before it started.
+    /// Attempts that the worker rejected without starting the request.
     rejected "full",
     /// Attempts that timed out.
     timed_out "timeout",
-    /// Attempts that got no connection.
+    /// Attempts for which no connection could be opened.
     connect_failed "connect_failed",
-    /// Attempts whose connection broke.
+    /// Attempts whose connection was lost.
     connection_lost "reset",
     /// Attempts that were cancelled.
     cancelled "cancelled",
-    /// Health checks sent to workers.
+    /// Probes sent to workers.
     probes "probes",
-    /// Health checks answered in time.
+    /// Probes answered in time.
     probes_answered "probed",
-    /// Gossip datagrams sent to other nodes.
+    /// Gossip datagrams sent to peers.
     gossip_sent "told",
-    /// Gossip datagrams of other nodes that were accepted.
+    /// Gossip datagrams of peers that were accepted.
     gossip_received "heard",
     /// Worker connections opened.
     worker_connections_opened "opened",
-    /// Worker connections that were kept after an answer, for reuse.
+    /// Worker connections kept open for reuse after a response.
     kept_alive "kept",
-    /// Answers of discovery that were applied.
+    /// Endpoint lists and changes of discovery that were applied.
     endpoint_lists_applied "lists",
 }
 
 impl Counters {
     /// Sets the source of [`Counters::usage`]. Only the first call has an effect.
     pub fn set_usage_source(&self, source: impl Fn() -> ResourceUsage + Send + Sync + 'static) {
-        let _ = self.usage.set(Box::new(source)); // fails if there is a source already
+        let _ = self.usage.set(Box::new(source)); // fails if a source is set already
     }
 
-    /// Resources that the front holds now; `None` if it has no source for that.
+    /// Resources that the frontend holds; `None` if no source was set.
     pub fn usage(&self) -> Option<ResourceUsage> {
         self.usage.get().map(|source| source())
     }
 
-    /// Counts the end of an attempt, by its outcome.
+    /// Counts an ended attempt by its outcome.
     pub fn count_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Success => &self.succeeded,
@@ -156,7 +156,7 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, (label, value)) in self.labelled().enumerate() {
+        for (i, (label, value)) in self.labeled().enumerate() {
             let separator = if i > 0 { " " } else { "" };
             write!(f, "{separator}{label}={value}")?;
         }
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint list: the workers that discovery names, as configurations and hand-overs carry them, too.
+//! Endpoint list: the workers that discovery reports. Configurations and process handovers contain it, too.
 
 use crate::dispatcher::stable_hash;
 use crate::names::Names;
@@ -7,24 +7,24 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-// The names in `serde(expecting)` are part of the text that operators read where a configuration's list is wrong.
+// The names in `serde(expecting)` stand in the error that operators read if a configuration's list is invalid.
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const US_PER_MS: u64 = 1000;
 
-/// Answer of discovery: all endpoints, or those that have changed.
+/// Response of discovery: all endpoints, or those that have changed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(expecting = "struct ListBody")]
 pub struct EndpointList {
     /// Version of the list.
     pub revision: u64,
-    /// Whether these are all endpoints, or only the changed ones.
+    /// Whether these are all endpoints, not only the changed ones.
     pub complete: bool,
     /// The endpoints.
     pub members: Vec<EndpointRecord>,
 }
 
-/// Endpoint in the list: one worker.
+/// Entry of the list: one worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(expecting = "struct Member")]
 pub struct EndpointRecord {
@@ -38,7 +38,7 @@
     #[serde(default)]
     cell: u32,
     phase: EndpointPhase,
-    /// Relative capacity; 1 where the list does not say.
+    /// Relative capacity; 1 if the list does not state it.
     #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
@@ -49,7 +49,7 @@
     1.0
 }
 
-/// Phase of an endpoint's life.
+/// Phase of an endpoint, as discovery reports it.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Phase")]
 enum EndpointPhase {
@@ -69,12 +69,12 @@
 }
 
 impl EndpointList {
-    /// Merges a newer list into this one, which is complete afterwards. Terminated endpoints are left out.
+    /// Merges a newer list into this one, which is complete afterwards. Terminated endpoints are removed.
     pub fn merge(&mut self, newer: &EndpointList) {
         if newer.complete {
             self.members.clear();
         }
-        // A set, because comparing each pair of a long list would hold up the one thread.
+        // A set, because comparing all pairs of a long list would block the only thread.
         let changed: HashSet<&str> = newer.members.iter().map(EndpointRecord::id).collect();
         self.members.retain(|endpoint| !changed.contains(endpoint.id()));
         self.members.extend(newer.members.iter().filter(|endpoint| !endpoint.is_terminated()).cloned());
@@ -84,32 +84,32 @@
 }
 
 impl EndpointRecord {
-    /// Id of the worker.
+    /// Id of the worker in discovery.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Number of the worker, and the address at which it listens.
+    /// The worker's number and the address at which it listens.
     pub fn address(&self) -> (WorkerId, SocketAddr) {
         (self.worker_id(), self.address)
     }
 
-    /// Whether the worker has ended.
+    /// Whether the worker no longer exists.
     pub fn is_terminated(&self) -> bool {
         matches!(self.phase, EndpointPhase::Terminated)
     }
 
-    /// Whether the worker accepts jobs.
+    /// Whether the worker accepts requests.
     pub fn is_in_service(&self) -> bool {
         matches!(self.phase, EndpointPhase::InService)
     }
 
-    /// The endpoint in the numbers of the decision module.
+    /// The endpoint as the decision module takes it, with numbers in place of names.
     pub fn endpoint(&self, names: &Names) -> Endpoint {
         Endpoint {
             worker: self.worker_id(),
-            kind: number_in(&names.kinds, &self.machine_type).unwrap_or(0),
-            zone: number_in(&names.zones, &self.zone).unwrap_or(u8::MAX),
+            kind: index_of(&names.kinds, &self.machine_type).unwrap_or(0),
+            zone: index_of(&names.zones, &self.zone).unwrap_or(u8::MAX),
             cell: self.cell,
             availability: self.phase.into(),
             weight: self.size,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Number of a name in a list of names.
-fn number_in(names: &[String], name: &str) -> Option<u8> {
-    names.iter().position(|known| known == name).map(|number| number as u8)
+/// Index of a name in a list of names, which is its number in the decision module.
+fn index_of(names: &[String], name: &str) -> Option<u8> {
+    names.iter().position(|known| known == name).map(|index| index as u8)
 }
--- a/node/src/invariants.rs
+++ b/node/src/invariants.rs
@@ -1,12 +1,12 @@
-//! Invariants that the node checks on itself while it runs.
+//! Invariants that the node checks at run time.
 //!
-//! Each has one guard, through which every path goes. The guard prevents a violation, or counts one that has happened. In
-//! a node without faults all counts are zero; any other is logged as an error, with the request.
+//! Each is checked at one place that every path passes, which prevents a violation or counts one that has happened. All
+//! counts of a correct node are zero; each violation is logged as an error with its request.
 
 use crate::metrics::Counter;
 use std::fmt;
 
-/// Defines [`Invariant`] from the names of the variants and their labels in counters and logs.
+/// Defines [`Invariant`] from the names of the variants and their labels in counters and logs, which are fixed.
 macro_rules! invariants {
     ($($(#[$doc:meta])* $name:ident $label:literal,)*) => {
         /// Invariant of the protocol.
@@ -26,28 +26,29 @@
 }
 
 invariants! {
-    /// At most one attempt of a request is in flight. Guard: `Dispatcher::send`.
+    /// At most one attempt of a request is in flight. Checked in `Dispatcher::send`.
     SingleAttempt "one_attempt",
-    /// A request has at most as many attempts as its settings allow. Guard: `Dispatcher::send`.
+    /// A request has at most as many attempts as its settings allow. Checked in `Dispatcher::send`.
     AttemptLimit "attempts_left",
-    /// A request that may have run is retried only as its class allows. Guard: `Dispatcher::send`.
+    /// A request that may have been executed is retried only as its class allows. Checked in `Dispatcher::send`.
     RetryAllowed "repeatable",
-    /// A worker that is warming up gets at most this node's part of its budget. Guard: `Policy::send`.
+    /// A worker that is warming up gets at most this node's share of its budget. Checked in `Policy::send`.
     SlowStartBudget "cold_budget",
-    /// A request that was read is answered before its connection is closed. Guard: the drop of what waits for the answer.
+    /// A request that was read is answered before its connection is closed. Checked when the wait for its answer is
+    /// dropped.
     Answered "answered",
 }
 
-/// Number of violations of each invariant, prevented ones included.
+/// Number of violations of each invariant, including prevented ones.
 #[derive(Default)]
 pub struct Violations([Counter; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts and logs a violation by a request.
+    /// Counts and logs a violation that concerns this request.
     pub fn add(&self, invariant: Invariant, request: impl fmt::Display) {
         self.0[invariant as usize].add();
         log::error!(event = "invariant_violated", invariant = invariant.label(), request:%;
-            "invariant violated: this is a fault of the node");
+            "invariant violated: this is a bug in the node");
     }
 
     /// Number of violations of one invariant.
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! A node that dispatches jobs: a dispatcher that knows no wire, and the front ends that carry its decisions out.
+//! A node that dispatches requests: a dispatcher that is independent of protocols, and the frontends that execute its
+//! decisions.
 //!
-//! [`run`] is the whole program; an embedder can also start [`platform::serve`] in a runtime of its own. The settings that a
-//! node reads at its start can be checked without one:
+//! [`run`] is the whole program; an embedder can also call [`platform::serve`] in its own runtime. Settings can be checked
+//! without a running node:
 //!
 //! ```
 //! use molevale::names::{parse_settings, ParseError};
@@ -40,18 +41,18 @@
 
 use std::process::ExitCode;
 
-/// Exit code after bad input: a command line or configuration that is wrong, or an address that cannot be bound.
-const BAD_INPUT: u8 = 2;
-/// Exit code of a command that another node did not carry out.
-const COMMAND_FAILED: u8 = 1;
+/// Exit code after an invalid command line or configuration, or if an address can't be bound.
+const EXIT_INVALID_INPUT: u8 = 2;
+/// Exit code of a command that the called node did not execute.
+const EXIT_COMMAND_FAILED: u8 = 1;
 
-/// Executes the command line; without a command, runs a node as its environment says. An error ends the process with one
-/// line on standard error.
+/// Executes the command of the command line, or runs a node if there is none. An error ends the process with one line on
+/// standard error.
 pub fn run() -> ExitCode {
     let cli = match cli::parse(std::env::args_os()) {
         Ok(Some(cli)) => cli,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(error) => return fail(&error, BAD_INPUT),
+        Err(error) => return exit_with_error(&error, EXIT_INVALID_INPUT),
     };
     match cli.command {
         Some(cli::Command::Fleet(command)) => match execute(command) {
@@ -59,11 +60,11 @@
                 print!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(error) => fail(&error, COMMAND_FAILED),
+            Err(error) => exit_with_error(&error, EXIT_COMMAND_FAILED),
         },
         None => match startup::run_node(cli.faktory, cli.fleet) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => fail(&error, BAD_INPUT),
+            Err(error) => exit_with_error(&error, EXIT_INVALID_INPUT),
         },
     }
 }
@@ -72,7 +73,7 @@
     Ok(startup::runtime()?.block_on(command.run())?)
 }
 
-/// Error of a command, whether here or at the node.
+/// Error of a command, in this process or at the called node.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -81,7 +82,8 @@
     Command(#[from] cli::CommandError),
 }
 
-fn fail(error: &dyn std::error::Error, code: u8) -> ExitCode {
+/// Prints the error as one line and returns the exit code.
+fn exit_with_error(error: &dyn std::error::Error, code: u8) -> ExitCode {
     eprintln!("molevale: {}", error.to_string().replace('\n', " "));
     ExitCode::from(code)
 }
--- a/node/src/logger.rs
+++ b/node/src/logger.rs
@@ -1,5 +1,5 @@
-//! Logger of the process: one line a record on standard error, with the time, the node's name and the record's fields;
-//! as text, or as JSON where programs read it.
+//! Logger of the process: writes each record as one line on standard error, with the time, the node's name and the
+//! record's fields, as text or as JSON.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{Level, LevelFilter, Log, Metadata, Record};
@@ -10,25 +10,25 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest record, in bytes: what a pipe that is ready takes without a wait (`PIPE_BUF`), less a reserve.
-const MAX_RECORD: usize = 3_500;
-/// Target of the records that are logged: this crate's.
+/// Longest record, in bytes: what a writable pipe takes without blocking (`PIPE_BUF`), less a reserve.
+const MAX_RECORD_BYTES: usize = 3_500;
+/// Prefix of the targets that are logged: this crate's name.
 const TARGET: &str = "molevale";
 
 /// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Time, node, level and message, then each field as `key=value`.
+    /// Time, node, level and message, then the fields as `key=value`.
     Text,
     /// An object with `at_ms`, `node`, `level`, `message` and the fields.
     Json,
 }
 
 impl Format {
-    /// One line, without its end, for a record of this node at this Unix time.
+    /// Renders a record of this node at this Unix time as one line, without the line end.
     pub fn render(self, node: &str, at: Duration, record: &Record) -> String {
         let mut fields = Fields::default();
-        // Fails only where a field does, and ours do not; those before it are kept.
+        // Fails only if a field does, which those of this crate do not; the fields before it are kept.
         let _ = record.key_values().visit(&mut fields);
         match self {
             Format::Text => render_text(node, at, record, &fields),
@@ -51,7 +51,7 @@
     line
 }
 
-/// Whether a field's text needs no quotes.
+/// Whether a field's value needs no quotes.
 fn is_plain(text: &str) -> bool {
     !text.is_empty() && !text.contains([' ', '"', '=', '\n'])
 }
@@ -64,7 +64,7 @@
     object.insert("level".to_string(), json!(record.level().as_str()));
     object.insert("message".to_string(), json!(record.args().to_string()));
     for (key, value) in fields.0 {
-        // A field can't take the place of one of these four.
+        // A field can't replace one of these four.
         object.entry(key).or_insert(value);
     }
     serde_json::Value::Object(object).to_string()
@@ -91,7 +91,7 @@
 struct Logger {
     node: String,
     format: Format,
-    /// Records that were dropped since the last one that was written.
+    /// Records dropped since the last one that was written.
     dropped: AtomicU64,
 }
 
@@ -99,14 +99,14 @@
     fn write(&self, record: &Record) {
         let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut line = self.format.render(&self.node, at, record);
-        shorten(&mut line);
+        truncate(&mut line);
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             line.push('\n');
             line.push_str(&self.render_dropped(at, dropped));
         }
         line.push('\n');
-        // A log that can't be written is no reason to stop serving.
+        // Ignored: the node goes on serving without a log.
         let _ = std::io::stderr().write_all(line.as_bytes());
     }
 
@@ -114,7 +114,7 @@
         let fields = [("event", Value::from("log_records_dropped")), ("records", Value::from(dropped))];
         let mut record = Record::builder();
         record.level(Level::Warn).target(TARGET).key_values(&fields);
-        let message = format_args!("log records were dropped: nobody reads the log");
+        let message = format_args!("log records dropped: standard error was not writable");
         self.format.render(&self.node, at, &record.args(message).build())
     }
 }
@@ -138,27 +138,27 @@
     fn flush(&self) {}
 }
 
-/// Whether standard error takes a record now. A pipe that nobody reads would hold up the one thread.
+/// Whether standard error takes a record now. Writing to a full pipe would block the only thread.
 fn is_writable() -> bool {
     let stderr = std::io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
     match poll(&mut descriptors, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) {
         Ok(0) => false,
-        // What can't be polled is written to: files are always ready.
+        // Written to even if it can't be polled: files are always ready.
         Ok(_) | Err(_) => true,
     }
 }
 
-/// Shortens a record to what a ready pipe takes.
-fn shorten(line: &mut String) {
-    if line.len() > MAX_RECORD {
-        line.truncate(line.floor_char_boundary(MAX_RECORD));
+/// Truncates a record to what a writable pipe takes.
+fn truncate(line: &mut String) {
+    if line.len() > MAX_RECORD_BYTES {
+        line.truncate(line.floor_char_boundary(MAX_RECORD_BYTES));
     }
 }
 
-/// Starts the log of this process at the level that `MOLEVALE_LOG` names, else `info`; as JSON lines where
-/// `MOLEVALE_LOG_FORMAT` is `json`. A second call changes nothing.
-pub fn start(node: &str) {
+/// Installs the logger of this process. `MOLEVALE_LOG` sets the level (default `info`), and `MOLEVALE_LOG_FORMAT=json`
+/// the format. A second call has no effect.
+pub fn init(node: &str) {
     let level = std::env::var("MOLEVALE_LOG").ok().and_then(|v| v.parse().ok()).unwrap_or(LevelFilter::Info);
     let is_json = std::env::var("MOLEVALE_LOG_FORMAT").is_ok_and(|v| v == "json");
     let format = if is_json { Format::Json } else { Format::Text };
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The node's program; all of it is in the library.
+//! Binary of the node; its code is in the library.
 
 fn main() -> std::process::ExitCode {
     molevale::run()
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -1,5 +1,5 @@
-//! Management front: a small HTTP server at an address of its own, so that operators are heard however full the clients'
-//! front is. It serves one call a connection, reads state and passes commands on; it decides nothing itself.
+//! Management server: HTTP at an address of its own, so that operators reach the node however loaded the platform
+//! frontend is. It serves one call per connection, reads state and forwards commands; it makes no decisions itself.
 
 use crate::acceptor::Acceptor;
 use crate::coordination::{self, RestartRequest, RestartRequestError};
@@ -23,29 +23,29 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Callers at once. The platform's front keeps descriptors back for them.
+/// Most connections at a time. The platform frontend reserves descriptors for them.
 pub const MAX_CONNECTIONS: usize = 8;
-/// Time that one call may take, from its connection on.
+/// Time limit of a call, from the accepted connection on.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest head of a call, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
-/// Nodes of one zone that may be unavailable at once in a rolling restart, where the call does not say.
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Nodes of one zone that may be unavailable at once in a rolling restart, if the call does not state it.
 const DEFAULT_MAX_UNAVAILABLE: u8 = 1;
 
-/// What operators can read and change.
+/// State that operators can read and change.
 #[derive(Clone)]
 pub struct Management {
     /// The phase of the process.
     pub phases: Phases,
-    /// Whether the process can serve.
+    /// Whether the process is ready to serve.
     pub ready: watch::Receiver<bool>,
-    /// Membership, where it is on.
+    /// Membership, if it is on.
     pub membership: Option<membership::Handle>,
-    /// Coordination, where it is on.
+    /// Coordination, if it is on.
     pub coordination: Option<coordination::Handle>,
 }
 
-/// Call that the front knows.
+/// Call of the management interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Health,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Reason for which a call failed; its text is the answer's body.
+/// Failure of a call; its text is the body of the response, which operators' tools match.
 #[derive(Debug, Error)]
 enum CallError {
     #[error("there is no such call")]
@@ -171,28 +171,28 @@
 }
 
 impl Management {
-    /// Serves calls for as long as the process lives.
+    /// Serves calls until the process ends.
     pub async fn serve(self, listener: TcpListener) {
-        let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+        let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
         let mut acceptor = Acceptor::default();
         loop {
             let socket = acceptor.accept(&listener).await.socket;
-            callers.retain(|caller| !caller.is_finished());
-            // Callers that hold all places and say nothing must not hold up others: the first one is closed.
-            while callers.len() >= MAX_CONNECTIONS {
-                let Some(first) = callers.pop_front() else { break };
-                first.abort();
-                let _ = first.await; // ends with an error because it was aborted; its descriptor is free now
+            connections.retain(|connection| !connection.is_finished());
+            // Idle connections must not block new ones: the oldest is closed.
+            while connections.len() >= MAX_CONNECTIONS {
+                let Some(oldest) = connections.pop_front() else { break };
+                oldest.abort();
+                let _ = oldest.await; // fails because it was aborted; its descriptor is free afterwards
             }
             let management = self.clone();
-            callers.push_back(tokio::spawn(async move { management.serve_connection(socket).await }));
+            connections.push_back(tokio::spawn(async move { management.serve_connection(socket).await }));
         }
     }
 
     async fn serve_connection(&self, socket: TcpStream) {
         let service = service_fn(|request| async move { Ok::<_, Infallible>(self.respond(&request).await) });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD);
+        builder.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         let connection = builder.serve_connection(TokioIo::new(Socket::new(socket)), service);
         match timeout(CALL_TIMEOUT, connection).await {
             Ok(Ok(())) => {}
@@ -201,13 +201,13 @@
             }
             Err(_) => {
                 log::debug!(event = "management_call_timed_out", timeout_ms = CALL_TIMEOUT.as_millis() as u64;
-                "management call did not come in time")
+                "management call timed out")
             }
         }
     }
 
     async fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let outcome = match accepted_call(request) {
+        let outcome = match parse_call(request) {
             Ok(call) => self.answer(call, request.uri()).await,
             Err(error) => Err(error),
         };
@@ -257,19 +257,19 @@
         let coordination = self.coordination()?;
         let request = match call {
             Call::StopRestart => RestartRequest::Stop,
-            _ => new_restart(query(uri))?,
+            _ => parse_restart(query(uri))?,
         };
-        log_command(uri);
+        log_call(uri);
         match coordination.request_restart(request).await {
-            Ok(holder) => Ok(Answer::Text(format!("{holder} was told; 'fleet duties' shows how it goes"))),
+            Ok(holder) => Ok(Answer::Text(format!("sent to {holder}; 'fleet duties' shows the progress"))),
             Err(error) => Err(CallError::RestartNotRequested(error)),
         }
     }
 
     async fn change_voters(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
         let coordination = self.coordination()?;
-        let operation = voter_change(call, query(uri)).ok_or(CallError::InvalidVoter)?;
-        log_command(uri);
+        let operation = parse_voter_change(call, query(uri)).ok_or(CallError::InvalidVoter)?;
+        log_call(uri);
         match coordination.request(operation).await {
             Some(Outcome::Done) => Ok(Answer::text("done")),
             Some(Outcome::Rejected(reason)) => Err(CallError::VoterChangeRejected(reason)),
@@ -282,8 +282,11 @@
     }
 }
 
-/// The call that a request makes, where the method is the call's.
-fn accepted_call(request: &Request<Incoming>) -> Result<Call, CallError> {
+/// The call that a request makes.
+///
+/// # Errors
+/// If the path is unknown or the method is not that of the call.
+fn parse_call(request: &Request<Incoming>) -> Result<Call, CallError> {
     let call = Call::from_path(request.uri().path()).ok_or(CallError::UnknownCall)?;
     let allowed = call.method();
     if *request.method() != allowed {
@@ -296,12 +299,12 @@
     uri.query().unwrap_or("")
 }
 
-fn log_command(uri: &Uri) {
+fn log_call(uri: &Uri) {
     log::info!(event = "management_call", path = uri.path(), query = query(uri); "management call");
 }
 
-/// A new rolling restart from `away=...`; its id is the time, so that it differs from earlier ones.
-fn new_restart(query: &str) -> Result<RestartRequest, CallError> {
+/// New rolling restart from `away=...`. Its id is the current time, which differs from earlier ones.
+fn parse_restart(query: &str) -> Result<RestartRequest, CallError> {
     let max_unavailable = match query.strip_prefix("away=") {
         Some(text) => text.parse().map_err(|_| CallError::InvalidMaxUnavailable)?,
         None => DEFAULT_MAX_UNAVAILABLE,
@@ -313,8 +316,8 @@
     Ok(RestartRequest::Begin { id: unix.as_millis() as u64, away: max_unavailable })
 }
 
-/// A change of the voters from `name=...` and, for a new one, `at=...`; `None` where these do not fit the call.
-fn voter_change(call: Call, query: &str) -> Option<Operation> {
+/// Change of the voters from `name=...` and, for an addition, `at=...`; `None` if these don't fit the call.
+fn parse_voter_change(call: Call, query: &str) -> Option<Operation> {
     let value = |key: &str| query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
     let name = value("name").filter(|name| !name.is_empty() && name.len() <= NAME_MAX)?.to_string();
     match (call, value("at")) {
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Metric types: a counter and a gauge that any thread may update.
+//! Metric types: a counter and a gauge, which any thread may update.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Number that only grows.
+/// Value that only increases.
 #[derive(Default)]
 pub struct Counter(AtomicU64);
 
@@ -12,13 +12,13 @@
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Value so far.
+    /// Current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Number that rises and falls, set by its one owner.
+/// Value that rises and falls, set by a single owner.
 #[derive(Default)]
 pub struct Gauge(AtomicUsize);
 
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -78,7 +78,7 @@
 pub fn run_node(faktory_file: Option<PathBuf>, fleet_file: Option<PathBuf>) -> Result<(), Error> {
     let sources = ConfigSources::new(faktory_file, fleet_file)?;
     let loaded = sources.read()?;
-    logger::start(loaded.node.as_ref().map_or("faktory", |c| &c.name));
+    logger::init(loaded.node.as_ref().map_or("faktory", |c| &c.name));
     runtime()?.block_on(start_and_serve(sources, loaded))
 }
 
