--- a/node/src/operator_client.rs
+++ b/node/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! Client of a node's management address, for the commands of the command line.
+//! Client of the management server, for the commands of the command line.
 
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time for a whole call.
+/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest answer, in bytes: some ten thousand members.
-const MAX_ANSWER: usize = 4 << 20;
+/// Longest response body, in bytes: enough for some ten thousand members.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Error of a call to a node.
 #[derive(Debug, Error)]
@@ -24,37 +24,37 @@
 pub struct CallError {
     /// Management address of the node.
     pub address: SocketAddr,
-    /// The failure.
+    /// Cause of the error.
     pub source: CallFailure,
 }
 
 /// Failure of a call.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// The answer did not come in time.
+    /// The response did not arrive in time.
     #[error("no answer in {CALL_TIMEOUT:?}")]
     TimedOut,
-    /// The connection did not come up.
+    /// The connection could not be opened.
     #[error(transparent)]
     Connect(#[from] io::Error),
-    /// The request can't be made, as with a path that is none.
+    /// The request is invalid, for example its path.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The exchange broke.
+    /// The HTTP exchange failed.
     #[error(transparent)]
     Exchange(#[from] hyper::Error),
-    /// The answer broke off, or is longer than 4 MiB.
+    /// The response body is incomplete, or longer than 4 MiB.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Calls the node at a management address. Returns the status and the body of its answer.
+/// Calls the node at a management address. Returns the status and the body of the response.
 ///
 /// # Errors
-/// Where the node can't be reached, or no whole answer comes in time.
+/// If the node can't be reached, or no complete response arrives in time.
 pub async fn call(address: SocketAddr, method: Method, path: &str) -> Result<(StatusCode, Bytes), CallError> {
-    let exchanged = timeout(CALL_TIMEOUT, exchange(address, method, path)).await;
-    exchanged.unwrap_or(Err(CallFailure::TimedOut)).map_err(|source| CallError { address, source })
+    let result = timeout(CALL_TIMEOUT, exchange(address, method, path)).await;
+    result.unwrap_or(Err(CallFailure::TimedOut)).map_err(|source| CallError { address, source })
 }
 
 async fn exchange(
@@ -66,8 +66,9 @@
     let (mut sender, connection) = handshake(TokioIo::new(socket)).await?;
     tokio::spawn(connection);
     let request = Request::builder().method(method).uri(path).header(HOST, address.to_string());
-    let answer = sender.send_request(request.body(Empty::<Bytes>::new())?).await?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await.map_err(CallFailure::Body)?;
+    let response = sender.send_request(request.body(Empty::<Bytes>::new())?).await?;
+    let status = response.status();
+    let body =
+        Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.map_err(CallFailure::Body)?;
     Ok((status, body.to_bytes()))
 }
--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of this process: its phase, the transitions between phases, and who is told of them.
+//! Lifecycle of this process: its phase, and the transitions between phases.
 
 use crate::signals::{Command, Signals};
 use std::sync::{Arc, OnceLock};
@@ -6,40 +6,40 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// Time after SIGTERM in which new connections are still accepted: what comes in 0.7 s must be answered.
+/// Time after SIGTERM for which new connections are still accepted: requests that arrive within 0.7 s must be answered.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(720);
 
-/// Age of the stop up to which a new request may be cut by SIGKILL; a later one needs its answer before.
-const UNANSWERED_ALLOWED: Duration = Duration::from_millis(700);
-/// Upper bound of the deadline that counts for SIGKILL, which comes no sooner than the longest deadline, or this
-/// where it is longer, and 0.7 s more.
+/// Time after SIGTERM within which an arriving request may be interrupted by SIGKILL; later ones must be answered before.
+const INTERRUPTIBLE_PERIOD: Duration = Duration::from_millis(700);
+/// Upper bound of the longest deadline in the time of SIGKILL, which comes no sooner than 0.7 s plus the longest deadline
+/// of a class, or plus this if that deadline is longer.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Reserve before SIGKILL: for an answer to reach its client, and for a SIGTERM that was seen late by a process that
-/// was held up, or whose wake-up was lost (see [`crate::signals`]).
+/// Reserve before SIGKILL: time for an answer to reach its client, and for a SIGTERM that is noticed late because the
+/// process was blocked or a wake-up was lost (see [`crate::signals`]).
 const KILL_RESERVE: Duration = Duration::from_millis(180);
 
 /// Phase of a process between its start and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The process serves.
+    /// It serves.
     Serving,
-    /// An operator drains it: it sends clients away, still serves what comes, and may go back to serving.
+    /// An operator drains it: it closes client connections, still serves requests that arrive, and may resume.
     Draining,
-    /// Another process serves in its place: it accepts nothing new and answers what it has.
+    /// Another process serves in its place: it accepts no connections and answers its open requests.
     HandedOver,
-    /// A signal stops it: it still accepts what comes.
+    /// A signal stops it: it still accepts connections.
     Stopping,
-    /// It accepts nothing new, answers what it has and closes idle connections.
+    /// It accepts no connections, answers its open requests and closes idle connections.
     Closing,
 }
 
 impl Phase {
-    /// Whether clients are welcome.
+    /// Whether clients should use this process.
     pub fn is_serving(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether client connections are closed: idle ones at once, others after their answer.
+    /// Whether client connections are closed: idle ones at once, the others after their answer.
     pub fn closes_connections(self) -> bool {
         matches!(self, Phase::Draining | Phase::HandedOver | Phase::Closing)
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Owner of the phase of this process; clones share it. Each transition is a method.
+/// Phase of this process, shared by all clones. Each transition is a method.
 #[derive(Clone)]
 pub struct Phases {
     current: Arc<watch::Sender<Phase>>,
@@ -64,25 +64,25 @@
 }
 
 impl Phases {
-    /// Receiver of the phase and its changes.
+    /// Subscribes to the phase and its changes.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.current.subscribe()
     }
 
-    /// Begins to drain. Returns whether clients are sent away now, which is always so: a process that stops or has
-    /// handed over does so, too.
+    /// Starts draining. Returns whether client connections are being closed now, which is always true: a process that
+    /// stops or has handed over closes them as well.
     pub fn drain(&self) -> bool {
         self.transition(|phase| (phase == Phase::Serving).then_some(Phase::Draining));
         true
     }
 
-    /// Ends the drain. Returns whether the process serves now: one that stops or has handed over does not come back.
+    /// Ends draining. Returns whether the process serves now: one that stops or has handed over does not resume.
     pub fn resume(&self) -> bool {
         let phase = self.transition(|phase| (phase == Phase::Draining).then_some(Phase::Serving));
         phase == Phase::Serving
     }
 
-    /// Notes that another process serves now, except in the last phase. Returns the phase before, for
+    /// Records that another process serves now, unless this one is closing. Returns the previous phase, for
     /// [`Phases::undo_hand_over`].
     pub fn hand_over(&self) -> Phase {
         let before = *self.current.borrow();
@@ -90,12 +90,12 @@
         before
     }
 
-    /// Notes that the other process has ended: this one goes on from the phase before, unless it was stopped since.
+    /// Returns to the previous phase because the other process has ended, unless this one was stopped since.
     pub fn undo_hand_over(&self, before: Phase) {
         self.transition(|phase| (phase == Phase::HandedOver).then_some(before));
     }
 
-    /// Goes through the last phases; a second call changes nothing. A process that has handed over closes at once.
+    /// Goes through the last phases; a second call has no effect. A process that has handed over closes at once.
     pub async fn stop(&self) {
         self.stopped_at.get_or_init(Instant::now);
         let phase = *self.current.borrow();
@@ -120,15 +120,15 @@
         });
     }
 
-    /// Moment by which a request that arrives now needs its answer because SIGKILL may come before its own deadline;
-    /// `None` where that is no concern.
+    /// Time by which a request that arrives now must be answered because SIGKILL may come before its own deadline; `None`
+    /// if the process is not stopping, or the request may be interrupted.
     pub fn answer_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
-        let stopped_at = self.stopped_at.get().filter(|at| at.elapsed() > UNANSWERED_ALLOWED)?;
-        let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + UNANSWERED_ALLOWED;
+        let stopped_at = self.stopped_at.get().filter(|at| at.elapsed() > INTERRUPTIBLE_PERIOD)?;
+        let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + INTERRUPTIBLE_PERIOD;
         Some(*stopped_at + killed_after - KILL_RESERVE)
     }
 
-    /// Changes the phase where `next` names another one. Returns the phase afterwards.
+    /// Changes the phase if `next` returns one. Returns the phase afterwards.
     fn transition(&self, next: impl FnOnce(Phase) -> Option<Phase>) -> Phase {
         self.current.send_if_modified(|phase| {
             let Some(to) = next(*phase) else { return false };
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration at SIGHUP: which changes take effect in a running node, and who is told of them.
+//! Reload of the configuration at SIGHUP: determines which changes take effect in the running node, and distributes them.
 
 use crate::config::{self, ConfigSources, LoadedConfig};
 use crate::settings_merge::{first_missing_key, EffectiveSettings};
@@ -10,21 +10,21 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// Error of a reload: nothing has changed.
+/// Error of a reload. The running configuration is unchanged then.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// A file can't be read or understood.
+    /// A file can't be read or parsed.
     #[error(transparent)]
     Configuration(config::Error),
     /// The newer configuration lacks a key that the running one has.
     #[error("{key} is missing")]
     MissingKey { key: String },
-    /// The newer settings, merged with the running ones, are outside the bounds of the decision module.
+    /// The decision module rejects the newer settings merged with the running ones.
     #[error("settings: {0}")]
     Settings(#[source] InvalidSettings),
 }
 
-/// Change that a reload found.
+/// Change found by a reload.
 enum Change {
     Settings { classes: Vec<String>, max_attempts: u32 },
     Discovery(SocketAddr),
@@ -39,7 +39,7 @@
                 write!(f, "new settings: classes {}; {max_attempts} attempts at most", classes.join(", "))
             }
             Change::Discovery(address) => write!(f, "discovery is now at {address}"),
-            Change::MembershipKeys => f.write_str("new keys for the talk between nodes"),
+            Change::MembershipKeys => f.write_str("new membership keys"),
             Change::RestartRequired(keys) => {
                 write!(f, "changed, but in force only after a restart: {}", keys.join(", "))
             }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Configuration of a running node, and channels to the parts that follow its changes.
+/// Configuration of a running node, and channels to the parts that apply its changes.
 pub struct Reload {
     sources: ConfigSources,
     running: LoadedConfig,
@@ -57,37 +57,37 @@
 }
 
 impl Reload {
-    /// Starts from the configuration that the node was started with.
-    pub fn new(sources: ConfigSources, started: LoadedConfig) -> Reload {
-        let config = started.node.as_ref();
+    /// Takes the configuration with which the node was started.
+    pub fn new(sources: ConfigSources, initial: LoadedConfig) -> Reload {
+        let config = initial.node.as_ref();
         let discovery = config.map(|config| config.discovery);
         let settings = config.map(|config| config.effective_settings.clone()).unwrap_or_default();
         Reload {
             sources,
             discovery: watch::Sender::new(discovery),
             effective_settings: watch::Sender::new(settings),
-            keys: watch::Sender::new(membership_keys(&started)),
-            running: started,
+            keys: watch::Sender::new(membership_keys(&initial)),
+            running: initial,
         }
     }
 
-    /// Receiver of discovery's address; `None` where no front asks discovery.
+    /// Subscribes to discovery's address; `None` if no frontend uses discovery.
     pub fn discovery(&self) -> watch::Receiver<Option<SocketAddr>> {
         self.discovery.subscribe()
     }
 
-    /// Receiver of the settings.
+    /// Subscribes to the settings.
     pub fn effective_settings(&self) -> watch::Receiver<EffectiveSettings> {
         self.effective_settings.subscribe()
     }
 
-    /// Receiver of the keys of membership; `None` where it is off.
+    /// Subscribes to the membership keys; `None` if membership is off.
     pub fn keys(&self) -> watch::Receiver<Option<Keys>> {
         self.keys.subscribe()
     }
 
-    /// Starts a task that reloads at each SIGHUP, for as long as the process lives. It also keeps SIGHUP from ending the
-    /// process, whichever fronts run and whatever the phase is.
+    /// Starts a task that reloads at each SIGHUP until the process ends. SIGHUP must not end the process, whichever
+    /// frontends run and in every phase.
     pub fn on_signal(mut self, signals: Signals) {
         tokio::spawn(async move {
             loop {
@@ -97,11 +97,11 @@
         });
     }
 
-    /// Reads the configuration again, and applies it whole or, where any of it is wrong, not at all.
+    /// Reads the configuration again and applies all of it or, if any part is invalid, none.
     fn reload(&mut self) -> Result<Vec<Change>, ReloadError> {
         let newer = self.sources.read_again().map_err(ReloadError::Configuration)?;
         let settings = self.checked_settings(&newer)?;
-        // Nothing fails from here on.
+        // Nothing can fail from here on.
         let changes = [
             settings.and_then(|settings| self.apply_settings(settings)),
             self.apply_discovery(&newer),
@@ -111,7 +111,7 @@
         Ok(changes.into_iter().flatten().collect())
     }
 
-    /// The newer settings merged with the running ones; `None` where the platform's front is off.
+    /// The newer settings merged with the running ones; `None` if the platform frontend is off.
     fn checked_settings(&self, newer: &LoadedConfig) -> Result<Option<EffectiveSettings>, ReloadError> {
         let (Some(old), Some(new)) = (&self.running.node, &newer.node) else { return Ok(None) };
         if let Some(key) = first_missing_key(&old.document, &new.document, "configuration") {
@@ -123,8 +123,8 @@
     }
 
     fn apply_settings(&mut self, settings: EffectiveSettings) -> Option<Change> {
-        let change = described(&settings);
-        replace(&self.effective_settings, settings).then_some(change)
+        let change = settings_change(&settings);
+        send_if_changed(&self.effective_settings, settings).then_some(change)
     }
 
     fn apply_discovery(&mut self, newer: &LoadedConfig) -> Option<Change> {
@@ -139,7 +139,7 @@
     }
 
     fn apply_keys(&mut self, newer: &LoadedConfig) -> Option<Change> {
-        replace(&self.keys, membership_keys(newer)).then_some(Change::MembershipKeys)
+        send_if_changed(&self.keys, membership_keys(newer)).then_some(Change::MembershipKeys)
     }
 
     fn restart_required(&self, newer: &LoadedConfig) -> Option<Change> {
@@ -152,8 +152,8 @@
     config.membership.as_ref().map(|membership| membership.keys.clone())
 }
 
-/// Description of new settings: the classes that are offered, and the most attempts.
-fn described(settings: &EffectiveSettings) -> Change {
+/// Summary of new settings: the classes offered, and the maximum number of attempts.
+fn settings_change(settings: &EffectiveSettings) -> Change {
     let names = &settings.names;
     let offered = (0..names.classes.len()).filter(|number| !names.retired_classes.contains(number));
     Change::Settings {
@@ -162,8 +162,8 @@
     }
 }
 
-/// Puts a value into a channel, and notifies its receivers where it differs. Returns whether it does.
-fn replace<T: PartialEq>(channel: &watch::Sender<T>, value: T) -> bool {
+/// Sends a value and notifies the receivers if it differs from the current one. Returns whether it does.
+fn send_if_changed<T: PartialEq>(channel: &watch::Sender<T>, value: T) -> bool {
     channel.send_if_modified(|current| {
         let differs = *current != value;
         *current = value;
@@ -174,7 +174,7 @@
 fn log_outcome(outcome: Result<Vec<Change>, ReloadError>) {
     match outcome {
         Ok(changes) if changes.is_empty() => {
-            log::info!(event = "configuration_unchanged"; "configuration read again: all as before");
+            log::info!(event = "configuration_unchanged"; "configuration read again; nothing has changed");
         }
         Ok(changes) => {
             let changes: Vec<String> = changes.iter().map(Change::to_string).collect();
--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -1,22 +1,22 @@
-//! New settings laid over the running ones: what has a number keeps it, so that open jobs keep their class and its
-//! rules, and what the module learned under a number stays true.
+//! Merges new settings into the running ones. Existing numbers are kept, so that open requests keep their class and its
+//! rules, and what the decision module has learned under a number stays valid.
 
 use crate::names::Names;
 use dispatch_policy::api::{ClassSettings, Settings, TenantSettings};
 use serde_json::Value;
 
-/// The settings and the names that belong to them.
+/// Settings in effect, and the names that belong to them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EffectiveSettings {
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// What the wires need beside them.
+    /// What the frontends need in addition.
     pub names: Names,
 }
 
 impl EffectiveSettings {
-    /// The newer settings, by this one's numbers. A class whose rules are as before keeps its number; any other
-    /// gets a number of its own, and one that is no longer named is offered no more.
+    /// The newer settings with the numbers of these. A class whose rules are unchanged keeps its number, any other gets a
+    /// new number, and one that is no longer in the settings is no longer offered.
     pub fn merged_with(&self, newer: &EffectiveSettings) -> EffectiveSettings {
         let old = &self.names;
         let mut new = EffectiveSettings {
@@ -32,8 +32,8 @@
                 previous_classes: old.previous_classes.clone(),
                 tenants: old.tenants.clone(),
                 retired_tenants: Vec::new(),
-                zones: merged(&old.zones, &newer.names.zones),
-                kinds: merged(&old.kinds, &newer.names.kinds),
+                zones: union(&old.zones, &newer.names.zones),
+                kinds: union(&old.kinds, &newer.names.kinds),
                 longest_deadline: old.longest_deadline.max(newer.names.longest_deadline),
                 ..newer.names.clone()
             },
@@ -50,9 +50,10 @@
             let required_kind =
                 class.required_kind.map(|k| renumbered(k, &newer.names.kinds, &new.names.kinds));
             let class = ClassSettings { required_kind, ..class.clone() };
-            let same = |j: &usize| new.names.classes[*j] == *name && new.settings.classes[*j] == class;
-            let number = (0..new.settings.classes.len()).find(same).unwrap_or_else(|| {
-                // Its jobs run about as long as those of the class that had the name before.
+            let is_unchanged =
+                |j: &usize| new.names.classes[*j] == *name && new.settings.classes[*j] == class;
+            let number = (0..new.settings.classes.len()).find(is_unchanged).unwrap_or_else(|| {
+                // Its requests are expected to run about as long as those of the class that had the name before.
                 new.names.previous_classes.push(new.names.classes.iter().rposition(|n| n == name));
                 new.names.classes.push(name.clone());
                 new.names.requires_idempotency_key.push(newer.names.requires_idempotency_key[i]);
@@ -65,15 +66,15 @@
             (0..new.settings.classes.len()).filter(|n| !offered.contains(n)).collect();
         new.names.retired_classes = new.settings.retired_classes.clone();
         new.merge_tenants(newer);
-        let gone = |n: &usize| !newer.names.tenants.contains(&new.names.tenants[*n]);
-        new.names.retired_tenants = (0..new.names.tenants.len()).filter(gone).collect();
+        let is_retired = |n: &usize| !newer.names.tenants.contains(&new.names.tenants[*n]);
+        new.names.retired_tenants = (0..new.names.tenants.len()).filter(is_retired).collect();
         new
     }
 
-    /// Gives the tenants of the newer settings their numbers; one that is no longer named has no share.
+    /// Assigns numbers to the tenants of the newer settings; one that is no longer in them has no quota and no share.
     fn merge_tenants(&mut self, newer: &EffectiveSettings) {
-        let none = TenantSettings { quota_per_s: 0.0, share: 0.0 };
-        self.settings.tenants.fill(none);
+        let retired = TenantSettings { quota_per_s: 0.0, share: 0.0 };
+        self.settings.tenants.fill(retired);
         for (i, name) in newer.names.tenants.iter().enumerate() {
             let tenant = newer.settings.tenants[i].clone();
             match self.names.tenants.iter().position(|n| n == name) {
@@ -87,12 +88,12 @@
     }
 }
 
-fn merged(old: &[String], newer: &[String]) -> Vec<String> {
+fn union(old: &[String], newer: &[String]) -> Vec<String> {
     old.iter().chain(newer.iter().filter(|n| !old.contains(n))).cloned().collect()
 }
 
-/// The first key that the running configuration has and a newer one lacks. Items of a list need what all of them
-/// had. Guards against files that are incomplete and read all the same, for the reader has defaults.
+/// The first key that the running configuration has and a newer one lacks. Items of a list need the keys that all items
+/// had before. Guards against truncated or incomplete files, which the parser would accept because keys have defaults.
 pub fn first_missing_key(running: &Value, newer: &Value, path: &str) -> Option<String> {
     match (running, newer) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| {
@@ -104,12 +105,12 @@
         }),
         (Value::Array(old), Value::Array(new)) => {
             let mut items = old.iter().filter_map(Value::as_object);
-            let mut common = items.next()?.clone();
-            items.for_each(|item| common.retain(|key, _| item.contains_key(key)));
-            let common = Value::Object(common);
+            let mut common_keys = items.next()?.clone();
+            items.for_each(|item| common_keys.retain(|key, _| item.contains_key(key)));
+            let common_keys = Value::Object(common_keys);
             new.iter()
                 .enumerate()
-                .find_map(|(i, item)| first_missing_key(&common, item, &format!("{path}.{i}")))
+                .find_map(|(i, item)| first_missing_key(&common_keys, item, &format!("{path}.{i}")))
         }
         (Value::Object(_) | Value::Array(_), _) => Some(path.to_string()),
         _ => None,
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals that the node obeys.
+//! Signals that the node handles.
 //!
-//! A handler sets a flag and wakes the event loop by a byte in a socket pair. The flag is what counts: a wake-up is lost
-//! where the write in the handler was interrupted; then the flag is seen at the next poll, so no signal is. `tokio`'s own
-//! driver ends the process where the read of its pipe is interrupted, and loses a signal whose wake-up is lost.
+//! A handler sets a flag and wakes the event loop by writing a byte to a socket pair. Only the flag matters: a wake-up is
+//! lost if the write in the handler is interrupted, but the next poll finds the flag, so no signal is lost. `tokio`'s own
+//! driver ends the process if the read of its pipe is interrupted, and loses a signal whose wake-up is lost.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::{flag, low_level::pipe};
@@ -15,32 +15,32 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Interval between looks at the flags where no wake-up comes.
+/// Interval at which the flags are polled without a wake-up.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Wake-up bytes that one read takes, in bytes; what is left over is read in the next turn.
-const WAKE_UP_BUFFER: usize = 64;
+/// Buffer for wake-up bytes; the rest is read in the next iteration.
+const WAKE_UP_BUFFER_BYTES: usize = 64;
 
-/// Command that a signal stands for.
+/// Command that a signal conveys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// SIGTERM and SIGINT: to stop.
+    /// SIGTERM and SIGINT: stop the node.
     Stop,
-    /// SIGHUP: to read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
-    /// SIGUSR1: to log the counters.
+    /// SIGUSR1: log the counters.
     Report,
 }
 
-/// Signal numbers of each command, in the order of the variants.
+/// Signal numbers of each command, in the order of the variants of [`Command`].
 const SIGNALS_BY_COMMAND: [(Command, &[i32]); 3] =
     [(Command::Stop, &[SIGTERM, SIGINT]), (Command::Reload, &[SIGHUP]), (Command::Report, &[SIGUSR1])];
 
-/// State of one command.
+/// Pending signals of one command.
 #[derive(Default)]
 struct Pending {
-    /// Set by the handler, cleared by the task.
+    /// Set by the signal handler, cleared by the task.
     raised: Arc<AtomicBool>,
-    /// Notified by the task.
+    /// Notified by the task after a signal.
     received: Notify,
 }
 
@@ -49,41 +49,41 @@
 pub struct Signals(Arc<[Pending; SIGNALS_BY_COMMAND.len()]>);
 
 impl Signals {
-    /// Installs the handlers for as long as the process lives.
+    /// Installs the signal handlers until the process ends.
     ///
     /// # Errors
-    /// Where a handler can't be installed or the socket pair can't be made.
+    /// If a handler can't be installed or the socket pair can't be created.
     ///
     /// # Panics
-    /// Outside a `tokio` runtime.
+    /// If called outside a `tokio` runtime.
     pub fn start() -> io::Result<Signals> {
         let signals = Signals(Arc::default());
-        let (wake_up, woken) = StdUnixStream::pair()?;
-        woken.set_nonblocking(true)?;
+        let (wake_up_sender, wake_up_receiver) = StdUnixStream::pair()?;
+        wake_up_receiver.set_nonblocking(true)?;
         for (pending, (_, numbers)) in signals.0.iter().zip(SIGNALS_BY_COMMAND) {
             for number in numbers {
-                // The flag is registered first, so that the task finds it set when it wakes.
+                // The flag's handler is registered first, so that the flag is set when the task wakes up.
                 flag::register(*number, pending.raised.clone())?;
-                pipe::register(*number, wake_up.try_clone()?)?;
+                pipe::register(*number, wake_up_sender.try_clone()?)?;
             }
         }
-        tokio::spawn(signals.clone().run(UnixStream::from_std(woken)?));
+        tokio::spawn(signals.clone().run(UnixStream::from_std(wake_up_receiver)?));
         Ok(signals)
     }
 
-    /// Waits for a signal of this command; several that come before somebody waits count as one.
+    /// Waits for a signal of this command. Several that arrive before the call count as one.
     pub async fn received(&self, command: Command) {
         self.0[command as usize].received.notified().await;
     }
 
-    async fn run(self, woken: UnixStream) {
+    async fn run(self, wake_up_receiver: UnixStream) {
         loop {
             tokio::select! {
-                _ = woken.readable() => {}
+                _ = wake_up_receiver.readable() => {}
                 () = sleep(POLL_INTERVAL) => {}
             }
-            // Neither the number of bytes nor an error matters: only the flags do.
-            let _ = woken.try_read(&mut [0; WAKE_UP_BUFFER]);
+            // Neither the number of bytes nor an error matters; only the flags do.
+            let _ = wake_up_receiver.try_read(&mut [0; WAKE_UP_BUFFER_BYTES]);
             self.notify_raised();
         }
     }
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start of a node: each part by a step of its own, in the order in which they come up.
+//! Startup of a node: one step for each part, in the order in which the parts start.
 
 use crate::config::{self, Config, ConfigSources, LoadedConfig, MembershipConfig};
 use crate::counters::Counters;
@@ -21,22 +21,22 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-/// Time for which a start outlasts a machine that has no descriptor or buffer left.
+/// Time for which a start is retried while the machine has no free descriptor or buffer.
 pub(crate) const START_RETRY_LIMIT: Duration = Duration::from_secs(4);
 
 /// Error that prevents the start of a node, or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The configuration cannot be read.
+    /// The configuration can't be read.
     #[error(transparent)]
     Config(#[from] config::Error),
-    /// The runtime cannot be created.
-    #[error("no runtime: {0}")]
+    /// The runtime can't be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The signal handlers cannot be installed.
-    #[error("no signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The management address cannot be bound.
+    /// The management address can't be bound.
     #[error("cannot listen on {address} (management): {source}")]
     BindManagement {
         /// Address in the configuration.
@@ -44,7 +44,7 @@
         /// Error of the system call.
         source: io::Error,
     },
-    /// The address for clients cannot be bound.
+    /// The address for clients can't be bound.
     #[error("cannot listen on {address}: {source}")]
     BindClients {
         /// Address in the configuration.
@@ -52,29 +52,29 @@
         /// Error of the system call.
         source: io::Error,
     },
-    /// Membership cannot start.
+    /// Membership can't start.
     #[error(transparent)]
     Membership(#[from] membership::StartError),
-    /// The platform's front end cannot start, or has ended early.
+    /// The platform frontend can't start, or has ended early.
     #[error(transparent)]
     Platform(#[from] platform::Error),
-    /// The Faktory front end cannot start, or has ended early.
+    /// The Faktory frontend can't start, or has ended early.
     #[error(transparent)]
     Faktory(#[from] faktory::Error),
 }
 
-/// Creates the runtime of the process: one thread.
+/// Creates the single-threaded runtime of the process.
 ///
 /// # Errors
-/// [`Error::Runtime`] if the event queue cannot be created.
+/// [`Error::Runtime`] if the event queue can't be created.
 pub fn runtime() -> Result<Runtime, Error> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Error::Runtime)
 }
 
-/// Runs a node until it is told to stop and all that it took is answered.
+/// Runs a node until it is stopped and all accepted requests are answered.
 ///
 /// # Errors
-/// If the configuration is invalid, a part cannot start, or a front end ends early.
+/// If the configuration is invalid, a part can't start, or a frontend ends early.
 pub fn run_node(faktory_file: Option<PathBuf>, fleet_file: Option<PathBuf>) -> Result<(), Error> {
     let sources = ConfigSources::new(faktory_file, fleet_file)?;
     let loaded = sources.read()?;
@@ -83,17 +83,17 @@
 }
 
 async fn start_and_serve(sources: ConfigSources, loaded: LoadedConfig) -> Result<(), Error> {
-    let LoadedConfig { node: config, faktory: operator, membership: fleet } = loaded.clone();
+    let LoadedConfig { node: config, faktory, membership } = loaded.clone();
     let reload = Reload::new(sources, loaded);
     let (ready, is_ready) = watch::channel(false);
     let mut startup = Startup::new(&reload).await?;
-    startup.start_membership(config.as_ref(), fleet.as_ref(), &reload)?;
-    startup.start_coordination(config.as_ref(), fleet.as_ref());
+    startup.start_membership(config.as_ref(), membership.as_ref(), &reload)?;
+    startup.start_coordination(config.as_ref(), membership.as_ref());
     reload.on_signal(startup.signals.clone());
     startup.bind_management(config.as_ref(), is_ready).await?;
     startup.report_counters_on_signal();
-    // Before another process is asked for its place: a start that fails must leave that one serving.
-    let faktory_listener = bind_faktory(operator).await?;
+    // Before the handover from a running process: if this start fails, that process must go on serving.
+    let faktory_listener = bind_faktory(faktory).await?;
     log::info!(event = "serving"; "serving");
     let served = startup.serve_frontends(config, faktory_listener, ready).await;
     startup.shut_down().await;
@@ -107,7 +107,7 @@
     }
 }
 
-/// Counters of the front ends.
+/// Counters of the frontends.
 #[derive(Clone, Default)]
 struct FrontendCounters {
     platform: Arc<Counters>,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The parts of the node that are up, and what later ones need.
+/// The parts of the node that have started, and what the later ones need.
 struct Startup {
     phases: Phases,
     signals: Signals,
@@ -134,7 +134,7 @@
 }
 
 impl Startup {
-    /// Takes the signals over; from here on SIGTERM stops the node in an orderly way.
+    /// Installs the signal handlers; from here on SIGTERM stops the node gracefully.
     async fn new(reload: &Reload) -> Result<Startup, Error> {
         let phases = Phases::default();
         let signals = retry_local_failures(START_RETRY_LIMIT, || async { Signals::start() }).await;
@@ -152,7 +152,7 @@
         })
     }
 
-    /// Starts membership where the node has a name and the fleet's file.
+    /// Starts membership if the node has a configuration and a fleet file.
     fn start_membership(
         &mut self,
         config: Option<&Config>,
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Starts coordination where the fleet's file has that section.
+    /// Starts coordination if the fleet file has that section.
     fn start_coordination(&mut self, config: Option<&Config>, fleet: Option<&MembershipConfig>) {
         let (Some(membership), Some(config), Some(fleet)) = (&self.membership, config, fleet) else { return };
         let Some(settings) = fleet.file.duties.clone() else { return };
@@ -192,7 +192,7 @@
         }));
     }
 
-    /// Serves the management address, where the configuration has one.
+    /// Serves the management address, if the configuration has one.
     async fn bind_management(
         &self,
         config: Option<&Config>,
@@ -226,7 +226,7 @@
         });
     }
 
-    /// Serves both front ends, as far as they are configured, until both have ended or one fails.
+    /// Serves the configured frontends until all have ended or one fails.
     async fn serve_frontends(
         &mut self,
         config: Option<Config>,
@@ -252,7 +252,7 @@
         tokio::try_join!(platform, faktory).map(|_| ())
     }
 
-    /// Takes over from the process that serves now, if there is one, and serves the platform's clients.
+    /// Takes over from the predecessor, if there is one, and serves the platform's clients.
     async fn serve_platform(
         &self,
         config: Config,
@@ -284,7 +284,7 @@
         Ok(platform::serve(config, listener, dependencies).await?)
     }
 
-    /// Logs the counters, gives up what the node holds for others and leaves the fleet.
+    /// Logs the counters, releases the node's leases and leaves the fleet.
     async fn shut_down(&self) {
         self.counters.log();
         if let Some(coordination) = &self.coordination {
@@ -297,8 +297,8 @@
     }
 }
 
-/// Binds the address for clients; `beside` another process that hangs, if so.
-async fn bind_clients(address: SocketAddr, beside: bool) -> Result<TcpListener, Error> {
-    let listener = retry_local_failures(START_RETRY_LIMIT, async || platform::listen(address, beside)).await;
+/// Binds the address for clients; `shared` with a process that holds it and does not respond.
+async fn bind_clients(address: SocketAddr, shared: bool) -> Result<TcpListener, Error> {
+    let listener = retry_local_failures(START_RETRY_LIMIT, async || platform::listen(address, shared)).await;
     listener.map_err(|source| Error::BindClients { address, source })
 }
--- a/node/src/transient.rs
+++ b/node/src/transient.rs
@@ -1,5 +1,5 @@
-//! Transient errors of system calls: which ones pass, and how a call is repeated. Such an error is this machine's own
-//! and says nothing about the other end of a connection.
+//! Transient errors of system calls: which errors are transient, and how calls are retried. Such errors are local to this
+//! machine and say nothing about the other end of a connection.
 //!
 //! Source: the Linux manual pages of `send`, `recv`, `accept`, `socket` and `connect`.
 
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Calls that are repeated without a pause, in a row.
+/// Retries in a row without a pause.
 pub const IMMEDIATE_RETRIES: u32 = 16;
-/// Pause before a call is repeated for which the machine had no buffer or descriptor, or which was interrupted often.
+/// Pause before the retry of a call that lacked a buffer or descriptor, or was interrupted many times in a row.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// Longest pause of [`retry_local_failures`], which doubles it.
+/// Longest pause of [`retry_local_failures`], which doubles the pause each time.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// When a call that failed is to be repeated.
+/// When to retry a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
     /// At once.
@@ -27,7 +27,7 @@
     AfterPause,
 }
 
-/// When to repeat a `send` or `recv` that failed; `None` where the error is the connection's end.
+/// When to retry a failed `send` or `recv`; `None` if the error ends the connection.
 pub fn transfer_retry(error: &io::Error) -> Option<Retry> {
     match Errno::from_io_error(error)? {
         Errno::INTR => Some(Retry::Immediately),
@@ -36,8 +36,8 @@
     }
 }
 
-/// When to repeat an `accept` that failed. It fails by itself, or passes on the error of a connection that has ended in
-/// the backlog: the next one may be there.
+/// When to retry a failed `accept`. Besides its own errors it reports those of connections that ended in the backlog,
+/// behind which the next connection may wait.
 pub fn accept_retry(error: &io::Error) -> Retry {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) | None => Retry::AfterPause,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Whether a `socket`, `bind` or `connect` failed because this machine lacked a resource.
+/// Whether a `socket`, `bind` or `connect` failed for lack of a resource on this machine.
 pub fn is_local(error: &io::Error) -> bool {
     let local = [
         Errno::INTR,
@@ -60,7 +60,7 @@
     Errno::from_io_error(error).is_some_and(|errno| local.contains(&errno))
 }
 
-/// Repeats a call until it succeeds, fails for a reason that is not this machine's, or `limit` has passed.
+/// Retries a call until it succeeds, fails for another reason than a local one, or `limit` has passed.
 ///
 /// # Errors
 /// The error of the last call.
@@ -73,7 +73,7 @@
     loop {
         match call().await {
             Err(error) if is_local(&error) && started.elapsed() < limit => {
-                log::debug!(event = "local_failure_retried", error:%; "call repeated after a local failure");
+                log::debug!(event = "local_failure_retried", error:%; "call retried after a local failure");
                 sleep(pause).await;
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
@@ -82,8 +82,8 @@
     }
 }
 
-/// Backoff of a call that fails again and again: [`IMMEDIATE_RETRIES`] in a row without a pause, then a pause. Prevents
-/// a loop that takes all of the processor while the error lasts.
+/// Backoff of a call that keeps failing: [`IMMEDIATE_RETRIES`] in a row without a pause, then a pause. Prevents a loop
+/// that uses the whole processor while the error lasts.
 #[derive(Default)]
 pub struct FailureBackoff {
     /// Failures in a row since the last success or pause.
@@ -101,12 +101,12 @@
         Poll::Ready(())
     }
 
-    /// Notes that the call did not fail for a passing reason.
+    /// Records that the call did not fail with a transient error.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a failure. Returns whether it begins a pause, of length `pause`.
+    /// Records a failure. Returns whether it starts a pause, of length `pause`.
     pub fn record_failure(&mut self, retry: Retry, pause: Duration) -> bool {
         self.failures += 1;
         if retry == Retry::Immediately && self.failures < IMMEDIATE_RETRIES {
@@ -117,7 +117,7 @@
         true
     }
 
-    /// The pause that is under way, for a caller that awaits it; the call may be made afterwards.
+    /// Takes the current pause, for a caller that awaits it; the call may be made afterwards.
     pub fn take_pause(&mut self) -> Option<impl Future<Output = ()>> {
         self.pause.take()
     }
