--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the decision module's actions.
+//! Execution of the actions of the decision module.
 
 use super::request_table::{AttemptState, RequestEntry};
 use super::timers::Timer;
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 impl<F: Frontend> Dispatcher<F> {
-    /// Hands an event to the decision module and executes the actions that come out.
+    /// Passes an event to the decision module and executes the resulting actions.
     pub(super) fn notify_policy(&mut self, event: Event) {
         self.events.push_back(event);
         let mut actions = Vec::new();
@@ -20,8 +20,8 @@
             }
         }
         let overdrafts = self.policy.slow_start_overdrafts();
-        if overdrafts > self.overdrafts {
-            self.overdrafts = overdrafts;
+        if overdrafts > self.counted_overdrafts {
+            self.counted_overdrafts = overdrafts;
             self.counters.violations.add(Invariant::SlowStartBudget, overdrafts);
         }
     }
@@ -35,8 +35,8 @@
             Action::Fail { id } => self.fail(id),
             Action::Cancel { id, attempt } => self.cancel(AttemptId { request: id, attempt }),
             Action::SetTimer { after_us } => {
-                let at = Instant::now() + Duration::from_micros(after_us);
-                self.timers.schedule(at, Timer::Policy);
+                let due = Instant::now() + Duration::from_micros(after_us);
+                self.timers.schedule(due, Timer::Policy);
             }
             Action::WatchEndpoints => self.frontend.refresh_endpoints(),
             Action::CloseIdleConnections { worker } => self.frontend.close_idle(worker),
@@ -62,8 +62,9 @@
         }
     }
 
-    fn cancel(&mut self, tag: AttemptId) {
-        let entry = self.requests.get_mut(tag.request).filter(|e| e.attempts == tag.attempt + 1);
+    fn cancel(&mut self, attempt_id: AttemptId) {
+        let entry =
+            self.requests.get_mut(attempt_id.request).filter(|e| e.attempts == attempt_id.attempt + 1);
         if let Some(attempt) = entry.and_then(|e| e.attempt.begin_stop()) {
             self.frontend.stop(attempt, Outcome::Cancelled);
         }
@@ -71,20 +72,20 @@
 
     fn probe(&mut self, worker: WorkerId) {
         self.counters.probes.add();
-        // Jobs may wait for the answer: a front end that cannot ask counts as no answer.
+        // Requests may wait for the result: a frontend that can't probe counts as a failed probe.
         if !self.frontend.probe(worker) {
             self.events.push_back(Event::ProbeEnded { worker, ok: false, report: None });
         }
     }
 
-    /// Takes the job of a request that is answered now.
+    /// Takes the job of a request that is about to be answered.
     fn take_job(&mut self, id: RequestId) -> Option<F::Job> {
         let job = self.requests.get_mut(id).and_then(|e| e.job.take());
-        self.remove_if_done(id);
+        self.remove_if_finished(id);
         job
     }
 
-    /// Starts an attempt, if no rule forbids it: nothing goes out that the decision module decided in error.
+    /// Starts an attempt unless it would break an invariant, which a fault in the decision module may cause.
     fn send(&mut self, id: RequestId, worker: WorkerId) {
         let Some(entry) = self.requests.get_mut(id) else { return self.abort_unsent(id) };
         if let Some(invariant) = broken_invariant(entry) {
@@ -94,60 +95,60 @@
         let Some(job) = entry.job.as_ref().filter(|_| entry.deadline > Instant::now()) else {
             return self.abort_unsent(id);
         };
-        // The client may have left while nobody could see it, as while its socket was frozen.
+        // The client may have left unnoticed, for example while its socket was frozen for a handover.
         if !self.frontend.is_client_waiting(job) {
             return self.abort_without_client(id);
         }
-        let tag = AttemptId { request: id, attempt: entry.attempts };
+        let attempt_id = AttemptId { request: id, attempt: entry.attempts };
         log::debug!(
-            event = "attempt_sent", request = id, attempt = tag.attempt, worker:% = format_args!("{:016x}", worker.0);
+            event = "attempt_sent", request = id, attempt = attempt_id.attempt, worker:% = format_args!("{:016x}", worker.0);
             "attempt sent"
         );
-        let until = entry.deadline;
+        let deadline = entry.deadline;
         entry.attempts += 1;
         entry.last_attempt =
-            Some(AttemptStart { worker, sent_at: Instant::now(), started_at: None, deadline: until });
-        entry.attempt = AttemptState::Running(self.frontend.send(tag, job, worker, until));
+            Some(AttemptStart { worker, sent_at: Instant::now(), started_at: None, deadline });
+        entry.attempt = AttemptState::Running(self.frontend.send(attempt_id, job, worker, deadline));
         self.counters.attempts_sent.add();
         self.add_in_flight();
     }
 
-    /// Drops a request that was to be sent and whose client has left: the decision module learns that first, then that
-    /// nothing was sent.
+    /// Drops a request whose client left before it was sent. The decision module is told that first, then that nothing
+    /// was sent.
     fn abort_without_client(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.job = None;
         self.counters.client_left.add();
         self.events.push_back(Event::ClientDisconnected { id });
         self.abort_unsent(id);
-        self.remove_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// Tells the decision module that an attempt was not sent.
+    /// Reports to the decision module that an attempt was not sent.
     fn abort_unsent(&mut self, id: RequestId) {
         self.counters.not_sent.add();
         let Some(entry) = self.requests.get_mut(id).filter(|e| !e.attempt.is_in_flight()) else { return };
-        let (attempt, last) = (entry.attempts, entry.job.is_none());
+        let (attempt, request_done) = (entry.attempts, entry.job.is_none());
         entry.attempts += 1;
-        let ending = AttemptEnd {
+        let end = AttemptEnd {
             id,
             attempt,
             outcome: Outcome::NotSent,
-            request_done: last,
+            request_done,
             not_attributable: false,
             report: None,
         };
-        self.events.push_back(Event::AttemptEnded(ending));
+        self.events.push_back(Event::AttemptEnded(end));
     }
 }
 
-/// The rule that sending this request now would break, if any.
+/// The invariant that sending this request now would break, if any.
 fn broken_invariant<F: Frontend>(entry: &RequestEntry<F>) -> Option<Invariant> {
     if entry.attempt.is_in_flight() {
         Some(Invariant::SingleAttempt)
     } else if entry.attempts >= entry.max_attempts {
         Some(Invariant::AttemptLimit)
-    } else if !entry.retry_rules.allow(entry.may_have_run) {
+    } else if !entry.retry_rules.allow(entry.first_unproven) {
         Some(Invariant::RetryAllowed)
     } else {
         None
@@ -157,7 +158,7 @@
 fn log_notice(notice: &Notice) {
     match notice {
         Notice::RequestGivenUp { request: id, reason } => {
-            log::debug!(event = "request_given_up", request = id, reason:?; "no further attempt");
+            log::debug!(event = "request_given_up", request = id, reason:?; "request given up; no further attempt");
         }
         Notice::WorkerUnresponsive { worker } => log_ejected(*worker, "no_response"),
         Notice::WorkerFailing { worker } => log_ejected(*worker, "failed_job"),
@@ -169,7 +170,7 @@
             offered_per_s:% = format_args!("{offered:.1}"); "admission limited"
         ),
         Notice::EndpointListUnavailable => {
-            log::warn!(event = "endpoint_list_unavailable"; "no endpoint list: asking again");
+            log::warn!(event = "endpoint_list_unavailable"; "endpoint list unavailable; requesting it again");
         }
     }
 }
@@ -177,6 +178,6 @@
 fn log_ejected(worker: WorkerId, reason: &str) {
     log::warn!(
         event = "endpoint_ejected", worker:% = format_args!("{:016x}", worker.0), reason;
-        "endpoint ejected: it gets a trickle of jobs only"
+        "endpoint ejected; it gets only occasional requests"
     );
 }
--- a/node/src/dispatcher/clock.rs
+++ b/node/src/dispatcher/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time at the start plus monotonic time since: it never runs backwards.
+/// Unix time at the start plus the monotonic time since then, so that it never runs backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_us: Micros,
@@ -12,13 +12,13 @@
 }
 
 impl Clock {
-    /// Starts from the wall clock as it is now.
+    /// Starts at the current time of the wall clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_us: unix.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// Current time, in microseconds.
+    /// Current Unix time, in microseconds.
     pub fn now(&self) -> Micros {
         self.unix_us + self.start.elapsed().as_micros() as Micros
     }
--- a/node/src/dispatcher/frontend.rs
+++ b/node/src/dispatcher/frontend.rs
@@ -1,75 +1,81 @@
-//! Interface between the dispatcher and what carries its decisions out on a wire.
+//! Interface between the dispatcher and the frontends, which execute its decisions in their protocol.
 
 use bytes::Bytes;
 use dispatch_policy::api::{Outcome, RequestId, WorkerId};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Identity of one attempt at one request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request, by the dispatcher's own number.
+    /// Id of the request in the dispatcher.
     pub request: RequestId,
-    /// Number of the attempt, from 0 on.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
 }
 
 /// Final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The result of a worker.
+    /// Executed; the worker's result.
     Served(Bytes),
-    /// Rejected: nothing was done, and a retry after this time is harmless.
+    /// Shed: not executed, and may be retried after this time.
     Shed(Duration),
-    /// Failed: whether the request was executed is not known.
+    /// Failed: the request may have been executed.
     Failed,
 }
 
-/// Start of an attempt.
+/// Data of an attempt that was sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptStart {
     /// The worker.
     pub worker: WorkerId,
-    /// Micros at which it was sent.
+    /// Time at which it was sent.
     pub sent_at: Instant,
-    /// Micros at which its worker reported the start of the execution, if it did.
+    /// Time at which the worker reported the start of the execution, if it did.
     pub started_at: Option<Instant>,
-    /// Deadline of the client.
+    /// Deadline of the request.
     pub deadline: Instant,
 }
 
-/// Transport of the dispatcher's decisions. It takes none itself.
+/// Executes the dispatcher's decisions in a protocol; makes none itself.
 pub trait Frontend: Send + 'static {
-    /// A request as it came in, and the way back to its client.
+    /// A request as received, with the channel for its answer.
     type Job: Send + 'static;
     /// Handle on a running attempt.
     type Attempt: Send + 'static;
 
-    /// Starts an attempt. Exactly one [`Handle::ended`](super::Handle::ended) follows for this id, whatever happens.
-    fn send(&mut self, tag: AttemptId, job: &Self::Job, worker: WorkerId, until: Instant) -> Self::Attempt;
+    /// Starts an attempt. Exactly one [`Handle::ended`](super::Handle::ended) follows for this id in all cases.
+    fn send(
+        &mut self,
+        attempt_id: AttemptId,
+        job: &Self::Job,
+        worker: WorkerId,
+        deadline: Instant,
+    ) -> Self::Attempt;
 
-    /// Whether the client still waits for this job, as far as can be told now.
+    /// Whether the client still waits for the answer, as far as is known.
     fn is_client_waiting(&self, _job: &Self::Job) -> bool {
         true
     }
 
-    /// Ends an attempt early. It ends with the outcome `why`, unless another one was under way.
-    fn stop(&mut self, attempt: Self::Attempt, why: Outcome);
+    /// Stops an attempt. It ends with this outcome, unless another one is already queued.
+    fn stop(&mut self, attempt: Self::Attempt, outcome: Outcome);
 
-    /// Tells that the client of this attempt has left: what was not sent yet need not be. The attempt still ends.
+    /// Reports that the client of this attempt has left: what was not sent yet need not be. The attempt still ends.
     fn abandon(&mut self, _attempt: &Self::Attempt) {}
 
-    /// Gives the one final answer.
+    /// Sends the final answer; called once for each job.
     fn answer(&mut self, job: Self::Job, answer: Answer);
 
-    /// Tells that the request is in the table and was not answered at once.
+    /// Reports that the request was accepted and not answered at once.
     fn accepted(&mut self, _job: &Self::Job) {}
 
-    /// Freezes a running job for another process, if all of it can move: nothing more happens to it here until
-    /// [`Handle::transferred`](super::Handle::transferred) says that it has moved, or it is thawed.
+    /// Freezes a job with its running attempt for the transfer to another process, if both can be transferred. Neither
+    /// makes progress here until [`Handle::transferred`](super::Handle::transferred) is called, or they are thawed.
     fn freeze_for_transfer(
         &mut self,
-        _tag: AttemptId,
+        _attempt_id: AttemptId,
         _sent: &AttemptStart,
         _job: &Self::Job,
         _attempt: &Self::Attempt,
@@ -82,12 +88,12 @@
     /// Requests the endpoint list again.
     fn refresh_endpoints(&mut self) {}
 
-    /// Sends a health check to a worker. Returns whether this front end can: then exactly one
-    /// [`Handle::probe_ended`](super::Handle::probe_ended) follows, whatever happens.
+    /// Sends a probe to a worker. Returns whether this frontend can; then exactly one
+    /// [`Handle::probe_ended`](super::Handle::probe_ended) follows in all cases.
     fn probe(&mut self, _worker: WorkerId) -> bool {
         false
     }
 
-    /// Sends this node's rates of tenants to another node, by its number.
+    /// Sends this node's rates of tenants to a peer, by its number.
     fn send_to_peer(&mut self, _to: u32, _rates: &[u8]) {}
 }
--- a/node/src/dispatcher/mod.rs
+++ b/node/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
-//! Dispatcher: one task that owns the decision module, the clock, the timers and the table of requests.
+//! Dispatcher: a task that owns the decision module, the clock, the timers and the table of requests.
 //!
-//! Front ends reach it through a queue only: events come in by a [`Handle`], decisions go out through a [`Frontend`]. It
-//! knows no wire. A request is submitted, sent to workers in one attempt after another, and answered once:
-//! [`Handle::submit`], [`Frontend::send`], [`Handle::ended`], [`Frontend::answer`].
+//! It is independent of protocols: frontends send it events through the queue of a [`Handle`], and it calls a [`Frontend`]
+//! to execute its decisions. A request is submitted ([`Handle::submit`]), sent to workers in one attempt after another
+//! ([`Frontend::send`], [`Handle::ended`]), and answered once ([`Frontend::answer`]).
 
 mod actions;
 mod clock;
@@ -25,12 +25,12 @@
 use std::sync::Arc;
 use timers::{Timer, Timers};
 
-/// Number of a named thing, such as a worker: the same at every node.
+/// Hash of a name, such as a worker's, that is the same at every node.
 pub fn stable_hash(name: &str) -> u64 {
     membership::name_hash(name)
 }
 
-/// The dispatcher with its front end.
+/// The dispatcher with its frontend.
 pub struct Dispatcher<F: Frontend> {
     policy: Policy,
     settings: Settings,
@@ -38,18 +38,18 @@
     clock: Clock,
     timers: Timers,
     requests: RequestTable<F>,
-    /// Events that the decision module has yet to hear.
+    /// Events not yet passed to the decision module.
     events: VecDeque<Event>,
     counters: Arc<Counters>,
-    /// Overdrafts of the decision module that are counted already.
-    overdrafts: u64,
+    /// Overdrafts of slow-start budgets that are counted already.
+    counted_overdrafts: u64,
 }
 
 impl<F: Frontend> Dispatcher<F> {
-    /// Creates a dispatcher that knows its settings and no worker yet.
+    /// Creates a dispatcher without endpoints.
     ///
     /// # Errors
-    /// If the decision module does not take the settings.
+    /// If the decision module rejects the settings.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -67,7 +67,7 @@
             requests: RequestTable::default(),
             events: VecDeque::new(),
             counters,
-            overdrafts: 0,
+            counted_overdrafts: 0,
         })
     }
 
@@ -83,7 +83,7 @@
                     Some(event) => self.handle_event(event),
                     None => return,
                 },
-                () = self.timers.due() => {}
+                () = self.timers.wait_until_due() => {}
             }
         }
     }
@@ -102,15 +102,24 @@
             DispatcherEvent::Submitted(request, job) => self.submit(request, job),
             DispatcherEvent::Adopted(request, job, sent) => self.adopt(request, job, sent),
             DispatcherEvent::ClientLeft(id) => self.client_left(id),
-            DispatcherEvent::Acknowledged(tag) if self.requests.is_in_flight(tag) => {
+            DispatcherEvent::Acknowledged(attempt_id) if self.requests.is_in_flight(attempt_id) => {
                 self.counters.acknowledged.add();
-                self.notify_policy(Event::Acknowledged { id: tag.request, attempt: tag.attempt });
+                self.notify_policy(Event::Acknowledged {
+                    id: attempt_id.request,
+                    attempt: attempt_id.attempt,
+                });
             }
-            DispatcherEvent::Started(tag) if self.requests.is_in_flight(tag) => self.attempt_started(tag),
-            DispatcherEvent::Progress(tag, done) if self.requests.is_in_flight(tag) => {
-                self.notify_policy(Event::Progress { id: tag.request, attempt: tag.attempt, done });
+            DispatcherEvent::Started(attempt_id) if self.requests.is_in_flight(attempt_id) => {
+                self.attempt_started(attempt_id)
             }
-            // Of an attempt that has ended.
+            DispatcherEvent::Progress(attempt_id, done) if self.requests.is_in_flight(attempt_id) => {
+                self.notify_policy(Event::Progress {
+                    id: attempt_id.request,
+                    attempt: attempt_id.attempt,
+                    done,
+                });
+            }
+            // The attempt has ended already.
             DispatcherEvent::Acknowledged(_)
             | DispatcherEvent::Started(_)
             | DispatcherEvent::Progress(..) => {}
@@ -122,9 +131,9 @@
                 self.notify_policy(Event::EndpointChanges(entries));
             }
             DispatcherEvent::EndpointListFailed => self.notify_policy(Event::EndpointWatchFailed),
-            DispatcherEvent::Settings { settings, continues } => {
+            DispatcherEvent::Settings { settings, previous_classes } => {
                 self.settings = (*settings).clone();
-                self.notify_policy(Event::SettingsChanged { settings, continues });
+                self.notify_policy(Event::SettingsChanged { settings, continues: previous_classes });
             }
             DispatcherEvent::PeerRates(from, bytes) => {
                 self.notify_policy(Event::PeerMessage { from, bytes });
@@ -134,9 +143,9 @@
             }
             DispatcherEvent::FreezeTransferable(reply) => {
                 self.freeze_transferable();
-                let _ = reply.send(()); // fails where nobody waits any more
+                let _ = reply.send(()); // fails if the caller no longer waits
             }
-            DispatcherEvent::Transferred(tag) => self.transferred(tag),
+            DispatcherEvent::Transferred(attempt_id) => self.transferred(attempt_id),
         }
     }
 }
--- a/node/src/dispatcher/queue.rs
+++ b/node/src/dispatcher/queue.rs
@@ -1,4 +1,4 @@
-//! Event queue of a dispatcher, and the handle by which front ends put events into it.
+//! Event queue of a dispatcher, and the handle with which frontends send events to it.
 
 use super::{AttemptId, AttemptStart};
 use bytes::Bytes;
@@ -10,13 +10,13 @@
 
 /// End of an attempt.
 pub(super) struct AttemptReport {
-    pub id: AttemptId,
+    pub attempt_id: AttemptId,
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
-    /// What the worker made, if the outcome is `Ok`.
+    /// Result of the worker, if the outcome is `Success`.
     pub result: Bytes,
-    /// Whether the end says nothing of the worker.
-    pub blameless: bool,
+    /// Whether the outcome says nothing about the worker.
+    pub not_attributable: bool,
 }
 
 /// Event for the dispatcher.
@@ -28,7 +28,7 @@
     Started(AttemptId),
     Progress(AttemptId, f64),
     Ended(AttemptReport),
-    /// Changed endpoints, or all of them.
+    /// Changed endpoints, or all of them if `full`.
     Endpoints {
         entries: Vec<Endpoint>,
         full: bool,
@@ -36,7 +36,7 @@
     EndpointListFailed,
     Settings {
         settings: Box<Settings>,
-        continues: Vec<Option<usize>>,
+        previous_classes: Vec<Option<usize>>,
     },
     PeerRates(u32, Vec<u8>),
     ProbeEnded(WorkerId, bool, Option<LoadReport>),
@@ -44,8 +44,8 @@
     Transferred(AttemptId),
 }
 
-/// Sender of events to a dispatcher. The queue is not bounded in itself: what can wait in it is bounded by the
-/// connections that a front end accepts.
+/// Sends events to a dispatcher. The queue itself is unbounded; its length is bounded by the connections that a frontend
+/// accepts.
 pub struct Handle<J> {
     queue: UnboundedSender<DispatcherEvent<J>>,
     next_request_id: Arc<AtomicU64>,
@@ -58,14 +58,15 @@
 }
 
 impl<J> Handle<J> {
-    /// Submits a request; its `id` is assigned here and returned.
+    /// Submits a request. Assigns its `id` and returns it.
     pub fn submit(&self, request: Request, job: J) -> RequestId {
         let id = self.assign_request_id();
         self.push(DispatcherEvent::Submitted(Request { id, ..request }, job));
         id
     }
 
-    /// As [`Handle::submit`], for a request that another process of this node has sent once: its attempt goes on here.
+    /// Submits a request that the predecessor process has sent once, and whose attempt continues here. Otherwise like
+    /// [`Handle::submit`].
     pub fn adopt(&self, request: Request, job: J, sent: AttemptStart) -> RequestId {
         let id = self.assign_request_id();
         self.push(DispatcherEvent::Adopted(Request { id, ..request }, job, sent));
@@ -76,78 +77,91 @@
         self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Has the front end freeze all running jobs that can move to another process; returns once it has.
+    /// Lets the frontend freeze all jobs with a running attempt that can be transferred to another process. Returns once
+    /// they are frozen.
     pub async fn freeze_transferable(&self) {
         let (reply, done) = oneshot::channel();
         self.push(DispatcherEvent::FreezeTransferable(reply));
-        let _ = done.await; // fails where the dispatcher has ended: it has no jobs
+        let _ = done.await; // fails if the dispatcher has ended and so has no requests
     }
 
-    /// Another process continues this attempt and its request.
-    pub fn transferred(&self, tag: AttemptId) {
-        self.push(DispatcherEvent::Transferred(tag));
+    /// Reports that another process continues this attempt and its request.
+    pub fn transferred(&self, attempt_id: AttemptId) {
+        self.push(DispatcherEvent::Transferred(attempt_id));
     }
 
-    /// The client of this request has left; after its answer this changes nothing.
+    /// Reports that the client of this request has left; no effect after the answer.
     pub fn client_left(&self, id: RequestId) {
         self.push(DispatcherEvent::ClientLeft(id));
     }
 
-    /// The worker has acknowledged the job, and may start it later.
-    pub fn acknowledged(&self, tag: AttemptId) {
-        self.push(DispatcherEvent::Acknowledged(tag));
+    /// Reports that the worker has acknowledged the attempt, and may start it later.
+    pub fn acknowledged(&self, attempt_id: AttemptId) {
+        self.push(DispatcherEvent::Acknowledged(attempt_id));
     }
 
-    /// The worker has started the job.
-    pub fn started(&self, tag: AttemptId) {
-        self.push(DispatcherEvent::Started(tag));
+    /// Reports that the worker has started the execution.
+    pub fn started(&self, attempt_id: AttemptId) {
+        self.push(DispatcherEvent::Started(attempt_id));
     }
 
-    /// This part of the job is done, from 0 to 1.
-    pub fn progress(&self, tag: AttemptId, done: f64) {
-        self.push(DispatcherEvent::Progress(tag, done));
+    /// Reports the completed part of the execution, from 0 to 1.
+    pub fn progress(&self, attempt_id: AttemptId, done: f64) {
+        self.push(DispatcherEvent::Progress(attempt_id, done));
     }
 
-    /// An attempt has ended, with `Ok` and this result or with another outcome.
-    pub fn ended(&self, id: AttemptId, outcome: Outcome, report: Option<LoadReport>, result: Bytes) {
-        self.push(DispatcherEvent::Ended(AttemptReport { id, outcome, report, result, blameless: false }));
+    /// Reports that an attempt has ended, with `Success` and this result or with another outcome.
+    pub fn ended(&self, attempt_id: AttemptId, outcome: Outcome, report: Option<LoadReport>, result: Bytes) {
+        self.push(DispatcherEvent::Ended(AttemptReport {
+            attempt_id,
+            outcome,
+            report,
+            result,
+            not_attributable: false,
+        }));
     }
 
-    /// An attempt has ended in a way that says nothing of its worker: a connection that had served before broke without
-    /// an acknowledgement of this job, or this node could not open one.
-    pub fn ended_not_attributable(&self, id: AttemptId, outcome: Outcome) {
+    /// Reports that an attempt has ended for a reason that says nothing about its worker: a reused connection broke before
+    /// the worker acknowledged the attempt, or this node could not open a connection.
+    pub fn ended_not_attributable(&self, attempt_id: AttemptId, outcome: Outcome) {
         let (report, result) = (None, Bytes::new());
-        self.push(DispatcherEvent::Ended(AttemptReport { id, outcome, report, result, blameless: true }));
+        self.push(DispatcherEvent::Ended(AttemptReport {
+            attempt_id,
+            outcome,
+            report,
+            result,
+            not_attributable: true,
+        }));
     }
 
-    /// Updates the endpoint list: all of it if `full`, else the entries that changed.
+    /// Replaces the endpoint list if `full`, else updates the entries that changed.
     pub fn update_endpoints(&self, entries: Vec<Endpoint>, full: bool) {
         self.push(DispatcherEvent::Endpoints { entries, full });
     }
 
-    /// The endpoint list could not be fetched.
+    /// Reports that the endpoint list could not be fetched.
     pub fn endpoint_list_failed(&self) {
         self.push(DispatcherEvent::EndpointListFailed);
     }
 
-    /// Replaces the settings: requests submitted from here on may be of a new class. `continues` names, for each class,
-    /// the one whose run times its own are about like, if any.
-    pub fn update_settings(&self, settings: Settings, continues: Vec<Option<usize>>) {
-        self.push(DispatcherEvent::Settings { settings: Box::new(settings), continues });
+    /// Replaces the settings; requests submitted afterwards may be of a new class. `previous_classes` gives, for each
+    /// class, the class with similar run times, if any.
+    pub fn update_settings(&self, settings: Settings, previous_classes: Vec<Option<usize>>) {
+        self.push(DispatcherEvent::Settings { settings: Box::new(settings), previous_classes });
     }
 
-    /// Rates of tenants at another node, by its number.
+    /// Reports a peer's rates of tenants; `from` is its number.
     pub fn peer_rates(&self, from: u32, rates: Vec<u8>) {
         self.push(DispatcherEvent::PeerRates(from, rates));
     }
 
-    /// Result of a health check: whether the worker answered in time, and its load report.
+    /// Reports the result of a probe: whether the worker answered in time, and its load report.
     pub fn probe_ended(&self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
         self.push(DispatcherEvent::ProbeEnded(worker, ok, report));
     }
 
     fn push(&self, event: DispatcherEvent<J>) {
-        // Fails only once the dispatcher is gone, at the end of the process or a test: nobody is left to ask.
+        // Fails only after the dispatcher has ended, at the end of the process or of a test; the event is irrelevant then.
         let _ = self.queue.send(event);
     }
 }
--- a/node/src/dispatcher/request_table.rs
+++ b/node/src/dispatcher/request_table.rs
@@ -1,4 +1,4 @@
-//! Table of the requests that were submitted and are not done.
+//! Table of the requests that were submitted and are not finished.
 
 use super::{AttemptId, AttemptStart, Frontend};
 use dispatch_policy::api::{Idempotency, RequestId, Settings};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Rules by which a request's class may be retried, as they were when the request came in.
+/// Retry rules of a request's class, as they were when the request arrived.
 #[derive(Clone, Copy)]
 pub(super) struct RetryRules {
     idempotency: Idempotency,
@@ -22,9 +22,9 @@
         }
     }
 
-    /// Whether a request may be sent now whose first attempt that may have run was sent at this time.
-    pub fn allow(&self, may_have_run: Option<Instant>) -> bool {
-        let Some(first) = may_have_run else { return true };
+    /// Whether a request may be sent now. The argument is the time of the first attempt that may have been executed.
+    pub fn allow(&self, first_unproven: Option<Instant>) -> bool {
+        let Some(first) = first_unproven else { return true };
         match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey(_) => first.elapsed() < self.window,
@@ -33,13 +33,13 @@
     }
 }
 
-/// State of a request's attempt; there is one at most.
+/// State of the attempt of a request, which has at most one in flight.
 pub(super) enum AttemptState<A> {
     /// No attempt is in flight.
     Idle,
-    /// One is in flight, with the front end's handle on it.
+    /// One is in flight; the frontend's handle on it.
     Running(A),
-    /// One is in flight that was told to stop; its outcome is still to come.
+    /// One is in flight and was told to stop; its outcome is pending.
     Stopping,
 }
 
@@ -67,28 +67,28 @@
     }
 }
 
-/// A request in the table, until it is answered and no attempt is in flight.
+/// Request in the table, kept until it is answered and no attempt is in flight.
 pub(super) struct RequestEntry<F: Frontend> {
-    /// The job, until its answer.
+    /// The job, until the request is answered or its client leaves.
     pub job: Option<F::Job>,
     pub deadline: Instant,
     pub attempts: u32,
-    /// Most attempts, by the settings under which the request came in.
+    /// Maximum number of attempts, by the settings at the request's arrival.
     pub max_attempts: u32,
     pub last_attempt: Option<AttemptStart>,
     pub retry_rules: RetryRules,
-    /// Micros at which the first attempt was sent that may have run.
-    pub may_have_run: Option<Instant>,
+    /// Time at which the first attempt was sent that may have been executed.
+    pub first_unproven: Option<Instant>,
     pub attempt: AttemptState<F::Attempt>,
 }
 
 impl<F: Frontend> RequestEntry<F> {
-    fn is_done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.job.is_none() && !self.attempt.is_in_flight()
     }
 }
 
-/// The requests, by their ids.
+/// The requests by id.
 pub(super) struct RequestTable<F: Frontend>(HashMap<RequestId, RequestEntry<F>>);
 
 impl<F: Frontend> Default for RequestTable<F> {
@@ -122,12 +122,13 @@
         self.0.iter()
     }
 
-    pub fn is_done(&self, id: RequestId) -> bool {
-        self.get(id).is_some_and(RequestEntry::is_done)
+    pub fn is_finished(&self, id: RequestId) -> bool {
+        self.get(id).is_some_and(RequestEntry::is_finished)
     }
 
     /// Whether this attempt is in flight.
-    pub fn is_in_flight(&self, tag: AttemptId) -> bool {
-        self.get(tag.request).is_some_and(|e| e.attempt.is_in_flight() && e.attempts == tag.attempt + 1)
+    pub fn is_in_flight(&self, attempt_id: AttemptId) -> bool {
+        self.get(attempt_id.request)
+            .is_some_and(|e| e.attempt.is_in_flight() && e.attempts == attempt_id.attempt + 1)
     }
 }
--- a/node/src/dispatcher/requests.rs
+++ b/node/src/dispatcher/requests.rs
@@ -1,5 +1,5 @@
-//! Events in the life of a request: submission, the end of an attempt, its deadline, the client's leaving and the
-//! transfer to another process.
+//! Events of a request: submission, end of an attempt, deadline, departure of the client, and transfer to another
+//! process.
 
 use super::queue::AttemptReport;
 use super::request_table::{AttemptState, RequestEntry, RetryRules};
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl<F: Frontend> Dispatcher<F> {
-    /// Enters a request into the table and hands it to the decision module.
+    /// Adds a request to the table and passes it to the decision module.
     pub(super) fn submit(&mut self, request: Request, job: F::Job) {
         self.counters.requests_accepted.add();
         let deadline = Instant::now() + Duration::from_micros(request.time_left_us);
@@ -21,7 +21,7 @@
             max_attempts: self.settings.max_attempts,
             last_attempt: None,
             retry_rules: RetryRules::of(&self.settings, request.class),
-            may_have_run: None,
+            first_unproven: None,
             attempt: AttemptState::Idle,
         };
         self.requests.insert(request.id, entry);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Enters a request whose first attempt another process of this node has sent.
+    /// Adds a request whose first attempt was sent by the predecessor process.
     pub(super) fn adopt(&mut self, request: Request, job: F::Job, sent: AttemptStart) {
         self.counters.transferred_in.add();
         self.add_in_flight();
@@ -46,7 +46,7 @@
             max_attempts: self.settings.max_attempts,
             last_attempt: Some(sent),
             retry_rules: RetryRules::of(&self.settings, request.class),
-            may_have_run: None,
+            first_unproven: None,
             attempt: AttemptState::Running(attempt),
         };
         self.requests.insert(id, entry);
@@ -56,42 +56,47 @@
         self.notify_policy(Event::RequestAdopted { request, worker: sent.worker, sent_us, started_us });
     }
 
-    /// The client has left; after the answer this changes nothing.
+    /// Handles the departure of the client; no effect after the answer.
     pub(super) fn client_left(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id).filter(|e| e.job.is_some()) else { return };
         entry.job = None;
         self.counters.client_left.add();
         log::debug!(event = "client_left", request = id; "client left before its answer");
-        // Whether the decision module may cancel the attempt or not.
+        // Done even if the settings don't let the decision module cancel attempts.
         if let Some(attempt) = entry.attempt.running() {
             self.frontend.abandon(attempt);
         }
         self.notify_policy(Event::ClientDisconnected { id });
-        self.remove_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// The worker has started the job of this attempt.
-    pub(super) fn attempt_started(&mut self, tag: AttemptId) {
-        if let Some(last) = self.requests.get_mut(tag.request).and_then(|e| e.last_attempt.as_mut()) {
+    /// Handles the start of the execution at the worker.
+    pub(super) fn attempt_started(&mut self, attempt_id: AttemptId) {
+        if let Some(last) = self.requests.get_mut(attempt_id.request).and_then(|e| e.last_attempt.as_mut()) {
             last.started_at = last.started_at.or(Some(Instant::now()));
         }
-        self.notify_policy(Event::Started { id: tag.request, attempt: tag.attempt });
+        self.notify_policy(Event::Started { id: attempt_id.request, attempt: attempt_id.attempt });
     }
 
-    /// An attempt has ended. Of two outcomes of one attempt, the first one counts.
+    /// Handles the end of an attempt. Of two outcomes of one attempt, only the first counts.
     pub(super) fn attempt_ended(&mut self, end: AttemptReport) {
-        let AttemptReport { id: AttemptId { request: id, attempt }, outcome, report, result, blameless } =
-            end;
-        if !self.requests.is_in_flight(end.id) {
-            log::warn!(event = "attempt_ended_twice", request = id, attempt = attempt; "second end of an attempt ignored");
+        let AttemptReport {
+            attempt_id: AttemptId { request: id, attempt },
+            outcome,
+            report,
+            result,
+            not_attributable,
+        } = end;
+        if !self.requests.is_in_flight(end.attempt_id) {
+            log::warn!(event = "attempt_ended_twice", request = id, attempt = attempt; "second outcome of an attempt ignored");
             return;
         }
         self.counters.count_outcome(outcome);
-        log::debug!(event = "attempt_ended", request = id, attempt = attempt, outcome:?, blameless; "attempt ended");
+        log::debug!(event = "attempt_ended", request = id, attempt = attempt, outcome:?, blameless = not_attributable; "attempt ended");
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.attempt = AttemptState::Idle;
         if !outcome.proves_not_executed() {
-            entry.may_have_run = entry.may_have_run.or(entry.last_attempt.map(|sent| sent.sent_at));
+            entry.first_unproven = entry.first_unproven.or(entry.last_attempt.map(|sent| sent.sent_at));
         }
         self.counters.in_flight.set(self.counters.in_flight.get() - 1);
         if outcome == Outcome::Success {
@@ -100,19 +105,20 @@
                 self.frontend.answer(job, Answer::Served(result));
             }
         }
-        let last = entry.job.is_none();
+        let request_done = entry.job.is_none();
         self.notify_policy(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
-            request_done: last,
-            not_attributable: blameless,
+            request_done,
+            not_attributable,
             report,
         }));
-        self.remove_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// The client stops waiting now: an attempt in flight has timed out, and the decision module fails the request.
+    /// Handles the deadline, when the client stops waiting: an attempt in flight times out, and the decision module fails
+    /// the request.
     pub(super) fn deadline_reached(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         if entry.attempt.is_in_flight() {
@@ -121,20 +127,20 @@
             }
             return;
         }
-        // The decision module answers before this what it holds; if it does not, the client gets its one answer here.
+        // The decision module answers queued requests before their deadline; if it did not, the answer is sent here.
         if let Some(job) = entry.job.take() {
-            log::error!(event = "request_unanswered_at_deadline", request = id; "request held up to its deadline: failed");
+            log::error!(event = "request_unanswered_at_deadline", request = id; "request not answered by its deadline; failed");
             self.counters.failed.add();
             self.frontend.answer(job, Answer::Failed);
             self.notify_policy(Event::ClientDisconnected { id });
         }
-        self.remove_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// Has the front end freeze the running jobs that can move to another process.
+    /// Lets the frontend freeze the jobs with a running attempt that can be transferred to another process.
     pub(super) fn freeze_transferable(&mut self) {
         for (id, entry) in self.requests.iter() {
-            // Of a request that was sent more than once, the decision module knows more than is transferred.
+            // The transfer carries no more than a first attempt: after a retry, the decision module's state would be lost.
             let (Some(job), Some(attempt), Some(sent), 1) =
                 (&entry.job, entry.attempt.running(), &entry.last_attempt, entry.attempts)
             else {
@@ -144,14 +150,14 @@
         }
     }
 
-    /// Another process continues this attempt: its request is removed here without an answer.
-    pub(super) fn transferred(&mut self, tag: AttemptId) {
-        let Some(entry) = self.remove(tag.request) else { return };
+    /// Removes a request without an answer because another process continues its attempt.
+    pub(super) fn transferred(&mut self, attempt_id: AttemptId) {
+        let Some(entry) = self.remove(attempt_id.request) else { return };
         self.counters.transferred_out.add();
         if let AttemptState::Running(attempt) = entry.attempt {
             self.frontend.stop(attempt, Outcome::Cancelled);
         }
-        let (id, attempt, outcome) = (tag.request, tag.attempt, Outcome::Cancelled);
+        let (id, attempt, outcome) = (attempt_id.request, attempt_id.attempt, Outcome::Cancelled);
         self.notify_policy(Event::ClientDisconnected { id });
         self.notify_policy(Event::AttemptEnded(AttemptEnd {
             id,
@@ -163,14 +169,13 @@
         }));
     }
 
-    pub(super) fn remove_if_done(&mut self, id: RequestId) {
-        if self.requests.is_done(id) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.is_finished(id) {
             self.remove(id);
         }
     }
 
-    /// Removes a request with its deadline: as a client may state a whole day, a deadline that outlived its request
-    /// would hold memory for as long.
+    /// Removes a request and its deadline timer, which would otherwise hold memory until the deadline, up to a day later.
     fn remove(&mut self, id: RequestId) -> Option<RequestEntry<F>> {
         let entry = self.requests.remove(id)?;
         self.timers.cancel(entry.deadline, Timer::Deadline(id));
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -1,50 +1,50 @@
-//! Timers of the dispatcher: those of the decision module and the deadlines of requests.
+//! Timers of the dispatcher: those requested by the decision module, and the deadlines of requests.
 
 use dispatch_policy::api::RequestId;
 use std::collections::BTreeSet;
 use std::future::pending;
 use tokio::time::{sleep_until, Instant};
 
-/// What a timer is for. Of two that are due at once, the decision module's comes first.
+/// Purpose of a timer. Of timers that are due at the same time, the decision module's come first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decision module asked for it.
+    /// Requested by the decision module.
     Policy,
-    /// The client of this request stops waiting.
+    /// Deadline of this request.
     Deadline(RequestId),
 }
 
-/// Timers by the time at which they are due.
+/// Timers, ordered by due time.
 #[derive(Default)]
 pub(super) struct Timers(BTreeSet<(Instant, Timer)>);
 
 impl Timers {
-    pub fn schedule(&mut self, at: Instant, timer: Timer) {
-        self.0.insert((at, timer));
+    pub fn schedule(&mut self, due: Instant, timer: Timer) {
+        self.0.insert((due, timer));
     }
 
-    pub fn cancel(&mut self, at: Instant, timer: Timer) {
-        self.0.remove(&(at, timer));
+    pub fn cancel(&mut self, due: Instant, timer: Timer) {
+        self.0.remove(&(due, timer));
     }
 
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Removes and returns the first timer that is due by now.
+    /// Removes and returns the first timer that is due.
     pub fn pop_due(&mut self) -> Option<Timer> {
-        let &(at, timer) = self.0.first()?;
-        if at > Instant::now() {
+        let &(due, timer) = self.0.first()?;
+        if due > Instant::now() {
             return None;
         }
         self.0.pop_first();
         Some(timer)
     }
 
-    /// Waits until a timer is due; for ever if there is none.
-    pub async fn due(&self) {
+    /// Waits until a timer is due; forever if there is none.
+    pub async fn wait_until_due(&self) {
         match self.0.first() {
-            Some((at, _)) => sleep_until(*at).await,
+            Some((due, _)) => sleep_until(*due).await,
             None => pending().await,
         }
     }
