--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration of a node, read at the start and at each reload: environment variables, the node's JSON file, and the
-//! TOML files of the Faktory frontend and of the fleet.
+//! Configuration of a node, read at the start and at each reload: environment variables, the node's JSON file, and
+//! the TOML files of the Faktory frontend and of the fleet.
 
 use crate::dispatcher::stable_hash;
 use crate::endpoint_list::EndpointList;
@@ -248,8 +248,8 @@
         self.read_with(environment_variable)
     }
 
-    /// Reads all files again for a reload. RELAY_DISCOVERY no longer overrides the file, so that a reload can change the
-    /// address of discovery.
+    /// Reads all files again for a reload. RELAY_DISCOVERY no longer overrides the file, so that a reload can
+    /// change the address of discovery.
     ///
     /// # Errors
     /// The first error in a file or variable.
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -101,8 +101,8 @@
         }
         let attempt_id = AttemptId { request: id, attempt: entry.attempts };
         log::debug!(
-            event = "attempt_sent", request = id, attempt = attempt_id.attempt, worker:% = format_args!("{:016x}", worker.0);
-            "attempt sent"
+            event = "attempt_sent", request = id, attempt = attempt_id.attempt,
+            worker:% = format_args!("{:016x}", worker.0); "attempt sent"
         );
         let deadline = entry.deadline;
         entry.attempts += 1;
@@ -113,8 +113,8 @@
         self.add_in_flight();
     }
 
-    /// Drops a request whose client left before it was sent. The decision module is told that first, then that nothing
-    /// was sent.
+    /// Drops a request whose client left before it was sent. The decision module is told that first, then that
+    /// nothing was sent.
     fn abort_without_client(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.job = None;
--- a/node/src/dispatcher/frontend.rs
+++ b/node/src/dispatcher/frontend.rs
@@ -71,8 +71,9 @@
     /// Reports that the request was accepted and not answered at once.
     fn accepted(&mut self, _job: &Self::Job) {}
 
-    /// Freezes a job with its running attempt for the transfer to another process, if both can be transferred. Neither
-    /// makes progress here until [`Handle::transferred`](super::Handle::transferred) is called, or they are thawed.
+    /// Freezes a job with its running attempt for the transfer to another process, if both can be transferred.
+    /// Neither makes progress here until [`Handle::transferred`](super::Handle::transferred) is called, or they are
+    /// thawed.
     fn freeze_for_transfer(
         &mut self,
         _attempt_id: AttemptId,
--- a/node/src/dispatcher/mod.rs
+++ b/node/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
 //! Dispatcher: a task that owns the decision module, the clock, the timers and the table of requests.
 //!
-//! It is independent of protocols: frontends send it events through the queue of a [`Handle`], and it calls a [`Frontend`]
-//! to execute its decisions. A request is submitted ([`Handle::submit`]), sent to workers in one attempt after another
-//! ([`Frontend::send`], [`Handle::ended`]), and answered once ([`Frontend::answer`]).
+//! It is independent of protocols: frontends send it events through the queue of a [`Handle`], and it calls a
+//! [`Frontend`] to execute its decisions. A request is submitted ([`Handle::submit`]), sent to workers in one
+//! attempt after another ([`Frontend::send`], [`Handle::ended`]), and answered once ([`Frontend::answer`]).
 
 mod actions;
 mod clock;
--- a/node/src/dispatcher/queue.rs
+++ b/node/src/dispatcher/queue.rs
@@ -44,8 +44,8 @@
     Transferred(AttemptId),
 }
 
-/// Sends events to a dispatcher. The queue itself is unbounded; its length is bounded by the connections that a frontend
-/// accepts.
+/// Sends events to a dispatcher. The queue itself is unbounded; its length is bounded by the connections that a
+/// frontend accepts.
 pub struct Handle<J> {
     queue: UnboundedSender<DispatcherEvent<J>>,
     next_request_id: Arc<AtomicU64>,
@@ -77,8 +77,8 @@
         self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Lets the frontend freeze all jobs with a running attempt that can be transferred to another process. Returns once
-    /// they are frozen.
+    /// Lets the frontend freeze all jobs with a running attempt that can be transferred to another process. Returns
+    /// once they are frozen.
     pub async fn freeze_transferable(&self) {
         let (reply, done) = oneshot::channel();
         self.push(DispatcherEvent::FreezeTransferable(reply));
@@ -121,8 +121,8 @@
         }));
     }
 
-    /// Reports that an attempt has ended for a reason that says nothing about its worker: a reused connection broke before
-    /// the worker acknowledged the attempt, or this node could not open a connection.
+    /// Reports that an attempt has ended for a reason that says nothing about its worker: a reused connection broke
+    /// before the worker acknowledged the attempt, or this node could not open a connection.
     pub fn ended_not_attributable(&self, attempt_id: AttemptId, outcome: Outcome) {
         let (report, result) = (None, Bytes::new());
         self.push(DispatcherEvent::Ended(AttemptReport {
@@ -161,7 +161,8 @@
     }
 
     fn push(&self, event: DispatcherEvent<J>) {
-        // Fails only after the dispatcher has ended, at the end of the process or of a test; the event is irrelevant then.
+        // Fails only after the dispatcher has ended, at the end of the process or of a test; the event is
+        // irrelevant then.
         let _ = self.queue.send(event);
     }
 }
--- a/node/src/dispatcher/requests.rs
+++ b/node/src/dispatcher/requests.rs
@@ -88,11 +88,16 @@
             not_attributable,
         } = end;
         if !self.requests.is_in_flight(end.attempt_id) {
-            log::warn!(event = "attempt_ended_twice", request = id, attempt = attempt; "second outcome of an attempt ignored");
+            log::warn!(
+                event = "attempt_ended_twice", request = id, attempt = attempt; "second outcome of an attempt ignored"
+            );
             return;
         }
         self.counters.count_outcome(outcome);
-        log::debug!(event = "attempt_ended", request = id, attempt = attempt, outcome:?, blameless = not_attributable; "attempt ended");
+        log::debug!(
+            event = "attempt_ended", request = id, attempt = attempt, outcome:?, blameless = not_attributable;
+            "attempt ended"
+        );
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.attempt = AttemptState::Idle;
         if !outcome.proves_not_executed() {
@@ -117,8 +122,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Handles the deadline, when the client stops waiting: an attempt in flight times out, and the decision module fails
-    /// the request.
+    /// Handles the deadline, when the client stops waiting: an attempt in flight times out, and the decision module
+    /// fails the request.
     pub(super) fn deadline_reached(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         if entry.attempt.is_in_flight() {
@@ -129,7 +134,9 @@
         }
         // The decision module answers queued requests before their deadline; if it did not, the answer is sent here.
         if let Some(job) = entry.job.take() {
-            log::error!(event = "request_unanswered_at_deadline", request = id; "request not answered by its deadline; failed");
+            log::error!(
+                event = "request_unanswered_at_deadline", request = id; "request not answered by its deadline; failed"
+            );
             self.counters.failed.add();
             self.frontend.answer(job, Answer::Failed);
             self.notify_policy(Event::ClientDisconnected { id });
@@ -140,7 +147,8 @@
     /// Lets the frontend freeze the jobs with a running attempt that can be transferred to another process.
     pub(super) fn freeze_transferable(&mut self) {
         for (id, entry) in self.requests.iter() {
-            // The transfer carries no more than a first attempt: after a retry, the decision module's state would be lost.
+            // The transfer carries no more than a first attempt: after a retry, the decision module's state would
+            // be lost.
             let (Some(job), Some(attempt), Some(sent), 1) =
                 (&entry.job, entry.attempt.running(), &entry.last_attempt, entry.attempts)
             else {
@@ -175,7 +183,8 @@
         }
     }
 
-    /// Removes a request and its deadline timer, which would otherwise hold memory until the deadline, up to a day later.
+    /// Removes a request and its deadline timer, which would otherwise hold memory until the deadline, up to a day
+    /// later.
     fn remove(&mut self, id: RequestId) -> Option<RequestEntry<F>> {
         let entry = self.requests.remove(id)?;
         self.timers.cancel(entry.deadline, Timer::Deadline(id));
--- a/node/src/invariants.rs
+++ b/node/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants that the node checks at run time.
 //!
-//! Each is checked at one place that every path passes, which prevents a violation or counts one that has happened. All
-//! counts of a correct node are zero; each violation is logged as an error with its request.
+//! Each is checked at one place that every path passes, which prevents a violation or counts one that has happened.
+//! All counts of a correct node are zero; each violation is logged as an error with its request.
 
 use crate::metrics::Counter;
 use std::fmt;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,15 +1,15 @@
 //! A node that dispatches requests: a dispatcher that is independent of protocols, and the frontends that execute its
 //! decisions.
 //!
-//! [`run`] is the whole program; an embedder can also call [`platform::serve`] in its own runtime. Settings can be checked
-//! without a running node:
+//! [`run`] is the whole program; an embedder can also call [`platform::serve`] in its own runtime. Settings can be
+//! checked without a running node:
 //!
 //! ```
 //! use molevale::names::{parse_settings, ParseError};
 //! use serde_json::json;
 //!
-//! let class = json!({"Name": "check", "AimUs": 250_000, "DeadlineUs": 7_500_000, "Worth": 2.0, "Semantics": "safe"});
-//! let (settings, names) = parse_settings(&json!({"Profiles": [class], "Limits": {"MaxAttempts": 3}}))?;
+//! let class = json!({"Name": "check", "AimUs": 250_000, "DeadlineUs": 7_500_000, "Worth": 2.0, "Semantics":
+//! "safe"}); let (settings, names) = parse_settings(&json!({"Profiles": [class], "Limits": {"MaxAttempts": 3}}))?;
 //! assert_eq!((settings.max_attempts, names.class("check")), (3, Some(0)));
 //! # Ok::<(), ParseError>(())
 //! ```
@@ -46,8 +46,8 @@
 /// Exit code of a command that the called node did not execute.
 const EXIT_COMMAND_FAILED: u8 = 1;
 
-/// Executes the command of the command line, or runs a node if there is none. An error ends the process with one line on
-/// standard error.
+/// Executes the command of the command line, or runs a node if there is none. An error ends the process with one
+/// line on standard error.
 pub fn run() -> ExitCode {
     let cli = match cli::parse(std::env::args_os()) {
         Ok(Some(cli)) => cli,
--- a/node/src/logger.rs
+++ b/node/src/logger.rs
@@ -156,8 +156,8 @@
     }
 }
 
-/// Installs the logger of this process. `MOLEVALE_LOG` sets the level (default `info`), and `MOLEVALE_LOG_FORMAT=json`
-/// the format. A second call has no effect.
+/// Installs the logger of this process. `MOLEVALE_LOG` sets the level (default `info`), and
+/// `MOLEVALE_LOG_FORMAT=json` the format. A second call has no effect.
 pub fn init(node: &str) {
     let level = std::env::var("MOLEVALE_LOG").ok().and_then(|v| v.parse().ok()).unwrap_or(LevelFilter::Info);
     let is_json = std::env::var("MOLEVALE_LOG_FORMAT").is_ok_and(|v| v == "json");
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -1,4 +1,5 @@
-//! Parses the settings: those of the decision module, and the names and durations that the frontends need in addition.
+//! Parses the settings: those of the decision module, and the names and durations that the frontends need in
+//! addition.
 
 use dispatch_policy::api::{Idempotency, Settings};
 use dispatch_policy::settings::{self, KeyValues, ReportField};
@@ -14,8 +15,8 @@
 /// Time after which a draining worker gets no further requests, if the settings state none.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Names and durations that the frontends need in addition to the settings of the decision module. A name's index in its
-/// list is its number in the decision module.
+/// Names and durations that the frontends need in addition to the settings of the decision module. A name's index
+/// in its list is its number in the decision module.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the classes.
@@ -139,8 +140,8 @@
     Ok(names)
 }
 
-/// Appends nested settings as `path=value` lines, the format of the simulator's first message: a list of scalars is joined
-/// by commas; a list of objects gives its length under `.count` and its items under their indices.
+/// Appends nested settings as `path=value` lines, the format of the simulator's first message: a list of scalars is
+/// joined by commas; a list of objects gives its length under `.count` and its items under their indices.
 fn flatten(path: &str, value: &Value, out: &mut String) {
     let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     // Writing to a string does not fail.
--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -6,13 +6,15 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// Time after SIGTERM for which new connections are still accepted: requests that arrive within 0.7 s must be answered.
+/// Time after SIGTERM for which new connections are still accepted: requests that arrive within 0.7 s must be
+/// answered.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(720);
 
-/// Time after SIGTERM within which an arriving request may be interrupted by SIGKILL; later ones must be answered before.
+/// Time after SIGTERM within which an arriving request may be interrupted by SIGKILL; later ones must be answered
+/// before.
 const INTERRUPTIBLE_PERIOD: Duration = Duration::from_millis(700);
-/// Upper bound of the longest deadline in the time of SIGKILL, which comes no sooner than 0.7 s plus the longest deadline
-/// of a class, or plus this if that deadline is longer.
+/// Upper bound of the longest deadline in the time of SIGKILL, which comes no sooner than 0.7 s plus the longest
+/// deadline of a class, or plus this if that deadline is longer.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Reserve before SIGKILL: time for an answer to reach its client, and for a SIGTERM that is noticed late because the
 /// process was blocked or a wake-up was lost (see [`crate::signals`]).
@@ -120,8 +122,8 @@
         });
     }
 
-    /// Time by which a request that arrives now must be answered because SIGKILL may come before its own deadline; `None`
-    /// if the process is not stopping, or the request may be interrupted.
+    /// Time by which a request that arrives now must be answered because SIGKILL may come before its own deadline;
+    /// `None` if the process is not stopping, or the request may be interrupted.
     pub fn answer_deadline(&self, longest_deadline: Duration) -> Option<Instant> {
         let stopped_at = self.stopped_at.get().filter(|at| at.elapsed() > INTERRUPTIBLE_PERIOD)?;
         let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + INTERRUPTIBLE_PERIOD;
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,4 +1,5 @@
-//! Reload of the configuration at SIGHUP: determines which changes take effect in the running node, and distributes them.
+//! Reload of the configuration at SIGHUP: determines which changes take effect in the running node, and distributes
+//! them.
 
 use crate::config::{self, ConfigSources, LoadedConfig};
 use crate::settings_merge::{first_missing_key, EffectiveSettings};
--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -1,5 +1,5 @@
-//! Merges new settings into the running ones. Existing numbers are kept, so that open requests keep their class and its
-//! rules, and what the decision module has learned under a number stays valid.
+//! Merges new settings into the running ones. Existing numbers are kept, so that open requests keep their class and
+//! its rules, and what the decision module has learned under a number stays valid.
 
 use crate::names::Names;
 use dispatch_policy::api::{ClassSettings, Settings, TenantSettings};
@@ -15,8 +15,8 @@
 }
 
 impl EffectiveSettings {
-    /// The newer settings with the numbers of these. A class whose rules are unchanged keeps its number, any other gets a
-    /// new number, and one that is no longer in the settings is no longer offered.
+    /// The newer settings with the numbers of these. A class whose rules are unchanged keeps its number, any other
+    /// gets a new number, and one that is no longer in the settings is no longer offered.
     pub fn merged_with(&self, newer: &EffectiveSettings) -> EffectiveSettings {
         let old = &self.names;
         let mut new = EffectiveSettings {
@@ -92,8 +92,9 @@
     old.iter().chain(newer.iter().filter(|n| !old.contains(n))).cloned().collect()
 }
 
-/// The first key that the running configuration has and a newer one lacks. Items of a list need the keys that all items
-/// had before. Guards against truncated or incomplete files, which the parser would accept because keys have defaults.
+/// The first key that the running configuration has and a newer one lacks. Items of a list need the keys that all
+/// items had before. Guards against truncated or incomplete files, which the parser would accept because keys have
+/// defaults.
 pub fn first_missing_key(running: &Value, newer: &Value, path: &str) -> Option<String> {
     match (running, newer) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| {
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -1,8 +1,9 @@
 //! Signals that the node handles.
 //!
-//! A handler sets a flag and wakes the event loop by writing a byte to a socket pair. Only the flag matters: a wake-up is
-//! lost if the write in the handler is interrupted, but the next poll finds the flag, so no signal is lost. `tokio`'s own
-//! driver ends the process if the read of its pipe is interrupted, and loses a signal whose wake-up is lost.
+//! A handler sets a flag and wakes the event loop by writing a byte to a socket pair. Only the flag matters: a
+//! wake-up is lost if the write in the handler is interrupted, but the next poll finds the flag, so no signal is
+//! lost. `tokio`'s own driver ends the process if the read of its pipe is interrupted, and loses a signal whose
+//! wake-up is lost.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::{flag, low_level::pipe};
--- a/node/src/transient.rs
+++ b/node/src/transient.rs
@@ -1,5 +1,5 @@
-//! Transient errors of system calls: which errors are transient, and how calls are retried. Such errors are local to this
-//! machine and say nothing about the other end of a connection.
+//! Transient errors of system calls: which errors are transient, and how calls are retried. Such errors are local
+//! to this machine and say nothing about the other end of a connection.
 //!
 //! Source: the Linux manual pages of `send`, `recv`, `accept`, `socket` and `connect`.
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Backoff of a call that keeps failing: [`IMMEDIATE_RETRIES`] in a row without a pause, then a pause. Prevents a loop
-/// that uses the whole processor while the error lasts.
+/// Backoff of a call that keeps failing: [`IMMEDIATE_RETRIES`] in a row without a pause, then a pause. Prevents a
+/// loop that uses the whole processor while the error lasts.
 #[derive(Default)]
 pub struct FailureBackoff {
     /// Failures in a row since the last success or pause.
