--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -40,7 +40,7 @@
                 Scope::Zone => &zone,
             };
             // The holder keeps its lease: a growing fleet is no reason for a hand-over.
-            let is_holder = self.client.may_act(now, &lease).is_some();
+            let is_holder = self.client.valid_token(now, &lease).is_some();
             if is_serving && (self.is_candidate(&lease, peers) || is_holder) {
                 self.client.acquire(now, &lease);
             } else {
@@ -58,7 +58,7 @@
         if list_delivery.is_some_and(|lists| !lists.discovery_failed_recently(now)) {
             leases.push((self.list_lease(), Scope::Zone));
         }
-        if settings.roll {
+        if settings.rolling_restart {
             leases.push((RESTART_LEASE.to_string(), Scope::Fleet));
         }
         leases
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -19,10 +19,10 @@
                 self.execute(action);
             }
         }
-        let overdrafts = self.policy.slow_start_overdrafts();
-        if overdrafts > self.counted_overdrafts {
-            self.counted_overdrafts = overdrafts;
-            self.counters.violations.add(Invariant::SlowStartBudget, overdrafts);
+        let violations = self.policy.slow_start_violations();
+        if violations > self.counted_slow_start_violations {
+            self.counted_slow_start_violations = violations;
+            self.counters.violations.add(Invariant::SlowStartBudget, violations);
         }
     }
 
@@ -74,7 +74,7 @@
         self.counters.probes.add();
         // Requests may wait for the result: a frontend that can't probe counts as a failed probe.
         if !self.frontend.probe(worker) {
-            self.events.push_back(Event::ProbeEnded { worker, ok: false, report: None });
+            self.events.push_back(Event::ProbeEnded { worker, responded: false, report: None });
         }
     }
 
--- a/node/src/dispatcher/mod.rs
+++ b/node/src/dispatcher/mod.rs
@@ -41,8 +41,8 @@
     /// Events not yet passed to the decision module.
     events: VecDeque<Event>,
     counters: Arc<Counters>,
-    /// Overdrafts of slow-start budgets that are counted already.
-    counted_overdrafts: u64,
+    /// Violations of slow-start budgets that are counted already.
+    counted_slow_start_violations: u64,
 }
 
 impl<F: Frontend> Dispatcher<F> {
@@ -67,7 +67,7 @@
             requests: RequestTable::default(),
             events: VecDeque::new(),
             counters,
-            counted_overdrafts: 0,
+            counted_slow_start_violations: 0,
         })
     }
 
@@ -131,15 +131,15 @@
                 self.notify_policy(Event::EndpointChanges(entries));
             }
             DispatcherEvent::EndpointListFailed => self.notify_policy(Event::EndpointWatchFailed),
-            DispatcherEvent::Settings { settings, previous_classes } => {
+            DispatcherEvent::Settings { settings, inherits_from } => {
                 self.settings = (*settings).clone();
-                self.notify_policy(Event::SettingsChanged { settings, continues: previous_classes });
+                self.notify_policy(Event::SettingsChanged { settings, inherits_from });
             }
             DispatcherEvent::PeerRates(from, bytes) => {
                 self.notify_policy(Event::PeerMessage { from, bytes });
             }
-            DispatcherEvent::ProbeEnded(worker, ok, report) => {
-                self.notify_policy(Event::ProbeEnded { worker, ok, report });
+            DispatcherEvent::ProbeEnded(worker, responded, report) => {
+                self.notify_policy(Event::ProbeEnded { worker, responded, report });
             }
             DispatcherEvent::FreezeTransferable(reply) => {
                 self.freeze_transferable();
--- a/node/src/dispatcher/queue.rs
+++ b/node/src/dispatcher/queue.rs
@@ -36,7 +36,7 @@
     EndpointListFailed,
     Settings {
         settings: Box<Settings>,
-        previous_classes: Vec<Option<usize>>,
+        inherits_from: Vec<Option<usize>>,
     },
     PeerRates(u32, Vec<u8>),
     ProbeEnded(WorkerId, bool, Option<LoadReport>),
@@ -144,10 +144,10 @@
         self.push(DispatcherEvent::EndpointListFailed);
     }
 
-    /// Replaces the settings; requests submitted afterwards may be of a new class. `previous_classes` gives, for each
+    /// Replaces the settings; requests submitted afterwards may be of a new class. `inherits_from` gives, for each
     /// class, the class with similar run times, if any.
-    pub fn update_settings(&self, settings: Settings, previous_classes: Vec<Option<usize>>) {
-        self.push(DispatcherEvent::Settings { settings: Box::new(settings), previous_classes });
+    pub fn update_settings(&self, settings: Settings, inherits_from: Vec<Option<usize>>) {
+        self.push(DispatcherEvent::Settings { settings: Box::new(settings), inherits_from });
     }
 
     /// Reports a peer's rates of tenants; `from` is its number.
@@ -156,8 +156,8 @@
     }
 
     /// Reports the result of a probe: whether the worker answered in time, and its load report.
-    pub fn probe_ended(&self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
-        self.push(DispatcherEvent::ProbeEnded(worker, ok, report));
+    pub fn probe_ended(&self, worker: WorkerId, responded: bool, report: Option<LoadReport>) {
+        self.push(DispatcherEvent::ProbeEnded(worker, responded, report));
     }
 
     fn push(&self, event: DispatcherEvent<J>) {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,7 +4,7 @@
 //!   [`poison`](crate::poison).
 //! - Admitted: [`admission`](crate::admission), [`rate_control`](crate::rate_control).
 //! - Placed on a worker and sent (`policy/sending.rs`): [`placement`](crate::placement),
-//!   [`slow_start`](crate::slow_start), [`window`](crate::window), [`probe`](crate::probe).
+//!   [`slow_start`](crate::slow_start), [`in_flight_window`](crate::in_flight_window), [`probe`](crate::probe).
 //! - In flight (`policy/in_flight.rs`): [`attempt_timeout`](crate::attempt_timeout),
 //!   [`outlier`](crate::outlier).
 //! - Attempt ended (`policy/ending.rs`): [`concurrency_limit`](crate::concurrency_limit),
@@ -28,6 +28,7 @@
 use crate::concurrency_limit::Saturation;
 use crate::endpoints::{relies_on_live_weights, Endpoints};
 use crate::gossip::Gossip;
+use crate::in_flight_window::InFlightWindow;
 use crate::latency_objective;
 use crate::live_weights::LiveWeights;
 use crate::load_report::ReportQuality;
@@ -38,11 +39,10 @@
 use crate::requests::{Rank, Requests};
 use crate::retry::RetryUsage;
 use crate::rng::Rng;
-use crate::run_time::{ClassHistory, Kinds, MeanWork};
+use crate::run_time::{ClassHistory, KindHistories, MeanWork};
 use crate::slow_start::{FleetCapacity, Sender};
 use crate::table::{ClassId, Table, WorkerIndex};
 use crate::timer_queue::TimerQueue;
-use crate::window::Window;
 
 /// Interval at which room is looked for while requests wait: well under a run time, and cheap.
 const ROOM_INTERVAL: Micros = 20_000;
@@ -81,7 +81,7 @@
     poison: PoisonDetector,
 
     classes: Table<ClassId, ClassHistory>,
-    kinds: Kinds,
+    kinds: KindHistories,
     mean_work: MeanWork,
 
     endpoints: Endpoints,
@@ -91,9 +91,9 @@
     reports: ReportQuality,
     probes: ProbeBudget,
     saturation: Saturation,
-    window: Window,
+    window: InFlightWindow,
     backoff: ClassBackoff,
-    slow_start_overdrafts: u64,
+    slow_start_violations: u64,
 }
 
 impl Policy {
@@ -120,7 +120,7 @@
             retries: RetryUsage::default(),
             poison: PoisonDetector::default(),
             classes: Table::default(),
-            kinds: Kinds::default(),
+            kinds: KindHistories::default(),
             mean_work: MeanWork::default(),
             endpoints: Endpoints::default(),
             with_room: Vec::new(),
@@ -128,9 +128,9 @@
             reports: ReportQuality::default(),
             probes: ProbeBudget::default(),
             saturation: Saturation::default(),
-            window: Window::default(),
+            window: InFlightWindow::default(),
             backoff: ClassBackoff::default(),
-            slow_start_overdrafts: 0,
+            slow_start_violations: 0,
         };
         policy.configure(settings, &[]);
         let phase = policy.rng.below(SECOND);
@@ -139,8 +139,8 @@
     }
 
     /// Requests sent to workers that warm up beyond this dispatcher's part of their budget. Any is a fault.
-    pub fn slow_start_overdrafts(&self) -> u64 {
-        self.slow_start_overdrafts
+    pub fn slow_start_violations(&self) -> u64 {
+        self.slow_start_violations
     }
 
     /// Handles an event and appends the actions that follow from it.
@@ -165,8 +165,8 @@
     fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::RequestReceived(request) => self.receive(request, out),
-            Event::RequestAdopted { request, worker, sent_us, started_us } => {
-                self.adopt(request, *worker, *sent_us, *started_us, out);
+            Event::RequestAdopted { request, worker, since_sent_us, since_started_us } => {
+                self.adopt(request, *worker, *since_sent_us, *since_started_us, out);
             }
             Event::Acknowledged { id, attempt } => self.acknowledged(*id, *attempt, out),
             Event::Started { id, attempt } => self.started(*id, *attempt, out),
@@ -177,10 +177,10 @@
             Event::EndpointList(endpoints) => self.update_endpoints(endpoints, true),
             Event::EndpointChanges(endpoints) => self.update_endpoints(endpoints, false),
             Event::EndpointWatchFailed => self.endpoint_watch_failed(out),
-            Event::SettingsChanged { settings, continues } => {
-                self.configure((**settings).clone(), continues);
+            Event::SettingsChanged { settings, inherits_from } => {
+                self.configure((**settings).clone(), inherits_from);
             }
-            Event::ProbeEnded { worker, ok, report } => self.probe_ended(*worker, *ok, *report),
+            Event::ProbeEnded { worker, responded, report } => self.probe_ended(*worker, *responded, *report),
             Event::PeerMessage { from, bytes } => {
                 self.gossip.receive(*from, bytes, self.admission.tenants(), &self.settings, self.now);
             }
@@ -208,7 +208,7 @@
 
     /// Sends admitted requests, in their order, to workers with room; the others wait on.
     fn place(&mut self, out: &mut Vec<Action>) {
-        let by_key = self.settings.origin_price > 0.0;
+        let by_key = self.settings.origin_fetch_price > 0.0;
         if by_key {
             self.with_room = self.placement().with_room();
         }
