--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -308,7 +308,7 @@
         Some(text) => text.parse().map(Some).map_err(|_| Error::InvalidAddress { key, text }),
         None => Ok(None),
     };
-    let address = |key, configured| -> Result<SocketAddr, Error> {
+    let required_address = |key, configured| -> Result<SocketAddr, Error> {
         optional_address(key, configured)?.ok_or(Error::MissingAddress(key))
     };
     let parse_peer = |text: &String| text.parse().map_err(|_| Error::InvalidPeerAddress(text.clone()));
@@ -317,8 +317,8 @@
     Ok(Config {
         effective_settings: EffectiveSettings { settings, names },
         document,
-        listen: address("RELAY_LISTEN", file.listen)?,
-        discovery: address("RELAY_DISCOVERY", file.discovery)?,
+        listen: required_address("RELAY_LISTEN", file.listen)?,
+        discovery: required_address("RELAY_DISCOVERY", file.discovery)?,
         management: optional_address("RELAY_MANAGEMENT", file.management)?,
         name: variable("RELAY_NAME").unwrap_or(file.name),
         seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| stable_hash(&file.seed)),
--- a/node/src/counters.rs
+++ b/node/src/counters.rs
@@ -35,8 +35,8 @@
         } = self;
         write!(
             f,
-            "clients={client_connections} at_work={busy_clients} attempts={attempt_connections} idle={idle_connections} \
-             ids={wire_ids} bodies_kib={bodies_kib}"
+            "clients={client_connections} at_work={busy_clients} attempts={attempt_connections} \
+             idle={idle_connections} ids={wire_ids} bodies_kib={bodies_kib}"
         )
     }
 }
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -148,7 +148,7 @@
         Some(Invariant::SingleAttempt)
     } else if entry.attempts >= entry.max_attempts {
         Some(Invariant::AttemptLimit)
-    } else if !entry.retry_rules.allow(entry.first_unproven) {
+    } else if !entry.retry_rules.allows(entry.first_possible_execution) {
         Some(Invariant::RetryAllowed)
     } else {
         None
--- a/node/src/dispatcher/request_table.rs
+++ b/node/src/dispatcher/request_table.rs
@@ -14,7 +14,7 @@
 }
 
 impl RetryRules {
-    pub fn of(settings: &Settings, class: usize) -> RetryRules {
+    pub fn for_class(settings: &Settings, class: usize) -> RetryRules {
         let class = &settings.classes[class.min(settings.classes.len() - 1)];
         RetryRules {
             idempotency: class.idempotency,
@@ -23,8 +23,8 @@
     }
 
     /// Whether a request may be sent now. The argument is the time of the first attempt that may have been executed.
-    pub fn allow(&self, first_unproven: Option<Instant>) -> bool {
-        let Some(first) = first_unproven else { return true };
+    pub fn allows(&self, first_possible_execution: Option<Instant>) -> bool {
+        let Some(first) = first_possible_execution else { return true };
         match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey(_) => first.elapsed() < self.window,
@@ -78,7 +78,7 @@
     pub last_attempt: Option<AttemptStart>,
     pub retry_rules: RetryRules,
     /// Time at which the first attempt was sent that may have been executed.
-    pub first_unproven: Option<Instant>,
+    pub first_possible_execution: Option<Instant>,
     pub attempt: AttemptState<F::Attempt>,
 }
 
--- a/node/src/dispatcher/requests.rs
+++ b/node/src/dispatcher/requests.rs
@@ -20,8 +20,8 @@
             attempts: 0,
             max_attempts: self.settings.max_attempts,
             last_attempt: None,
-            retry_rules: RetryRules::of(&self.settings, request.class),
-            first_unproven: None,
+            retry_rules: RetryRules::for_class(&self.settings, request.class),
+            first_possible_execution: None,
             attempt: AttemptState::Idle,
         };
         self.requests.insert(request.id, entry);
@@ -45,8 +45,8 @@
             attempts: 1,
             max_attempts: self.settings.max_attempts,
             last_attempt: Some(sent),
-            retry_rules: RetryRules::of(&self.settings, request.class),
-            first_unproven: None,
+            retry_rules: RetryRules::for_class(&self.settings, request.class),
+            first_possible_execution: None,
             attempt: AttemptState::Running(attempt),
         };
         self.requests.insert(id, entry);
@@ -106,7 +106,8 @@
         let Some(entry) = self.requests.get_mut(id) else { return };
         entry.attempt = AttemptState::Idle;
         if !outcome.proves_not_executed() {
-            entry.first_unproven = entry.first_unproven.or(entry.last_attempt.map(|sent| sent.sent_at));
+            entry.first_possible_execution =
+                entry.first_possible_execution.or(entry.last_attempt.map(|sent| sent.sent_at));
         }
         self.counters.in_flight.set(self.counters.in_flight.get() - 1);
         if outcome == Outcome::Success {
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-// The names in `serde(expecting)` stand in the error that operators read if a configuration's list is invalid.
+// The names in `serde(expecting)` appear in the error that operators read if a configuration's list is invalid.
 
 /// Microseconds per millisecond.
 const US_PER_MS: u64 = 1000;
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -88,21 +88,21 @@
     }
 }
 
-/// Answer to a call that succeeded.
-enum Answer {
+/// Body of a successful response.
+enum ResponseBody {
     Text(String),
     Json(String),
 }
 
-impl Answer {
-    fn text(text: &str) -> Answer {
-        Answer::Text(text.to_string())
+impl ResponseBody {
+    fn text(text: &str) -> ResponseBody {
+        ResponseBody::Text(text.to_string())
     }
 
     fn into_response(self) -> Response<Full<Bytes>> {
         match self {
-            Answer::Text(text) => response(StatusCode::OK, &text),
-            Answer::Json(text) => {
+            ResponseBody::Text(text) => response(StatusCode::OK, &text),
+            ResponseBody::Json(text) => {
                 let mut response = response(StatusCode::OK, &text);
                 response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
@@ -208,15 +208,15 @@
 
     async fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let outcome = match parse_call(request) {
-            Ok(call) => self.answer(call, request.uri()).await,
+            Ok(call) => self.execute(call, request.uri()).await,
             Err(error) => Err(error),
         };
-        outcome.map_or_else(CallError::into_response, Answer::into_response)
+        outcome.map_or_else(CallError::into_response, ResponseBody::into_response)
     }
 
-    async fn answer(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+    async fn execute(&self, call: Call, uri: &Uri) -> Result<ResponseBody, CallError> {
         match call {
-            Call::Health if *self.ready.borrow() => Ok(Answer::text("ready")),
+            Call::Health if *self.ready.borrow() => Ok(ResponseBody::text("ready")),
             Call::Health => Err(CallError::NotReady),
             Call::Drain | Call::Resume => self.change_phase(call, uri.path()),
             Call::MembershipStatus => self.membership_status().await,
@@ -226,34 +226,34 @@
         }
     }
 
-    fn change_phase(&self, call: Call, path: &str) -> Result<Answer, CallError> {
+    fn change_phase(&self, call: Call, path: &str) -> Result<ResponseBody, CallError> {
         let (is_done, phase) = match call {
             Call::Drain => (self.phases.drain(), "draining"),
             _ => (self.phases.resume(), "serving"),
         };
-        let outcome = if is_done { Ok(Answer::text(phase)) } else { Err(CallError::CannotResume) };
+        let outcome = if is_done { Ok(ResponseBody::text(phase)) } else { Err(CallError::CannotResume) };
         let result = outcome.as_ref().map_or_else(CallError::to_string, |_| phase.to_string());
         log::info!(event = "management_call", path, result; "management call");
         outcome
     }
 
-    async fn membership_status(&self) -> Result<Answer, CallError> {
+    async fn membership_status(&self) -> Result<ResponseBody, CallError> {
         let membership = self.membership.as_ref().ok_or(CallError::MembershipOff)?;
         match membership.status().await.map(|status| serde_json::to_string(&status)) {
-            Some(Ok(text)) => Ok(Answer::Json(text)),
+            Some(Ok(text)) => Ok(ResponseBody::Json(text)),
             _ => Err(CallError::MembershipEnded),
         }
     }
 
-    async fn coordination_status(&self) -> Result<Answer, CallError> {
+    async fn coordination_status(&self) -> Result<ResponseBody, CallError> {
         let coordination = self.coordination()?;
         match coordination.status().await.map(|status| serde_json::to_string(&status)) {
-            Some(Ok(text)) => Ok(Answer::Json(text)),
+            Some(Ok(text)) => Ok(ResponseBody::Json(text)),
             _ => Err(CallError::CoordinationEnded),
         }
     }
 
-    async fn request_restart(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+    async fn request_restart(&self, call: Call, uri: &Uri) -> Result<ResponseBody, CallError> {
         let coordination = self.coordination()?;
         let request = match call {
             Call::StopRestart => RestartRequest::Stop,
@@ -261,17 +261,19 @@
         };
         log_call(uri);
         match coordination.request_restart(request).await {
-            Ok(holder) => Ok(Answer::Text(format!("sent to {holder}; 'fleet duties' shows the progress"))),
+            Ok(holder) => {
+                Ok(ResponseBody::Text(format!("sent to {holder}; 'fleet duties' shows the progress")))
+            }
             Err(error) => Err(CallError::RestartNotRequested(error)),
         }
     }
 
-    async fn change_voters(&self, call: Call, uri: &Uri) -> Result<Answer, CallError> {
+    async fn change_voters(&self, call: Call, uri: &Uri) -> Result<ResponseBody, CallError> {
         let coordination = self.coordination()?;
         let operation = parse_voter_change(call, query(uri)).ok_or(CallError::InvalidVoter)?;
         log_call(uri);
         match coordination.request(operation).await {
-            Some(Outcome::Done) => Ok(Answer::text("done")),
+            Some(Outcome::Done) => Ok(ResponseBody::text("done")),
             Some(Outcome::Rejected(reason)) => Err(CallError::VoterChangeRejected(reason)),
             _ => Err(CallError::NoLeader),
         }
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -25,7 +25,7 @@
     pub retired_classes: Vec<usize>,
     /// For each class, the number of the class that had its name before a reload, if any.
     pub previous_classes: Vec<Option<usize>>,
-    /// For each class, whether its requests carry an idempotency key.
+    /// For each class, whether its requests need an idempotency key.
     pub requires_idempotency_key: Vec<bool>,
     /// Names of the tenants.
     pub tenants: Vec<String>,
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -87,8 +87,8 @@
         self.keys.subscribe()
     }
 
-    /// Starts a task that reloads at each SIGHUP until the process ends. SIGHUP must not end the process, whichever
-    /// frontends run and in every phase.
+    /// Starts a task that reloads at each SIGHUP until the process ends. It also prevents SIGHUP from ending the
+    /// process, whichever frontends run and in every phase.
     pub fn on_signal(mut self, signals: Signals) {
         tokio::spawn(async move {
             loop {
