--- a/coordination/src/voter/voter_changes.rs
+++ b/coordination/src/voter/voter_changes.rs
@@ -1,4 +1,4 @@
-//! Voters added and removed, one at a time, by commands of an operator.
+//! Addition and removal of voters, one at a time, on request of an operator.
 
 use super::requests::PendingRequest;
 use super::{Voter, VoterEvent};
@@ -26,8 +26,8 @@
         self.propose_voter_change(request, ConfChangeType::AddNode, disk_id, Some(member));
     }
 
-    /// Disk of the process with this name. If there are several, the latest: the disk before it may have been heard of
-    /// just now, too.
+    /// Returns the disk id in the latest handshake from a process with this name. The disk that it replaced may have sent a
+    /// recent handshake, too.
     fn latest_disk_of(&self, name: &str) -> Option<u64> {
         if name.is_empty() || name.len() > NAME_MAX {
             return None;
@@ -83,7 +83,7 @@
         }
         match (change.get_change_type(), postcard::from_bytes::<VoterMember>(&change.context)) {
             (ConfChangeType::AddNode, Ok(member)) => {
-                self.voter_added_at = entry.index;
+                self.last_voter_addition = entry.index;
                 self.table.voters.insert(change.node_id, member);
             }
             _ => drop(self.table.voters.remove(&change.node_id)),
