--- a/node/src/platform/connection_slots.rs
+++ b/node/src/platform/connection_slots.rs
@@ -17,13 +17,13 @@
 /// Eviction rank. Lower ranks are evicted first; within a rank, the connection that has been idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// No byte was received within [`SILENCE_GRACE`].
+    /// Has sent nothing for longer than the grace period of a new connection.
     Silent,
     /// Idle after an answered request: closing it fails no request.
     BetweenRequests,
     /// A request has been received in part.
     Writing,
-    /// Connected within the last [`SILENCE_GRACE`], and has sent nothing.
+    /// Has sent nothing yet, but is within the grace period of a new connection.
     New,
 }
 
