--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -262,7 +262,7 @@
         log_call(uri);
         match coordination.request_restart(request).await {
             Ok(holder) => {
-                Ok(ResponseBody::Text(format!("sent to {holder}; 'fleet duties' shows the progress")))
+                Ok(ResponseBody::Text(format!("{holder} was told; 'fleet duties' shows how it goes")))
             }
             Err(error) => Err(CallError::RestartNotRequested(error)),
         }
