--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -107,8 +107,9 @@
 /// Serves clients until the node is told to stop or a successor has taken over, and all accepted requests are
 /// answered.
 ///
-/// # Errors [`Error`]: the settings are rejected, the socket for other nodes cannot be bound, or the
-/// dispatcher has ended.
+/// # Errors
+/// [`Error`]: the settings are rejected, the socket for other nodes cannot be bound, or the dispatcher has
+/// ended.
 pub async fn serve(config: Config, listener: TcpListener, dependencies: Dependencies) -> Result<(), Error> {
     let ready = dependencies.ready.clone();
     let listener = Arc::new(listener);
--- a/node/src/platform/server/connection.rs
+++ b/node/src/platform/server/connection.rs
@@ -30,6 +30,7 @@
 pub struct ClientConnection {
     /// Monitor of its message boundaries.
     pub monitor: MessageMonitor,
+    /// Connection slot that it holds.
     pub slot: Slot,
     /// Its socket and what else is needed to transfer it to a successor.
     pub client: job_handover::ClientConnection,
