--- a/tests/common/fleet.rs
+++ b/tests/common/fleet_simulation.rs
@@ -2,7 +2,7 @@
 //! restarts, drains, faults of workers, requests that break them, lists that fail, settings that change. Every
 //! figure is drawn from the seed.
 
-use super::world::Rng;
+use super::property_harness::Rng;
 use super::*;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A small dispatcher's surroundings: settings, lists, and a driver that keeps time.
 #![allow(dead_code)]
 
-pub mod fleet;
+pub mod fleet_simulation;
+pub mod property_harness;
 pub mod recording;
-pub mod world;
 
 use dispatch_policy::api::*;
 use dispatch_policy::Policy;
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use common::fleet::{Fleet, Plan};
+use common::fleet_simulation::{Fleet, Plan};
+use common::property_harness::{widely, Rng, World};
 use common::recording::{Recording, BLOCK};
-use common::world::{widely, Rng, World};
 use common::*;
 use dispatch_policy::api::*;
 use dispatch_policy::settings;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,7 +2,7 @@
 //! actions. Seeds are fixed.
 
 mod common;
-use common::world::World;
+use common::property_harness::World;
 use common::*;
 
 #[test]
