--- a/tests/common/fleet_simulation.rs
+++ b/tests/common/fleet_simulation.rs
@@ -1,521 +1,563 @@
-//! A simulated fleet of workers, clients, other dispatchers and a discovery service round one policy: queues,
-//! restarts, drains, faults of workers, requests that break them, lists that fail, settings that change. Every
-//! figure is drawn from the seed.
+//! Simulates workers, clients, other dispatchers and discovery around one policy: queues, restarts, draining,
+//! worker faults, poison requests, failing endpoint lists and changes of settings. All random values derive
+//! from the seed.
 
 use super::property_harness::Rng;
 use super::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time from a decision to its arrival at a worker, and back.
-const WAY: Micros = MS;
-/// Between two steps of the discovery service.
-const LIST_PERIOD: Micros = 700 * MS;
-/// Between two faults of workers.
-const FAULT_PERIOD: Micros = 900 * MS;
-/// Requests with this key fail at every worker; ones with the next break their connection.
-const BAD_KEY: u64 = 5;
-
-/// What a stream consists of.
-pub struct Plan {
+/// Network delay in each direction between the dispatcher and a worker.
+const NETWORK_DELAY: Micros = MS;
+/// Interval between changes of the endpoint list.
+const LIST_CHANGE_INTERVAL: Micros = 700 * MS;
+/// Interval between worker faults.
+const FAULT_INTERVAL: Micros = 900 * MS;
+/// Requests with this affinity key fail at every worker; those with the next higher key lose their connection.
+const POISON_KEY: u64 = 5;
+
+/// Parameters of a simulated event stream.
+pub struct SimulationPlan {
     pub seed: u64,
     pub workers: u64,
     pub zones: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u64,
-    /// How many events the stream has at least.
+    /// Minimum number of events in the stream.
     pub events: usize,
-    /// Whether workers acknowledge requests, and say what runs there.
+    /// Whether workers acknowledge requests.
     pub acknowledges: bool,
-    /// Whether answers carry load reports.
+    /// Whether responses contain load reports.
     pub reports: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
-    Well,
+    Healthy,
     Hung,
-    Refuses,
-    Fails,
-    TurnsAway,
+    RefusesConnections,
+    FailsRequests,
+    RejectsRequests,
 }
 
-struct Machine {
-    entry: Endpoint,
+struct SimulatedWorker {
+    endpoint: Endpoint,
     cores: usize,
-    /// Work done in a microsecond, in 16ths.
+    /// Work done per microsecond, in units of 1/16.
     speed: u64,
-    size: f64,
-    /// Requests of other dispatchers that it holds.
-    others: usize,
+    idle_weight: f64,
+    /// Requests of other dispatchers that occupy its cores.
+    other_requests: usize,
     running: Vec<(RequestId, u32)>,
     queue: VecDeque<(RequestId, u32)>,
     health: Health,
 }
 
 #[derive(Clone, Copy)]
-struct Job {
+struct SimulatedRequest {
     class: usize,
     key: u64,
     work: Micros,
     deadline: Micros,
-    /// The last attempt, and where it is while it is out.
+    /// Number of attempts sent, and the worker of the one in flight, if any.
     attempt: u32,
-    at: Option<usize>,
+    worker_index: Option<usize>,
     answered: bool,
 }
 
 #[derive(Clone, Copy)]
 enum Step {
-    Arrival,
-    Timer,
-    Reaches(RequestId, u32, usize),
-    Note(RequestId, u32),
-    Done(RequestId, u32, usize),
+    RequestArrival,
+    TimerExpiry,
+    WorkerReceives(RequestId, u32, usize),
+    ProgressReport(RequestId, u32),
+    Completion(RequestId, u32, usize),
     Deadline(RequestId),
-    Leaves(RequestId),
-    CallOff(RequestId, u32),
-    Probe(usize),
-    List,
-    Watch,
+    ClientDisconnect(RequestId),
+    CancelArrival(RequestId, u32),
+    ProbeEnd(usize),
+    ListChange,
+    WatchEnd,
     Fault,
     Recovery(usize),
-    Peer,
-    NewSettings,
+    PeerMessage,
+    SettingsChange,
 }
 
-/// The simulation.
-pub struct Fleet {
-    plan: Plan,
-    set: Settings,
+/// The simulated fleet and its policy.
+pub struct FleetSimulation {
+    plan: SimulationPlan,
+    settings: Settings,
     policy: Policy,
     rng: Rng,
     now: Micros,
-    steps: BTreeMap<(Micros, u64), Step>,
-    planned: u64,
-    machines: Vec<Machine>,
-    jobs: BTreeMap<RequestId, Job>,
-    next: RequestId,
-    pub recorded: Recording,
+    schedule: BTreeMap<(Micros, u64), Step>,
+    scheduled_count: u64,
+    workers: Vec<SimulatedWorker>,
+    requests: BTreeMap<RequestId, SimulatedRequest>,
+    next_id: RequestId,
+    pub recording: Recording,
 }
 
-impl Fleet {
-    /// Runs a stream and returns its actions.
-    pub fn run(plan: Plan, set: Settings) -> Recording {
+impl FleetSimulation {
+    /// Runs the simulation and returns the recorded actions.
+    pub fn run(plan: SimulationPlan, settings: Settings) -> Recording {
         let mut rng = Rng(plan.seed);
-        let policy = Policy::new(set.clone(), plan.seed, S).expect("valid settings");
-        let machines = (0..plan.workers).map(|i| machine(i, plan.zones, &mut rng)).collect();
-        let (steps, jobs, recorded) = Default::default();
-        let (now, planned, next) = (S, 0, 1);
-        let mut fleet = Fleet { plan, set, policy, rng, now, steps, planned, machines, jobs, next, recorded };
-        fleet.start();
-        while fleet.recorded.events() < fleet.plan.events {
-            let Some(((at, _), step)) = fleet.steps.pop_first() else { break };
-            fleet.now = fleet.now.max(at);
-            fleet.step(step);
+        let policy = Policy::new(settings.clone(), plan.seed, S).expect("valid settings");
+        let workers = (0..plan.workers).map(|index| simulated_worker(index, plan.zones, &mut rng)).collect();
+        let (schedule, requests, recording) = Default::default();
+        let (now, scheduled_count, next_id) = (S, 0, 1);
+        let mut simulation = FleetSimulation {
+            plan,
+            settings,
+            policy,
+            rng,
+            now,
+            schedule,
+            scheduled_count,
+            workers,
+            requests,
+            next_id,
+            recording,
+        };
+        simulation.start();
+        while simulation.recording.events() < simulation.plan.events {
+            let Some(((due_at, _), step)) = simulation.schedule.pop_first() else { break };
+            simulation.now = simulation.now.max(due_at);
+            simulation.run_step(step);
         }
-        let faults = fleet.policy.slow_start_violations();
-        assert_eq!(faults, 0, "jobs beyond the budget of a cold worker");
-        fleet.recorded
+        let violations = simulation.policy.slow_start_violations();
+        assert_eq!(violations, 0, "requests sent beyond the slow start budget of a cold worker");
+        simulation.recording
     }
 
     fn start(&mut self) {
-        let list = self.list();
-        self.tell(Event::EndpointList(list));
+        let list = self.endpoint_list();
+        self.handle(Event::EndpointList(list));
         for _ in 0..3 {
-            let worker = self.machines[self.rng.below(self.plan.workers) as usize].entry.worker;
-            self.adopt(worker);
+            let worker = self.workers[self.rng.below(self.plan.workers) as usize].endpoint.worker;
+            self.adopt_request(worker);
         }
-        self.adopt(WorkerId(9_999));
-        for (after, step) in [
-            (0, Step::Arrival),
-            (LIST_PERIOD, Step::List),
-            (FAULT_PERIOD, Step::Fault),
-            (S, Step::Peer),
-            (4 * S, Step::NewSettings),
+        self.adopt_request(WorkerId(9_999));
+        for (delay, step) in [
+            (0, Step::RequestArrival),
+            (LIST_CHANGE_INTERVAL, Step::ListChange),
+            (FAULT_INTERVAL, Step::Fault),
+            (S, Step::PeerMessage),
+            (4 * S, Step::SettingsChange),
         ] {
-            self.plan(after, step);
+            self.schedule_after(delay, step);
         }
     }
 
-    fn plan(&mut self, after: Micros, step: Step) {
-        self.planned += 1;
-        self.steps.insert((self.now + after, self.planned), step);
+    fn schedule_after(&mut self, delay: Micros, step: Step) {
+        self.scheduled_count += 1;
+        self.schedule.insert((self.now + delay, self.scheduled_count), step);
     }
 
-    fn tell(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.policy.handle(self.now, &event, &mut out);
-        out.iter().for_each(|action| self.carry_out(action));
-        self.recorded.add(self.now, out);
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, &event, &mut actions);
+        actions.iter().for_each(|action| self.carry_out_action(action));
+        self.recording.add(self.now, actions);
     }
 
-    fn index(&self, worker: WorkerId) -> usize {
-        self.machines.iter().position(|m| m.entry.worker == worker).expect("a listed worker")
+    fn worker_index(&self, worker: WorkerId) -> usize {
+        self.workers.iter().position(|w| w.endpoint.worker == worker).expect("a listed worker")
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn carry_out_action(&mut self, action: &Action) {
         match action {
             Action::Send { id, worker } => {
-                let at = self.index(*worker);
-                let job = self.jobs.get_mut(id).expect("a known request");
-                assert!(!job.answered, "sent after its answer");
-                job.attempt += 1;
-                job.at = Some(at);
-                let attempt = job.attempt - 1;
-                self.plan(WAY, Step::Reaches(*id, attempt, at));
+                let index = self.worker_index(*worker);
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(!request.answered, "request {id} was sent after its final answer");
+                request.attempt += 1;
+                request.worker_index = Some(index);
+                let attempt = request.attempt - 1;
+                self.schedule_after(NETWORK_DELAY, Step::WorkerReceives(*id, attempt, index));
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
-                let job = self.jobs.get_mut(id).expect("a known request");
-                assert!(!std::mem::replace(&mut job.answered, true), "a second answer");
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(
+                    !std::mem::replace(&mut request.answered, true),
+                    "request {id} got a second final answer"
+                );
+            }
+            Action::Cancel { id, attempt } => {
+                self.schedule_after(NETWORK_DELAY, Step::CancelArrival(*id, *attempt))
             }
-            Action::Cancel { id, attempt } => self.plan(WAY, Step::CallOff(*id, *attempt)),
-            Action::SetTimer { after_us } => self.plan(*after_us, Step::Timer),
+            Action::SetTimer { after_us } => self.schedule_after(*after_us, Step::TimerExpiry),
             Action::Probe { worker } => {
-                let at = self.index(*worker);
-                self.plan(2 * WAY, Step::Probe(at));
+                let index = self.worker_index(*worker);
+                self.schedule_after(2 * NETWORK_DELAY, Step::ProbeEnd(index));
             }
-            Action::WatchEndpoints => self.plan(300 * MS, Step::Watch),
+            Action::WatchEndpoints => self.schedule_after(300 * MS, Step::WatchEnd),
             Action::CloseIdleConnections { .. } | Action::SendPeerMessage { .. } | Action::Notify(_) => {}
         }
     }
 
-    fn step(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Arrival => self.arrival(),
-            Step::Timer => self.tell(Event::TimerExpired),
-            Step::Reaches(id, attempt, at) => self.reaches(id, attempt, at),
-            Step::Note(id, attempt) => self.note(id, attempt),
-            Step::Done(id, attempt, at) => self.done(id, attempt, at),
-            Step::Deadline(id) => self.deadline(id),
-            Step::Leaves(id) => self.leaves(id),
-            Step::CallOff(id, attempt) => self.call_off(id, attempt),
-            Step::Probe(at) => self.probe(at),
-            Step::List => self.change_list(),
-            Step::Watch => self.watch(),
-            Step::Fault => self.fault(),
-            Step::Recovery(at) => self.recovery(at),
-            Step::Peer => self.peer(),
-            Step::NewSettings => self.new_settings(),
+            Step::RequestArrival => self.receive_request(),
+            Step::TimerExpiry => self.handle(Event::TimerExpired),
+            Step::WorkerReceives(id, attempt, index) => self.deliver_request(id, attempt, index),
+            Step::ProgressReport(id, attempt) => self.report_progress(id, attempt),
+            Step::Completion(id, attempt, index) => self.complete_request(id, attempt, index),
+            Step::Deadline(id) => self.pass_deadline(id),
+            Step::ClientDisconnect(id) => self.disconnect_client(id),
+            Step::CancelArrival(id, attempt) => self.deliver_cancel(id, attempt),
+            Step::ProbeEnd(index) => self.end_probe(index),
+            Step::ListChange => self.change_list(),
+            Step::WatchEnd => self.end_watch(),
+            Step::Fault => self.cause_fault(),
+            Step::Recovery(index) => self.recover(index),
+            Step::PeerMessage => self.receive_peer_message(),
+            Step::SettingsChange => self.change_settings(),
         }
     }
 
-    fn request(&mut self) -> (Request, Micros) {
-        let classes = self.set.classes.len() as u64;
+    fn random_request(&mut self) -> (Request, Micros) {
+        let classes = self.settings.classes.len() as u64;
         let mut class = self.rng.below(classes) as usize;
-        if self.set.retired_classes.contains(&class) {
+        if self.settings.retired_classes.contains(&class) {
             class = classes as usize - 1;
         }
-        let c = &self.set.classes[class];
-        let (deadline, usual) = (c.deadline_us, c.objective_us.min(400 * MS) / 2);
-        let work = (20 * MS).max(usual / 4 + self.rng.below(usual * 3 / 2));
-        let again = self.rng.below(12) == 0;
+        let class_settings = &self.settings.classes[class];
+        let (deadline, typical_work) =
+            (class_settings.deadline_us, class_settings.objective_us.min(400 * MS) / 2);
+        let work = (20 * MS).max(typical_work / 4 + self.rng.below(typical_work * 3 / 2));
+        let is_retry = self.rng.below(12) == 0;
         let request = Request {
-            id: self.next,
+            id: self.next_id,
             class,
-            tenant: self.rng.below(1 + self.set.tenants.len() as u64) as usize,
-            time_left_us: deadline - if again && self.set.unmarked_retries { 60 * MS } else { 0 },
+            tenant: self.rng.below(1 + self.settings.tenants.len() as u64) as usize,
+            time_left_us: deadline - if is_retry && self.settings.unmarked_retries { 60 * MS } else { 0 },
             work_hint_us: (self.rng.below(2) == 0).then_some(work),
-            is_retry: again && !self.set.unmarked_retries,
+            is_retry: is_retry && !self.settings.unmarked_retries,
             affinity_key: self.rng.below(3).min(1) * self.rng.below(30),
             slots: self.rng.below(5) as f64 / 2.0,
             memory: if self.rng.below(9) == 0 { 2.5 } else { 0.0 },
         };
-        self.next += 1;
+        self.next_id += 1;
         (request, work)
     }
 
-    fn enter(&mut self, request: &Request, work: Micros, attempt: u32, at: Option<usize>) {
+    fn track(&mut self, request: &Request, work: Micros, attempt: u32, worker_index: Option<usize>) {
         let Request { id, class, affinity_key: key, time_left_us, .. } = *request;
         let deadline = self.now + time_left_us;
-        let job = Job { class, key, work, deadline, attempt, at, answered: false };
-        self.jobs.insert(id, job);
-        self.plan(time_left_us, Step::Deadline(id));
+        let request = SimulatedRequest { class, key, work, deadline, attempt, worker_index, answered: false };
+        self.requests.insert(id, request);
+        self.schedule_after(time_left_us, Step::Deadline(id));
         if self.rng.below(40) == 0 {
-            let after = self.rng.below(time_left_us);
-            self.plan(after, Step::Leaves(id));
+            let delay = self.rng.below(time_left_us);
+            self.schedule_after(delay, Step::ClientDisconnect(id));
         }
     }
 
-    fn arrival(&mut self) {
-        let burst = if self.now / (3 * S) % 3 == 2 { 3 } else { 1 };
-        let gap = 2 * S / self.plan.rate / burst;
-        let after = self.rng.below(gap);
-        self.plan(after, Step::Arrival);
-        let (request, work) = self.request();
-        self.enter(&request, work, 0, None);
-        self.tell(Event::RequestReceived(request));
+    fn receive_request(&mut self) {
+        let rate_factor = if self.now / (3 * S) % 3 == 2 { 3 } else { 1 };
+        let max_gap = 2 * S / self.plan.rate / rate_factor;
+        let delay = self.rng.below(max_gap);
+        self.schedule_after(delay, Step::RequestArrival);
+        let (request, work) = self.random_request();
+        self.track(&request, work, 0, None);
+        self.handle(Event::RequestReceived(request));
     }
 
-    fn adopt(&mut self, worker: WorkerId) {
-        let (request, work) = self.request();
-        let at = self.machines.iter().position(|m| m.entry.worker == worker);
-        self.enter(&request, work, 1, at);
+    fn adopt_request(&mut self, worker: WorkerId) {
+        let (request, work) = self.random_request();
+        let index = self.workers.iter().position(|w| w.endpoint.worker == worker);
+        self.track(&request, work, 1, index);
         let since_sent_us = self.rng.below(300 * MS);
         let since_started_us = (self.rng.below(2) == 0).then_some(since_sent_us / 2);
-        self.tell(Event::RequestAdopted { request, worker, since_sent_us, since_started_us });
-        if let Some(at) = at {
-            self.machines[at].running.push((request.id, 0));
-            self.plan(work, Step::Done(request.id, 0, at));
+        self.handle(Event::RequestAdopted { request, worker, since_sent_us, since_started_us });
+        if let Some(index) = index {
+            self.workers[index].running.push((request.id, 0));
+            self.schedule_after(work, Step::Completion(request.id, 0, index));
         }
     }
 
-    /// Whether this attempt is out.
-    fn is_out(&self, id: RequestId, attempt: u32) -> bool {
-        self.jobs.get(&id).is_some_and(|job| job.at.is_some() && job.attempt == attempt + 1)
+    /// Whether this attempt is in flight.
+    fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
+        self.requests
+            .get(&id)
+            .is_some_and(|request| request.worker_index.is_some() && request.attempt == attempt + 1)
     }
 
-    fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, kept: bool) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|j| j.attempt == attempt + 1) else { return };
-        let Some(at) = job.at.take() else { return };
-        job.answered |= outcome == Outcome::Success;
-        let last = job.answered;
+    fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome, not_attributable: bool) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.attempt == attempt + 1)
+        else {
+            return;
+        };
+        let Some(index) = request.worker_index.take() else { return };
+        request.answered |= outcome == Outcome::Success;
+        let request_done = request.answered;
         let report = matches!(outcome, Outcome::Success | Outcome::Rejected | Outcome::Error)
-            .then(|| self.report(at))
+            .then(|| self.load_report(index))
             .filter(|_| self.plan.reports);
-        self.remove(at, id);
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.remove_request(index, id);
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
-            request_done: last,
-            not_attributable: kept,
+            request_done,
+            not_attributable,
             report,
         }));
-        self.fill(at);
+        self.start_queued(index);
     }
 
-    fn remove(&mut self, at: usize, id: RequestId) {
-        self.machines[at].running.retain(|held| held.0 != id);
-        self.machines[at].queue.retain(|held| held.0 != id);
+    fn remove_request(&mut self, index: usize, id: RequestId) {
+        self.workers[index].running.retain(|attempt| attempt.0 != id);
+        self.workers[index].queue.retain(|attempt| attempt.0 != id);
     }
 
-    fn report(&mut self, at: usize) -> LoadReport {
-        let m = &self.machines[at];
-        let held = m.running.len() + m.others;
-        let free = m.cores.saturating_sub(held) as f64;
+    fn load_report(&mut self, index: usize) -> LoadReport {
+        let worker = &self.workers[index];
+        let occupied = worker.running.len() + worker.other_requests;
+        let free_cores = worker.cores.saturating_sub(occupied) as f64;
         LoadReport {
-            free_slots: Some(free),
-            free_memory: Some(free + 0.25),
-            queued: (at != 0 && at != 3).then_some(m.queue.len() as f64),
-            in_flight: Some((held + m.queue.len()) as f64),
+            free_slots: Some(free_cores),
+            free_memory: Some(free_cores + 0.25),
+            queued: (index != 0 && index != 3).then_some(worker.queue.len() as f64),
+            in_flight: Some((occupied + worker.queue.len()) as f64),
         }
     }
 
-    fn reaches(&mut self, id: RequestId, attempt: u32, at: usize) {
-        if !self.is_out(id, attempt) {
+    fn deliver_request(&mut self, id: RequestId, attempt: u32, index: usize) {
+        if !self.is_in_flight(id, attempt) {
             return;
         }
-        let luck = self.rng.below(150);
-        match self.machines[at].health {
-            _ if luck == 0 => return self.end(id, attempt, Outcome::NotSent, false),
-            _ if luck == 1 => return self.end(id, attempt, Outcome::ConnectionLost, true),
-            _ if luck == 2 => return self.end(id, attempt, Outcome::ConnectFailed, true),
+        let draw = self.rng.below(150);
+        match self.workers[index].health {
+            _ if draw == 0 => return self.end_attempt(id, attempt, Outcome::NotSent, false),
+            _ if draw == 1 => return self.end_attempt(id, attempt, Outcome::ConnectionLost, true),
+            _ if draw == 2 => return self.end_attempt(id, attempt, Outcome::ConnectFailed, true),
             Health::Hung => return,
-            Health::Refuses => return self.end(id, attempt, Outcome::ConnectFailed, false),
-            Health::Fails => return self.end(id, attempt, Outcome::Error, false),
-            Health::TurnsAway => return self.end(id, attempt, Outcome::Rejected, false),
-            Health::Well => {}
+            Health::RefusesConnections => {
+                return self.end_attempt(id, attempt, Outcome::ConnectFailed, false)
+            }
+            Health::FailsRequests => return self.end_attempt(id, attempt, Outcome::Error, false),
+            Health::RejectsRequests => return self.end_attempt(id, attempt, Outcome::Rejected, false),
+            Health::Healthy => {}
         }
-        if self.machines[at].queue.len() > 2 * self.machines[at].cores {
-            return self.end(id, attempt, Outcome::Rejected, false);
+        if self.workers[index].queue.len() > 2 * self.workers[index].cores {
+            return self.end_attempt(id, attempt, Outcome::Rejected, false);
         }
-        if self.plan.acknowledges && luck > 5 {
-            self.tell(Event::Acknowledged { id, attempt });
+        if self.plan.acknowledges && draw > 5 {
+            self.handle(Event::Acknowledged { id, attempt });
         }
-        self.machines[at].queue.push_back((id, attempt));
-        self.fill(at);
+        self.workers[index].queue.push_back((id, attempt));
+        self.start_queued(index);
     }
 
-    /// Starts what fits.
-    fn fill(&mut self, at: usize) {
-        while self.machines[at].running.len() + self.machines[at].others < self.machines[at].cores
-            && self.machines[at].health == Health::Well
+    /// Starts queued requests while the worker has free cores.
+    fn start_queued(&mut self, index: usize) {
+        while self.workers[index].running.len() + self.workers[index].other_requests
+            < self.workers[index].cores
+            && self.workers[index].health == Health::Healthy
         {
-            let Some((id, attempt)) = self.machines[at].queue.pop_front() else { return };
-            if !self.is_out(id, attempt) {
+            let Some((id, attempt)) = self.workers[index].queue.pop_front() else { return };
+            if !self.is_in_flight(id, attempt) {
                 continue;
             }
-            self.machines[at].running.push((id, attempt));
-            let run = self.jobs[&id].work * 16 / self.machines[at].speed;
-            self.plan(run, Step::Done(id, attempt, at));
-            if self.set.reports_start {
-                self.tell(Event::Started { id, attempt });
+            self.workers[index].running.push((id, attempt));
+            let run_time = self.requests[&id].work * 16 / self.workers[index].speed;
+            self.schedule_after(run_time, Step::Completion(id, attempt, index));
+            if self.settings.reports_start {
+                self.handle(Event::Started { id, attempt });
             }
-            if self.set.progress_interval_us > 0 {
-                self.plan(self.set.progress_interval_us, Step::Note(id, attempt));
+            if self.settings.progress_interval_us > 0 {
+                self.schedule_after(self.settings.progress_interval_us, Step::ProgressReport(id, attempt));
             }
         }
     }
 
-    fn note(&mut self, id: RequestId, attempt: u32) {
-        let Some(at) = self.jobs.get(&id).and_then(|job| job.at) else { return };
-        let runs = self.machines[at].running.contains(&(id, attempt));
-        if runs && self.machines[at].health == Health::Well {
-            self.tell(Event::Progress { id, attempt, done: 0.5 });
-            self.plan(self.set.progress_interval_us, Step::Note(id, attempt));
+    fn report_progress(&mut self, id: RequestId, attempt: u32) {
+        let Some(index) = self.requests.get(&id).and_then(|request| request.worker_index) else { return };
+        let is_running = self.workers[index].running.contains(&(id, attempt));
+        if is_running && self.workers[index].health == Health::Healthy {
+            self.handle(Event::Progress { id, attempt, done: 0.5 });
+            self.schedule_after(self.settings.progress_interval_us, Step::ProgressReport(id, attempt));
         }
     }
 
-    fn done(&mut self, id: RequestId, attempt: u32, at: usize) {
-        if !self.is_out(id, attempt) || !self.machines[at].running.contains(&(id, attempt)) {
+    fn complete_request(&mut self, id: RequestId, attempt: u32, index: usize) {
+        if !self.is_in_flight(id, attempt) || !self.workers[index].running.contains(&(id, attempt)) {
             return;
         }
-        if self.machines[at].health == Health::Hung {
-            return self.plan(500 * MS, Step::Done(id, attempt, at));
+        if self.workers[index].health == Health::Hung {
+            return self.schedule_after(500 * MS, Step::Completion(id, attempt, index));
         }
-        let luck = self.rng.below(80);
-        if luck == 0 {
-            self.tell(Event::ResponseStreaming { id, attempt });
-            return self.plan(600 * MS, Step::Done(id, attempt, at));
+        let draw = self.rng.below(80);
+        if draw == 0 {
+            self.handle(Event::ResponseStreaming { id, attempt });
+            return self.schedule_after(600 * MS, Step::Completion(id, attempt, index));
         }
-        let outcome = match self.jobs[&id].key {
-            BAD_KEY => Outcome::Error,
-            key if key == BAD_KEY + 1 => Outcome::ConnectionLost,
-            _ if luck == 1 => Outcome::Error,
-            _ if luck == 2 => Outcome::ConnectionLost,
+        let outcome = match self.requests[&id].key {
+            POISON_KEY => Outcome::Error,
+            key if key == POISON_KEY + 1 => Outcome::ConnectionLost,
+            _ if draw == 1 => Outcome::Error,
+            _ if draw == 2 => Outcome::ConnectionLost,
             _ => Outcome::Success,
         };
-        self.end(id, attempt, outcome, false);
+        self.end_attempt(id, attempt, outcome, false);
     }
 
-    fn deadline(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get(&id).copied() else { return };
-        debug_assert!(self.now >= job.deadline);
-        if job.at.is_some() {
-            self.end(id, job.attempt - 1, Outcome::Timeout, false);
+    fn pass_deadline(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id).copied() else { return };
+        debug_assert!(self.now >= request.deadline);
+        if request.worker_index.is_some() {
+            self.end_attempt(id, request.attempt - 1, Outcome::Timeout, false);
         }
-        self.jobs.remove(&id);
+        self.requests.remove(&id);
     }
 
-    fn leaves(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.answered) else { return };
-        job.answered = true;
-        self.tell(Event::ClientDisconnected { id });
+    fn disconnect_client(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
+        request.answered = true;
+        self.handle(Event::ClientDisconnected { id });
     }
 
-    fn call_off(&mut self, id: RequestId, attempt: u32) {
-        if self.is_out(id, attempt) {
-            self.end(id, attempt, Outcome::Cancelled, false);
+    fn deliver_cancel(&mut self, id: RequestId, attempt: u32) {
+        if self.is_in_flight(id, attempt) {
+            self.end_attempt(id, attempt, Outcome::Cancelled, false);
         }
     }
 
-    fn probe(&mut self, at: usize) {
-        let ok = matches!(self.machines[at].health, Health::Well | Health::TurnsAway);
-        let report = ok.then(|| self.report(at));
-        let worker = self.machines[at].entry.worker;
-        self.tell(Event::ProbeEnded { worker, responded: ok, report });
+    fn end_probe(&mut self, index: usize) {
+        let responded = matches!(self.workers[index].health, Health::Healthy | Health::RejectsRequests);
+        let report = responded.then(|| self.load_report(index));
+        let worker = self.workers[index].endpoint.worker;
+        self.handle(Event::ProbeEnded { worker, responded, report });
     }
 
-    /// The list as it stands, with live weights where the settings have them.
-    fn list(&mut self) -> Vec<Endpoint> {
-        let live = self.set.live_weights;
-        let dispatchers = u64::from(self.set.dispatchers);
-        for m in &mut self.machines {
-            m.others = if dispatchers > 1 {
-                (self.rng.below(m.cores as u64 + 1) * self.rng.below(2)) as usize
+    /// The current endpoint list, with live weights if the settings enable them.
+    fn endpoint_list(&mut self) -> Vec<Endpoint> {
+        let live = self.settings.live_weights;
+        let dispatchers = u64::from(self.settings.dispatchers);
+        for worker in &mut self.workers {
+            worker.other_requests = if dispatchers > 1 {
+                (self.rng.below(worker.cores as u64 + 1) * self.rng.below(2)) as usize
             } else {
                 0
             };
-            let held = m.others + m.running.len() + m.queue.len();
-            let weight = m.size / (1.0 + held as f64 / m.cores as f64);
-            m.entry.weight = if live { (weight * 100.0).round() / 100.0 } else { m.size };
+            let in_flight = worker.other_requests + worker.running.len() + worker.queue.len();
+            let weight = worker.idle_weight / (1.0 + in_flight as f64 / worker.cores as f64);
+            worker.endpoint.weight = if live { (weight * 100.0).round() / 100.0 } else { worker.idle_weight };
         }
-        self.machines.iter().map(|m| m.entry.clone()).collect()
+        self.workers.iter().map(|worker| worker.endpoint.clone()).collect()
     }
 
     fn change_list(&mut self) {
-        self.plan(LIST_PERIOD, Step::List);
-        let at = self.rng.below(self.plan.workers) as usize;
+        self.schedule_after(LIST_CHANGE_INTERVAL, Step::ListChange);
+        let index = self.rng.below(self.plan.workers) as usize;
         let (now, kind) = (self.now, self.rng.below(8));
-        let entry = &mut self.machines[at].entry;
-        let restarts = entry.availability == Availability::Gone || kind == 0;
+        let endpoint = &mut self.workers[index].endpoint;
+        let restarts = endpoint.availability == Availability::Gone || kind == 0;
         match kind {
-            _ if restarts => (entry.started_at, entry.availability) = (now - 50 * MS, Availability::Ready),
-            1 | 2 => entry.availability = Availability::Draining,
-            3 => entry.availability = Availability::Gone,
-            _ => entry.availability = Availability::Ready,
+            _ if restarts => {
+                (endpoint.started_at, endpoint.availability) = (now - 50 * MS, Availability::Ready)
+            }
+            1 | 2 => endpoint.availability = Availability::Draining,
+            3 => endpoint.availability = Availability::Gone,
+            _ => endpoint.availability = Availability::Ready,
         }
         if restarts {
-            self.machines[at].health = Health::Well;
-            let lost: Vec<_> = self.machines[at].running.drain(..).collect();
-            lost.into_iter().for_each(|(id, attempt)| self.end(id, attempt, Outcome::ConnectionLost, false));
+            self.workers[index].health = Health::Healthy;
+            let lost: Vec<_> = self.workers[index].running.drain(..).collect();
+            lost.into_iter()
+                .for_each(|(id, attempt)| self.end_attempt(id, attempt, Outcome::ConnectionLost, false));
         }
-        let list = self.list();
+        let list = self.endpoint_list();
         if self.rng.below(6) == 0 {
-            return self.tell(Event::EndpointWatchFailed);
+            return self.handle(Event::EndpointWatchFailed);
         }
         match self.rng.below(4) {
-            0 => self.tell(Event::EndpointList(list)),
-            1 => self.tell(Event::EndpointChanges(vec![list[at].clone()])),
-            2 => self.tell(Event::EndpointList(list.into_iter().filter(|e| e.worker.0 % 11 != 3).collect())),
-            _ => self.tell(Event::EndpointChanges(list)),
+            0 => self.handle(Event::EndpointList(list)),
+            1 => self.handle(Event::EndpointChanges(vec![list[index].clone()])),
+            2 => {
+                self.handle(Event::EndpointList(list.into_iter().filter(|e| e.worker.0 % 11 != 3).collect()))
+            }
+            _ => self.handle(Event::EndpointChanges(list)),
         }
-        (0..self.machines.len()).for_each(|at| self.fill(at));
+        (0..self.workers.len()).for_each(|index| self.start_queued(index));
     }
 
-    fn watch(&mut self) {
+    fn end_watch(&mut self) {
         if self.rng.below(3) == 0 {
-            return self.tell(Event::EndpointWatchFailed);
+            return self.handle(Event::EndpointWatchFailed);
         }
-        let list = self.list();
-        self.tell(Event::EndpointList(list));
+        let list = self.endpoint_list();
+        self.handle(Event::EndpointList(list));
     }
 
-    fn fault(&mut self) {
-        self.plan(FAULT_PERIOD, Step::Fault);
-        let at = self.rng.below(self.plan.workers) as usize;
-        let health = [Health::Hung, Health::Refuses, Health::Fails, Health::TurnsAway];
-        self.machines[at].health = health[self.rng.below(4) as usize];
-        let after = 300 * MS + self.rng.below(3 * S);
-        self.plan(after, Step::Recovery(at));
+    fn cause_fault(&mut self) {
+        self.schedule_after(FAULT_INTERVAL, Step::Fault);
+        let index = self.rng.below(self.plan.workers) as usize;
+        let faults =
+            [Health::Hung, Health::RefusesConnections, Health::FailsRequests, Health::RejectsRequests];
+        self.workers[index].health = faults[self.rng.below(4) as usize];
+        let delay = 300 * MS + self.rng.below(3 * S);
+        self.schedule_after(delay, Step::Recovery(index));
     }
 
-    fn recovery(&mut self, at: usize) {
-        self.machines[at].health = Health::Well;
-        self.fill(at);
+    fn recover(&mut self, index: usize) {
+        self.workers[index].health = Health::Healthy;
+        self.start_queued(index);
     }
 
-    fn peer(&mut self) {
-        self.plan(S / 2, Step::Peer);
-        if !self.set.peer_messages {
+    fn receive_peer_message(&mut self) {
+        self.schedule_after(S / 2, Step::PeerMessage);
+        if !self.settings.peer_messages {
             return;
         }
-        let from = self.rng.below(u64::from(self.set.dispatchers) + 1) as u32;
-        let bytes = (0..2 * self.set.tenants.len()).map(|i| (i % 2 * self.rng.below(256) as usize) as u8);
+        let from = self.rng.below(u64::from(self.settings.dispatchers) + 1) as u32;
+        let bytes =
+            (0..2 * self.settings.tenants.len()).map(|i| (i % 2 * self.rng.below(256) as usize) as u8);
         let bytes = bytes.collect();
-        self.tell(Event::PeerMessage { from, bytes });
+        self.handle(Event::PeerMessage { from, bytes });
     }
 
-    /// Another order of the dispatchers, one more of them, and the first class under other rules.
-    fn new_settings(&mut self) {
-        self.plan(4 * S, Step::NewSettings);
-        self.set.membership_epoch += 1;
-        self.set.dispatchers += 1;
-        self.set.max_senders = self.set.dispatchers + 1;
-        let mut inherits_from = vec![None; self.set.classes.len()];
-        if self.set.retired_classes.is_empty() {
-            let first = ClassSettings {
+    /// Starts a new membership epoch with one more dispatcher; the first time, a new class also replaces the first.
+    fn change_settings(&mut self) {
+        self.schedule_after(4 * S, Step::SettingsChange);
+        self.settings.membership_epoch += 1;
+        self.settings.dispatchers += 1;
+        self.settings.max_senders = self.settings.dispatchers + 1;
+        let mut inherits_from = vec![None; self.settings.classes.len()];
+        if self.settings.retired_classes.is_empty() {
+            let replacement = ClassSettings {
                 priority_weight: 3.0,
                 objective_per_work: 1.0,
-                ..self.set.classes[0].clone()
+                ..self.settings.classes[0].clone()
             };
-            self.set.classes.push(first);
-            self.set.retired_classes.push(0);
+            self.settings.classes.push(replacement);
+            self.settings.retired_classes.push(0);
             inherits_from.push(Some(0));
         }
-        let settings = Box::new(self.set.clone());
-        self.tell(Event::SettingsChanged { settings, inherits_from });
+        let settings = Box::new(self.settings.clone());
+        self.handle(Event::SettingsChanged { settings, inherits_from });
     }
 }
 
-fn machine(i: u64, zones: u64, rng: &mut Rng) -> Machine {
-    let kind = i % 3;
+fn simulated_worker(index: u64, zones: u64, rng: &mut Rng) -> SimulatedWorker {
+    let kind = index % 3;
     let cores = [2, 4, 6][kind as usize];
     let speed = [12, 16, 20][kind as usize] + rng.below(3);
-    let size = [1.6, 4.0, 7.2][kind as usize];
-    let since = if rng.below(5) == 0 { S / 2 } else { 0 };
-    let mut entry = worker(i + 1, (i % zones) as u8, (i % 5) as u32);
-    (entry.kind, entry.weight, entry.started_at) = (kind as u8, size, since);
+    let idle_weight = [1.6, 4.0, 7.2][kind as usize];
+    let started_at = if rng.below(5) == 0 { S / 2 } else { 0 };
+    let mut endpoint = ready_endpoint(index + 1, (index % zones) as u8, (index % 5) as u32);
+    (endpoint.kind, endpoint.weight, endpoint.started_at) = (kind as u8, idle_weight, started_at);
     let (running, queue) = Default::default();
-    Machine { entry, cores, speed, size, others: 0, running, queue, health: Health::Well }
+    SimulatedWorker {
+        endpoint,
+        cores,
+        speed,
+        idle_weight,
+        other_requests: 0,
+        running,
+        queue,
+        health: Health::Healthy,
+    }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small dispatcher's surroundings: settings, lists, and a driver that keeps time.
+//! Settings and endpoints for the tests, and a driver of one policy with a simulated clock.
 #![allow(dead_code)]
 
 pub mod fleet_simulation;
@@ -12,7 +12,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(idempotency: Idempotency) -> ClassSettings {
+pub fn class_settings(idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
         objective_us: 200 * MS,
         objective_per_work: 2.0,
@@ -25,7 +25,7 @@
     }
 }
 
-pub fn settings(classes: Vec<ClassSettings>) -> Settings {
+pub fn policy_settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
         dispatchers: 1,
@@ -47,9 +47,9 @@
     }
 }
 
-pub fn worker(i: u64, zone: u8, cell: u32) -> Endpoint {
+pub fn ready_endpoint(id: u64, zone: u8, cell: u32) -> Endpoint {
     Endpoint {
-        worker: WorkerId(i),
+        worker: WorkerId(id),
         kind: 0,
         zone,
         cell,
@@ -59,49 +59,54 @@
     }
 }
 
-pub struct Desk {
+/// Passes events to a policy, and timers when the simulated clock reaches them.
+pub struct PolicyDriver {
     pub policy: Policy,
     pub now: Micros,
+    /// Expiry times of the timers that are set.
     pub timers: Vec<Micros>,
-    pub throttled: usize,
-    pub released: usize,
-    pub told: Vec<u32>,
+    pub throttling_notices: usize,
+    pub idle_connections_closed: usize,
+    /// Ordinals of the dispatchers to which messages were sent.
+    pub peer_message_receivers: Vec<u32>,
 }
 
-impl Desk {
-    pub fn new(settings: Settings, list: Vec<Endpoint>) -> Desk {
-        let mut desk = Desk {
+impl PolicyDriver {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> PolicyDriver {
+        let mut driver = PolicyDriver {
             policy: Policy::new(settings, 7, S).expect("valid settings"),
             now: S,
             timers: vec![],
-            throttled: 0,
-            released: 0,
-            told: vec![],
+            throttling_notices: 0,
+            idle_connections_closed: 0,
+            peer_message_receivers: vec![],
         };
-        desk.tell(Event::EndpointList(list));
-        desk
+        driver.handle(Event::EndpointList(endpoints));
+        driver
     }
 
-    /// One event now; timers asked for are kept and not returned.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.policy.handle(self.now, &event, &mut out);
-        out.iter().for_each(|a| {
+    /// Passes an event to the policy. Returns the actions, except for timers, notices, peer messages and
+    /// closed connections, which are recorded in the fields.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, &event, &mut actions);
+        actions.iter().for_each(|a| {
             if let Action::SetTimer { after_us } = a {
                 self.timers.push(self.now + after_us);
             }
         });
-        self.released += out.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
-        self.told.extend(out.iter().filter_map(|a| {
+        self.idle_connections_closed +=
+            actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
+        self.peer_message_receivers.extend(actions.iter().filter_map(|a| {
             if let Action::SendPeerMessage { to, .. } = a {
                 Some(*to)
             } else {
                 None
             }
         }));
-        self.throttled +=
-            out.iter().filter(|a| matches!(a, Action::Notify(Notice::Throttling { .. }))).count();
-        out.retain(|a| {
+        self.throttling_notices +=
+            actions.iter().filter(|a| matches!(a, Action::Notify(Notice::Throttling { .. }))).count();
+        actions.retain(|a| {
             !matches!(
                 a,
                 Action::SetTimer { .. }
@@ -110,63 +115,66 @@
                     | Action::CloseIdleConnections { .. }
             )
         });
-        out
+        actions
     }
 
-    /// Runs the timers that come due within this time.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
-        let (end, mut out) = (self.now + span, Vec::new());
-        while let Some(at) = self.timers.iter().copied().filter(|&t| t <= end).min() {
-            let due = self.timers.iter().position(|&t| t == at).unwrap_or(0);
-            self.timers.swap_remove(due); // one event for each timer, as an embedder gives
-            self.now = self.now.max(at);
-            out.extend(self.tell(Event::TimerExpired));
+    /// Advances the clock by this duration and runs the timers that expire.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let (end, mut actions) = (self.now + duration, Vec::new());
+        while let Some(expires_at) = self.timers.iter().copied().filter(|&t| t <= end).min() {
+            let index = self.timers.iter().position(|&t| t == expires_at).unwrap_or(0);
+            self.timers.swap_remove(index); // one event per timer, as an embedder passes them
+            self.now = self.now.max(expires_at);
+            actions.extend(self.handle(Event::TimerExpired));
         }
         self.now = end;
-        out
+        actions
     }
 
-    pub fn accept(&mut self, id: RequestId, class: usize) -> Vec<Action> {
+    /// Passes a request to the policy, and advances the clock by 25 ms.
+    pub fn submit(&mut self, id: RequestId, class: usize) -> Vec<Action> {
         let time_left_us = 5 * S;
-        let mut out =
-            self.tell(Event::RequestReceived(Request { id, class, time_left_us, ..Request::default() }));
-        out.extend(self.pass(25 * MS));
-        out
+        let mut actions =
+            self.handle(Event::RequestReceived(Request { id, class, time_left_us, ..Request::default() }));
+        actions.extend(self.advance(25 * MS));
+        actions
     }
 
-    pub fn ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let last = outcome == Outcome::Success;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        let request_done = outcome == Outcome::Success;
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
-            request_done: last,
+            request_done,
             not_attributable: false,
             report: None,
         }))
     }
 
-    /// A job that is served after 100 ms; returns the worker.
+    /// Submits a request that is served 100 ms after it was sent; returns its worker.
     pub fn serve(&mut self, id: RequestId, class: usize) -> Option<WorkerId> {
-        let to = sent(&self.accept(id, class), id)?;
-        self.tell(Event::Started { id, attempt: 0 });
-        self.pass(100 * MS);
-        self.ended(id, 0, Outcome::Success);
-        Some(to)
+        let worker = sent_to(&self.submit(id, class), id)?;
+        self.handle(Event::Started { id, attempt: 0 });
+        self.advance(100 * MS);
+        self.end_attempt(id, 0, Outcome::Success);
+        Some(worker)
     }
 }
 
-pub fn sent(actions: &[Action], id: RequestId) -> Option<WorkerId> {
+/// The worker to which these actions send the request, if any.
+pub fn sent_to(actions: &[Action], request: RequestId) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { id: i, worker } if *i == id => Some(*worker),
+        Action::Send { id, worker } if *id == request => Some(*worker),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
+/// Whether the request was shed: answered as not executed, or as safe to retry.
+pub fn is_shed(actions: &[Action], request: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { id, .. } if *id == request))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { id })
 }
--- a/tests/common/property_harness.rs
+++ b/tests/common/property_harness.rs
@@ -1,11 +1,12 @@
-//! Random but legal event orders, with the rules checked on every action.
+//! Random but legal event sequences. Every action is checked: requests get one final answer and only safe retries,
+//! unavailable workers get no requests, and workers that are warming up are not overloaded.
 
 use super::*;
 use dispatch_policy::api::*;
 use dispatch_policy::Policy;
 use std::collections::BTreeMap;
 
-/// A seeded sequence of numbers.
+/// A seeded linear congruential generator.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -16,35 +17,35 @@
 }
 
 #[derive(Default)]
-pub struct Held {
+pub struct TrackedRequest {
     class: usize,
     deadline: Micros,
-    pub over: bool,
+    pub answered: bool,
     attempts: Vec<(WorkerId, Micros, Option<Outcome>)>,
 }
 
-pub struct World {
-    set: Settings,
+pub struct PropertyHarness {
+    settings: Settings,
     policy: Policy,
     pub rng: Rng,
     now: Micros,
-    pub jobs: BTreeMap<RequestId, Held>,
-    barred: BTreeMap<WorkerId, Micros>,
-    list: Vec<Endpoint>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
+    unavailable: BTreeMap<WorkerId, Micros>,
+    endpoints: Vec<Endpoint>,
     timers: Vec<Micros>,
-    next: RequestId,
-    /// Jobs sent to workers that started lately, with the time of the send.
-    cold: Vec<(WorkerId, Micros)>,
-    /// When requests were taken, and attempts beyond a request's first made.
-    taken: Vec<Micros>,
-    further: Vec<Micros>,
-    /// Every event's actions.
-    pub recorded: Recording,
+    next_id: RequestId,
+    /// Requests sent to workers that were warming up, with the time at which they were sent.
+    cold_sends: Vec<(WorkerId, Micros)>,
+    /// When requests were received, and when retries were sent.
+    received_at: Vec<Micros>,
+    retries_at: Vec<Micros>,
+    /// The actions of every event.
+    pub recording: Recording,
 }
 
-/// Settings that differ widely.
-pub fn widely(rng: &mut Rng) -> Settings {
-    let kinds = [
+/// Random settings from wide ranges.
+pub fn random_settings(rng: &mut Rng) -> Settings {
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
         Idempotency::WithKey(KeyScope::Fleet),
@@ -59,91 +60,113 @@
             late_weight: rng.below(2) as f64 * 0.5,
             deduplication_window_us: 300 * MS + rng.below(5) * S,
             required_kind: [None, None, Some(0), Some(1)][rng.below(4) as usize],
-            ..class(kinds[rng.below(5) as usize])
+            ..class_settings(idempotencies[rng.below(5) as usize])
         })
         .collect();
-    let mut s = settings(classes);
-    s.tenants =
+    let mut settings = policy_settings(classes);
+    settings.tenants =
         (0..rng.below(5)).map(|_| TenantSettings { quota_per_s: rng.below(30) as f64, share: 0.2 }).collect();
-    s.dispatchers = 1 + rng.below(6) as u32;
-    s.max_attempts = 1 + rng.below(5) as u32;
-    s.can_cancel = rng.below(2) == 0;
-    s.peer_messages = rng.below(2) == 0;
-    s.can_probe = rng.below(2) == 0;
-    s.reports_free_slots = rng.below(2) == 0;
-    s.reports_start = rng.below(2) == 0;
-    s.progress_interval_us = rng.below(2) * S;
-    s.polls_endpoints = rng.below(2) == 0;
-    s.unmarked_retries = rng.below(2) == 0;
-    s.origin_fetch_price = rng.below(2) as f64 * 0.15;
-    s.rules.soft_removal = rng.below(2) == 0;
-    let ration = RetryBudget {
+    settings.dispatchers = 1 + rng.below(6) as u32;
+    settings.max_attempts = 1 + rng.below(5) as u32;
+    settings.can_cancel = rng.below(2) == 0;
+    settings.peer_messages = rng.below(2) == 0;
+    settings.can_probe = rng.below(2) == 0;
+    settings.reports_free_slots = rng.below(2) == 0;
+    settings.reports_start = rng.below(2) == 0;
+    settings.progress_interval_us = rng.below(2) * S;
+    settings.polls_endpoints = rng.below(2) == 0;
+    settings.unmarked_retries = rng.below(2) == 0;
+    settings.origin_fetch_price = rng.below(2) as f64 * 0.15;
+    settings.rules.soft_removal = rng.below(2) == 0;
+    let retry_budget = RetryBudget {
         min_retries: rng.below(3) as f64,
         ratio: rng.below(3) as f64 * 0.05,
         window_us: 500 * MS + rng.below(3) * S,
     };
-    s.rules.retry_budget = Some(ration).filter(|_| rng.below(2) == 0);
-    s.max_send_delay_us = rng.below(2) * rng.below(400) * MS;
-    s
+    settings.rules.retry_budget = Some(retry_budget).filter(|_| rng.below(2) == 0);
+    settings.max_send_delay_us = rng.below(2) * rng.below(400) * MS;
+    settings
 }
 
-impl World {
-    /// Settings, and up to eight workers, by the seed.
-    pub fn new(seed: u64) -> World {
+impl PropertyHarness {
+    /// Draws the settings and up to eight workers from the seed.
+    pub fn new(seed: u64) -> PropertyHarness {
         let mut rng = Rng(seed);
-        let set = widely(&mut rng);
+        let settings = random_settings(&mut rng);
         let workers = rng.below(9);
-        World::with(seed, rng, set, workers)
+        PropertyHarness::with_settings(seed, rng, settings, workers)
     }
 
-    /// Given settings and a given number of workers; `rng` draws the steps.
-    pub fn with(seed: u64, rng: Rng, set: Settings, workers: u64) -> World {
-        let entry = |i| Endpoint { kind: (i % 2) as u8, ..worker(i, (i % 2) as u8, (i % 4) as u32) };
-        let policy = Policy::new(set.clone(), seed, S).expect("valid settings");
-        let list: Vec<Endpoint> = (0..workers).map(entry).collect();
-        let (jobs, barred) = Default::default();
-        let (timers, cold, taken, further, recorded) = Default::default();
-        let (now, next) = (S, 0);
-        let mut w =
-            World { set, policy, rng, now, jobs, barred, list, timers, next, cold, taken, further, recorded };
-        w.tell(Event::EndpointList(w.list.clone()));
-        w
+    /// Uses the given settings and number of workers; `rng` draws the steps.
+    pub fn with_settings(seed: u64, rng: Rng, settings: Settings, workers: u64) -> PropertyHarness {
+        let endpoint =
+            |i| Endpoint { kind: (i % 2) as u8, ..ready_endpoint(i, (i % 2) as u8, (i % 4) as u32) };
+        let policy = Policy::new(settings.clone(), seed, S).expect("valid settings");
+        let endpoints: Vec<Endpoint> = (0..workers).map(endpoint).collect();
+        let (requests, unavailable) = Default::default();
+        let (timers, cold_sends, received_at, retries_at, recording) = Default::default();
+        let (now, next_id) = (S, 0);
+        let mut harness = PropertyHarness {
+            settings,
+            policy,
+            rng,
+            now,
+            requests,
+            unavailable,
+            endpoints,
+            timers,
+            next_id,
+            cold_sends,
+            received_at,
+            retries_at,
+            recording,
+        };
+        harness.handle(Event::EndpointList(harness.endpoints.clone()));
+        harness
     }
 
-    fn tell(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.policy.handle(self.now, &event, &mut out);
-        out.iter().for_each(|a| self.check(a));
-        self.recorded.add(self.now, out);
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, &event, &mut actions);
+        actions.iter().for_each(|a| self.check_action(a));
+        self.recording.add(self.now, actions);
     }
 
-    /// The most jobs within the fall time that leave a cold worker standing.
-    fn cold_budget(&self, entry: &Endpoint) -> f64 {
-        let rules = &self.set.rules;
-        let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
-        let age = (self.now.saturating_sub(entry.started_at) as f64 / rules.warm_up_us as f64).min(1.0);
-        let warmth = rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * age;
-        let sizes: f64 = self.list.iter().map(|e| e.weight).sum();
-        let most =
-            self.taken.iter().map(|at| self.taken.iter().filter(|t| *at <= **t && **t < at + S).count());
-        let served = most.max().unwrap_or(0) as f64 * f64::from(self.set.senders());
-        let fleet = if quotas > 0.0 { quotas } else { served };
-        let mean =
-            rules.overload_multiple * fleet * entry.weight / sizes * warmth * rules.overload_window_us as f64
-                / S as f64;
-        mean + 2.0 * mean.sqrt() + 2.0
+    /// Maximum number of requests within the overload window that don't overload a worker that is warming up.
+    fn cold_budget(&self, endpoint: &Endpoint) -> f64 {
+        let rules = &self.settings.rules;
+        let quotas: f64 = self.settings.tenants.iter().map(|t| t.quota_per_s).sum();
+        let warm_up_progress =
+            (self.now.saturating_sub(endpoint.started_at) as f64 / rules.warm_up_us as f64).min(1.0);
+        let capacity_ratio = rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * warm_up_progress;
+        let total_weight: f64 = self.endpoints.iter().map(|e| e.weight).sum();
+        let received_per_s = self
+            .received_at
+            .iter()
+            .map(|at| self.received_at.iter().filter(|t| *at <= **t && **t < at + S).count());
+        let served_per_s = received_per_s.max().unwrap_or(0) as f64 * f64::from(self.settings.senders());
+        let fleet_per_s = if quotas > 0.0 { quotas } else { served_per_s };
+        let mean_requests = rules.overload_multiple * fleet_per_s * endpoint.weight / total_weight
+            * capacity_ratio
+            * rules.overload_window_us as f64
+            / S as f64;
+        mean_requests + 2.0 * mean_requests.sqrt() + 2.0
     }
 
-    fn check(&mut self, action: &Action) {
+    fn check_action(&mut self, action: &Action) {
         match action {
             Action::Send { id, worker } => self.check_send(*id, *worker),
             Action::Reject { id, .. } => {
-                let job = self.jobs.get_mut(id).expect("a known request");
-                assert!(!std::mem::replace(&mut job.over, true), "a second final answer");
-                let may_run = job.attempts.iter().any(|a| a.2.is_none_or(|o| !o.proves_not_executed()));
-                let idempotency = self.set.classes[job.class].idempotency;
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(
+                    !std::mem::replace(&mut request.answered, true),
+                    "request {id} got a second final answer"
+                );
+                let may_have_executed =
+                    request.attempts.iter().any(|a| a.2.is_none_or(|o| !o.proves_not_executed()));
+                let idempotency = self.settings.classes[request.class].idempotency;
                 assert!(
-                    !may_run
+                    !may_have_executed
                         || matches!(
                             idempotency,
                             Idempotency::Idempotent | Idempotency::WithKey(KeyScope::Fleet)
@@ -151,112 +174,123 @@
                 );
             }
             Action::Fail { id } => {
-                let job = self.jobs.get_mut(id).expect("a known request");
-                assert!(!std::mem::replace(&mut job.over, true), "a second final answer");
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(
+                    !std::mem::replace(&mut request.answered, true),
+                    "request {id} got a second final answer"
+                );
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.set.can_cancel);
-                assert!((*attempt as usize) < self.jobs[id].attempts.len());
+                assert!(self.settings.can_cancel);
+                assert!((*attempt as usize) < self.requests[id].attempts.len());
             }
-            Action::Probe { .. } => assert!(self.set.can_probe),
-            Action::SendPeerMessage { .. } => assert!(self.set.peer_messages),
+            Action::Probe { .. } => assert!(self.settings.can_probe),
+            Action::SendPeerMessage { .. } => assert!(self.settings.peer_messages),
             Action::SetTimer { after_us } => self.timers.push(self.now + after_us),
             Action::WatchEndpoints | Action::Notify(_) | Action::CloseIdleConnections { .. } => {}
         }
     }
 
-    fn check_send(&mut self, id: RequestId, to: WorkerId) {
-        assert!(!self.barred.contains_key(&to), "sent to a worker that drains or is gone");
-        let entry = self.list.iter().find(|e| e.worker == to).expect("a listed worker").clone();
-        if entry.started_at > 0 && self.now < entry.started_at + self.set.rules.warm_up_us {
-            self.cold.push((to, self.now));
+    fn check_send(&mut self, id: RequestId, worker: WorkerId) {
+        assert!(!self.unavailable.contains_key(&worker), "sent to a worker that is draining or gone");
+        let endpoint = self.endpoints.iter().find(|e| e.worker == worker).expect("a listed worker").clone();
+        if endpoint.started_at > 0 && self.now < endpoint.started_at + self.settings.rules.warm_up_us {
+            self.cold_sends.push((worker, self.now));
         }
-        let burst = self
-            .cold
+        let recent_sends = self
+            .cold_sends
             .iter()
-            .filter(|c| c.0 == to && c.1 + self.set.rules.overload_window_us > self.now)
+            .filter(|c| c.0 == worker && c.1 + self.settings.rules.overload_window_us > self.now)
             .count();
-        let allowed = self.cold_budget(&entry);
-        assert!(burst as f64 <= allowed, "a cold worker got {burst} jobs where the rule allows {allowed}");
-        let job = self.jobs.get_mut(&id).expect("a known request");
-        assert!(!job.over, "sent after the final answer");
-        if let Some(a) = self.set.rules.retry_budget.filter(|_| !job.attempts.is_empty()) {
-            self.further.push(self.now);
-            let from = self.now.saturating_sub(a.window_us);
-            let made = self.further.iter().filter(|&&at| at >= from).count();
-            let taken = self.taken.iter().filter(|&&at| at > from).count();
-            let allowed = a.min_retries + a.ratio * taken as f64;
-            assert!(made as f64 <= allowed, "{made} further attempts where {taken} requests allow {allowed}");
+        let allowed = self.cold_budget(&endpoint);
+        assert!(
+            recent_sends as f64 <= allowed,
+            "sent {recent_sends} requests to a cold worker within the overload window, {allowed} are allowed"
+        );
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.answered, "request {id} was sent after its final answer");
+        if let Some(budget) = self.settings.rules.retry_budget.filter(|_| !request.attempts.is_empty()) {
+            self.retries_at.push(self.now);
+            let window_start = self.now.saturating_sub(budget.window_us);
+            let retries = self.retries_at.iter().filter(|&&at| at >= window_start).count();
+            let received = self.received_at.iter().filter(|&&at| at > window_start).count();
+            let allowed = budget.min_retries + budget.ratio * received as f64;
+            assert!(retries as f64 <= allowed, "{retries} retries, {received} requests allow {allowed}");
         }
-        assert!(job.attempts.len() < self.set.max_attempts as usize);
-        assert!(job.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
-        let c = &self.set.classes[job.class];
-        if let Some(first) = job.attempts.iter().find(|a| a.2.is_some_and(|o| !o.proves_not_executed())) {
-            let mate = self.list.iter().find(|e| e.worker == first.0).expect("listed before");
-            match c.idempotency {
+        assert!(request.attempts.len() < self.settings.max_attempts as usize);
+        assert!(request.attempts.iter().all(|a| a.2.is_some()), "request {id} has two attempts in flight");
+        let class = &self.settings.classes[request.class];
+        if let Some(first) = request.attempts.iter().find(|a| a.2.is_some_and(|o| !o.proves_not_executed())) {
+            let first_endpoint = self.endpoints.iter().find(|e| e.worker == first.0).expect("listed before");
+            match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("an unsafe job was repeated"),
-                Idempotency::WithKey(group) => {
-                    let begins = self.now + self.set.max_send_delay_us;
-                    assert!(begins < first.1 + c.deduplication_window_us, "past the repeat window");
-                    assert!(group != KeyScope::Zone || mate.zone == entry.zone);
-                    assert!(group != KeyScope::Cell || mate.cell == entry.cell);
+                Idempotency::NotIdempotent => {
+                    panic!("a non-idempotent request that may have been executed was retried")
+                }
+                Idempotency::WithKey(scope) => {
+                    let latest_arrival = self.now + self.settings.max_send_delay_us;
+                    assert!(
+                        latest_arrival < first.1 + class.deduplication_window_us,
+                        "sent after the deduplication window"
+                    );
+                    assert!(scope != KeyScope::Zone || first_endpoint.zone == endpoint.zone);
+                    assert!(scope != KeyScope::Cell || first_endpoint.cell == endpoint.cell);
                 }
             }
         }
-        job.attempts.push((to, self.now, None));
+        request.attempts.push((worker, self.now, None));
     }
 
-    fn open(&mut self) -> Option<(RequestId, u32)> {
-        let open: Vec<(RequestId, u32)> = self
-            .jobs
+    fn random_attempt_in_flight(&mut self) -> Option<(RequestId, u32)> {
+        let in_flight: Vec<(RequestId, u32)> = self
+            .requests
             .iter()
-            .filter(|(_, j)| j.attempts.last().is_some_and(|a| a.2.is_none()))
-            .map(|(id, j)| (*id, j.attempts.len() as u32 - 1))
+            .filter(|(_, request)| request.attempts.last().is_some_and(|a| a.2.is_none()))
+            .map(|(id, request)| (*id, request.attempts.len() as u32 - 1))
             .collect();
-        (!open.is_empty()).then(|| open[self.rng.below(open.len() as u64) as usize])
+        (!in_flight.is_empty()).then(|| in_flight[self.rng.below(in_flight.len() as u64) as usize])
     }
 
-    fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
-        let job = self.jobs.get_mut(&id).expect("an open request");
-        job.attempts[attempt as usize].2 = Some(outcome);
-        job.over |= outcome == Outcome::Success;
-        let last = job.over;
-        let free = Some(self.rng.below(4) as f64);
-        let report = Some(LoadReport { free_slots: free, queued: Some(0.0), ..LoadReport::default() });
-        self.tell(Event::AttemptEnded(AttemptEnd {
+    fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
+        let request = self.requests.get_mut(&id).expect("a known request");
+        request.attempts[attempt as usize].2 = Some(outcome);
+        request.answered |= outcome == Outcome::Success;
+        let request_done = request.answered;
+        let free_slots = Some(self.rng.below(4) as f64);
+        let report = Some(LoadReport { free_slots, queued: Some(0.0), ..LoadReport::default() });
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
-            request_done: last,
+            request_done,
             not_attributable: false,
             report,
         }));
     }
 
-    /// One random step.
-    #[allow(clippy::too_many_lines, reason = "one arm for each kind of step")]
-    pub fn act(&mut self) {
+    /// Carries out one random step.
+    #[allow(clippy::too_many_lines, reason = "one arm per kind of step")]
+    pub fn random_step(&mut self) {
         match self.rng.below(12) {
             0..=3 => {
-                let class = self.rng.below(self.set.classes.len() as u64) as usize;
-                let time_left_us = self.set.classes[class].deadline_us;
-                let (id, tenant) = (self.next, self.rng.below(5) as usize);
-                self.next += 1;
+                let class = self.rng.below(self.settings.classes.len() as u64) as usize;
+                let time_left_us = self.settings.classes[class].deadline_us;
+                let (id, tenant) = (self.next_id, self.rng.below(5) as usize);
+                self.next_id += 1;
                 let deadline = self.now + time_left_us;
-                self.taken.push(self.now);
-                let key = self.rng.below(6);
+                self.received_at.push(self.now);
+                let affinity_key = self.rng.below(6);
                 let slots = self.rng.below(5) as f64;
                 let memory = [0.0, 0.5, 3.0, f64::NAN, f64::INFINITY][self.rng.below(5) as usize];
-                self.jobs.insert(id, Held { class, deadline, ..Held::default() });
-                let retry = self.rng.below(5) == 0;
-                self.tell(Event::RequestReceived(Request {
+                self.requests.insert(id, TrackedRequest { class, deadline, ..TrackedRequest::default() });
+                let is_retry = self.rng.below(5) == 0;
+                self.handle(Event::RequestReceived(Request {
                     id,
                     class,
                     tenant,
                     time_left_us,
-                    is_retry: retry,
-                    affinity_key: key,
+                    is_retry,
+                    affinity_key,
                     slots,
                     memory,
                     ..Request::default()
@@ -264,72 +298,84 @@
             }
             4..=7 => {
                 use Outcome::*;
-                let all =
+                let outcomes =
                     [Success, Success, Success, Error, Rejected, ConnectFailed, ConnectionLost, Cancelled];
-                if let Some((id, attempt)) = self.open() {
-                    let outcome = all[self.rng.below(8) as usize];
-                    self.end(id, attempt, outcome);
+                if let Some((id, attempt)) = self.random_attempt_in_flight() {
+                    let outcome = outcomes[self.rng.below(8) as usize];
+                    self.end_attempt(id, attempt, outcome);
                 }
             }
             8 => {
-                if let Some((id, attempt)) = self.open() {
-                    self.tell(Event::Started { id, attempt });
-                    self.tell(Event::Progress { id, attempt, done: 0.5 });
+                if let Some((id, attempt)) = self.random_attempt_in_flight() {
+                    self.handle(Event::Started { id, attempt });
+                    self.handle(Event::Progress { id, attempt, done: 0.5 });
                 }
             }
-            9 if !self.list.is_empty() => {
-                let i = self.rng.below(self.list.len() as u64) as usize;
-                let (since, availability) = match self.rng.below(3) {
-                    0 => (self.list[i].started_at, Availability::Draining),
-                    1 => (self.list[i].started_at, Availability::Gone),
+            9 if !self.endpoints.is_empty() => {
+                let i = self.rng.below(self.endpoints.len() as u64) as usize;
+                let (started_at, availability) = match self.rng.below(3) {
+                    0 => (self.endpoints[i].started_at, Availability::Draining),
+                    1 => (self.endpoints[i].started_at, Availability::Gone),
                     _ => (self.now, Availability::Ready),
                 };
-                self.list[i] = Endpoint { started_at: since, availability, ..self.list[i].clone() };
-                let worker = self.list[i].worker;
+                self.endpoints[i] = Endpoint { started_at, availability, ..self.endpoints[i].clone() };
+                let worker = self.endpoints[i].worker;
                 match availability {
-                    Availability::Ready => drop(self.barred.remove(&worker)),
-                    Availability::Gone if self.set.rules.soft_removal => {}
-                    _ => drop(self.barred.insert(worker, self.now)),
+                    Availability::Ready => drop(self.unavailable.remove(&worker)),
+                    Availability::Gone if self.settings.rules.soft_removal => {}
+                    _ => drop(self.unavailable.insert(worker, self.now)),
                 }
-                self.tell(Event::EndpointChanges(vec![self.list[i].clone()]));
+                self.handle(Event::EndpointChanges(vec![self.endpoints[i].clone()]));
             }
             10 => {
-                let ids: Vec<RequestId> = self.jobs.iter().filter(|j| !j.1.over).map(|j| *j.0).collect();
+                let ids: Vec<RequestId> = self
+                    .requests
+                    .iter()
+                    .filter(|request| !request.1.answered)
+                    .map(|request| *request.0)
+                    .collect();
                 if let (Some(&id), 0) = (ids.first(), self.rng.below(4)) {
-                    self.jobs.get_mut(&id).expect("an open request").over = true;
-                    self.tell(Event::ClientDisconnected { id });
+                    self.requests.get_mut(&id).expect("a known request").answered = true;
+                    self.handle(Event::ClientDisconnected { id });
                 }
             }
-            _ => self.tell(Event::PeerMessage { from: 1, bytes: vec![1, 2, 3, 4, 5] }),
+            _ => self.handle(Event::PeerMessage { from: 1, bytes: vec![1, 2, 3, 4, 5] }),
         }
     }
 
-    /// Timers run on time; attempts still out at the deadline end as timed out; none may then be open.
-    pub fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Advances the clock: timers expire on time, and attempts in flight at the deadline time out. Every
+    /// request must have its answer shortly after its deadline.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
-            let due = self.jobs.iter().filter(|(_, j)| j.attempts.last().is_some_and(|a| a.2.is_none()));
-            let limit = due.map(|(id, j)| (j.deadline, *id)).min();
+            let in_flight = self
+                .requests
+                .iter()
+                .filter(|(_, request)| request.attempts.last().is_some_and(|a| a.2.is_none()));
+            let timeout = in_flight.map(|(id, request)| (request.deadline, *id)).min();
             let timer = self.timers.iter().copied().min().unwrap_or(Micros::MAX);
-            let next = timer.min(limit.map_or(Micros::MAX, |l| l.0));
-            if next > end {
+            let next_at = timer.min(timeout.map_or(Micros::MAX, |t| t.0));
+            if next_at > end {
                 break;
             }
-            self.now = self.now.max(next);
-            match limit {
+            self.now = self.now.max(next_at);
+            match timeout {
                 Some((at, id)) if at <= timer => {
-                    let attempt = self.jobs[&id].attempts.len() as u32 - 1;
-                    self.end(id, attempt, Outcome::Timeout);
+                    let attempt = self.requests[&id].attempts.len() as u32 - 1;
+                    self.end_attempt(id, attempt, Outcome::Timeout);
                 }
                 _ => {
                     self.timers.retain(|&t| t != timer);
-                    self.tell(Event::TimerExpired);
+                    self.handle(Event::TimerExpired);
                 }
             }
             let now = self.now;
-            self.jobs
-                .iter()
-                .for_each(|(id, j)| assert!(j.over || now <= j.deadline + 20 * MS, "{id} unanswered"));
+            self.requests.iter().for_each(|(id, request)| {
+                assert!(
+                    request.answered || now <= request.deadline + 20 * MS,
+                    "request {id} has no answer after its deadline"
+                )
+            });
         }
         self.now = end;
     }
--- a/tests/in_flight_window.rs
+++ b/tests/in_flight_window.rs
@@ -54,12 +54,16 @@
 #[test]
 fn one_of_many_dispatchers_has_few_jobs_out_where_no_list_tells_of_load() {
     let jobs_out = |dispatchers: u32, live_weights: bool| {
-        let set = Settings { dispatchers, live_weights, ..settings(vec![class(Idempotency::Idempotent)]) };
-        let mut desk = Desk::new(set, (0..60).map(|i| worker(i + 1, 0, 0)).collect());
+        let set = Settings {
+            dispatchers,
+            live_weights,
+            ..policy_settings(vec![class_settings(Idempotency::Idempotent)])
+        };
+        let mut driver = PolicyDriver::new(set, (0..60).map(|i| ready_endpoint(i + 1, 0, 0)).collect());
         let mut jobs_out = 0;
         for id in 1..=60 {
-            let mut actions = desk.tell(Event::RequestReceived(request(id)));
-            actions.extend(desk.pass(2 * MS));
+            let mut actions = driver.handle(Event::RequestReceived(request(id)));
+            actions.extend(driver.advance(2 * MS));
             jobs_out += actions.iter().filter(|action| matches!(action, Action::Send { .. })).count();
         }
         jobs_out
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -5,70 +5,75 @@
 use dispatch_policy::api::*;
 
 fn two() -> Vec<Endpoint> {
-    vec![worker(1, 0, 0), worker(2, 0, 0)]
+    vec![ready_endpoint(1, 0, 0), ready_endpoint(2, 0, 0)]
 }
 
 #[test]
 fn a_held_job_is_refused_in_time_when_there_is_no_worker() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), vec![]);
-    assert!(d.accept(1, 0).is_empty());
-    assert!(refused(&d.pass(5 * S), 1));
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), vec![]);
+    assert!(driver.submit(1, 0).is_empty());
+    assert!(is_shed(&driver.advance(5 * S), 1));
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_and_nothing_follows() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), two());
-    assert!(sent(&d.accept(1, 0), 1).is_some());
-    d.pass(5 * S - 25 * MS);
-    assert!(failed(&d.ended(1, 0, Outcome::Timeout), 1));
-    assert!(d.pass(10 * S).is_empty());
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), two());
+    assert!(sent_to(&driver.submit(1, 0), 1).is_some());
+    driver.advance(5 * S - 25 * MS);
+    assert!(is_failed(&driver.end_attempt(1, 0, Outcome::Timeout), 1));
+    assert!(driver.advance(10 * S).is_empty());
 }
 
 #[test]
 fn an_unsafe_job_that_may_have_run_is_neither_sent_again_nor_refused() {
     for outcome in [Outcome::Error, Outcome::ConnectionLost, Outcome::Timeout, Outcome::Cancelled] {
-        let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), two());
-        d.accept(1, 0);
-        assert_eq!(d.ended(1, 0, outcome), [Action::Fail { id: 1 }]);
-        assert!(d.pass(6 * S).is_empty());
+        let mut driver =
+            PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), two());
+        driver.submit(1, 0);
+        assert_eq!(driver.end_attempt(1, 0, outcome), [Action::Fail { id: 1 }]);
+        assert!(driver.advance(6 * S).is_empty());
     }
 }
 
 #[test]
 fn an_unsafe_job_turned_away_unseen_goes_to_another_worker() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), two());
-    let first = sent(&d.accept(1, 0), 1).unwrap();
-    let second = sent(&d.ended(1, 0, Outcome::Rejected), 1).unwrap();
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), two());
+    let first = sent_to(&driver.submit(1, 0), 1).unwrap();
+    let second = sent_to(&driver.end_attempt(1, 0, Outcome::Rejected), 1).unwrap();
     assert_ne!(first, second);
 }
 
 #[test]
 fn attempts_end_with_the_last_allowed() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-    d.accept(1, 0);
-    let mut actions = d.ended(1, 0, Outcome::Rejected);
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+    driver.submit(1, 0);
+    let mut actions = driver.end_attempt(1, 0, Outcome::Rejected);
     for attempt in 1..3 {
-        actions.extend(d.pass(60 * MS));
-        actions = d.ended(1, attempt, Outcome::Rejected);
+        actions.extend(driver.advance(60 * MS));
+        actions = driver.end_attempt(1, attempt, Outcome::Rejected);
     }
-    assert!(refused(&actions, 1));
+    assert!(is_shed(&actions, 1));
 }
 
 #[test]
 fn a_keyed_repeat_stays_in_its_cell_and_window() {
-    let keyed = || class(Idempotency::WithKey(KeyScope::Cell));
-    let list = || vec![worker(1, 0, 0), worker(2, 0, 1)];
-    let mut d = Desk::new(settings(vec![ClassSettings { late_weight: 0.5, ..keyed() }]), list());
-    d.accept(1, 0);
+    let keyed = || class_settings(Idempotency::WithKey(KeyScope::Cell));
+    let list = || vec![ready_endpoint(1, 0, 0), ready_endpoint(2, 0, 1)];
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![ClassSettings { late_weight: 0.5, ..keyed() }]), list());
+    driver.submit(1, 0);
     // Its own cell's only worker is in doubt and the other cell is barred: it waits, and ends as failed.
-    let later: Vec<Action> = [d.ended(1, 0, Outcome::Error), d.pass(5 * S)].concat();
-    assert_eq!(sent(&later, 1).filter(|_| d.now < 3 * S), None);
-    assert!(failed(&later, 1) || sent(&later, 1).is_some());
-    assert!(!refused(&later, 1));
-    let mate = vec![worker(1, 0, 0), worker(2, 0, 0), worker(3, 0, 1)];
-    let mut d = Desk::new(settings(vec![keyed()]), mate);
-    let first = sent(&d.accept(1, 0), 1).unwrap();
-    let second = sent(&d.ended(1, 0, Outcome::Error), 1);
+    let later: Vec<Action> = [driver.end_attempt(1, 0, Outcome::Error), driver.advance(5 * S)].concat();
+    assert_eq!(sent_to(&later, 1).filter(|_| driver.now < 3 * S), None);
+    assert!(is_failed(&later, 1) || sent_to(&later, 1).is_some());
+    assert!(!is_shed(&later, 1));
+    let mate = vec![ready_endpoint(1, 0, 0), ready_endpoint(2, 0, 0), ready_endpoint(3, 0, 1)];
+    let mut driver = PolicyDriver::new(policy_settings(vec![keyed()]), mate);
+    let first = sent_to(&driver.submit(1, 0), 1).unwrap();
+    let second = sent_to(&driver.end_attempt(1, 0, Outcome::Error), 1);
     match first {
         WorkerId(3) => assert_eq!(second, None),
         WorkerId(1) => assert_eq!(second, Some(WorkerId(2))),
@@ -79,19 +84,21 @@
 #[test]
 fn nothing_goes_to_a_worker_that_drains_or_is_gone() {
     for availability in [Availability::Draining, Availability::Gone] {
-        let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-        d.tell(Event::EndpointChanges(vec![Endpoint { availability, ..worker(1, 0, 0) }]));
+        let mut driver =
+            PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+        driver.handle(Event::EndpointChanges(vec![Endpoint { availability, ..ready_endpoint(1, 0, 0) }]));
         for id in 0..4 {
-            assert_ne!(d.serve(id, 0), Some(WorkerId(1)));
+            assert_ne!(driver.serve(id, 0), Some(WorkerId(1)));
         }
-        d.tell(Event::EndpointList(vec![worker(1, 0, 0)]));
-        assert_eq!(d.serve(9, 0), Some(WorkerId(1)));
+        driver.handle(Event::EndpointList(vec![ready_endpoint(1, 0, 0)]));
+        assert_eq!(driver.serve(9, 0), Some(WorkerId(1)));
     }
 }
 
 #[test]
 fn a_pulled_list_is_watched_from_the_start_and_again_after_a_failure() {
-    let asked = Settings { polls_endpoints: true, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let asked =
+        Settings { polls_endpoints: true, ..policy_settings(vec![class_settings(Idempotency::Idempotent)]) };
     let mut policy = dispatch_policy::Policy::new(asked, 1, 0).unwrap();
     let mut out = Vec::new();
     policy.handle(0, &Event::EndpointList(two()), &mut out);
@@ -105,14 +112,17 @@
 /// Guards against a worker that is sent more than the rules allow while it is cold, and against one that stands idle.
 #[test]
 fn a_worker_just_started_gets_few_jobs_and_then_its_part() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), vec![worker(1, 0, 0)]);
-    let start = d.now;
-    d.tell(Event::EndpointChanges(vec![Endpoint { started_at: start, ..worker(2, 0, 0) }]));
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![class_settings(Idempotency::Idempotent)]),
+        vec![ready_endpoint(1, 0, 0)],
+    );
+    let start = driver.now;
+    driver.handle(Event::EndpointChanges(vec![Endpoint { started_at: start, ..ready_endpoint(2, 0, 0) }]));
     // Eight jobs a second, served at once: four are what each of the two can do as far as this dispatcher knows.
     let mut sends = Vec::new();
     for id in 0..160 {
-        if d.serve(id, 0) == Some(WorkerId(2)) {
-            sends.push(d.now);
+        if driver.serve(id, 0) == Some(WorkerId(2)) {
+            sends.push(driver.now);
         }
     }
     for &end in &sends {
@@ -126,30 +136,30 @@
 
 #[test]
 fn a_client_that_left_has_its_attempt_called_off_and_gets_no_answer() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-    d.accept(1, 0);
-    assert_eq!(d.tell(Event::ClientDisconnected { id: 1 }), [Action::Cancel { id: 1, attempt: 0 }]);
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+    driver.submit(1, 0);
+    assert_eq!(driver.handle(Event::ClientDisconnected { id: 1 }), [Action::Cancel { id: 1, attempt: 0 }]);
     // The outcome crosses the cancel.
-    assert!(d.ended(1, 0, Outcome::Error).is_empty());
-    assert!(d.pass(6 * S).is_empty());
+    assert!(driver.end_attempt(1, 0, Outcome::Error).is_empty());
+    assert!(driver.advance(6 * S).is_empty());
 }
 
 #[test]
 fn news_of_unknown_requests_is_ignored() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-    assert!(d.ended(5, 0, Outcome::Success).is_empty());
-    assert!(d.tell(Event::Started { id: 5, attempt: 2 }).is_empty());
-    assert!(d.tell(Event::ClientDisconnected { id: 5 }).is_empty());
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+    assert!(driver.end_attempt(5, 0, Outcome::Success).is_empty());
+    assert!(driver.handle(Event::Started { id: 5, attempt: 2 }).is_empty());
+    assert!(driver.handle(Event::ClientDisconnected { id: 5 }).is_empty());
 }
 
 /// Found on the first rough days: a hung worker held jobs that could run elsewhere.
 #[test]
 fn a_safe_job_on_a_silent_worker_is_moved() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-    let first = sent(&d.accept(1, 0), 1).unwrap();
-    let later = d.pass(S);
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+    let first = sent_to(&driver.submit(1, 0), 1).unwrap();
+    let later = driver.advance(S);
     assert!(later.contains(&Action::Cancel { id: 1, attempt: 0 }));
-    let second = sent(&d.ended(1, 0, Outcome::Cancelled), 1);
+    let second = sent_to(&driver.end_attempt(1, 0, Outcome::Cancelled), 1);
     assert!(second.is_none() || second != Some(first));
 }
 
@@ -157,58 +167,64 @@
 /// could serve them. Each was called off after a usual job's time, and its worker kept from as silent.
 #[test]
 fn a_job_that_is_too_late_elsewhere_too_is_left_to_its_worker_for_a_long_jobs_time() {
-    let short =
-        ClassSettings { objective_us: 100 * MS, objective_per_work: 1.75, ..class(Idempotency::Idempotent) };
-    let mut d = Desk::new(settings(vec![short]), two());
+    let short = ClassSettings {
+        objective_us: 100 * MS,
+        objective_per_work: 1.75,
+        ..class_settings(Idempotency::Idempotent)
+    };
+    let mut driver = PolicyDriver::new(policy_settings(vec![short]), two());
     for id in 10..30 {
-        sent(&d.accept(id, 0), id).unwrap();
-        d.tell(Event::Started { id, attempt: 0 });
-        d.pass(250 * MS);
-        d.ended(id, 0, Outcome::Success);
-        d.pass(S);
+        sent_to(&driver.submit(id, 0), id).unwrap();
+        driver.handle(Event::Started { id, attempt: 0 });
+        driver.advance(250 * MS);
+        driver.end_attempt(id, 0, Outcome::Success);
+        driver.advance(S);
     }
-    sent(&d.accept(1, 0), 1).unwrap();
+    sent_to(&driver.submit(1, 0), 1).unwrap();
     let off = |out: Vec<Action>| out.contains(&Action::Cancel { id: 1, attempt: 0 });
-    assert!(!off(d.pass(500 * MS)), "twice its usual time");
-    assert!(off(d.pass(500 * MS)), "no sign of its worker in a long job's time");
+    assert!(!off(driver.advance(500 * MS)), "twice its usual time");
+    assert!(off(driver.advance(500 * MS)), "no sign of its worker in a long job's time");
 }
 
 /// Guards the weak point that a quickly erring worker empties its count and draws jobs.
 #[test]
 fn a_quickly_erring_worker_draws_no_jobs() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
-    let bad = sent(&d.accept(1, 0), 1).unwrap();
-    d.ended(1, 0, Outcome::Error);
-    assert!((10..20).all(|id| d.serve(id, 0) != Some(bad)));
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
+    let bad = sent_to(&driver.submit(1, 0), 1).unwrap();
+    driver.end_attempt(1, 0, Outcome::Error);
+    assert!((10..20).all(|id| driver.serve(id, 0) != Some(bad)));
 }
 
 /// Incident i05ecd9: a worker that turned jobs away at once got the same job again and again.
 #[test]
 fn each_full_in_a_row_lengthens_the_pause() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), vec![worker(1, 0, 0)]);
-    let gap = |d: &mut Desk, id: RequestId| {
-        d.accept(id, 0);
-        let start = d.now;
-        d.ended(id, 0, Outcome::Rejected);
-        while sent(&d.pass(5 * MS), id).is_none() && d.now < start + S {}
-        d.ended(id, 1, Outcome::Rejected);
-        d.now - start
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![class_settings(Idempotency::Idempotent)]),
+        vec![ready_endpoint(1, 0, 0)],
+    );
+    let gap = |driver: &mut PolicyDriver, id: RequestId| {
+        driver.submit(id, 0);
+        let start = driver.now;
+        driver.end_attempt(id, 0, Outcome::Rejected);
+        while sent_to(&driver.advance(5 * MS), id).is_none() && driver.now < start + S {}
+        driver.end_attempt(id, 1, Outcome::Rejected);
+        driver.now - start
     };
-    let first = gap(&mut d, 1);
-    d.pass(S);
-    assert!(gap(&mut d, 2) > first);
+    let first = gap(&mut driver, 1);
+    driver.advance(S);
+    assert!(gap(&mut driver, 2) > first);
 }
 
 /// Found in round 4: a share's tokens went to the oldest job, which had no time left.
 #[test]
 fn the_newest_job_takes_the_share() {
-    let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
     set.tenants = vec![TenantSettings { quota_per_s: 1.0, share: 1.0 }];
-    let mut d = Desk::new(set, vec![]);
+    let mut driver = PolicyDriver::new(set, vec![]);
     for id in 0..30 {
-        d.tell(Event::RequestReceived(Request { id, time_left_us: 5 * S, ..Request::default() }));
+        driver.handle(Event::RequestReceived(Request { id, time_left_us: 5 * S, ..Request::default() }));
     }
-    let served: Vec<RequestId> = [d.tell(Event::EndpointList(two())), d.pass(30 * MS)]
+    let served: Vec<RequestId> = [driver.handle(Event::EndpointList(two())), driver.advance(30 * MS)]
         .concat()
         .iter()
         .filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None })
@@ -219,35 +235,36 @@
 /// The weak point that hung workers freeze u: a dispatcher without finished jobs goes on admitting.
 #[test]
 fn a_dispatcher_that_saw_nothing_finish_still_admits() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), two());
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), two());
     for id in 0..8 {
-        d.accept(id, 0);
+        driver.submit(id, 0);
     }
-    d.pass(8 * S);
+    driver.advance(8 * S);
     for id in 0..8 {
-        d.ended(id, 0, Outcome::Timeout);
+        driver.end_attempt(id, 0, Outcome::Timeout);
     }
-    d.tell(Event::EndpointChanges(vec![worker(3, 0, 0)]));
-    d.pass(8 * S);
-    let got = (20..24).filter(|&id| sent(&d.accept(id, 0), id).is_some()).count();
+    driver.handle(Event::EndpointChanges(vec![ready_endpoint(3, 0, 0)]));
+    driver.advance(8 * S);
+    let got = (20..24).filter(|&id| sent_to(&driver.submit(id, 0), id).is_some()).count();
     assert!(got > 0);
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut d = Desk::new(
-            settings(vec![class(Idempotency::Idempotent)]),
-            (1..9).map(|i| worker(i, 0, 0)).collect(),
+        let mut driver = PolicyDriver::new(
+            policy_settings(vec![class_settings(Idempotency::Idempotent)]),
+            (1..9).map(|i| ready_endpoint(i, 0, 0)).collect(),
         );
-        (0..50).map(|id| d.serve(id, 0)).collect::<Vec<_>>()
+        (0..50).map(|id| driver.serve(id, 0)).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
 
 #[test]
 fn settings_that_make_no_sense_are_an_error() {
-    let ok = settings(vec![class(Idempotency::Idempotent)]);
+    let ok = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
     let bad = |f: fn(&mut Settings)| {
         let mut s = ok.clone();
         f(&mut s);
@@ -264,77 +281,78 @@
 /// the loop still throttles when everything fails late.
 #[test]
 fn a_quiet_dispatcher_still_steps_its_loop() {
-    let workers = (1..20).map(|i| worker(i, 0, 0)).collect();
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), workers);
+    let workers = (1..20).map(|i| ready_endpoint(i, 0, 0)).collect();
+    let mut driver =
+        PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::NotIdempotent)]), workers);
     for id in 0..160 {
-        if sent(&d.accept(id, 0), id).is_some() {
-            d.tell(Event::Started { id, attempt: 0 });
-            d.pass(200 * MS);
-            d.ended(id, 0, Outcome::Timeout);
+        if sent_to(&driver.submit(id, 0), id).is_some() {
+            driver.handle(Event::Started { id, attempt: 0 });
+            driver.advance(200 * MS);
+            driver.end_attempt(id, 0, Outcome::Timeout);
         } else {
-            d.pass(200 * MS);
+            driver.advance(200 * MS);
         }
-        d.pass(25 * MS);
+        driver.advance(25 * MS);
     }
-    assert!(d.throttled > 0);
+    assert!(driver.throttling_notices > 0);
 }
 
 /// Incidents i6ab970 and i19c0b1: a timer overtaken by an earlier one set a further one when it came, so
 /// their number only grew, to millions at size.
 #[test]
 fn a_timer_that_was_overtaken_sets_no_further_one() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), two());
+    let mut driver = PolicyDriver::new(policy_settings(vec![class_settings(Idempotency::Idempotent)]), two());
     for id in 0..200 {
-        d.serve(id, 0);
+        driver.serve(id, 0);
     }
-    assert!(d.timers.len() <= 2, "{} timers out", d.timers.len());
+    assert!(driver.timers.len() <= 2, "{} timers out", driver.timers.len());
 }
 
 /// Incidents if11842 and ied92d7: idle connections of many dispatchers filled the workers' tables.
 #[test]
 fn connections_are_closed_after_use_where_dispatchers_are_many_and_new_ones_free() {
-    let released = |price: f64, dispatchers: u32| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let closed_connections = |price: f64, dispatchers: u32| {
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         (set.handshake_price, set.idle_timeout_us, set.dispatchers) = (price, 10 * S, dispatchers);
-        let mut d = Desk::new(set, many(20, |_| 0));
+        let mut driver = PolicyDriver::new(set, many(20, |_| 0));
         for id in 0..40 {
-            d.serve(id, 0);
+            driver.serve(id, 0);
         }
-        d.released
+        driver.idle_connections_closed
     };
-    assert!(released(0.0, 300) > 30);
-    assert_eq!(released(0.0, 3), 0);
-    assert_eq!(released(0.05, 300), 0, "a new one is charged for");
+    assert!(closed_connections(0.0, 300) > 30);
+    assert_eq!(closed_connections(0.0, 3), 0);
+    assert_eq!(closed_connections(0.05, 300), 0, "a new one is charged for");
 }
 
 /// Fault on big-1 of gent-orders-later: every dispatcher told all others each second.
 #[test]
 fn few_siblings_are_told_where_there_are_many() {
-    let told = |dispatchers: u32| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let receivers = |dispatchers: u32| {
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         (set.dispatchers, set.peer_messages, set.peer_message_price) = (dispatchers, true, 0.01);
         set.tenants = vec![TenantSettings { quota_per_s: f64::from(dispatchers), share: 1.0 }; 5];
-        let mut d = Desk::new(set, two());
-        d.pass(10 * S);
-        d.told
+        let mut driver = PolicyDriver::new(set, two());
+        driver.advance(10 * S);
+        driver.peer_message_receivers
     };
-    assert!(told(700).len() <= 16 * 11);
-    let all = told(4);
+    assert!(receivers(700).len() <= 16 * 11);
+    let all = receivers(4);
     assert!((1..4).all(|i| all.contains(&i)) && !all.contains(&0), "the few all hear, never itself");
 }
 
 fn many(n: u64, zone: impl Fn(u64) -> u8) -> Vec<Endpoint> {
-    (0..n).map(|i| worker(i, zone(i), 0)).collect()
+    (0..n).map(|i| ready_endpoint(i, zone(i), 0)).collect()
 }
 
 /// Found on gent-orders-later: each job went to a worker not met before, and each paid for a connection.
 #[test]
 fn workers_with_an_open_connection_are_used_again_where_a_new_one_is_charged_for() {
     let met = |price: f64| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         (set.handshake_price, set.idle_timeout_us) = (price, 10 * S);
-        let mut d = Desk::new(set, many(300, |_| 0));
-        (0..60).filter_map(|id| d.serve(id, 0)).collect::<std::collections::BTreeSet<_>>().len()
+        let mut driver = PolicyDriver::new(set, many(300, |_| 0));
+        (0..60).filter_map(|id| driver.serve(id, 0)).collect::<std::collections::BTreeSet<_>>().len()
     };
     assert!(met(0.05) < 12, "{}", met(0.05));
     assert!(met(0.0) > 40, "{}", met(0.0));
@@ -343,35 +361,43 @@
 /// Found on luik-orders-later: answers were lost after the work was done, and nearly all workers fell in doubt.
 #[test]
 fn an_answer_lost_after_the_work_was_done_puts_no_worker_in_doubt() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::NotIdempotent)]), vec![worker(1, 0, 0)]);
-    d.accept(1, 0);
-    d.tell(Event::Started { id: 1, attempt: 0 });
-    d.pass(S / 2);
-    d.ended(1, 0, Outcome::ConnectionLost);
-    assert!(sent(&d.accept(2, 0), 2).is_some());
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![class_settings(Idempotency::NotIdempotent)]),
+        vec![ready_endpoint(1, 0, 0)],
+    );
+    driver.submit(1, 0);
+    driver.handle(Event::Started { id: 1, attempt: 0 });
+    driver.advance(S / 2);
+    driver.end_attempt(1, 0, Outcome::ConnectionLost);
+    assert!(sent_to(&driver.submit(2, 0), 2).is_some());
 }
 
 /// Found on gent-orders-later: workers that left one class unanswered looked well by serving the other.
 #[test]
 fn a_class_left_unanswered_stays_away_from_the_worker_and_others_do_not() {
-    let mut d =
-        Desk::new(settings(vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)]), two());
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![
+            class_settings(Idempotency::Idempotent),
+            class_settings(Idempotency::NotIdempotent),
+        ]),
+        two(),
+    );
     let bad = (0..4).find_map(|id| {
-        let to = sent(&d.accept(id, 1), id)?;
+        let to = sent_to(&driver.submit(id, 1), id)?;
         if to == WorkerId(1) {
-            d.pass(2 * S); // nothing is heard of it
-            d.ended(id, 0, Outcome::Timeout);
+            driver.advance(2 * S); // nothing is heard of it
+            driver.end_attempt(id, 0, Outcome::Timeout);
             return Some(to);
         }
-        d.tell(Event::Started { id, attempt: 0 });
-        d.ended(id, 0, Outcome::Success);
+        driver.handle(Event::Started { id, attempt: 0 });
+        driver.end_attempt(id, 0, Outcome::Success);
         None
     });
     assert_eq!(bad, Some(WorkerId(1)));
     let mut seen = [0; 2];
     for id in 10..30 {
         let class = (id % 2) as usize;
-        seen[class] += usize::from(d.serve(id, class) == bad);
+        seen[class] += usize::from(driver.serve(id, class) == bad);
     }
     assert!(seen[0] > 0, "the other class goes on");
     assert_eq!(seen[1], 0);
@@ -380,14 +406,14 @@
 /// Found on luik-orders-later: a job whose first three workers showed no room was sent to others unseen.
 #[test]
 fn a_job_asks_on_while_those_asked_show_no_room() {
-    let mut set = settings(vec![class(Idempotency::NotIdempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::NotIdempotent)]);
     (set.can_probe, set.reports_free_slots, set.reports_start) = (true, true, false);
-    let mut d = Desk::new(set, many(400, |_| 0));
+    let mut driver = PolicyDriver::new(set, many(400, |_| 0));
     let mut asked = 0;
     let mut actions =
-        d.tell(Event::RequestReceived(Request { id: 1, time_left_us: 5 * S, ..Request::default() }));
+        driver.handle(Event::RequestReceived(Request { id: 1, time_left_us: 5 * S, ..Request::default() }));
     while asked < 9 {
-        assert!(sent(&actions, 1).is_none(), "sent unseen after {asked} probes");
+        assert!(sent_to(&actions, 1).is_none(), "sent unseen after {asked} probes");
         let probed: Vec<WorkerId> = actions
             .iter()
             .filter_map(|a| if let Action::Probe { worker } = a { Some(*worker) } else { None })
@@ -401,9 +427,9 @@
         });
         actions = probed
             .iter()
-            .flat_map(|&worker| d.tell(Event::ProbeEnded { worker, responded: true, report }))
+            .flat_map(|&worker| driver.handle(Event::ProbeEnded { worker, responded: true, report }))
             .collect();
-        actions.extend(d.pass(20 * MS));
+        actions.extend(driver.advance(20 * MS));
     }
 }
 
@@ -411,23 +437,26 @@
 #[test]
 fn a_held_job_is_refused_inside_its_aim_where_the_tail_counts() {
     for (weight, early) in [(0.35, true), (0.0, false)] {
-        let mut d = Desk::new(
-            Settings { late_penalty_weight: weight, ..settings(vec![class(Idempotency::NotIdempotent)]) },
+        let mut driver = PolicyDriver::new(
+            Settings {
+                late_penalty_weight: weight,
+                ..policy_settings(vec![class_settings(Idempotency::NotIdempotent)])
+            },
             vec![], // no worker, so that it waits
         );
-        d.accept(1, 0);
-        assert_eq!(refused(&d.pass(160 * MS), 1), early);
+        driver.submit(1, 0);
+        assert_eq!(is_shed(&driver.advance(160 * MS), 1), early);
     }
 }
 
 /// Incident i1f8c60: with no probe left jobs went to workers of a fleet that was known to be full, three each.
 #[test]
 fn with_no_probe_left_nothing_is_sent_unseen_into_a_full_fleet() {
-    let mut set = settings(vec![class(Idempotency::NotIdempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::NotIdempotent)]);
     (set.can_probe, set.reports_free_slots, set.reports_start) = (true, true, false);
-    let mut d = Desk::new(set, many(400, |_| 0));
+    let mut driver = PolicyDriver::new(set, many(400, |_| 0));
     let mut todo =
-        d.tell(Event::RequestReceived(Request { id: 1, time_left_us: 5 * S, ..Request::default() }));
+        driver.handle(Event::RequestReceived(Request { id: 1, time_left_us: 5 * S, ..Request::default() }));
     let report = Some(LoadReport {
         free_slots: Some(0.0),
         queued: Some(0.0),
@@ -435,11 +464,11 @@
         ..LoadReport::default()
     });
     for _ in 0..60 {
-        assert!(sent(&todo, 1).is_none());
-        let mut next = d.pass(20 * MS);
+        assert!(sent_to(&todo, 1).is_none());
+        let mut next = driver.advance(20 * MS);
         for action in todo {
             if let Action::Probe { worker } = action {
-                next.extend(d.tell(Event::ProbeEnded { worker, responded: true, report }));
+                next.extend(driver.handle(Event::ProbeEnded { worker, responded: true, report }));
             }
         }
         todo = next;
@@ -448,28 +477,28 @@
 
 /// A job that is turned away, and to whom it was sent. Where each one is, jobs past the share are held back, and those
 /// within it are not.
-fn turned_away(d: &mut Desk, id: RequestId) -> Option<WorkerId> {
-    let to = sent(&d.accept(id, 0), id);
-    d.ended(id, 0, Outcome::Rejected);
-    d.tell(Event::ClientDisconnected { id });
-    d.ended(id, 1, Outcome::Cancelled);
-    d.pass(60 * MS);
+fn turned_away(driver: &mut PolicyDriver, id: RequestId) -> Option<WorkerId> {
+    let to = sent_to(&driver.submit(id, 0), id);
+    driver.end_attempt(id, 0, Outcome::Rejected);
+    driver.handle(Event::ClientDisconnected { id });
+    driver.end_attempt(id, 1, Outcome::Cancelled);
+    driver.advance(60 * MS);
     to
 }
 
 #[test]
 fn a_malformed_word_of_a_peer_changes_nothing() {
     let run = |word: Option<(u32, Vec<u8>)>| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         (set.dispatchers, set.peer_messages) = (3, true);
         set.tenants = vec![TenantSettings { quota_per_s: 30.0, share: 1.0 }; 2];
-        let mut d = Desk::new(set, many(30, |_| 0));
+        let mut driver = PolicyDriver::new(set, many(30, |_| 0));
         let mut tries = Vec::new();
         for id in 0..120 {
             if let Some((from, bytes)) = &word {
-                d.tell(Event::PeerMessage { from: *from, bytes: bytes.clone() });
+                driver.handle(Event::PeerMessage { from: *from, bytes: bytes.clone() });
             }
-            tries.push(turned_away(&mut d, id));
+            tries.push(turned_away(&mut driver, id));
         }
         tries
     };
@@ -485,18 +514,18 @@
 #[test]
 fn what_peers_told_is_forgotten_when_their_numbers_mean_others() {
     let run = |word: bool, orders: u64| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         (set.dispatchers, set.peer_messages) = (3, true);
         set.tenants = vec![TenantSettings { quota_per_s: 30.0, share: 1.0 }; 2];
-        let mut d = Desk::new(set.clone(), many(30, |_| 0));
+        let mut driver = PolicyDriver::new(set.clone(), many(30, |_| 0));
         let mut tries = Vec::new();
         for id in 0..120 {
             if word {
-                d.tell(Event::PeerMessage { from: 1, bytes: vec![255; 4] });
+                driver.handle(Event::PeerMessage { from: 1, bytes: vec![255; 4] });
             }
             let settings = Box::new(Settings { membership_epoch: id % orders, ..set.clone() });
-            d.tell(Event::SettingsChanged { settings, inherits_from: vec![None] });
-            tries.push(turned_away(&mut d, id));
+            driver.handle(Event::SettingsChanged { settings, inherits_from: vec![None] });
+            tries.push(turned_away(&mut driver, id));
         }
         tries
     };
@@ -509,13 +538,13 @@
 }
 
 /// Takes a request and gives its attempt, if it gets one, this outcome 5 ms later; returns all actions.
-fn run(d: &mut Desk, r: Request, outcome: Outcome) -> Vec<Action> {
+fn run(driver: &mut PolicyDriver, r: Request, outcome: Outcome) -> Vec<Action> {
     let id = r.id;
-    let mut out = d.tell(Event::RequestReceived(r));
-    out.extend(d.pass(5 * MS));
-    if sent(&out, id).is_some() {
+    let mut out = driver.handle(Event::RequestReceived(r));
+    out.extend(driver.advance(5 * MS));
+    if sent_to(&out, id).is_some() {
         let last = outcome == Outcome::Success;
-        out.extend(d.tell(Event::AttemptEnded(AttemptEnd {
+        out.extend(driver.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt: 0,
             outcome,
@@ -528,26 +557,26 @@
 }
 
 fn once() -> Settings {
-    Settings { max_attempts: 1, ..settings(vec![class(Idempotency::Idempotent)]) }
+    Settings { max_attempts: 1, ..policy_settings(vec![class_settings(Idempotency::Idempotent)]) }
 }
 
 /// Found on donau-slots: all requests of some keys failed at every worker, and the workers were blamed.
 #[test]
 fn a_key_that_fails_at_several_workers_is_answered_at_once_and_the_workers_are_not_blamed() {
-    let mut d = Desk::new(once(), two());
+    let mut driver = PolicyDriver::new(once(), two());
     let mut unsent = 0;
     for id in 0..40 {
-        let good = run(&mut d, ask(2 * id, 1 + id % 5), Outcome::Success);
-        assert!(sent(&good, 2 * id).is_some(), "other keys are served on");
-        let bad = run(&mut d, ask(2 * id + 1, 99), Outcome::Error);
-        assert!(refused(&bad, 2 * id + 1), "answered at once");
-        unsent += usize::from(sent(&bad, 2 * id + 1).is_none());
+        let good = run(&mut driver, ask(2 * id, 1 + id % 5), Outcome::Success);
+        assert!(sent_to(&good, 2 * id).is_some(), "other keys are served on");
+        let bad = run(&mut driver, ask(2 * id + 1, 99), Outcome::Error);
+        assert!(is_shed(&bad, 2 * id + 1), "answered at once");
+        unsent += usize::from(sent_to(&bad, 2 * id + 1).is_none());
     }
     assert!(unsent >= 34, "{unsent} of 40 were answered unsent");
     // Once it is served again, a trial clears it.
     let back = (100..140).filter(|&id| {
-        d.pass(300 * MS);
-        sent(&run(&mut d, ask(id, 99), Outcome::Success), id).is_some()
+        driver.advance(300 * MS);
+        sent_to(&run(&mut driver, ask(id, 99), Outcome::Success), id).is_some()
     });
     assert!(back.count() >= 20);
 }
@@ -555,23 +584,32 @@
 /// As above, by crashes: a key lost with its worker is a suspect, one served lately beside it is not.
 #[test]
 fn a_key_that_brings_workers_down_is_held_and_one_lost_beside_it_goes_on() {
-    let mut d = Desk::new(once(), many(8, |_| 0));
-    run(&mut d, ask(1, 7), Outcome::Success);
-    assert!(sent(&run(&mut d, ask(2, 7), Outcome::ConnectionLost), 2).is_some());
-    assert!(sent(&run(&mut d, ask(3, 7), Outcome::Success), 3).is_some(), "served lately: innocent so far");
-    assert!(sent(&run(&mut d, ask(4, 99), Outcome::ConnectionLost), 4).is_some());
-    assert!(sent(&run(&mut d, ask(5, 99), Outcome::ConnectionLost), 5).is_none(), "never served: held");
+    let mut driver = PolicyDriver::new(once(), many(8, |_| 0));
+    run(&mut driver, ask(1, 7), Outcome::Success);
+    assert!(sent_to(&run(&mut driver, ask(2, 7), Outcome::ConnectionLost), 2).is_some());
+    assert!(
+        sent_to(&run(&mut driver, ask(3, 7), Outcome::Success), 3).is_some(),
+        "served lately: innocent so far"
+    );
+    assert!(sent_to(&run(&mut driver, ask(4, 99), Outcome::ConnectionLost), 4).is_some());
+    assert!(
+        sent_to(&run(&mut driver, ask(5, 99), Outcome::ConnectionLost), 5).is_none(),
+        "never served: held"
+    );
 }
 
 /// Found on scp-declarations: idle connections broke unseen, and each break put a live worker in doubt and had
 /// its job refused.
 #[test]
 fn a_kept_connection_that_breaks_is_held_against_nobody() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), vec![worker(1, 0, 0)]);
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![class_settings(Idempotency::Idempotent)]),
+        vec![ready_endpoint(1, 0, 0)],
+    );
     for id in 0..5 {
-        let mut out = d.tell(Event::RequestReceived(ask(id, 99)));
-        out.extend(d.pass(25 * MS));
-        assert!(sent(&out, id).is_some());
+        let mut out = driver.handle(Event::RequestReceived(ask(id, 99)));
+        out.extend(driver.advance(25 * MS));
+        assert!(sent_to(&out, id).is_some());
         let broke = AttemptEnd {
             id,
             attempt: 0,
@@ -580,8 +618,11 @@
             not_attributable: true,
             report: None,
         };
-        assert!(sent(&d.tell(Event::AttemptEnded(broke)), id).is_some(), "at once, to the same worker");
-        d.ended(id, 1, Outcome::Success);
+        assert!(
+            sent_to(&driver.handle(Event::AttemptEnded(broke)), id).is_some(),
+            "at once, to the same worker"
+        );
+        driver.end_attempt(id, 1, Outcome::Success);
     }
 }
 
@@ -590,15 +631,15 @@
 #[test]
 fn the_first_requests_after_a_quiet_start_are_admitted_whenever_they_come() {
     for quiet in [0, 250, 500, 750, 900, 1_000, 5_000, 5_100, 5_200, 5_300, 5_400, 5_600, 5_800] {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         set.tenants = vec![TenantSettings { quota_per_s: 1.0, share: 1.0 }];
-        let mut d = Desk::new(set, many(30, |_| 0));
-        d.pass(quiet * MS);
+        let mut driver = PolicyDriver::new(set, many(30, |_| 0));
+        driver.advance(quiet * MS);
         for id in 0..20 {
-            let out = d.tell(Event::RequestReceived(ask(id, 0)));
-            assert!(sent(&out, id).is_some(), "request {id} after {quiet} ms");
-            d.tell(Event::Started { id, attempt: 0 });
-            d.pass(25 * MS);
+            let out = driver.handle(Event::RequestReceived(ask(id, 0)));
+            assert!(sent_to(&out, id).is_some(), "request {id} after {quiet} ms");
+            driver.handle(Event::Started { id, attempt: 0 });
+            driver.advance(25 * MS);
         }
     }
 }
@@ -606,37 +647,41 @@
 /// As for kept ones, for a break on a connection that is new or at work: one makes a pause, two in a row a doubt.
 #[test]
 fn one_break_at_a_worker_that_lives_makes_a_pause_and_two_in_a_row_a_doubt() {
-    let mut d = Desk::new(settings(vec![class(Idempotency::Idempotent)]), vec![worker(1, 0, 0)]);
-    d.serve(0, 0);
-    assert!(sent(&d.accept(1, 0), 1).is_some());
-    assert!(sent(&d.ended(1, 0, Outcome::ConnectionLost), 1).is_none(), "a pause");
-    assert!(sent(&d.pass(120 * MS), 1).is_some(), "no doubt: its job goes there again");
-    d.ended(1, 1, Outcome::ConnectionLost);
-    d.pass(120 * MS);
-    assert!(sent(&d.accept(2, 0), 2).is_none(), "a doubt: the trial comes later");
+    let mut driver = PolicyDriver::new(
+        policy_settings(vec![class_settings(Idempotency::Idempotent)]),
+        vec![ready_endpoint(1, 0, 0)],
+    );
+    driver.serve(0, 0);
+    assert!(sent_to(&driver.submit(1, 0), 1).is_some());
+    assert!(sent_to(&driver.end_attempt(1, 0, Outcome::ConnectionLost), 1).is_none(), "a pause");
+    assert!(sent_to(&driver.advance(120 * MS), 1).is_some(), "no doubt: its job goes there again");
+    driver.end_attempt(1, 1, Outcome::ConnectionLost);
+    driver.advance(120 * MS);
+    assert!(sent_to(&driver.submit(2, 0), 2).is_none(), "a doubt: the trial comes later");
 }
 
 /// Found on scp-declarations: connections fell silent; their jobs hung there up to the deadline, and the live
 /// workers behind them were kept from for 10 s.
 #[test]
 fn a_job_of_which_no_word_came_is_called_off_and_its_worker_goes_on() {
-    let set = Settings { acknowledges: true, ..settings(vec![class(Idempotency::Idempotent)]) };
-    let mut d = Desk::new(set, vec![worker(1, 0, 0)]);
-    d.serve(0, 0);
-    let take = |d: &mut Desk, id| {
-        assert!(sent(&d.accept(id, 0), id).is_some());
-        d.tell(Event::Acknowledged { id, attempt: 0 });
+    let set =
+        Settings { acknowledges: true, ..policy_settings(vec![class_settings(Idempotency::Idempotent)]) };
+    let mut driver = PolicyDriver::new(set, vec![ready_endpoint(1, 0, 0)]);
+    driver.serve(0, 0);
+    let take = |driver: &mut PolicyDriver, id| {
+        assert!(sent_to(&driver.submit(id, 0), id).is_some());
+        driver.handle(Event::Acknowledged { id, attempt: 0 });
     };
-    take(&mut d, 1);
-    d.tell(Event::Started { id: 1, attempt: 0 });
-    assert!(sent(&d.accept(2, 0), 2).is_some());
-    let out = d.pass(230 * MS);
+    take(&mut driver, 1);
+    driver.handle(Event::Started { id: 1, attempt: 0 });
+    assert!(sent_to(&driver.submit(2, 0), 2).is_some());
+    let out = driver.advance(230 * MS);
     assert!(out.contains(&Action::Cancel { id: 2, attempt: 0 }), "{out:?}");
-    d.ended(2, 0, Outcome::Cancelled);
-    d.ended(1, 0, Outcome::Success);
-    take(&mut d, 3);
+    driver.end_attempt(2, 0, Outcome::Cancelled);
+    driver.end_attempt(1, 0, Outcome::Success);
+    take(&mut driver, 3);
     assert!(
-        !d.pass(260 * MS).contains(&Action::Cancel { id: 3, attempt: 0 }),
+        !driver.advance(260 * MS).contains(&Action::Cancel { id: 3, attempt: 0 }),
         "a job that was taken may wait"
     );
 }
@@ -644,24 +689,25 @@
 /// Found on lahore-main: a site's restart broke many connections at one moment; whole classes were refused.
 #[test]
 fn jobs_lost_at_one_moment_make_no_class_or_tenant_a_suspect() {
-    let mut d = Desk::new(once(), many(30, |_| 0));
-    (100..120).for_each(|id| drop(run(&mut d, ask(id, 0), Outcome::Success)));
-    (0..20).for_each(|id| drop(d.tell(Event::RequestReceived(ask(id, 0)))));
-    d.pass(5 * MS);
-    (0..20).for_each(|id| drop(d.ended(id, 0, Outcome::ConnectionLost)));
-    (20..30).for_each(|id| assert!(sent(&run(&mut d, ask(id, 0), Outcome::Success), id).is_some()));
+    let mut driver = PolicyDriver::new(once(), many(30, |_| 0));
+    (100..120).for_each(|id| drop(run(&mut driver, ask(id, 0), Outcome::Success)));
+    (0..20).for_each(|id| drop(driver.handle(Event::RequestReceived(ask(id, 0)))));
+    driver.advance(5 * MS);
+    (0..20).for_each(|id| drop(driver.end_attempt(id, 0, Outcome::ConnectionLost)));
+    (20..30).for_each(|id| assert!(sent_to(&run(&mut driver, ask(id, 0), Outcome::Success), id).is_some()));
 }
 
 #[test]
 fn a_class_that_fails_everywhere_is_held_while_others_are_served() {
-    let two_classes = vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)];
-    let mut d = Desk::new(Settings { max_attempts: 1, ..settings(two_classes) }, many(12, |_| 0));
+    let two_classes = vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::Idempotent)];
+    let mut driver =
+        PolicyDriver::new(Settings { max_attempts: 1, ..policy_settings(two_classes) }, many(12, |_| 0));
     let mut unsent = 0;
     for id in 0..30 {
-        (0..4).for_each(|k| drop(run(&mut d, ask(100 + 10 * id + k, 0), Outcome::Success)));
-        d.pass(400 * MS);
-        let bad = run(&mut d, Request { class: 1, tenant: 0, ..ask(id, 0) }, Outcome::Error);
-        unsent += usize::from(sent(&bad, id).is_none());
+        (0..4).for_each(|k| drop(run(&mut driver, ask(100 + 10 * id + k, 0), Outcome::Success)));
+        driver.advance(400 * MS);
+        let bad = run(&mut driver, Request { class: 1, tenant: 0, ..ask(id, 0) }, Outcome::Error);
+        unsent += usize::from(sent_to(&bad, id).is_none());
     }
     assert!(unsent >= 10, "{unsent} of 30 were answered unsent");
 }
@@ -669,35 +715,39 @@
 /// Found on lahore-main: the list called live workers gone, and the rest were overrun.
 #[test]
 fn where_only_draining_binds_a_worker_called_gone_serves_on() {
-    let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
     set.rules.soft_removal = true;
-    let mut d = Desk::new(set, two());
+    let mut driver = PolicyDriver::new(set, two());
     for id in 0..4 {
-        d.serve(id, 0);
+        driver.serve(id, 0);
     }
-    d.tell(Event::EndpointList(vec![]));
-    assert!(d.serve(10, 0).is_some(), "an empty list doesn't empty the fleet");
-    let drains = Endpoint { availability: Availability::Draining, ..worker(1, 0, 0) };
-    d.tell(Event::EndpointChanges(vec![drains]));
-    let gone = |i| Endpoint { availability: Availability::Gone, ..worker(i, 0, 0) };
-    d.tell(Event::EndpointChanges(vec![gone(1), gone(2)]));
-    (20..30).for_each(|id| assert_eq!(d.serve(id, 0), Some(WorkerId(2)), "draining alone bars"));
+    driver.handle(Event::EndpointList(vec![]));
+    assert!(driver.serve(10, 0).is_some(), "an empty list doesn't empty the fleet");
+    let drains = Endpoint { availability: Availability::Draining, ..ready_endpoint(1, 0, 0) };
+    driver.handle(Event::EndpointChanges(vec![drains]));
+    let gone = |i| Endpoint { availability: Availability::Gone, ..ready_endpoint(i, 0, 0) };
+    driver.handle(Event::EndpointChanges(vec![gone(1), gone(2)]));
+    (20..30).for_each(|id| assert_eq!(driver.serve(id, 0), Some(WorkerId(2)), "draining alone bars"));
 }
 
 #[test]
 fn a_worker_called_gone_that_fails_gets_few_trials() {
     let mut set = once();
     set.rules.soft_removal = true;
-    let mut d = Desk::new(set, two());
-    d.pass(5 * S);
-    d.tell(Event::EndpointList(vec![worker(1, 0, 0)]));
+    let mut driver = PolicyDriver::new(set, two());
+    driver.advance(5 * S);
+    driver.handle(Event::EndpointList(vec![ready_endpoint(1, 0, 0)]));
     let mut trials = 0;
     for id in 0..400 {
         let r = Request { time_left_us: 5 * S, ..ask(id, 0) };
-        let out = d.tell(Event::RequestReceived(r));
-        let to = sent(&[out, d.pass(30 * MS)].concat(), id);
+        let out = driver.handle(Event::RequestReceived(r));
+        let to = sent_to(&[out, driver.advance(30 * MS)].concat(), id);
         trials += usize::from(to == Some(WorkerId(2)));
-        d.ended(id, 0, if to == Some(WorkerId(2)) { Outcome::ConnectFailed } else { Outcome::Success });
+        driver.end_attempt(
+            id,
+            0,
+            if to == Some(WorkerId(2)) { Outcome::ConnectFailed } else { Outcome::Success },
+        );
     }
     assert!(trials <= 2, "{trials} of 400 went to it");
 }
@@ -705,27 +755,31 @@
 /// A job given up on is answered at once with advice, not held towards its deadline.
 #[test]
 fn a_job_with_no_attempt_left_is_answered_at_once() {
-    let mut set = settings(vec![ClassSettings { late_weight: 0.5, ..class(Idempotency::Idempotent) }]);
+    let mut set =
+        policy_settings(vec![ClassSettings { late_weight: 0.5, ..class_settings(Idempotency::Idempotent) }]);
     set.rules.retry_budget = Some(RetryBudget { min_retries: 0.0, ratio: 0.0, window_us: S });
     for outcome in [Outcome::Rejected, Outcome::Error, Outcome::ConnectionLost, Outcome::ConnectFailed] {
-        let mut d = Desk::new(set.clone(), two());
-        d.accept(1, 0);
-        assert_eq!(d.ended(1, 0, outcome), [Action::Reject { id: 1, retry_after_us: 2 * S }]);
-        assert!(d.pass(6 * S).is_empty());
+        let mut driver = PolicyDriver::new(set.clone(), two());
+        driver.submit(1, 0);
+        assert_eq!(driver.end_attempt(1, 0, outcome), [Action::Reject { id: 1, retry_after_us: 2 * S }]);
+        assert!(driver.advance(6 * S).is_empty());
     }
 }
 
 /// Found on donau-slots: the workers fetched for two attempts in three and the store was full.
 #[test]
 fn dispatchers_send_a_key_to_the_same_worker_where_a_fetch_is_charged_for() {
-    let set = Settings { origin_fetch_price: 0.15, ..settings(vec![class(Idempotency::Idempotent)]) };
+    let set = Settings {
+        origin_fetch_price: 0.15,
+        ..policy_settings(vec![class_settings(Idempotency::Idempotent)])
+    };
     let first = |seed, key| {
         let mut policy = dispatch_policy::Policy::new(set.clone(), seed, S).unwrap();
         let mut out = Vec::new();
         policy.handle(S, &Event::EndpointList(many(20, |_| 0)), &mut out);
         policy.handle(S, &Event::RequestReceived(ask(1, key)), &mut out);
         (1..15).for_each(|i| policy.handle(S + i * 20 * MS, &Event::TimerExpired, &mut out));
-        sent(&out, 1).expect("sent within its slack")
+        sent_to(&out, 1).expect("sent within its slack")
     };
     for key in 1..6 {
         let used: std::collections::BTreeSet<WorkerId> = (0..10).map(|seed| first(seed, key)).collect();
@@ -737,51 +791,54 @@
 /// Found on donau-slots: workers turned one class away and had room for others.
 #[test]
 fn a_class_turned_away_pauses_alone_where_others_find_room() {
-    let classes = vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)];
-    let mut d = Desk::new(Settings { max_attempts: 1, ..settings(classes) }, vec![worker(1, 0, 0)]);
+    let classes = vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::Idempotent)];
+    let mut driver = PolicyDriver::new(
+        Settings { max_attempts: 1, ..policy_settings(classes) },
+        vec![ready_endpoint(1, 0, 0)],
+    );
     let (mut id, mut turned) = (0, 0);
     for _ in 0..12 {
         id += 1;
-        let to = sent(&run(&mut d, Request { class: 1, ..ask(id, 0) }, Outcome::Rejected), id);
+        let to = sent_to(&run(&mut driver, Request { class: 1, ..ask(id, 0) }, Outcome::Rejected), id);
         turned += usize::from(to.is_some());
-        d.pass(S);
+        driver.advance(S);
         for _ in 0..4 {
             id += 1;
-            assert!(sent(&d.tell(Event::RequestReceived(ask(id, 0))), id).is_some());
-            d.tell(Event::Started { id, attempt: 0 });
-            d.pass(100 * MS);
-            d.ended(id, 0, Outcome::Success);
+            assert!(sent_to(&driver.handle(Event::RequestReceived(ask(id, 0))), id).is_some());
+            driver.handle(Event::Started { id, attempt: 0 });
+            driver.advance(100 * MS);
+            driver.end_attempt(id, 0, Outcome::Success);
         }
     }
     id += 1;
-    run(&mut d, Request { class: 1, ..ask(id, 0) }, Outcome::Rejected);
+    run(&mut driver, Request { class: 1, ..ask(id, 0) }, Outcome::Rejected);
     id += 1;
-    let late = d.tell(Event::RequestReceived(Request { class: 1, ..ask(id, 0) }));
-    assert_eq!(sent(&late, id), None, "the class waits ({turned} were turned away)");
+    let late = driver.handle(Event::RequestReceived(Request { class: 1, ..ask(id, 0) }));
+    assert_eq!(sent_to(&late, id), None, "the class waits ({turned} were turned away)");
     id += 1;
-    assert!(sent(&d.tell(Event::RequestReceived(ask(id, 0))), id).is_some(), "the other goes on");
+    assert!(sent_to(&driver.handle(Event::RequestReceived(ask(id, 0))), id).is_some(), "the other goes on");
 }
 
 /// Found on lahore-main: reports repeated what was jobs ago, and jobs waited for probes.
 #[test]
 fn workers_whose_reports_only_repeat_themselves_are_not_asked() {
-    let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
     (set.reports_start, set.can_probe, set.reports_free_slots) = (false, true, true);
-    let mut d = Desk::new(set, vec![worker(1, 0, 0)]);
+    let mut driver = PolicyDriver::new(set, vec![ready_endpoint(1, 0, 0)]);
     let report = Some(LoadReport { free_slots: Some(3.25), ..LoadReport::default() });
     let mut asked = 0;
     for id in 0..40 {
-        let mut out = d.tell(Event::RequestReceived(ask(2 * id, 0)));
+        let mut out = driver.handle(Event::RequestReceived(ask(2 * id, 0)));
         let probes = out.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
         asked += usize::from(id >= 30) * probes;
         for _ in 0..probes {
-            out.extend(d.tell(Event::ProbeEnded { worker: WorkerId(1), responded: true, report }));
+            out.extend(driver.handle(Event::ProbeEnded { worker: WorkerId(1), responded: true, report }));
         }
-        d.tell(Event::RequestReceived(ask(2 * id + 1, 0)));
-        d.pass(20 * MS);
+        driver.handle(Event::RequestReceived(ask(2 * id + 1, 0)));
+        driver.advance(20 * MS);
         for id in [2 * id, 2 * id + 1] {
             let (outcome, last) = (Outcome::Success, true);
-            d.tell(Event::AttemptEnded(AttemptEnd {
+            driver.handle(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: 0,
                 outcome,
@@ -790,7 +847,7 @@
                 report,
             }));
         }
-        d.pass(100 * MS);
+        driver.advance(100 * MS);
     }
     assert_eq!(asked, 0);
 }
@@ -798,15 +855,15 @@
 /// Found on donau-slots: clients' repeats took the share of first tries.
 #[test]
 fn a_repeat_known_by_its_shorter_wait_goes_after_first_tries() {
-    let mut set = settings(vec![class(Idempotency::Idempotent)]);
+    let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
     set.unmarked_retries = true;
     set.tenants = vec![TenantSettings { quota_per_s: 1.0, share: 1.0 }];
-    let mut d = Desk::new(set, vec![]);
-    d.accept(1, 0);
-    d.pass(780 * MS);
-    d.tell(Event::RequestReceived(Request { time_left_us: 5 * S - 40 * MS, ..ask(2, 0) }));
-    d.tell(Event::RequestReceived(ask(3, 0)));
-    let out = d.tell(Event::EndpointList(vec![worker(1, 0, 0)]));
+    let mut driver = PolicyDriver::new(set, vec![]);
+    driver.submit(1, 0);
+    driver.advance(780 * MS);
+    driver.handle(Event::RequestReceived(Request { time_left_us: 5 * S - 40 * MS, ..ask(2, 0) }));
+    driver.handle(Event::RequestReceived(ask(3, 0)));
+    let out = driver.handle(Event::EndpointList(vec![ready_endpoint(1, 0, 0)]));
     let order: Vec<RequestId> = out
         .iter()
         .filter_map(|a| match a {
@@ -821,57 +878,63 @@
 /// those that come after have the new ones.
 #[test]
 fn open_jobs_keep_their_attempts_and_rules_when_settings_change() {
-    let old = settings(vec![class(Idempotency::Idempotent)]);
-    let mut d = Desk::new(old.clone(), two());
-    assert!(sent(&d.accept(1, 0), 1).is_some());
+    let old = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
+    let mut driver = PolicyDriver::new(old.clone(), two());
+    assert!(sent_to(&driver.submit(1, 0), 1).is_some());
     let new = Settings {
-        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)],
+        classes: vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::NotIdempotent)],
         retired_classes: vec![0],
         max_attempts: 1,
         ..old.clone()
     };
-    d.tell(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
-    assert!(sent(&d.accept(2, 1), 2).is_some());
-    assert_eq!(d.ended(2, 0, Outcome::Error), [Action::Fail { id: 2 }], "unsafe");
-    let mut actions = d.ended(1, 0, Outcome::Rejected);
-    actions.extend(d.pass(S));
-    assert!(sent(&actions, 1).is_some(), "it has attempts left: {actions:?}");
-    let mut actions = d.accept(3, 1);
-    actions.extend(d.pass(S));
-    assert!(sent(&actions, 3).is_some());
-    let turned_away = d.ended(3, 0, Outcome::Rejected);
-    assert!(refused(&turned_away, 3), "one attempt: {turned_away:?}");
+    driver.handle(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
+    assert!(sent_to(&driver.submit(2, 1), 2).is_some());
+    assert_eq!(driver.end_attempt(2, 0, Outcome::Error), [Action::Fail { id: 2 }], "unsafe");
+    let mut actions = driver.end_attempt(1, 0, Outcome::Rejected);
+    actions.extend(driver.advance(S));
+    assert!(sent_to(&actions, 1).is_some(), "it has attempts left: {actions:?}");
+    let mut actions = driver.submit(3, 1);
+    actions.extend(driver.advance(S));
+    assert!(sent_to(&actions, 3).is_some());
+    let turned_away = driver.end_attempt(3, 0, Outcome::Rejected);
+    assert!(is_shed(&turned_away, 3), "one attempt: {turned_away:?}");
     // Settings that take numbers away would change what open jobs mean: they are passed over.
-    d.tell(Event::SettingsChanged { settings: Box::new(old), inherits_from: vec![None] });
-    d.tell(Event::EndpointChanges(vec![worker(3, 0, 0)]));
-    assert!(sent(&d.accept(4, 1), 4).is_some());
-    assert_eq!(d.ended(4, 0, Outcome::Error), [Action::Fail { id: 4 }], "unsafe still");
+    driver.handle(Event::SettingsChanged { settings: Box::new(old), inherits_from: vec![None] });
+    driver.handle(Event::EndpointChanges(vec![ready_endpoint(3, 0, 0)]));
+    assert!(sent_to(&driver.submit(4, 1), 4).is_some());
+    assert_eq!(driver.end_attempt(4, 0, Outcome::Error), [Action::Fail { id: 4 }], "unsafe still");
 }
 
 /// Guards what was learned: new settings leave the workers' state as it was, and a class that goes on under other
 /// rules its run times.
 #[test]
 fn what_was_learned_stays_when_settings_change() {
-    let keyed = settings(vec![class(Idempotency::WithKey(KeyScope::Fleet))]);
-    let mut d = Desk::new(keyed.clone(), vec![worker(1, 0, 0)]);
-    assert!(sent(&d.accept(1, 0), 1).is_some());
-    d.ended(1, 0, Outcome::ConnectFailed); // the worker is in doubt now
-    let classes =
-        vec![class(Idempotency::WithKey(KeyScope::Fleet)), class(Idempotency::WithKey(KeyScope::Zone))];
+    let keyed = policy_settings(vec![class_settings(Idempotency::WithKey(KeyScope::Fleet))]);
+    let mut driver = PolicyDriver::new(keyed.clone(), vec![ready_endpoint(1, 0, 0)]);
+    assert!(sent_to(&driver.submit(1, 0), 1).is_some());
+    driver.end_attempt(1, 0, Outcome::ConnectFailed); // the worker is in doubt now
+    let classes = vec![
+        class_settings(Idempotency::WithKey(KeyScope::Fleet)),
+        class_settings(Idempotency::WithKey(KeyScope::Zone)),
+    ];
     let new = Settings { classes, retired_classes: vec![0], ..keyed };
-    let told = d.tell(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
-    assert!(told.is_empty() && sent(&d.accept(2, 1), 2).is_none(), "it is in doubt still: {told:?}");
+    let actions =
+        driver.handle(Event::SettingsChanged { settings: Box::new(new), inherits_from: vec![None, Some(0)] });
+    assert!(
+        actions.is_empty() && sent_to(&driver.submit(2, 1), 2).is_none(),
+        "it is in doubt still: {actions:?}"
+    );
 }
 
 /// Guards jobs that come from another process while they run: they hold their place, have the rules of their class
 /// and one outcome, and a worker that no list names gets nothing new.
 #[test]
 fn a_job_that_another_process_sent_goes_on_here() {
-    let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)];
-    let mut d = Desk::new(settings(classes), vec![worker(1, 0, 0)]);
-    let adopt = |d: &mut Desk, id, class, at| {
+    let classes = vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::NotIdempotent)];
+    let mut driver = PolicyDriver::new(policy_settings(classes), vec![ready_endpoint(1, 0, 0)]);
+    let adopt = |driver: &mut PolicyDriver, id, class, at| {
         let request = Request { id, class, time_left_us: 4 * S, ..Request::default() };
-        d.tell(Event::RequestAdopted {
+        driver.handle(Event::RequestAdopted {
             request,
             worker: WorkerId(at),
             since_sent_us: S,
@@ -879,35 +942,43 @@
         })
     };
     for id in 1..3 {
-        assert!(adopt(&mut d, id, 1, 1).is_empty());
+        assert!(adopt(&mut driver, id, 1, 1).is_empty());
     }
-    assert!(sent(&d.accept(3, 0), 3).is_none(), "its cap is two");
-    assert!(sent(&d.ended(1, 0, Outcome::Success), 3).is_some());
-    assert_eq!(d.ended(2, 0, Outcome::ConnectionLost), [Action::Fail { id: 2 }], "unsafe");
-    assert!(adopt(&mut d, 4, 0, 9).is_empty());
-    let mut actions = d.ended(4, 0, Outcome::Rejected);
-    actions.extend(d.pass(S));
+    assert!(sent_to(&driver.submit(3, 0), 3).is_none(), "its cap is two");
+    assert!(sent_to(&driver.end_attempt(1, 0, Outcome::Success), 3).is_some());
+    assert_eq!(driver.end_attempt(2, 0, Outcome::ConnectionLost), [Action::Fail { id: 2 }], "unsafe");
+    assert!(adopt(&mut driver, 4, 0, 9).is_empty());
+    let mut actions = driver.end_attempt(4, 0, Outcome::Rejected);
+    actions.extend(driver.advance(S));
     assert!(actions.iter().all(|a| !matches!(a, Action::Send { worker: WorkerId(9), .. })));
-    assert!(d.pass(5 * S).iter().all(|a| !matches!(a, Action::Reject { id: 2, .. })));
+    assert!(driver.advance(5 * S).iter().all(|a| !matches!(a, Action::Reject { id: 2, .. })));
 }
 
 /// A fleet so large that what one dispatcher sees of a worker tells little; two kinds, of sizes 6 and 2.
 fn vast(classes: Vec<ClassSettings>) -> (Settings, Vec<Endpoint>) {
-    let of = |i: u64, kind: u8, scale: f64| Endpoint { kind, weight: scale, ..worker(i, 0, 0) };
+    let of = |i: u64, kind: u8, scale: f64| Endpoint { kind, weight: scale, ..ready_endpoint(i, 0, 0) };
     // Both kinds are seen idle, with one request and with two: five cores of speed 1.2, two of speed 1.
     let seen = [(0, 6.0), (0, 5.0), (0, 6.0 / 1.4), (1, 2.0), (1, 2.0 / 1.5), (1, 1.0)];
     let list = seen.iter().enumerate().map(|(i, (kind, scale))| of(i as u64 + 1, *kind, *scale)).collect();
-    (Settings { live_weights: true, dispatchers: 100, worst_class_weight: 0.3, ..settings(classes) }, list)
+    (
+        Settings {
+            live_weights: true,
+            dispatchers: 100,
+            worst_class_weight: 0.3,
+            ..policy_settings(classes)
+        },
+        list,
+    )
 }
 
 /// Guards against a fleet whose nodes, each alone, use all workers alike: the small ones are flooded.
 #[test]
 fn many_dispatchers_send_by_what_the_list_tells_is_free() {
-    let (settings, list) = vast(vec![class(Idempotency::Idempotent)]);
-    let mut d = Desk::new(settings, list);
+    let (settings, list) = vast(vec![class_settings(Idempotency::Idempotent)]);
+    let mut driver = PolicyDriver::new(settings, list);
     let mut got = [0; 7];
     for id in 1..=600 {
-        let Some(WorkerId(w)) = d.serve(id, 0) else { continue };
+        let Some(WorkerId(w)) = driver.serve(id, 0) else { continue };
         got[w as usize] += 1;
     }
     assert!(got[1] > got[2] && got[2] > got[3], "{got:?}: the fuller, the fewer");
@@ -920,40 +991,42 @@
 /// taken waits for as long as it can be in time, and its worker is not held to be silent.
 #[test]
 fn a_job_queued_in_a_large_fleet_waits_until_it_is_late() {
-    let (settings, list) = vast(vec![class(Idempotency::Idempotent)]);
+    let (settings, list) = vast(vec![class_settings(Idempotency::Idempotent)]);
     // One that drains tells what a request more makes; the other holds five requests on its five cores.
     let drains = Endpoint { availability: Availability::Draining, ..list[1].clone() };
     let full = vec![list[0].clone(), drains, Endpoint { weight: 3.0, ..list[0].clone() }];
-    let mut d = Desk::new(Settings { acknowledges: true, ..settings }, full);
+    let mut driver = PolicyDriver::new(Settings { acknowledges: true, ..settings }, full);
     let ask = |id| Request { id, class: 0, time_left_us: 5 * S, work_hint_us: Some(S), ..Request::default() };
-    assert_eq!(sent(&d.tell(Event::RequestReceived(ask(1))), 1), Some(WorkerId(1)));
-    assert!(d.tell(Event::Acknowledged { id: 1, attempt: 0 }).is_empty());
+    assert_eq!(sent_to(&driver.handle(Event::RequestReceived(ask(1))), 1), Some(WorkerId(1)));
+    assert!(driver.handle(Event::Acknowledged { id: 1, attempt: 0 }).is_empty());
     // It may start 0.2 s + (2 - 1 / 1.2) s after it came.
-    assert!(d.pass(1300 * MS).is_empty());
-    assert_eq!(d.pass(300 * MS), [Action::Cancel { id: 1, attempt: 0 }]);
-    assert!(refused(&d.ended(1, 0, Outcome::Cancelled), 1));
-    assert_eq!(sent(&d.accept(2, 0), 2), Some(WorkerId(1)), "the worker is trusted");
+    assert!(driver.advance(1300 * MS).is_empty());
+    assert_eq!(driver.advance(300 * MS), [Action::Cancel { id: 1, attempt: 0 }]);
+    assert!(is_shed(&driver.end_attempt(1, 0, Outcome::Cancelled), 1));
+    assert_eq!(sent_to(&driver.submit(2, 0), 2), Some(WorkerId(1)), "the worker is trusted");
 }
 
 /// Guards the class that is served worst: the better served one leaves it the workers that are full.
 #[test]
 fn the_better_served_class_waits_for_room_in_a_large_fleet() {
-    let (settings, list) = vast(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
+    let (settings, list) =
+        vast(vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::Idempotent)]);
     let full: Vec<Endpoint> =
         list.iter().map(|e| Endpoint { weight: e.weight.min(0.5), ..e.clone() }).collect();
     let run = |lost: bool, weight: f64| {
-        let mut d = Desk::new(Settings { worst_class_weight: weight, ..settings.clone() }, list.clone());
+        let mut driver =
+            PolicyDriver::new(Settings { worst_class_weight: weight, ..settings.clone() }, list.clone());
         if lost {
-            d.tell(Event::EndpointList(full.clone()));
+            driver.handle(Event::EndpointList(full.clone()));
             // The second class's job waits too long at its worker, several times.
             for id in 1..=5 {
-                d.accept(id, 1);
-                d.pass(600 * MS);
-                d.ended(id, 0, Outcome::Cancelled);
+                driver.submit(id, 1);
+                driver.advance(600 * MS);
+                driver.end_attempt(id, 0, Outcome::Cancelled);
             }
         }
-        d.tell(Event::EndpointList(full.clone()));
-        (sent(&d.accept(11, 0), 11).is_some(), sent(&d.accept(12, 1), 12).is_some())
+        driver.handle(Event::EndpointList(full.clone()));
+        (sent_to(&driver.submit(11, 0), 11).is_some(), sent_to(&driver.submit(12, 1), 12).is_some())
     };
     assert_eq!(run(false, 0.3), (true, true));
     assert_eq!(run(true, 0.3), (false, true));
@@ -964,27 +1037,27 @@
 /// tells: all dispatchers' parts together stay within what it can surely do.
 #[test]
 fn a_cold_worker_gets_a_part_of_what_it_can_do_from_all_dispatchers_together() {
-    let sent = |dispatchers: u32, max_senders: u32| {
-        let (settings, mut list) = vast(vec![class(Idempotency::Idempotent)]);
+    let total_sent = |dispatchers: u32, max_senders: u32| {
+        let (settings, mut list) = vast(vec![class_settings(Idempotency::Idempotent)]);
         let settings = Settings { dispatchers, max_senders, ..settings };
         let mut all = 0;
         for ordinal in 0..100 {
             let settings = Settings { ordinal, ..settings.clone() };
-            let mut d = Desk::new(settings.clone(), vec![]);
-            d.policy = dispatch_policy::Policy::new(settings, u64::from(ordinal), S).unwrap();
+            let mut driver = PolicyDriver::new(settings.clone(), vec![]);
+            driver.policy = dispatch_policy::Policy::new(settings, u64::from(ordinal), S).unwrap();
             list.iter_mut().for_each(|e| e.started_at = S);
-            d.tell(Event::EndpointList(list.clone()));
+            driver.handle(Event::EndpointList(list.clone()));
             // Jobs of 1 s come so often that no credit stays unused; the first may start after some seconds.
             for id in 1..=60 {
                 let time_left_us = 5 * S;
                 let ask = Request { id, class: 0, time_left_us, work_hint_us: Some(S), ..Request::default() };
-                let mut out = d.tell(Event::RequestReceived(ask));
-                out.extend(d.pass(100 * MS));
+                let mut out = driver.handle(Event::RequestReceived(ask));
+                out.extend(driver.advance(100 * MS));
                 for action in out {
                     let Action::Send { id, .. } = action else { continue };
                     all += 1;
-                    d.tell(Event::Started { id, attempt: 0 });
-                    d.ended(id, 0, Outcome::Success);
+                    driver.handle(Event::Started { id, attempt: 0 });
+                    driver.end_attempt(id, 0, Outcome::Success);
                 }
             }
         }
@@ -994,10 +1067,10 @@
     let sure = 24.0 * 0.32 * 6.0;
     // Half of them are held dead by the other half and may only be cut off: what is left to each stays the same.
     for (dispatchers, most) in [(100, 0), (50, 100)] {
-        let all = sent(dispatchers, most);
+        let all = total_sent(dispatchers, most);
         assert!(all > 0.9 * sure && all < 2.0 * sure, "{dispatchers}, {most}: {all} of {sure}");
     }
-    assert!(sent(50, 0) > 1.5 * sent(50, 100), "each of a smaller fleet may send more");
+    assert!(total_sent(50, 0) > 1.5 * total_sent(50, 100), "each of a smaller fleet may send more");
 }
 
 /// Guards against trials that are few at each node and many together: a doubted worker's next one comes the later
@@ -1005,25 +1078,26 @@
 #[test]
 fn the_more_dispatchers_the_fewer_trials_each_makes() {
     let trials_of = |dispatchers: u32, seed: u64| {
-        let (settings, list) = vast(vec![class(Idempotency::Idempotent)]);
+        let (settings, list) = vast(vec![class_settings(Idempotency::Idempotent)]);
         let settings = Settings { dispatchers, ..settings };
-        let mut d = Desk::new(settings.clone(), vec![]);
-        d.policy = dispatch_policy::Policy::new(settings, seed, S).unwrap();
-        d.tell(Event::EndpointList(list));
+        let mut driver = PolicyDriver::new(settings.clone(), vec![]);
+        driver.policy = dispatch_policy::Policy::new(settings, seed, S).unwrap();
+        driver.handle(Event::EndpointList(list));
         let (mut id, mut count) = (0, 0);
-        while d.now < 200 * S {
+        while driver.now < 200 * S {
             id += 1;
-            let Some(w) = sent(&d.accept(id, 0), id) else { continue };
+            let Some(w) = sent_to(&driver.submit(id, 0), id) else { continue };
             let mut attempt = 0;
             if w == WorkerId(1) {
                 count += 1;
-                let again = [d.ended(id, 0, Outcome::ConnectFailed), d.pass(25 * MS)].concat();
-                assert!(sent(&again, id).is_some_and(|w| w != WorkerId(1)));
+                let again =
+                    [driver.end_attempt(id, 0, Outcome::ConnectFailed), driver.advance(25 * MS)].concat();
+                assert!(sent_to(&again, id).is_some_and(|w| w != WorkerId(1)));
                 attempt = 1;
             }
-            d.tell(Event::Started { id, attempt });
-            d.ended(id, attempt, Outcome::Success);
-            d.pass(75 * MS);
+            driver.handle(Event::Started { id, attempt });
+            driver.end_attempt(id, attempt, Outcome::Success);
+            driver.advance(75 * MS);
         }
         count
     };
@@ -1036,7 +1110,7 @@
 /// warm one, and likelier than a full one.
 #[test]
 fn a_cold_worker_with_a_slot_is_drawn_by_its_size() {
-    let (settings, mut list) = vast(vec![class(Idempotency::Idempotent)]);
+    let (settings, mut list) = vast(vec![class_settings(Idempotency::Idempotent)]);
     list.truncate(3);
     // The first is cold and idle; two others of its kind hold five requests on five cores.
     list[0].started_at = S;
@@ -1045,12 +1119,12 @@
     let (mut first, mut others) = (0, 0);
     for node in 0..1000 {
         let settings = Settings { ordinal: node % 100, ..settings.clone() };
-        let mut d = Desk::new(settings.clone(), vec![]);
-        d.policy = dispatch_policy::Policy::new(settings, u64::from(node), S).unwrap();
-        d.tell(Event::EndpointList(vec![Endpoint { weight: 5.0, started_at: 0, ..list[0].clone() }]));
-        d.tell(Event::EndpointList(list.clone()));
-        d.now = 4 * S + Micros::from(node / 100) * S;
-        match sent(&d.accept(1, 0), 1) {
+        let mut driver = PolicyDriver::new(settings.clone(), vec![]);
+        driver.policy = dispatch_policy::Policy::new(settings, u64::from(node), S).unwrap();
+        driver.handle(Event::EndpointList(vec![Endpoint { weight: 5.0, started_at: 0, ..list[0].clone() }]));
+        driver.handle(Event::EndpointList(list.clone()));
+        driver.now = 4 * S + Micros::from(node / 100) * S;
+        match sent_to(&driver.submit(1, 0), 1) {
             Some(WorkerId(1)) => first += 1,
             Some(_) => others += 1,
             None => {}
@@ -1067,25 +1141,25 @@
 #[test]
 fn a_job_that_does_not_start_where_the_list_tells_of_room_goes_elsewhere() {
     let (settings, mut list) =
-        vast(vec![ClassSettings { objective_per_work: 8.0, ..class(Idempotency::Idempotent) }]);
+        vast(vec![ClassSettings { objective_per_work: 8.0, ..class_settings(Idempotency::Idempotent) }]);
     list.truncate(2);
-    let mut d = Desk::new(Settings { acknowledges: true, ..settings }, list);
+    let mut driver = PolicyDriver::new(Settings { acknowledges: true, ..settings }, list);
     let ask = Request { id: 1, class: 0, time_left_us: 5 * S, work_hint_us: Some(S), ..Request::default() };
-    let first = sent(&d.tell(Event::RequestReceived(ask)), 1).unwrap();
-    d.tell(Event::Acknowledged { id: 1, attempt: 0 });
+    let first = sent_to(&driver.handle(Event::RequestReceived(ask)), 1).unwrap();
+    driver.handle(Event::Acknowledged { id: 1, attempt: 0 });
     // It could be in time for seconds; a usual time, 0.2 s, without a start is enough.
-    assert_eq!(d.pass(300 * MS), [Action::Cancel { id: 1, attempt: 0 }]);
-    let second = sent(&d.ended(1, 0, Outcome::Cancelled), 1).unwrap();
+    assert_eq!(driver.advance(300 * MS), [Action::Cancel { id: 1, attempt: 0 }]);
+    let second = sent_to(&driver.end_attempt(1, 0, Outcome::Cancelled), 1).unwrap();
     assert_ne!(first, second);
 }
 
 /// Guards the price of crossing zones: by lot alone, most jobs of a node would cross, for most workers are far.
 #[test]
 fn few_jobs_cross_zones_where_the_near_workers_have_room() {
-    let (settings, _) = vast(vec![class(Idempotency::Idempotent)]);
-    let list = (1..=40).map(|i| Endpoint { weight: 6.0, ..worker(i, u8::from(i > 10), 0) }).collect();
-    let mut d = Desk::new(Settings { cross_zone_price: 0.03, ..settings }, list);
-    let far = (1..=400).filter_map(|id| d.serve(id, 0)).filter(|w| w.0 > 10).count();
+    let (settings, _) = vast(vec![class_settings(Idempotency::Idempotent)]);
+    let list = (1..=40).map(|i| Endpoint { weight: 6.0, ..ready_endpoint(i, u8::from(i > 10), 0) }).collect();
+    let mut driver = PolicyDriver::new(Settings { cross_zone_price: 0.03, ..settings }, list);
+    let far = (1..=400).filter_map(|id| driver.serve(id, 0)).filter(|w| w.0 > 10).count();
     assert!((20..140).contains(&far), "{far} of 400 cross zones");
 }
 
@@ -1093,19 +1167,19 @@
 #[test]
 fn jobs_turned_away_leave_half_of_the_ration_to_jobs_that_were_lost() {
     let further = |outcome: Outcome| {
-        let mut set = settings(vec![class(Idempotency::Idempotent)]);
+        let mut set = policy_settings(vec![class_settings(Idempotency::Idempotent)]);
         set.rules.retry_budget = Some(RetryBudget { min_retries: 8.0, ratio: 0.0, window_us: 1000 * S });
-        let mut desk = Desk::new(set, many(30, |_| 0));
+        let mut driver = PolicyDriver::new(set, many(30, |_| 0));
         let mut attempts = 0;
         for id in 0..30 {
-            if sent(&desk.accept(id, 0), id).is_none() {
+            if sent_to(&driver.submit(id, 0), id).is_none() {
                 continue;
             }
-            desk.tell(Event::Started { id, attempt: 0 });
-            let again = [desk.ended(id, 0, outcome), desk.pass(25 * MS)].concat();
-            attempts += u32::from(sent(&again, id).is_some());
-            desk.tell(Event::Started { id, attempt: 1 });
-            desk.ended(id, 1, Outcome::Success);
+            driver.handle(Event::Started { id, attempt: 0 });
+            let again = [driver.end_attempt(id, 0, outcome), driver.advance(25 * MS)].concat();
+            attempts += u32::from(sent_to(&again, id).is_some());
+            driver.handle(Event::Started { id, attempt: 1 });
+            driver.end_attempt(id, 1, Outcome::Success);
         }
         attempts
     };
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,20 +1,23 @@
-//! Long random but legal event orders over widely differing settings; the four rules are checked on the
-//! actions. Seeds are fixed.
+//! Long random but legal event sequences with random settings and fixed seeds. The harness checks
+//! every action.
 
 mod common;
-use common::property_harness::World;
+use common::property_harness::PropertyHarness;
 use common::*;
 
 #[test]
-fn the_rules_hold_in_any_legal_order() {
+fn actions_follow_the_rules_in_any_legal_event_sequence() {
     for seed in 0..60 {
-        let mut world = World::new(seed);
+        let mut harness = PropertyHarness::new(seed);
         for _ in 0..1500 {
-            world.act();
-            let span = world.rng.below(20) * MS;
-            world.pass(span);
+            harness.random_step();
+            let duration = harness.rng.below(20) * MS;
+            harness.advance(duration);
         }
-        world.pass(30 * S);
-        assert!(world.jobs.values().all(|j| j.over), "seed {seed}: a request without an answer");
+        harness.advance(30 * S);
+        assert!(
+            harness.requests.values().all(|request| request.answered),
+            "seed {seed}: a request has no final answer"
+        );
     }
 }
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, settings, worker, Desk, MS, S};
+use common::{class_settings, policy_settings, ready_endpoint, PolicyDriver, MS, S};
 use dispatch_policy::api::*;
 
 const HOUR: Micros = 3_600 * S;
@@ -11,35 +11,35 @@
 
 fn cold_settings() -> Settings {
     let tenants = vec![TenantSettings { quota_per_s: 40.0, share: 1.0 }];
-    Settings { tenants, ..settings(vec![class(Idempotency::Idempotent)]) }
+    Settings { tenants, ..policy_settings(vec![class_settings(Idempotency::Idempotent)]) }
 }
 
 /// A dispatcher whose clock is off by so much, and which has had two lists of a warm worker.
-fn desk(ahead: i64) -> Desk {
-    let mut desk = Desk::new(cold_settings(), vec![worker(1, 0, 0)]);
-    desk.now = NOW.checked_add_signed(ahead).expect("within the range of times");
+fn driver(ahead: i64) -> PolicyDriver {
+    let mut driver = PolicyDriver::new(cold_settings(), vec![ready_endpoint(1, 0, 0)]);
+    driver.now = NOW.checked_add_signed(ahead).expect("within the range of times");
     for _ in 0..3 {
-        desk.pass(S);
-        desk.tell(Event::EndpointChanges(vec![]));
+        driver.advance(S);
+        driver.handle(Event::EndpointChanges(vec![]));
     }
-    desk
+    driver
 }
 
 /// The list's change that puts this worker into the first one's place.
 fn successor(since: Micros) -> Event {
-    let first = Endpoint { availability: Availability::Draining, ..worker(1, 0, 0) };
-    Event::EndpointChanges(vec![first, Endpoint { started_at: since, ..worker(2, 0, 0) }])
+    let first = Endpoint { availability: Availability::Draining, ..ready_endpoint(1, 0, 0) };
+    Event::EndpointChanges(vec![first, Endpoint { started_at: since, ..ready_endpoint(2, 0, 0) }])
 }
 
 /// How many jobs go out of 80 that are offered within two seconds.
-fn jobs_sent(desk: &mut Desk, first: RequestId) -> usize {
+fn jobs_sent(driver: &mut PolicyDriver, first: RequestId) -> usize {
     let mut count = 0;
     for id in first..first + 80 {
-        for action in desk.accept(id, 0) {
+        for action in driver.submit(id, 0) {
             let Action::Send { id, .. } = action else { continue };
             count += 1;
-            desk.tell(Event::Started { id, attempt: 0 });
-            desk.ended(id, 0, Outcome::Success);
+            driver.handle(Event::Started { id, attempt: 0 });
+            driver.end_attempt(id, 0, Outcome::Success);
         }
     }
     count
@@ -49,10 +49,10 @@
 #[test]
 fn a_worker_that_is_new_in_the_list_is_cold_whatever_the_clock_says() {
     let cold = |ahead: i64| {
-        let mut desk = desk(ahead);
-        let started = desk.now.checked_add_signed(-ahead).expect("within the range of times") - S;
-        desk.tell(successor(started));
-        jobs_sent(&mut desk, 1)
+        let mut driver = driver(ahead);
+        let started = driver.now.checked_add_signed(-ahead).expect("within the range of times") - S;
+        driver.handle(successor(started));
+        jobs_sent(&mut driver, 1)
     };
     let (right, ahead) = (cold(0), cold(HOUR as i64));
     assert!(right > 0, "it is used");
@@ -64,14 +64,14 @@
 #[test]
 fn a_worker_is_warm_in_its_time_where_the_clock_is_behind() {
     let warm = |ahead: i64| {
-        let mut desk = desk(ahead);
-        let started = desk.now.checked_add_signed(-ahead).expect("within the range of times") - S;
-        desk.tell(successor(started));
+        let mut driver = driver(ahead);
+        let started = driver.now.checked_add_signed(-ahead).expect("within the range of times") - S;
+        driver.handle(successor(started));
         for _ in 0..25 {
-            desk.pass(S);
-            desk.tell(Event::EndpointChanges(vec![]));
+            driver.advance(S);
+            driver.handle(Event::EndpointChanges(vec![]));
         }
-        jobs_sent(&mut desk, 1)
+        jobs_sent(&mut driver, 1)
     };
     let (right, behind) = (warm(0), warm(-(HOUR as i64)));
     assert!(right >= 70, "{right} jobs with the right clock");
@@ -83,14 +83,14 @@
 #[test]
 fn a_worker_that_was_there_before_is_as_old_as_its_list_says() {
     // The list that was known is old: what the first answer adds is no news.
-    let mut desk = Desk::new(cold_settings(), vec![worker(1, 0, 0)]);
-    desk.now = NOW;
-    desk.pass(MS);
-    desk.tell(successor(NOW - 60 * S));
-    assert!(jobs_sent(&mut desk, 1) >= 70);
+    let mut driver = PolicyDriver::new(cold_settings(), vec![ready_endpoint(1, 0, 0)]);
+    driver.now = NOW;
+    driver.advance(MS);
+    driver.handle(successor(NOW - 60 * S));
+    assert!(jobs_sent(&mut driver, 1) >= 70);
     // Discovery was away for a minute.
-    let mut desk = self::desk(0);
-    desk.pass(60 * S);
-    desk.tell(successor(desk.now - 55 * S));
-    assert!(jobs_sent(&mut desk, 1) >= 70);
+    let mut driver = self::driver(0);
+    driver.advance(60 * S);
+    driver.handle(successor(driver.now - 55 * S));
+    assert!(jobs_sent(&mut driver, 1) >= 70);
 }
