--- a/tests/common/fleet_simulation.rs
+++ b/tests/common/fleet_simulation.rs
@@ -12,7 +12,8 @@
 const LIST_CHANGE_INTERVAL: Micros = 700 * MS;
 /// Interval between worker faults.
 const FAULT_INTERVAL: Micros = 900 * MS;
-/// Requests with this affinity key fail at every worker; those with the next higher key lose their connection.
+/// Requests with this affinity key fail at every worker; those with the next higher key lose their
+/// connection.
 const POISON_KEY: u64 = 5;
 
 /// Parameters of a simulated event stream.
@@ -519,7 +520,8 @@
         self.handle(Event::PeerMessage { from, bytes });
     }
 
-    /// Starts a new membership epoch with one more dispatcher; the first time, a new class also replaces the first.
+    /// Starts a new membership epoch with one more dispatcher. The first time, a class with other rules
+    /// replaces the first one.
     fn change_settings(&mut self) {
         self.schedule_after(4 * S, Step::SettingsChange);
         self.settings.membership_epoch += 1;
--- a/tests/common/property_harness.rs
+++ b/tests/common/property_harness.rs
@@ -1,5 +1,5 @@
-//! Random but legal event sequences. Every action is checked: requests get one final answer and only safe retries,
-//! unavailable workers get no requests, and workers that are warming up are not overloaded.
+//! Random but legal event sequences. Every action is checked: requests get one final answer and only safe
+//! retries, unavailable workers get no requests, and workers that are warming up are not overloaded.
 
 use super::*;
 use dispatch_policy::api::*;
--- a/tests/common/recording.rs
+++ b/tests/common/recording.rs
@@ -52,8 +52,8 @@
     values.iter().for_each(|value| bytes.extend(value.to_be_bytes()));
 }
 
-/// Encodes an action as a code and its values. The codes are defined here only, so that they don't change when
-/// an action is renamed.
+/// Encodes an action as a code and its values. The codes are defined here only, so that they don't change
+/// when an action is renamed.
 pub fn encode(action: &Action, bytes: &mut Vec<u8>) {
     match action {
         Action::Send { id, worker } => append(bytes, &[0, *id, worker.0]),
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -1,9 +1,9 @@
-//! Compares the decisions on fixed event streams with the digests recorded in `golden/decisions.txt`: the same
-//! actions in the same order and with the same values, floats bit by bit.
+//! Compares the decisions on fixed event streams with the digests recorded in `golden/decisions.txt`: the
+//! same actions in the same order and with the same values, floats bit by bit.
 //!
-//! After an intended change of a decision, `GOLDEN_WRITE=1 cargo test --test golden_decisions` records new digests,
-//! and the commit message states what changed. The digests also depend on the platform's math library, which
-//! computes logarithms and exponentials.
+//! After an intended change of a decision, `GOLDEN_WRITE=1 cargo test --test golden_decisions` records new
+//! digests, and the commit message states what changed. The digests also depend on the platform's math
+//! library, which computes logarithms and exponentials.
 
 mod common;
 
@@ -185,7 +185,8 @@
     assert_eq!(golden, all, "the golden file has digests of streams that are not run");
 }
 
-/// Guards against recorded streams that don't cover some kind of action, so that a change to it would not be seen.
+/// Guards against recorded streams that don't cover some kind of action, so that a change to it would not be
+/// seen.
 #[test]
 fn recorded_event_streams_cover_every_kind_of_action() {
     let mut counts = std::collections::BTreeMap::new();
--- a/tests/in_flight_window.rs
+++ b/tests/in_flight_window.rs
@@ -50,7 +50,8 @@
     assert!(!window.has_capacity(1.0));
 }
 
-/// Guards against workers that many dispatchers fill many times over: each one's cap at a worker is a job at least.
+/// Guards against workers that many dispatchers fill many times over: each one's cap at a worker is a job at
+/// least.
 #[test]
 fn one_of_many_dispatchers_has_few_jobs_out_where_no_list_tells_of_load() {
     let jobs_out = |dispatchers: u32, live_weights: bool| {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in emulated time.
+//! The limiter of cold workers, alone: what fleets of dispatchers that share nothing send together, in
+//! emulated time.
 
 use dispatch_policy::api::{Micros, Rules, Settings, TenantSettings, WorkerId};
 use dispatch_policy::slow_start::{capacity_ratio, may_send, FleetCapacity, Sender, SlotUsage, WorkerStart};
@@ -145,8 +146,8 @@
     }
 }
 
-/// Guards against a worker that stands idle: dispatchers that always have a job use most of half of its budget, and as
-/// much of it however many they are.
+/// Guards against a worker that stands idle: dispatchers that always have a job use most of half of its
+/// budget, and as much of it however many they are.
 #[test]
 fn the_budget_is_used_by_one_dispatcher_and_by_a_thousand() {
     let rules = rules();
@@ -159,7 +160,8 @@
     }
 }
 
-/// Guards against credit that is saved up: the first span after a silence gets no more than it does without one.
+/// Guards against credit that is saved up: the first span after a silence gets no more than it does without
+/// one.
 #[test]
 fn a_slot_that_is_not_used_lapses() {
     let first = |sent: &[Micros]| sent.iter().filter(|&&at| (12 * S..15 * S).contains(&at)).count();
@@ -185,8 +187,8 @@
     );
 }
 
-/// Guards against one job that is worth many: it goes to the worker the seldomer the larger it is, and not while it
-/// would be a large part of the budget by itself.
+/// Guards against one job that is worth many: it goes to the worker the seldomer the larger it is, and not
+/// while it would be a large part of the budget by itself.
 #[test]
 fn a_job_of_many_times_the_mean_waits_for_a_warmer_worker() {
     let rules = rules();
@@ -229,8 +231,8 @@
     );
 }
 
-/// Guards against a budget that goes with what was served lately: quotas tell it where there are any, so a fleet that
-/// serves nothing still warms its workers up.
+/// Guards against a budget that goes with what was served lately: quotas tell it where there are any, so a
+/// fleet that serves nothing still warms its workers up.
 #[test]
 fn quotas_tell_what_a_worker_can_do() {
     let fleet = FleetCapacity { served_per_s: 0.0, mean_work_s: 1.0, total_weight: 8.0 };
--- a/tests/source_limits.rs
+++ b/tests/source_limits.rs
@@ -1,4 +1,5 @@
-//! Limits on the text of this package: files that can be read at one sitting, and no container whose order is random.
+//! Limits on the text of this package: files that can be read at one sitting, and no container whose order is
+//! random.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -1,4 +1,5 @@
-//! Workers' starts under a dispatcher's clock that was stepped before it started: what it has seen itself bounds them.
+//! Workers' starts under a dispatcher's clock that was stepped before it started: what it has seen itself
+//! bounds them.
 
 mod common;
 
@@ -59,8 +60,8 @@
     assert!(ahead <= 2 * right, "{ahead} jobs with the clock ahead, {right} with the right one");
 }
 
-/// Guards the service against a clock that is an hour behind: a start that lies ahead of it was at the latest when the
-/// worker was first listed.
+/// Guards the service against a clock that is an hour behind: a start that lies ahead of it was at the latest
+/// when the worker was first listed.
 #[test]
 fn a_worker_is_warm_in_its_time_where_the_clock_is_behind() {
     let warm = |ahead: i64| {
@@ -78,8 +79,8 @@
     assert_eq!(behind, right, "with the clock behind, and with the right one");
 }
 
-/// Guards warm workers against being held for cold: a dispatcher that has just started knows of none when it began to
-/// stand in the list, and a gap between two lists may hide a start.
+/// Guards warm workers against being held for cold: a dispatcher that has just started knows of none when it
+/// began to stand in the list, and a gap between two lists may hide a start.
 #[test]
 fn a_worker_that_was_there_before_is_as_old_as_its_list_says() {
     // The list that was known is old: what the first answer adds is no news.
