--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -1,5 +1,5 @@
-//! Workers' starts under a dispatcher's clock that was stepped before it started: what it has seen itself
-//! bounds them.
+//! Start times of workers at a dispatcher whose clock was stepped before it started: they are bounded by what
+//! it has observed itself.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use dispatch_policy::api::*;
 
 const HOUR: Micros = 3_600 * S;
-/// The time now, as the machines that tell of starts have it.
+/// The current time by the clocks of the machines that report start times.
 const NOW: Micros = 100 * HOUR;
 
 fn cold_settings() -> Settings {
@@ -15,10 +15,10 @@
     Settings { tenants, ..policy_settings(vec![class_settings(Idempotency::Idempotent)]) }
 }
 
-/// A dispatcher whose clock is off by so much, and which has had two lists of a warm worker.
-fn driver(ahead: i64) -> PolicyDriver {
+/// A dispatcher whose clock differs by this offset and which has received several lists with a warm worker.
+fn driver(clock_offset: i64) -> PolicyDriver {
     let mut driver = PolicyDriver::new(cold_settings(), vec![ready_endpoint(1, 0, 0)]);
-    driver.now = NOW.checked_add_signed(ahead).expect("within the range of times");
+    driver.now = NOW.checked_add_signed(clock_offset).expect("within the range of times");
     for _ in 0..3 {
         driver.advance(S);
         driver.handle(Event::EndpointChanges(vec![]));
@@ -26,14 +26,14 @@
     driver
 }
 
-/// The list's change that puts this worker into the first one's place.
-fn successor(since: Micros) -> Event {
-    let first = Endpoint { availability: Availability::Draining, ..ready_endpoint(1, 0, 0) };
-    Event::EndpointChanges(vec![first, Endpoint { started_at: since, ..ready_endpoint(2, 0, 0) }])
+/// A change of the list that replaces the first worker by one with this start time.
+fn replace_first_worker(started_at: Micros) -> Event {
+    let draining = Endpoint { availability: Availability::Draining, ..ready_endpoint(1, 0, 0) };
+    Event::EndpointChanges(vec![draining, Endpoint { started_at, ..ready_endpoint(2, 0, 0) }])
 }
 
-/// How many jobs go out of 80 that are offered within two seconds.
-fn jobs_sent(driver: &mut PolicyDriver, first: RequestId) -> usize {
+/// How many of 80 requests within two seconds are sent.
+fn requests_sent(driver: &mut PolicyDriver, first: RequestId) -> usize {
     let mut count = 0;
     for id in first..first + 80 {
         for action in driver.submit(id, 0) {
@@ -46,52 +46,53 @@
     count
 }
 
-/// Guards a cold worker against a clock that is an hour ahead: it has just begun to stand in the list.
+/// Guards against overload of a cold worker when the clock is an hour ahead: it has only just appeared in the
+/// list.
 #[test]
-fn a_worker_that_is_new_in_the_list_is_cold_whatever_the_clock_says() {
-    let cold = |ahead: i64| {
-        let mut driver = driver(ahead);
-        let started = driver.now.checked_add_signed(-ahead).expect("within the range of times") - S;
-        driver.handle(successor(started));
-        jobs_sent(&mut driver, 1)
+fn a_worker_that_is_new_in_the_list_is_cold_if_the_clock_is_ahead() {
+    let sent_while_cold = |clock_offset: i64| {
+        let mut driver = driver(clock_offset);
+        let started = driver.now.checked_add_signed(-clock_offset).expect("within the range of times") - S;
+        driver.handle(replace_first_worker(started));
+        requests_sent(&mut driver, 1)
     };
-    let (right, ahead) = (cold(0), cold(HOUR as i64));
-    assert!(right > 0, "it is used");
-    assert!(ahead <= 2 * right, "{ahead} jobs with the clock ahead, {right} with the right one");
+    let (correct, ahead) = (sent_while_cold(0), sent_while_cold(HOUR as i64));
+    assert!(correct > 0, "the cold worker is used");
+    assert!(ahead <= 2 * correct, "{ahead} requests with the clock ahead, {correct} with the correct clock");
 }
 
-/// Guards the service against a clock that is an hour behind: a start that lies ahead of it was at the latest
-/// when the worker was first listed.
+/// Guards against an idle worker when the clock is an hour behind: a start time in the future is taken as the
+/// time when the worker was first listed.
 #[test]
-fn a_worker_is_warm_in_its_time_where_the_clock_is_behind() {
-    let warm = |ahead: i64| {
-        let mut driver = driver(ahead);
-        let started = driver.now.checked_add_signed(-ahead).expect("within the range of times") - S;
-        driver.handle(successor(started));
+fn a_worker_warms_up_in_time_if_the_clock_is_behind() {
+    let sent_after_warm_up = |clock_offset: i64| {
+        let mut driver = driver(clock_offset);
+        let started = driver.now.checked_add_signed(-clock_offset).expect("within the range of times") - S;
+        driver.handle(replace_first_worker(started));
         for _ in 0..25 {
             driver.advance(S);
             driver.handle(Event::EndpointChanges(vec![]));
         }
-        jobs_sent(&mut driver, 1)
+        requests_sent(&mut driver, 1)
     };
-    let (right, behind) = (warm(0), warm(-(HOUR as i64)));
-    assert!(right >= 70, "{right} jobs with the right clock");
-    assert_eq!(behind, right, "with the clock behind, and with the right one");
+    let (correct, behind) = (sent_after_warm_up(0), sent_after_warm_up(-(HOUR as i64)));
+    assert!(correct >= 70, "{correct} requests with the correct clock");
+    assert_eq!(behind, correct, "with the clock behind and with the correct clock");
 }
 
-/// Guards warm workers against being held for cold: a dispatcher that has just started knows of none when it
-/// began to stand in the list, and a gap between two lists may hide a start.
+/// Guards against treating warm workers as cold: a dispatcher that has just started does not know when
+/// workers first appeared in the list, and an interval without lists may hide a start.
 #[test]
-fn a_worker_that_was_there_before_is_as_old_as_its_list_says() {
-    // The list that was known is old: what the first answer adds is no news.
+fn a_worker_listed_before_is_as_old_as_the_list_says() {
+    // The known list is old, so workers that the first new list adds need not be new.
     let mut driver = PolicyDriver::new(cold_settings(), vec![ready_endpoint(1, 0, 0)]);
     driver.now = NOW;
     driver.advance(MS);
-    driver.handle(successor(NOW - 60 * S));
-    assert!(jobs_sent(&mut driver, 1) >= 70);
-    // Discovery was away for a minute.
+    driver.handle(replace_first_worker(NOW - 60 * S));
+    assert!(requests_sent(&mut driver, 1) >= 70);
+    // Discovery was unavailable for a minute.
     let mut driver = self::driver(0);
     driver.advance(60 * S);
-    driver.handle(successor(driver.now - 55 * S));
-    assert!(jobs_sent(&mut driver, 1) >= 70);
+    driver.handle(replace_first_worker(driver.now - 55 * S));
+    assert!(requests_sent(&mut driver, 1) >= 70);
 }
