--- a/tests/source_limits.rs
+++ b/tests/source_limits.rs
@@ -1,19 +1,19 @@
-//! Limits on the text of this package: files that can be read at one sitting, and no container whose order is
-//! random.
+//! Limits on the sources of this package: the length of files and lines, and no containers with a random
+//! order, which would make decisions irreproducible.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines of a file.
-const LINES_MAX: usize = 400;
-/// Characters of a line.
-const WIDTH_MAX: usize = 110;
+/// Maximum number of lines in a file.
+const MAX_LINES: usize = 400;
+/// Maximum number of characters in a line.
+const MAX_LINE_CHARS: usize = 110;
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+fn collect_files(directory: &Path, found: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(directory).expect("a readable directory") {
+        let path = entry.expect("a readable directory entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_files(&path, found);
         } else {
             found.push(path);
         }
@@ -21,15 +21,15 @@
 }
 
 #[test]
-fn source_files_stay_short_and_free_of_random_order() {
+fn source_files_are_short_and_use_no_randomly_ordered_containers() {
     let mut files = Vec::new();
-    sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
+    collect_files(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
     assert!(files.iter().any(|path| path.ends_with("src/policy.rs")), "{files:?}");
     for path in files {
         let text = fs::read_to_string(&path).unwrap();
-        assert!(text.lines().count() <= LINES_MAX, "{}: over {LINES_MAX} lines", path.display());
-        let widest = text.lines().map(|line| line.chars().count()).max();
-        assert!(widest <= Some(WIDTH_MAX), "{}: a line of {widest:?} characters", path.display());
+        assert!(text.lines().count() <= MAX_LINES, "{}: more than {MAX_LINES} lines", path.display());
+        let longest = text.lines().map(|line| line.chars().count()).max();
+        assert!(longest <= Some(MAX_LINE_CHARS), "{}: a line of {longest:?} characters", path.display());
         assert!(!text.contains("HashMap") && !text.contains("HashSet"), "{}", path.display());
         assert!(!text.contains("rustfmt::skip"), "{}", path.display());
     }
--- a/tests/timer_queue.rs
+++ b/tests/timer_queue.rs
@@ -3,16 +3,16 @@
 use dispatch_policy::timer_queue::TimerQueue;
 
 #[test]
-fn entries_come_in_order_and_not_before_their_time() {
+fn entries_are_popped_in_order_and_not_before_their_time() {
     let mut queue = TimerQueue::default();
     queue.add(30, 'b');
     assert_eq!(queue.timer_to_set(10), Some(20));
     queue.add(20, 'a');
     assert_eq!(queue.timer_to_set(10), Some(10));
-    assert_eq!(queue.timer_to_set(10), None, "it is set");
+    assert_eq!(queue.timer_to_set(10), None, "the timer is already set");
     assert!(!queue.expired(19));
     assert_eq!(queue.pop_due(19), None);
     assert!(queue.expired(20));
     assert_eq!((queue.pop_due(20), queue.pop_due(20)), (Some('a'), None));
-    assert_eq!(queue.pop_due(30), Some('b'), "an entry not due is kept");
+    assert_eq!(queue.pop_due(30), Some('b'), "an entry that is not due is kept");
 }
