--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -76,7 +76,15 @@
             failed_at: None,
             discovery,
         };
-        (Some(delivery), Some(ListSharing { watches: watches_here, received, publish, unreachable }))
+        (
+            Some(delivery),
+            Some(ListSharing {
+                polls_discovery: watches_here,
+                received_lists: received,
+                published_lists: publish,
+                discovery_unreachable: unreachable,
+            }),
+        )
     }
 
     /// Sets the name of the node. Called before anything else.
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::fields::{self, WorkerUpdate};
 use super::in_flight_ids::InFlightId;
-use super::job_handover::{AttemptConnection, TransferredAttempt};
+use super::job_handover::{SharedAttempt, TransferredAttempt};
 use super::pool::{ConnectError, Connection, Pool};
 use super::send_guard::SendBlocked;
 use super::socket::PeerObserver;
@@ -36,21 +36,21 @@
 /// A request as one attempt forwards it.
 pub struct AttemptRequest {
     /// The attempt's number in the dispatcher.
-    pub tag: AttemptId,
+    pub attempt_id: AttemptId,
     /// The worker that it is for.
     pub worker: WorkerId,
     /// When its client stops waiting.
     pub deadline: Instant,
     /// Wire id, in flight for as long as this exists.
-    pub id: Arc<InFlightId>,
+    pub wire_id: Arc<InFlightId>,
     /// Idempotency key.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// Path and query.
     pub target: PathAndQuery,
     /// Body, forwarded unchanged.
     pub body: Bytes,
     /// Where its connection can be found by who moves it to another process.
-    pub line: Arc<AttemptConnection>,
+    pub shared: Arc<SharedAttempt>,
     /// Its client's connection.
     pub client: Option<PeerObserver>,
 }
@@ -62,8 +62,8 @@
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from(self.target.clone());
         let headers = request.headers_mut();
-        headers.insert("x-request-id", self.id.value.clone());
-        if let Some(key) = &self.key {
+        headers.insert("x-request-id", self.wire_id.value.clone());
+        if let Some(key) = &self.idempotency_key {
             headers.insert("idempotency-key", key.clone());
         }
         headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
@@ -135,7 +135,7 @@
             // A sender that is dropped unused means that the dispatcher has ended.
             why = stopped => AttemptEnd::without_answer(why.unwrap_or(Outcome::Cancelled)),
         };
-        if request.line.moved.load(Ordering::Relaxed) {
+        if request.shared.is_transferred.load(Ordering::Relaxed) {
             return; // another process continues it
         }
         self.finish(request, connection, end).await;
@@ -144,7 +144,7 @@
     /// Reports the outcome, and keeps or closes the connection.
     async fn finish(&self, request: AttemptRequest, connection: Option<Connection>, end: AttemptEnd) {
         let AttemptEnd { outcome, report, result, is_blameless, unread } = end;
-        let (tag, worker) = (request.tag, request.worker);
+        let (tag, worker) = (request.attempt_id, request.worker);
         let Some(unread) = unread else {
             // At most one copy may run: the connection is closed before the dispatcher may send a new one.
             if let Some(connection) = connection {
@@ -166,8 +166,8 @@
     async fn keep_if_clean(&self, worker: WorkerId, mut connection: Connection, unread: UnreadAnswer) {
         let is_clean = timeout(ANSWER_END_WAIT, unread.ends_within_limit()).await.unwrap_or(false);
         if is_clean && connection.sender.ready().await.is_ok() {
-            connection.job_ended = Some(Instant::now());
-            self.pool.keep(worker, connection);
+            connection.last_request_ended_at = Some(Instant::now());
+            self.pool.release(worker, connection);
         }
     }
 
@@ -187,9 +187,10 @@
             self.arm_send_guard(connection, request);
         }
         let link = (connection.socket_handle.clone(), connection.progress.clone(), connection.address);
-        *request.line.link.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
+        *request.shared.connection.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
         let http_request = request.to_http(connection);
-        let may_be_stray = connection.job_ended.is_some_and(|at| at.elapsed() < STRAY_ANSWER_WINDOW);
+        let may_be_stray =
+            connection.last_request_ended_at.is_some_and(|at| at.elapsed() < STRAY_ANSWER_WINDOW);
         match connection.sender.send_request(http_request).await {
             // 'It never ran' may have been said of the job before: nothing is certain of this one.
             Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
@@ -211,7 +212,7 @@
                 let connection = self.pool.adopt(adopted, request.body.len()).await;
                 connection.ok_or(AttemptEnd::without_answer(Outcome::ConnectionLost))
             }
-            None => self.pool.connect(request.worker).await.map_err(|error| match error {
+            None => self.pool.acquire(request.worker).await.map_err(|error| match error {
                 ConnectError::LocalResources => AttemptEnd::blameless(Outcome::ConnectFailed),
                 ConnectError::Unreachable => AttemptEnd::without_answer(Outcome::ConnectFailed),
             }),
@@ -220,11 +221,11 @@
 
     /// Has the conditions for sending checked right before the request's first byte goes out.
     fn arm_send_guard(&self, connection: &Connection, request: &AttemptRequest) {
-        let (line, client, pool) = (request.line.clone(), request.client.clone(), self.pool.clone());
+        let (shared, client, pool) = (request.shared.clone(), request.client.clone(), self.pool.clone());
         let (worker, deadline) = (request.worker, request.deadline);
         connection.guard.arm(move || {
             // Holds also where attempts may not be cancelled: of one that has not begun, nothing need go out.
-            let is_unwanted = line.unwanted.load(Ordering::Relaxed);
+            let is_unwanted = shared.is_abandoned.load(Ordering::Relaxed);
             if is_unwanted || client.is_some_and(|client| client.is_peer_closed()) {
                 return Err(SendBlocked::ClientLeft);
             }
@@ -246,7 +247,7 @@
         is_adopted: bool,
         error: &hyper::Error,
     ) -> AttemptEnd {
-        let AttemptId { request: id, attempt } = request.tag;
+        let AttemptId { request: id, attempt } = request.attempt_id;
         log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no answer from the worker");
         if let Some(reason) = connection.guard.blocked_by() {
             self.counters.send_blocked.add();
@@ -260,7 +261,7 @@
         }
         let progress = connection.progress.lock();
         let is_written = is_adopted || progress.map_or(true, |p| p.is_complete(request.body.len()));
-        match (is_written, connection.kept) {
+        match (is_written, connection.is_reused) {
             // Some of the request surely is still here: it has not run.
             (false, _) => AttemptEnd::without_answer(Outcome::ConnectFailed),
             // Idle connections break unseen: a kept one without a word on this job says nothing about the worker.
@@ -272,7 +273,7 @@
     async fn read_response(&self, request: &AttemptRequest, response: Response<Incoming>) -> AttemptEnd {
         let (head, body) = response.into_parts();
         if head.status == StatusCode::OK {
-            self.handle.acknowledged(request.tag);
+            self.handle.acknowledged(request.attempt_id);
             return self.read_updates(request, UpdateLines::new(body)).await;
         }
         let has_not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
@@ -289,7 +290,7 @@
 
     /// Follows the worker's updates on an accepted job to the one that ends it.
     async fn read_updates(&self, request: &AttemptRequest, mut lines: UpdateLines) -> AttemptEnd {
-        let AttemptId { request: id, attempt } = request.tag;
+        let AttemptId { request: id, attempt } = request.attempt_id;
         loop {
             let line = match lines.next().await {
                 Ok(line) => line,
@@ -301,14 +302,14 @@
                     return AttemptEnd::without_answer(Outcome::ConnectionLost);
                 }
             };
-            let update = fields::parse_update(&line, request.id.value.as_bytes(), &self.names.borrow());
+            let update = fields::parse_update(&line, request.wire_id.value.as_bytes(), &self.names.borrow());
             let (outcome, report, result) = match update {
                 Some(WorkerUpdate::Started) => {
-                    self.handle.started(request.tag);
+                    self.handle.started(request.attempt_id);
                     continue;
                 }
                 Some(WorkerUpdate::Running(done)) => {
-                    self.handle.progress(request.tag, done);
+                    self.handle.progress(request.attempt_id, done);
                     continue;
                 }
                 Some(WorkerUpdate::Done(result, report)) => (Outcome::Success, report, result),
--- a/node/src/platform/endpoint_watch/backoff.rs
+++ b/node/src/platform/endpoint_watch/backoff.rs
@@ -84,12 +84,12 @@
     }
 
     /// The pause after a call that was rejected.
-    pub fn rejected(&mut self) -> Duration {
+    pub fn pause_after_rejection(&mut self) -> Duration {
         self.grow(self.longest)
     }
 
     /// The pause after an answer that is no list.
-    pub fn invalid_list(&mut self) -> Duration {
+    pub fn pause_after_invalid_list(&mut self) -> Duration {
         self.grow(PAUSE_MAX)
     }
 
--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -39,7 +39,7 @@
     /// Counters of this frontend.
     pub counters: Arc<Counters>,
     /// Number of nodes that ask discovery, this one included.
-    pub siblings: u32,
+    pub node_count: u32,
     /// Whether discovery is one service that answers all of them, and not an agent of this machine's own.
     pub is_shared_service: bool,
     /// Seed for random numbers.
@@ -102,7 +102,7 @@
         sharing: Option<ListSharing>,
         version: Option<u64>,
     ) -> Follower {
-        let unreachable = sharing.as_ref().map_or_else(Arc::default, |s| s.unreachable.clone());
+        let unreachable = sharing.as_ref().map_or_else(Arc::default, |s| s.discovery_unreachable.clone());
         let first = *address.borrow_and_update();
         let mut follower =
             Follower { watch, address, sharing, unreachable, version, current: None, next: None };
@@ -112,8 +112,8 @@
 
     /// A source for this address, if there is one, that asks for what has changed since a version.
     fn source(&self, address: Option<SocketAddr>, version: Option<u64>) -> Option<ListSource> {
-        let EndpointWatch { siblings, is_shared_service, seed, .. } = self.watch;
-        let backoff = Backoff::new(siblings, is_shared_service, seed);
+        let EndpointWatch { node_count, is_shared_service, seed, .. } = self.watch;
+        let backoff = Backoff::new(node_count, is_shared_service, seed);
         let (discovery, unreachable) = (self.address.clone(), self.unreachable.clone());
         address.map(|address| ListSource::start(address, version, discovery, backoff, unreachable))
     }
@@ -157,7 +157,7 @@
         self.watch.accept(&list);
         if let Some(sharing) = &self.sharing {
             // A list that finds no room is made up for by a later whole list.
-            let _ = sharing.publish.try_send(list);
+            let _ = sharing.published_lists.try_send(list);
         }
     }
 }
--- a/node/src/platform/endpoint_watch/sharing.rs
+++ b/node/src/platform/endpoint_watch/sharing.rs
@@ -8,13 +8,13 @@
 /// The watch's side of list sharing.
 pub struct ListSharing {
     /// Whether discovery is watched from here.
-    pub watches: watch::Receiver<bool>,
+    pub polls_discovery: watch::Receiver<bool>,
     /// Lists of the node that watches for all.
-    pub received: mpsc::Receiver<EndpointList>,
+    pub received_lists: mpsc::Receiver<EndpointList>,
     /// Lists that discovery told here.
-    pub publish: mpsc::Sender<EndpointList>,
+    pub published_lists: mpsc::Sender<EndpointList>,
     /// Set while discovery cannot be reached from here.
-    pub unreachable: Arc<AtomicBool>,
+    pub discovery_unreachable: Arc<AtomicBool>,
 }
 
 /// What list sharing tells the watch.
@@ -27,10 +27,10 @@
 
 /// The next event; never returns where nothing is shared, or no more.
 pub async fn next_event(sharing: &mut Option<ListSharing>) -> SharingEvent {
-    if let Some(ListSharing { watches, received, .. }) = sharing {
+    if let Some(ListSharing { polls_discovery, received_lists, .. }) = sharing {
         tokio::select! {
-            Ok(()) = watches.changed() => return SharingEvent::Watch(*watches.borrow_and_update()),
-            Some(list) = received.recv() => return SharingEvent::Received(list),
+            Ok(()) = polls_discovery.changed() => return SharingEvent::Watch(*polls_discovery.borrow_and_update()),
+            Some(list) = received_lists.recv() => return SharingEvent::Received(list),
             else => {}
         }
     }
--- a/node/src/platform/endpoint_watch/source.rs
+++ b/node/src/platform/endpoint_watch/source.rs
@@ -99,7 +99,7 @@
             log::warn!(event = "endpoint_list_older", discovery:% = self.address, version = list.revision,
                 known_version = version; "older endpoint list ignored: asking for the whole list");
             self.version = None;
-            return Next::Call(Some(self.backoff.rejected()));
+            return Next::Call(Some(self.backoff.pause_after_rejection()));
         }
         self.version = Some(list.revision);
         self.backoff.reset();
@@ -124,12 +124,12 @@
         }
         Next::Call(Some(match error {
             // Over the same connection, for what has changed since the known list.
-            CallError::Rejected(_) => self.backoff.rejected(),
+            CallError::Rejected(_) => self.backoff.pause_after_rejection(),
             // The whole list is asked for, and not in a tight loop.
             CallError::InvalidList(_) => {
                 self.version = None;
                 self.client.disconnect();
-                self.backoff.invalid_list()
+                self.backoff.pause_after_invalid_list()
             }
             CallError::Unreachable(_) => {
                 self.client.disconnect();
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -1,8 +1,8 @@
 //! Jobs that run while another process takes the node's place go on there: their client's and their worker's socket
 //! with what either has said so far, which the new process plays back into connections of its own.
 
-use super::counted_writes::SharedProgress;
 use super::monitored_stream::MessageMonitor;
+use super::request_progress::SharedProgress;
 use super::socket::SocketHandle;
 use super::Job;
 use crate::dispatcher::{AttemptStart, Handle};
@@ -22,15 +22,15 @@
 
 /// A client's connection, for who may move it.
 #[derive(Clone)]
-pub struct ClientConnection {
+pub struct ClientHandle {
     /// Its socket.
     pub socket_handle: SocketHandle,
     /// Where its messages end.
-    pub watcher: MessageMonitor,
+    pub message_monitor: MessageMonitor,
     /// Told once nothing more is to be done with it here: it has moved, or its client has left.
-    pub over: Arc<Notify>,
+    pub finished: Arc<Notify>,
     /// It is another process's.
-    pub moved: Arc<AtomicBool>,
+    pub is_transferred: Arc<AtomicBool>,
 }
 
 /// The core's hold on an attempt.
@@ -38,18 +38,18 @@
     /// Ends it.
     pub stop: oneshot::Sender<Outcome>,
     /// Its connection.
-    pub line: Arc<AttemptConnection>,
+    pub shared: Arc<SharedAttempt>,
 }
 
 /// An attempt's connection, once there is one, and whether it has moved.
 #[derive(Default)]
-pub struct AttemptConnection {
+pub struct SharedAttempt {
     /// The socket, what has passed over it, and where it leads.
-    pub link: Mutex<Option<(SocketHandle, SharedProgress, SocketAddr)>>,
+    pub connection: Mutex<Option<(SocketHandle, SharedProgress, SocketAddr)>>,
     /// It is another process's: its end is not this one's to report.
-    pub moved: AtomicBool,
+    pub is_transferred: AtomicBool,
     /// Its client has left: what is not on its way need not go.
-    pub unwanted: AtomicBool,
+    pub is_abandoned: AtomicBool,
 }
 
 /// A job on its way, beside its two sockets.
@@ -80,9 +80,9 @@
     /// Where the worker listens.
     pub address: SocketAddr,
     /// What the worker said.
-    pub said: Bytes,
+    pub response: Bytes,
     /// What the module is told.
-    pub sent: AttemptStart,
+    pub start: AttemptStart,
 }
 
 impl TransferredJob {
@@ -94,11 +94,11 @@
         names: &Names,
     ) -> Option<(TransferredJob, SocketHandle, SocketHandle)> {
         let client = job.client.as_ref()?;
-        let link = hold.line.link.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let link = hold.shared.connection.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let (socket_handle, meter, address) = link?;
         let said =
             meter.lock().ok().filter(|m| m.is_complete(job.body.len())).and_then(|m| m.response_so_far())?;
-        if !client.watcher.is_between_messages()
+        if !client.message_monitor.is_between_messages()
             || !client.socket_handle.is_replay_done()
             || !socket_handle.is_replay_done()
         {
@@ -139,7 +139,7 @@
     }
 
     /// The request as its client might have written it now.
-    pub fn request(&self) -> Vec<u8> {
+    pub fn to_request_bytes(&self) -> Vec<u8> {
         let mut head = format!("POST {} HTTP/1.1\r\nX-Request-Id: {}\r\n", self.target, self.id);
         let mut field = |name: &str, value: &dyn std::fmt::Display| {
             let _ = write!(head, "{name}: {value}\r\n"); // a string takes all
@@ -166,21 +166,21 @@
     }
 
     /// Its wire id.
-    pub fn id(&self) -> &str {
+    pub fn wire_id(&self) -> &str {
         &self.id
     }
 
     /// Its attempt, with the worker's socket.
-    pub fn attempt(&self, socket: OwnedFd) -> TransferredAttempt {
+    pub fn to_attempt(&self, socket: OwnedFd) -> TransferredAttempt {
         let (worker, address, at, started) = self.worker;
         let ago = |span: Duration| Instant::now().checked_sub(span).unwrap_or_else(Instant::now);
-        let sent = AttemptStart {
+        let start = AttemptStart {
             worker: WorkerId(worker),
             sent_at: ago(at),
             started_at: started.map(ago),
             deadline: Instant::now() + self.left,
         };
-        TransferredAttempt { socket, address, said: self.said.clone(), sent }
+        TransferredAttempt { socket, address, response: self.said.clone(), start }
     }
 }
 
@@ -193,17 +193,17 @@
     (moving, client, worker): (TransferredJob, SocketHandle, SocketHandle),
 ) -> Option<FrozenJob> {
     let connection = job.client.as_ref()?;
-    let (handle, line, over) = (handle.clone(), hold.line.clone(), connection.over.clone());
-    let client_moved = connection.moved.clone();
+    let (handle, shared, finished) = (handle.clone(), hold.shared.clone(), connection.finished.clone());
+    let client_moved = connection.is_transferred.clone();
     let socket_handles = [client, worker];
     let finish = {
         let socket_handles = socket_handles.clone();
         Box::new(move |taken: bool| {
             if taken {
-                line.moved.store(true, Ordering::Relaxed);
+                shared.is_transferred.store(true, Ordering::Relaxed);
                 client_moved.store(true, Ordering::Relaxed);
                 handle.transferred(tag);
-                over.notify_one();
+                finished.notify_one();
             } else {
                 socket_handles.iter().for_each(SocketHandle::thaw);
             }
@@ -211,6 +211,6 @@
     };
     // Guards the client's wait, and what further workers are told of it: jobs go one after the other.
     let (taken_up, moving) = (Instant::now(), moving);
-    let record = Box::new(move || serde_json::to_string(&moving.delayed_by(taken_up.elapsed())).ok());
-    Some(FrozenJob { record, sockets: socket_handles, finish })
+    let to_json = Box::new(move || serde_json::to_string(&moving.delayed_by(taken_up.elapsed())).ok());
+    Some(FrozenJob { to_json, sockets: socket_handles, finish })
 }
--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -4,7 +4,6 @@
 
 mod attempt;
 pub mod connection_slots;
-pub mod counted_writes;
 pub mod endpoint_watch;
 pub mod fields;
 pub mod framing;
@@ -15,6 +14,7 @@
 mod pool;
 mod probe;
 mod rate_gossip;
+pub mod request_progress;
 pub mod resource_budget;
 mod send_guard;
 mod server;
@@ -77,7 +77,7 @@
     /// What the dispatcher's decisions need of it.
     fields: Request,
     /// Its client's connection.
-    client: Option<job_handover::ClientConnection>,
+    client: Option<job_handover::ClientHandle>,
     /// An attempt that another process started, until it is continued here.
     adopted: Mutex<Option<TransferredAttempt>>,
     reply: oneshot::Sender<Answer>,
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to workers: one request at a time on each, idle ones kept for a while.
 
-use super::counted_writes::{CountingStream, RequestProgress, SharedProgress};
 use super::job_handover::TransferredAttempt;
+use super::request_progress::{CountingStream, RequestProgress, SharedProgress};
 use super::send_guard::SendGuard;
 use super::socket::{Socket, SocketHandle};
 use crate::counters::Counters;
@@ -57,9 +57,9 @@
     pub socket_handle: SocketHandle,
     driver: JoinHandle<()>,
     /// Whether it has served before.
-    pub kept: bool,
+    pub is_reused: bool,
     /// When the last job on it had its answer.
-    pub job_ended: Option<Instant>,
+    pub last_request_ended_at: Option<Instant>,
     idle_since: Instant,
     _permit: OwnedSemaphorePermit,
 }
@@ -158,7 +158,7 @@
     }
 
     /// Grants capacity for so many connections more, less what was used ahead of that.
-    pub fn grant(&self, connections: usize) {
+    pub fn add_capacity(&self, connections: usize) {
         let repaid = self.overdraft.load(Ordering::Relaxed).min(connections);
         self.overdraft.fetch_sub(repaid, Ordering::Relaxed);
         self.grow(connections - repaid);
@@ -170,12 +170,12 @@
     }
 
     /// Number of connections.
-    pub fn taken(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.capacity.load(Ordering::Relaxed).saturating_sub(self.permits.available_permits())
     }
 
     /// Number of idle connections.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.endpoints().values().map(|endpoint| endpoint.idle.len()).sum()
     }
 
@@ -222,7 +222,7 @@
     ///
     /// # Errors
     /// [`ConnectError`] if there is none within the settings' time.
-    pub async fn connect(&self, worker: WorkerId) -> Result<Connection, ConnectError> {
+    pub async fn acquire(&self, worker: WorkerId) -> Result<Connection, ConnectError> {
         let timeouts = self.timeouts();
         let address = {
             let mut endpoints = self.endpoints();
@@ -284,8 +284,8 @@
             self.overdraft.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
         });
-        let socket = Socket::received(adopted.socket, adopted.said.to_vec()).ok()?;
-        let stream = CountingStream::already_written(socket, SharedProgress::default(), body);
+        let socket = Socket::received(adopted.socket, adopted.response.to_vec()).ok()?;
+        let stream = CountingStream::with_request_written(socket, SharedProgress::default(), body);
         self.start(stream, adopted.address, permit.ok()?).await
     }
 
@@ -313,20 +313,20 @@
             address,
             socket_handle,
             driver,
-            kept: false,
-            job_ended: None,
+            is_reused: false,
+            last_request_ended_at: None,
             idle_since: Instant::now(),
             _permit: permit,
         })
     }
 
     /// Keeps a connection whose last answer ended cleanly, unless its worker is gone.
-    pub fn keep(&self, worker: WorkerId, mut connection: Connection) {
+    pub fn release(&self, worker: WorkerId, mut connection: Connection) {
         if let Some(endpoint) = self.endpoints().get_mut(&worker) {
             let is_current = endpoint.is_listed && endpoint.address == connection.address;
             if is_current && !connection.sender.is_closed() {
                 connection.idle_since = Instant::now();
-                connection.kept = true;
+                connection.is_reused = true;
                 endpoint.idle.push(connection);
                 self.counters.kept_alive.add();
             }
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -42,7 +42,7 @@
 /// The worker's load; `None` if it has none to tell yet. A connection that is not read to its end is closed.
 async fn request_load(runner: &AttemptRunner, worker: WorkerId) -> Result<Option<LoadReport>, ProbeError> {
     let exchange_failed = |error: hyper::Error| ProbeError::Exchange(error.into());
-    let mut connection = runner.pool.connect(worker).await?;
+    let mut connection = runner.pool.acquire(worker).await?;
     let Connection { sender, address, .. } = &mut connection;
     let request =
         Request::get("/metrics/load").header(HOST, address.to_string()).body(Full::<Bytes>::default());
@@ -51,7 +51,7 @@
     let (head, body) = response.into_parts();
     let body = Limited::new(body, BODY_MAX).collect().await.map_err(ProbeError::Exchange)?.to_bytes();
     if sender.ready().await.is_ok() {
-        runner.pool.keep(worker, connection);
+        runner.pool.release(worker, connection);
     }
     if head.status != StatusCode::OK {
         return Err(ProbeError::Status(head.status));
--- a/node/src/platform/counted_writes.rs
+++ b/node/src/platform/request_progress.rs
@@ -78,7 +78,7 @@
     }
 
     /// A stream to which another process has written the current request, with a body of this length.
-    pub fn already_written(stream: S, progress: SharedProgress, body: usize) -> CountingStream<S> {
+    pub fn with_request_written(stream: S, progress: SharedProgress, body: usize) -> CountingStream<S> {
         CountingStream { already_written: Some(body), ..CountingStream::new(stream, progress) }
     }
 
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -114,7 +114,7 @@
 
     /// Number of connections to workers.
     pub fn worker_connections(&self) -> usize {
-        self.pool.taken()
+        self.pool.connection_count()
     }
 
     fn bodies_held_kib(&self) -> usize {
@@ -130,11 +130,11 @@
 
     /// What is held now.
     pub fn usage(&self) -> ResourceUsage {
-        let idle = self.pool.idle();
+        let idle = self.pool.idle_count();
         ResourceUsage {
             client_connections: self.client_slots.taken(),
             busy_clients: self.client_slots.at_work(),
-            attempt_connections: self.pool.taken().saturating_sub(idle),
+            attempt_connections: self.pool.connection_count().saturating_sub(idle),
             idle_connections: idle,
             wire_ids: self.in_flight_ids.len(),
             bodies_kib: self.bodies_held_kib(),
@@ -146,7 +146,7 @@
         let mut allocation = self.lock_allocation();
         let newer = Allocation::new(self.limits, other);
         self.client_slots.grant(newer.clients.saturating_sub(allocation.clients));
-        self.pool.grant(newer.workers.saturating_sub(allocation.workers));
+        self.pool.add_capacity(newer.workers.saturating_sub(allocation.workers));
         self.body_memory_kib.add_permits(newer.bodies_kib.saturating_sub(allocation.bodies_kib));
         *allocation = allocation.max(newer);
     }
@@ -154,15 +154,15 @@
 
 impl HandoverSource for ResourceBudget {
     fn node_state(&self) -> NodeState {
-        let known = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        NodeState { known, ids: self.in_flight_ids.all() }
+        let endpoint_list = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        NodeState { endpoint_list, in_flight_ids: self.in_flight_ids.all() }
     }
 
     fn held_resources(&self) -> HeldResources {
         let clients = self.client_slots.taken();
         let refused = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may yet have an attempt out.
-        let workers = self.client_slots.at_work().max(self.pool.taken());
+        let workers = self.client_slots.at_work().max(self.pool.connection_count());
         let descriptors = FIXED_DESCRIPTORS + clients + refused + workers;
         HeldResources { descriptors, bodies_kib: self.bodies_held_kib() }
     }
--- a/node/src/platform/server/connection.rs
+++ b/node/src/platform/server/connection.rs
@@ -32,7 +32,7 @@
     /// Its slot.
     pub slot: Slot,
     /// Its socket, for who may move it.
-    pub client: job_handover::ClientConnection,
+    pub client: job_handover::ClientHandle,
     /// Requests so far.
     requests: AtomicU64,
     /// An attempt of another process, for the first request.
@@ -61,11 +61,11 @@
         accept_delay: Duration,
     ) -> ClientConnection {
         let monitor = stream.monitor();
-        let client = job_handover::ClientConnection {
+        let client = job_handover::ClientHandle {
             socket_handle: stream.get_ref().socket_handle(),
-            watcher: monitor.clone(),
-            over: Arc::new(Notify::new()),
-            moved: Arc::default(),
+            message_monitor: monitor.clone(),
+            finished: Arc::new(Notify::new()),
+            is_transferred: Arc::default(),
         };
         let adopted = Mutex::new(adopted);
         ClientConnection { monitor, slot, client, requests: AtomicU64::new(0), adopted, accept_delay }
@@ -118,7 +118,7 @@
             // Before the connection is looked at: it must not take a request in and then go.
             reason = connection.evicted() => reason,
             ended = exchange.as_mut() => return log_end(ended),
-            () = connection.client.over.notified() => {
+            () = connection.client.finished.notified() => {
                 return log::debug!(event = "client_connection_given_up"; "its client has left, or it has moved");
             }
             () = self.must_close_idle(&connection) => CloseReason::PhaseChanged,
@@ -132,7 +132,7 @@
         exchange.as_mut().graceful_shutdown();
         tokio::select! {
             ended = timeout(limit, exchange) => ended.map_or((), log_end),
-            () = connection.client.over.notified() => {}
+            () = connection.client.finished.notified() => {}
         }
     }
 
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -174,13 +174,13 @@
         if names.class(&moving.class).is_none() || !is_tenant_known {
             return false;
         }
-        let Ok(socket) = Socket::received(client, moving.request()) else { return false };
+        let Ok(socket) = Socket::received(client, moving.to_request_bytes()) else { return false };
         let stream = MonitoredStream::new(socket);
         let Some(slot) = self.budget.client_slots.acquire_transferred(&stream.monitor()) else {
             return false;
         };
-        reserved_ids.remove(moving.id());
-        let adopted = Some(moving.attempt(worker));
+        reserved_ids.remove(moving.wire_id());
+        let adopted = Some(moving.to_attempt(worker));
         let connection = ClientConnection::new(&stream, slot, adopted, Duration::ZERO);
         let server = self.clone();
         tokio::spawn(async move { server.serve(stream, connection).await });
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -121,7 +121,7 @@
             }
         }
         let (reply, answer) = oneshot::channel();
-        let sent = adopted.as_ref().map(|adopted| adopted.sent);
+        let sent = adopted.as_ref().map(|adopted| adopted.start);
         let job = Job {
             id: id.clone(),
             key: head.headers.get("idempotency-key").cloned(),
@@ -242,7 +242,7 @@
             answer = &mut self.answer => answer,
             // The HTTP library sees a client's leaving only where nothing lies unread behind the request.
             () = connection.socket_handle.peer_closed() => {
-                connection.over.notify_one();
+                connection.finished.notify_one();
                 std::future::pending().await
             }
         };
@@ -257,7 +257,7 @@
     handle: &'a Handle<Job>,
     id: RequestId,
     is_waiting: bool,
-    connection: &'a job_handover::ClientConnection,
+    connection: &'a job_handover::ClientHandle,
     counters: &'a Counters,
 }
 
@@ -266,7 +266,7 @@
         if !self.is_waiting {
             return;
         }
-        let has_moved = self.connection.moved.load(Ordering::Relaxed);
+        let has_moved = self.connection.is_transferred.load(Ordering::Relaxed);
         if !has_moved && !self.connection.socket_handle.is_peer_closed() {
             self.counters.violations.add(Invariant::Answered, self.id);
         }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -72,7 +72,7 @@
         let (publish_names, names) = watch::channel(Arc::new(first_names.clone()));
         let (mut known, mut usage, mut displaced) = (config.known_endpoints, HeldResources::default(), None);
         if let Some(predecessor) = predecessor {
-            known = Some(predecessor.state.known.clone());
+            known = Some(predecessor.state.endpoint_list.clone());
             let (held, predecessor) = displace(predecessor).await;
             (usage, displaced) = (held, Some(predecessor));
         }
@@ -169,7 +169,7 @@
             pool: self.budget.pool.clone(),
             names: self.names.clone(),
             counters: self.counters.clone(),
-            siblings: self.settings.dispatchers,
+            node_count: self.settings.dispatchers,
             is_shared_service: self.settings.polls_endpoints,
             seed: self.seed,
             latest_list: self.budget.latest_list.clone(),
@@ -216,7 +216,7 @@
 
 /// Serves in place of the process before; returns what it still holds.
 async fn displace(predecessor: Predecessor) -> (HeldResources, DisplacedPredecessor) {
-    let ids = predecessor.state.ids.clone();
+    let ids = predecessor.state.in_flight_ids.clone();
     let (held, link) = predecessor.take_over().await;
     (held, DisplacedPredecessor { link, ids })
 }
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -1,7 +1,7 @@
 //! Transport of the dispatcher's decisions to workers, clients and other nodes.
 
 use super::attempt::{AttemptRequest, AttemptRunner};
-use super::job_handover::{self, AttemptConnection, AttemptHandle, TransferredJob};
+use super::job_handover::{self, AttemptHandle, SharedAttempt, TransferredJob};
 use super::rate_gossip::RatePublisher;
 use super::{probe, Job};
 use crate::dispatcher::{Answer, AttemptId, AttemptStart, Frontend};
@@ -37,21 +37,21 @@
 
     fn send(&mut self, tag: AttemptId, job: &Job, worker: WorkerId, until: Instant) -> Self::Attempt {
         let (stop, stopped) = oneshot::channel();
-        let line = Arc::new(AttemptConnection::default());
+        let shared = Arc::new(SharedAttempt::default());
         let request = AttemptRequest {
-            tag,
+            attempt_id: tag,
             worker,
             deadline: until,
-            id: job.id.clone(),
-            key: job.key.clone(),
+            wire_id: job.id.clone(),
+            idempotency_key: job.key.clone(),
             target: job.target.clone(),
             body: job.body.clone(),
-            line: line.clone(),
+            shared: shared.clone(),
             client: job.client.as_ref().map(|client| client.socket_handle.observer()),
         };
         let adopted = job.adopted.lock().unwrap_or_else(PoisonError::into_inner).take();
         tokio::spawn(self.runner.clone().run(request, adopted, stopped));
-        AttemptHandle { stop, line }
+        AttemptHandle { stop, shared }
     }
 
     fn is_client_waiting(&self, job: &Job) -> bool {
@@ -64,7 +64,7 @@
     }
 
     fn abandon(&mut self, attempt: &Self::Attempt) {
-        attempt.line.unwanted.store(true, Ordering::Relaxed);
+        attempt.shared.is_abandoned.store(true, Ordering::Relaxed);
     }
 
     fn freeze_for_transfer(&mut self, tag: AttemptId, sent: &AttemptStart, job: &Job, hold: &AttemptHandle) {
--- a/node/src/process_handover/mod.rs
+++ b/node/src/process_handover/mod.rs
@@ -26,9 +26,11 @@
 #[derive(Serialize, Deserialize)]
 pub struct NodeState {
     /// The workers as the old process knows them.
-    pub known: EndpointList,
+    #[serde(rename = "known")]
+    pub endpoint_list: EndpointList,
     /// The wire ids that are open there.
-    pub ids: Vec<String>,
+    #[serde(rename = "ids")]
+    pub in_flight_ids: Vec<String>,
 }
 
 /// What the old process may hold at most from now on.
@@ -43,7 +45,7 @@
 /// A running job that was taken up: it moves, or it is let go and goes on here.
 pub struct FrozenJob {
     /// What goes with its sockets, as of the moment in which it goes; `None` where that can't be told.
-    pub record: Box<dyn FnOnce() -> Option<String> + Send>,
+    pub to_json: Box<dyn FnOnce() -> Option<String> + Send>,
     /// Its client's and its worker's.
     pub sockets: [SocketHandle; 2],
     /// Whether the other process has it.
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -126,7 +126,7 @@
     let (mut moved, mut result) = (0, Ok(()));
     for job in jobs.by_ref() {
         let sockets = [job.sockets[0].descriptor().as_fd(), job.sockets[1].descriptor().as_fd()];
-        let Some(text) = (job.record)() else {
+        let Some(text) = (job.to_json)() else {
             (job.finish)(false);
             continue;
         };
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -102,19 +102,20 @@
 fn pauses_grow_with_the_cluster_and_with_each_rejection() {
     let cluster = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
     for n in [1, 4, 100, 300] {
-        let calls: f64 = cluster(n).map(|mut backoff| 1.0 / backoff.rejected().as_secs_f64()).sum();
+        let calls: f64 =
+            cluster(n).map(|mut backoff| 1.0 / backoff.pause_after_rejection().as_secs_f64()).sum();
         assert!(calls < 150.0, "{n} nodes ask {calls} times a second");
     }
-    let firsts: BTreeSet<_> = cluster(100).map(|mut backoff| backoff.rejected()).collect();
+    let firsts: BTreeSet<_> = cluster(100).map(|mut backoff| backoff.pause_after_rejection()).collect();
     assert!(firsts.len() > 90, "they are not in step");
     let mut backoff = Backoff::new(100, true, 7);
     let mut last = Duration::ZERO;
     for _ in 0..10 {
-        last = backoff.rejected();
+        last = backoff.pause_after_rejection();
     }
     assert!(last >= PAUSE_MAX / 2 && last <= PAUSE_MAX);
     backoff.reset();
-    assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer ends it");
+    assert!(backoff.pause_after_rejection() <= PAUSE_MIN / 4 * 100, "an answer ends it");
 }
 
 #[tokio::test(start_paused = true)]
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -2,9 +2,9 @@
 //! written to a worker, and sockets that move to another process.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
-use molevale::platform::counted_writes::{CountingStream, RequestProgress, SharedProgress};
 use molevale::platform::framing::{Framing, MessageBoundaries};
 use molevale::platform::monitored_stream::{MonitoredStream, MESSAGE_TIMEOUT};
+use molevale::platform::request_progress::{CountingStream, RequestProgress, SharedProgress};
 use molevale::platform::socket::Socket;
 use quickcheck::{Gen, QuickCheck};
 use std::io;
@@ -117,7 +117,7 @@
 async fn a_request_that_another_process_wrote_is_not_written_again() {
     let (socket, mut peer) = duplex(64);
     let progress = SharedProgress::default();
-    let mut stream = CountingStream::already_written(socket, progress.clone(), 4);
+    let mut stream = CountingStream::with_request_written(socket, progress.clone(), 4);
     peer.write_all(b"said").await.unwrap();
     stream.write_all(b"POST / HTTP/1.1\r\n\r\nbo").await.unwrap();
     let mut four = [0; 4];
