--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a worker, from its connection to its one outcome.
+//! One attempt at a worker: connects, sends the request, reads the response and reports one outcome.
 
 use super::fields::{self, WorkerUpdate};
 use super::in_flight_ids::InFlightId;
@@ -23,41 +23,41 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{timeout, Instant};
 
-/// Longest line of a worker, in bytes: its whole answer holds no more.
+/// Longest line of a worker's response, in bytes, which also bounds the length of a result.
 const LINE_MAX: usize = 64 * 1024;
-/// Longest body of a worker that rejects a job, in bytes, for its connection to be kept.
+/// Longest body, in bytes, of a response other than 200 after which the connection is reused.
 const REJECTION_BODY_MAX: usize = 4096;
-/// Time after a job's end in which an answer without an id may be a second answer to that job: a worker's second answer may
-/// come some milliseconds behind the first.
-const STRAY_ANSWER_WINDOW: Duration = Duration::from_millis(20);
-/// Time for which the end of a finished answer is awaited before its connection is given up.
-const ANSWER_END_WAIT: Duration = Duration::from_millis(250);
+/// Time after a request's end in which a response without an id may be a second one to that request. A worker may
+/// send it some milliseconds after the first.
+const STRAY_RESPONSE_WINDOW: Duration = Duration::from_millis(20);
+/// Time for a response to end after its final update; its connection is closed if it does not.
+const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request as one attempt forwards it.
+/// A request as an attempt forwards it.
 pub struct AttemptRequest {
-    /// The attempt's number in the dispatcher.
+    /// The attempt's identity in the dispatcher.
     pub attempt_id: AttemptId,
-    /// The worker that it is for.
+    /// The worker that it is sent to.
     pub worker: WorkerId,
-    /// When its client stops waiting.
+    /// The client's deadline.
     pub deadline: Instant,
-    /// Wire id, in flight for as long as this exists.
+    /// Wire id, which counts as in flight until this is dropped.
     pub wire_id: Arc<InFlightId>,
-    /// Idempotency key.
+    /// Idempotency key, if the client sent one.
     pub idempotency_key: Option<HeaderValue>,
     /// Path and query.
     pub target: PathAndQuery,
     /// Body, forwarded unchanged.
     pub body: Bytes,
-    /// Where its connection can be found by who moves it to another process.
+    /// State of the attempt that is shared with [`AttemptHandle`](super::job_handover::AttemptHandle).
     pub shared: Arc<SharedAttempt>,
-    /// Its client's connection.
+    /// Observes whether the client has closed its connection.
     pub client: Option<PeerObserver>,
 }
 
 impl AttemptRequest {
     fn to_http(&self, connection: &Connection) -> Request<Full<Bytes>> {
-        let left = self.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
+        let time_left = self.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from(self.target.clone());
@@ -69,164 +69,164 @@
         headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         for (name, value) in [
             (HOST, connection.address.to_string()),
-            (HeaderName::from_static("x-deadline"), format!("{left:.3}")),
+            (HeaderName::from_static("x-deadline"), format!("{time_left:.3}")),
         ] {
-            let value = HeaderValue::try_from(value).expect("addresses and numbers are plain ASCII");
+            let value = HeaderValue::try_from(value).expect("addresses and numbers are printable ASCII");
             headers.insert(name, value);
         }
         request
     }
 }
 
-/// End of an attempt.
+/// How an attempt ended.
 struct AttemptEnd {
     outcome: Outcome,
     report: Option<LoadReport>,
     result: Bytes,
-    /// Whether it says nothing about the worker.
-    is_blameless: bool,
-    /// To be read before the connection is free again.
-    unread: Option<UnreadAnswer>,
+    /// Whether the outcome is not evidence about the worker.
+    is_unattributable: bool,
+    /// Rest of the response, to be read before the connection is reused; without one, the connection is closed.
+    unread: Option<UnreadResponse>,
 }
 
-/// The rest of an answer.
-struct UnreadAnswer {
+/// Part of a response that has not been read.
+struct UnreadResponse {
     body: Incoming,
-    /// Bytes that may come, white space aside, for the connection to be kept.
+    /// Largest number of bytes, without surrounding white space, after which the connection is reused.
     limit: usize,
 }
 
 impl AttemptEnd {
-    /// An end without an answer: the connection is closed.
-    fn without_answer(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { outcome, report: None, result: Bytes::new(), is_blameless: false, unread: None }
+    /// An end after which the connection is closed.
+    fn without_response(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, report: None, result: Bytes::new(), is_unattributable: false, unread: None }
     }
 
-    /// The same, which says nothing about the worker.
-    fn blameless(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { is_blameless: true, ..AttemptEnd::without_answer(outcome) }
+    /// An end after which the connection is closed, and which is not evidence about the worker.
+    fn unattributable(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { is_unattributable: true, ..AttemptEnd::without_response(outcome) }
     }
 }
 
-/// What all attempts share.
+/// Dependencies that all attempts share.
 pub struct AttemptRunner {
-    /// The dispatcher, which gets the outcomes.
+    /// The dispatcher, which receives the outcomes.
     pub handle: Handle<Job>,
     /// Connections to workers.
     pub pool: Arc<Pool>,
-    /// Names on the wire.
+    /// Names of classes and tenants, and limits, from the settings.
     pub names: watch::Receiver<Arc<Names>>,
     /// Counters of this frontend.
     pub counters: Arc<Counters>,
 }
 
 impl AttemptRunner {
-    /// Runs an attempt, or continues one of another process, and reports its one outcome.
+    /// Runs an attempt, or continues one that another process started, and reports its outcome.
     pub async fn run(
         self: Arc<Self>,
         request: AttemptRequest,
         adopted: Option<TransferredAttempt>,
-        stopped: oneshot::Receiver<Outcome>,
+        stop: oneshot::Receiver<Outcome>,
     ) {
         let mut connection = None;
         let end = tokio::select! {
             biased;
-            end = self.execute(&request, adopted, &mut connection) => end,
-            // A sender that is dropped unused means that the dispatcher has ended.
-            why = stopped => AttemptEnd::without_answer(why.unwrap_or(Outcome::Cancelled)),
+            end = self.exchange(&request, adopted, &mut connection) => end,
+            // The sender is dropped without a value when the dispatcher ends.
+            outcome = stop => AttemptEnd::without_response(outcome.unwrap_or(Outcome::Cancelled)),
         };
         if request.shared.is_transferred.load(Ordering::Relaxed) {
-            return; // another process continues it
+            return; // another process continues the attempt and reports its outcome
         }
-        self.finish(request, connection, end).await;
+        self.report(request, connection, end).await;
     }
 
-    /// Reports the outcome, and keeps or closes the connection.
-    async fn finish(&self, request: AttemptRequest, connection: Option<Connection>, end: AttemptEnd) {
-        let AttemptEnd { outcome, report, result, is_blameless, unread } = end;
-        let (tag, worker) = (request.attempt_id, request.worker);
+    /// Reports the outcome, and returns the connection to the pool or closes it.
+    async fn report(&self, request: AttemptRequest, connection: Option<Connection>, end: AttemptEnd) {
+        let AttemptEnd { outcome, report, result, is_unattributable, unread } = end;
+        let (attempt_id, worker) = (request.attempt_id, request.worker);
         let Some(unread) = unread else {
-            // At most one copy may run: the connection is closed before the dispatcher may send a new one.
+            // Closed before the dispatcher can start another attempt: at most one copy of a request may be executed.
             if let Some(connection) = connection {
                 connection.close().await;
             }
-            return match is_blameless {
-                true => self.handle.ended_not_attributable(tag, outcome),
-                false => self.handle.ended(tag, outcome, report, result),
+            return match is_unattributable {
+                true => self.handle.ended_not_attributable(attempt_id, outcome),
+                false => self.handle.ended(attempt_id, outcome, report, result),
             };
         };
-        drop(request); // its id is no longer in flight once the answer is out
-        self.handle.ended(tag, outcome, report, result);
+        drop(request); // releases the wire id before the client can receive its answer
+        self.handle.ended(attempt_id, outcome, report, result);
         if let Some(connection) = connection {
-            self.keep_if_clean(worker, connection, unread).await;
+            self.release_if_ended(worker, connection, unread).await;
         }
     }
 
-    /// Keeps a connection whose answer ends in time and as it should.
-    async fn keep_if_clean(&self, worker: WorkerId, mut connection: Connection, unread: UnreadAnswer) {
-        let is_clean = timeout(ANSWER_END_WAIT, unread.ends_within_limit()).await.unwrap_or(false);
-        if is_clean && connection.sender.ready().await.is_ok() {
+    /// Returns the connection to the pool if the response ends in time and within its limit; closes it otherwise.
+    async fn release_if_ended(&self, worker: WorkerId, mut connection: Connection, unread: UnreadResponse) {
+        let has_ended = timeout(RESPONSE_END_TIMEOUT, unread.ends_within_limit()).await.unwrap_or(false);
+        if has_ended && connection.sender.ready().await.is_ok() {
             connection.last_request_ended_at = Some(Instant::now());
             self.pool.release(worker, connection);
         }
     }
 
-    /// Sends the request and reads the answer. The connection is left in `slot`, also where this is cancelled.
-    async fn execute(
+    /// Sends the request and reads the response. Leaves the connection in `opened`, also when it is cancelled.
+    async fn exchange(
         &self,
         request: &AttemptRequest,
         adopted: Option<TransferredAttempt>,
-        slot: &mut Option<Connection>,
+        opened: &mut Option<Connection>,
     ) -> AttemptEnd {
         let is_adopted = adopted.is_some();
-        let connection = match self.connect(request, adopted).await {
-            Ok(connection) => slot.insert(connection),
+        let connection = match self.acquire_connection(request, adopted).await {
+            Ok(connection) => opened.insert(connection),
             Err(end) => return end,
         };
         if !is_adopted {
             self.arm_send_guard(connection, request);
         }
-        let link = (connection.socket_handle.clone(), connection.progress.clone(), connection.address);
-        *request.shared.connection.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
+        let shared = (connection.socket_handle.clone(), connection.progress.clone(), connection.address);
+        *request.shared.connection.lock().unwrap_or_else(PoisonError::into_inner) = Some(shared);
         let http_request = request.to_http(connection);
         let may_be_stray =
-            connection.last_request_ended_at.is_some_and(|at| at.elapsed() < STRAY_ANSWER_WINDOW);
+            connection.last_request_ended_at.is_some_and(|at| at.elapsed() < STRAY_RESPONSE_WINDOW);
         match connection.sender.send_request(http_request).await {
-            // 'It never ran' may have been said of the job before: nothing is certain of this one.
+            // It may be a second response to the previous request: even 'not executed' proves nothing about this one.
             Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
-                AttemptEnd::blameless(Outcome::ConnectionLost)
+                AttemptEnd::unattributable(Outcome::ConnectionLost)
             }
             Ok(response) => self.read_response(request, response).await,
-            Err(error) => self.send_failed(request, connection, is_adopted, &error),
+            Err(error) => self.end_of_failed_send(request, connection, is_adopted, &error),
         }
     }
 
-    async fn connect(
+    async fn acquire_connection(
         &self,
         request: &AttemptRequest,
         adopted: Option<TransferredAttempt>,
     ) -> Result<Connection, AttemptEnd> {
         match adopted {
-            // An attempt of another process may have run.
+            // The attempt that another process started may have been executed.
             Some(adopted) => {
                 let connection = self.pool.adopt(adopted, request.body.len()).await;
-                connection.ok_or(AttemptEnd::without_answer(Outcome::ConnectionLost))
+                connection.ok_or(AttemptEnd::without_response(Outcome::ConnectionLost))
             }
             None => self.pool.acquire(request.worker).await.map_err(|error| match error {
-                ConnectError::LocalResources => AttemptEnd::blameless(Outcome::ConnectFailed),
-                ConnectError::Unreachable => AttemptEnd::without_answer(Outcome::ConnectFailed),
+                ConnectError::LocalResources => AttemptEnd::unattributable(Outcome::ConnectFailed),
+                ConnectError::Unreachable => AttemptEnd::without_response(Outcome::ConnectFailed),
             }),
         }
     }
 
-    /// Has the conditions for sending checked right before the request's first byte goes out.
+    /// Arms the check that is made right before the request's first byte is written.
     fn arm_send_guard(&self, connection: &Connection, request: &AttemptRequest) {
         let (shared, client, pool) = (request.shared.clone(), request.client.clone(), self.pool.clone());
         let (worker, deadline) = (request.worker, request.deadline);
         connection.guard.arm(move || {
-            // Holds also where attempts may not be cancelled: of one that has not begun, nothing need go out.
-            let is_unwanted = shared.is_abandoned.load(Ordering::Relaxed);
-            if is_unwanted || client.is_some_and(|client| client.is_peer_closed()) {
+            // Applies also where attempts in flight may not be cancelled: this request has not been sent.
+            let is_abandoned = shared.is_abandoned.load(Ordering::Relaxed);
+            if is_abandoned || client.is_some_and(|client| client.is_peer_closed()) {
                 return Err(SendBlocked::ClientLeft);
             }
             if Instant::now() >= deadline {
@@ -239,8 +239,8 @@
         });
     }
 
-    /// End of an attempt whose connection broke before an answer began.
-    fn send_failed(
+    /// Determines the end of an attempt whose connection failed before a response began.
+    fn end_of_failed_send(
         &self,
         request: &AttemptRequest,
         connection: &Connection,
@@ -248,25 +248,25 @@
         error: &hyper::Error,
     ) -> AttemptEnd {
         let AttemptId { request: id, attempt } = request.attempt_id;
-        log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no answer from the worker");
+        log::debug!(event = "attempt_broken", request = id, attempt, error:%; "no response from the worker");
         if let Some(reason) = connection.guard.blocked_by() {
             self.counters.send_blocked.add();
             log::debug!(event = "send_blocked", request = id, attempt, reason:?; "request not sent");
             return match reason {
-                SendBlocked::ClientLeft => AttemptEnd::without_answer(Outcome::Cancelled),
+                SendBlocked::ClientLeft => AttemptEnd::without_response(Outcome::Cancelled),
                 SendBlocked::DeadlinePassed | SendBlocked::EndpointDraining => {
-                    AttemptEnd::blameless(Outcome::ConnectFailed)
+                    AttemptEnd::unattributable(Outcome::ConnectFailed)
                 }
             };
         }
         let progress = connection.progress.lock();
         let is_written = is_adopted || progress.map_or(true, |p| p.is_complete(request.body.len()));
         match (is_written, connection.is_reused) {
-            // Some of the request surely is still here: it has not run.
-            (false, _) => AttemptEnd::without_answer(Outcome::ConnectFailed),
-            // Idle connections break unseen: a kept one without a word on this job says nothing about the worker.
-            (true, true) => AttemptEnd::blameless(Outcome::ConnectionLost),
-            (true, false) => AttemptEnd::without_answer(Outcome::ConnectionLost),
+            // The request was not written completely, so it was not executed.
+            (false, _) => AttemptEnd::without_response(Outcome::ConnectFailed),
+            // An idle connection can break unnoticed: its failure is not evidence about the worker.
+            (true, true) => AttemptEnd::unattributable(Outcome::ConnectionLost),
+            (true, false) => AttemptEnd::without_response(Outcome::ConnectionLost),
         }
     }
 
@@ -276,19 +276,21 @@
             self.handle.acknowledged(request.attempt_id);
             return self.read_updates(request, UpdateLines::new(body)).await;
         }
-        let has_not_run = head.headers.get("x-not-run").is_some_and(|v| v == "1");
+        let is_not_executed = head.headers.get("x-not-run").is_some_and(|v| v == "1");
         let outcome = match head.status {
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => Outcome::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_not_executed => {
+                Outcome::Rejected
+            }
             _ => Outcome::Error,
         };
         AttemptEnd {
             report: fields::load_header(&head.headers, &self.names.borrow()),
-            unread: Some(UnreadAnswer { body, limit: REJECTION_BODY_MAX }),
-            ..AttemptEnd::without_answer(outcome)
+            unread: Some(UnreadResponse { body, limit: REJECTION_BODY_MAX }),
+            ..AttemptEnd::without_response(outcome)
         }
     }
 
-    /// Follows the worker's updates on an accepted job to the one that ends it.
+    /// Reads the worker's updates on a request that it has accepted, up to the final one.
     async fn read_updates(&self, request: &AttemptRequest, mut lines: UpdateLines) -> AttemptEnd {
         let AttemptId { request: id, attempt } = request.attempt_id;
         loop {
@@ -297,9 +299,9 @@
                 Err(error) => {
                     if let LineError::TooLong = error {
                         log::warn!(event = "worker_update_too_long", request = id, attempt, limit = LINE_MAX;
-                            "worker update without an end: the attempt counts as broken");
+                            "worker update is too long; attempt counted as connection lost");
                     }
-                    return AttemptEnd::without_answer(Outcome::ConnectionLost);
+                    return AttemptEnd::without_response(Outcome::ConnectionLost);
                 }
             };
             let update = fields::parse_update(&line, request.wire_id.value.as_bytes(), &self.names.borrow());
@@ -318,28 +320,28 @@
                 Some(WorkerUpdate::Lost(report)) => (Outcome::ConnectionLost, report, Bytes::new()),
                 None => {
                     log::warn!(event = "worker_update_malformed", request = id, attempt;
-                        "malformed worker update: the attempt counts as broken");
-                    return AttemptEnd::without_answer(Outcome::ConnectionLost);
+                        "malformed worker update; attempt counted as connection lost");
+                    return AttemptEnd::without_response(Outcome::ConnectionLost);
                 }
             };
-            let unread = Some(UnreadAnswer { body: lines.body, limit: 0 });
-            return AttemptEnd { outcome, report, result, is_blameless: false, unread };
+            let unread = Some(UnreadResponse { body: lines.body, limit: 0 });
+            return AttemptEnd { outcome, report, result, is_unattributable: false, unread };
         }
     }
 }
 
-/// Why a worker's answer has no next line.
+/// Why the next line of a worker's response cannot be read.
 #[derive(Debug, thiserror::Error)]
 enum LineError {
-    #[error("a line is longer than {LINE_MAX} bytes")]
+    #[error("line is longer than {LINE_MAX} bytes")]
     TooLong,
-    #[error("the answer broke off")]
+    #[error("reading the response failed")]
     Broken(#[source] hyper::Error),
-    #[error("the answer ended without a final update")]
+    #[error("the response ended without a final update")]
     Ended,
 }
 
-/// Lines of a worker's answer, empty ones left out.
+/// Reads a worker's response line by line, without empty lines.
 struct UpdateLines {
     body: Incoming,
     buffer: BytesMut,
@@ -358,7 +360,7 @@
                     return Ok(line);
                 }
             }
-            // Bounds memory.
+            // Bounds the memory for a line without an end.
             if self.buffer.len() > LINE_MAX {
                 return Err(LineError::TooLong);
             }
@@ -369,7 +371,7 @@
                     }
                 }
                 Some(Err(error)) => return Err(LineError::Broken(error)),
-                // The last line may lack its line end.
+                // The last line may lack a line break.
                 None if !self.buffer.trim_ascii().is_empty() => self.buffer.extend_from_slice(b"\n"),
                 None => return Err(LineError::Ended),
             }
@@ -377,17 +379,17 @@
     }
 }
 
-impl UnreadAnswer {
-    /// Whether the answer ends with no more than its limit.
+impl UnreadResponse {
+    /// Reads the rest of the response; returns whether it ended within the limit.
     async fn ends_within_limit(mut self) -> bool {
-        let mut seen = 0;
+        let mut length = 0;
         loop {
             match self.body.frame().await {
                 None => return true,
-                Some(Ok(frame)) => seen += frame.data_ref().map_or(0, |d| d.trim_ascii().len()),
+                Some(Ok(frame)) => length += frame.data_ref().map_or(0, |d| d.trim_ascii().len()),
                 Some(Err(_)) => return false,
             }
-            if seen > self.limit {
+            if length > self.limit {
                 return false;
             }
         }
