--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to workers: one request at a time on each, idle ones kept for a while.
+//! Pool of connections to workers: one request at a time on each; idle connections are kept for a limited
+//! time.
 
 use super::job_handover::TransferredAttempt;
 use super::request_progress::{CountingStream, RequestProgress, SharedProgress};
@@ -23,60 +24,62 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout, Instant};
 
-/// Part of the workers' idle limit for which a connection is kept: a request written past the limit is lost.
-const IDLE_LIMIT_USED: f64 = 0.5;
-/// Bytes of an answer that are read ahead: answers carry no more.
-const READ_AHEAD: usize = 64 * 1024;
-/// Time for which the process may be held up between the look at the clock and the write that follows.
+/// Fraction of the workers' idle timeout for which a connection is reused: a request written after it is
+/// lost.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
+/// Size of the read buffer, in bytes: no response needs more.
+const READ_BUFFER_MAX: usize = 64 * 1024;
+/// Time for which the process may be stalled between reading the clock and the write that follows.
 const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
 /// Interval between removals of expired connections.
 const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why there is no connection to a worker. Nothing was sent.
+/// Why no connection to a worker was obtained. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The worker, or the way there, did not take the connection.
-    #[error("the worker did not take the connection")]
+    /// The worker is unknown, unreachable, or did not accept the connection in time.
+    #[error("the worker did not accept the connection")]
     Unreachable,
-    /// This node has no descriptor left, or an error of its own machine lasted too long: this says nothing about the worker.
+    /// This node has no descriptor left, or an error of its own machine lasted too long: not evidence about
+    /// the worker.
     #[error("this node has no resources for a connection")]
     LocalResources,
 }
 
-/// A connection to a worker. Dropped, it closes soon; see [`Connection::close`].
+/// A connection to a worker. Dropping it closes it soon after; [`Connection::close`] waits for that.
 pub struct Connection {
-    /// Takes the next request.
+    /// Sends requests.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What the socket has taken of the current request.
+    /// How much of the current request the socket has accepted.
     pub progress: SharedProgress,
-    /// Checked before its first byte.
+    /// Check that is made before a request's first byte is written.
     pub guard: SendGuard,
     /// Address of the worker.
     pub address: SocketAddr,
-    /// Handle to its socket.
+    /// Handle to the socket.
     pub socket_handle: SocketHandle,
     driver: JoinHandle<()>,
-    /// Whether it has served before.
+    /// Whether it has carried an earlier request.
     pub is_reused: bool,
-    /// When the last job on it had its answer.
+    /// When the last request on it ended.
     pub last_request_ended_at: Option<Instant>,
     idle_since: Instant,
     _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Closes it; the socket is closed when this returns.
+    /// Closes the connection; the socket is closed when this returns.
     pub async fn close(mut self) {
         self.driver.abort();
-        // An aborted driver ends with an error by design; what counts is that it has ended.
+        // An aborted task returns an error; it matters only that it has ended.
         let _ = (&mut self.driver).await;
     }
 
-    /// Whether the next request may go out on it. Something that its worker has said and nobody has read, as a second
-    /// answer, would be taken for the next request's answer; a close for a break under that request.
-    fn is_reusable(&self, keep: Duration) -> bool {
-        let is_young = self.idle_since.elapsed() < keep;
-        is_young && self.sender.is_ready() && self.socket_handle.has_nothing_unread()
+    /// Whether the next request may be sent on it. Unread bytes, such as a second response, would be mistaken
+    /// for the response to the next request, and a close by the worker for a failure during that request.
+    fn is_reusable(&self, keep_alive: Duration) -> bool {
+        let is_recent = self.idle_since.elapsed() < keep_alive;
+        is_recent && self.sender.is_ready() && self.socket_handle.has_nothing_unread()
     }
 }
 
@@ -86,11 +89,11 @@
     }
 }
 
-/// A worker's address and idle connections.
+/// Address and idle connections of a worker.
 struct Endpoint {
     address: SocketAddr,
     is_listed: bool,
-    /// When discovery said that it drains or is gone, where it is so now.
+    /// When discovery reported it as draining or gone, if it still is.
     draining_since: Option<Instant>,
     idle: Vec<Connection>,
 }
@@ -102,11 +105,11 @@
     }
 }
 
-/// Timeouts that the settings give.
+/// Timeouts from the settings.
 #[derive(Clone, Copy)]
 struct Timeouts {
     connect: Duration,
-    keep: Duration,
+    keep_alive: Duration,
     drain_grace: Duration,
 }
 
@@ -114,7 +117,7 @@
     fn new(names: &Names) -> Timeouts {
         Timeouts {
             connect: names.connect_timeout,
-            keep: names.worker_idle_timeout.mul_f64(IDLE_LIMIT_USED),
+            keep_alive: names.worker_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION),
             drain_grace: names.drain_grace,
         }
     }
@@ -125,26 +128,26 @@
     endpoints: Mutex<HashMap<WorkerId, Endpoint>>,
     permits: Arc<Semaphore>,
     capacity: AtomicUsize,
-    /// Capacity used ahead of its being granted.
-    overdraft: AtomicUsize,
+    /// Capacity that was used before it was granted; it is deducted from the next grants.
+    borrowed: AtomicUsize,
     timeouts: Mutex<Timeouts>,
     counters: Arc<Counters>,
 }
 
 impl Pool {
-    /// A pool for this many connections.
+    /// Creates a pool for this many connections.
     pub fn new(capacity: usize, names: &Names, counters: Arc<Counters>) -> Pool {
         Pool {
             endpoints: Mutex::default(),
             permits: Arc::new(Semaphore::new(capacity)),
             capacity: AtomicUsize::new(capacity),
-            overdraft: AtomicUsize::new(0),
+            borrowed: AtomicUsize::new(0),
             timeouts: Mutex::new(Timeouts::new(names)),
             counters,
         }
     }
 
-    /// Changes the timeouts to those of newer settings.
+    /// Applies the timeouts of reloaded settings.
     pub fn set_timeouts(&self, names: &Names) {
         *self.timeouts.lock().unwrap_or_else(PoisonError::into_inner) = Timeouts::new(names);
     }
@@ -157,19 +160,19 @@
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Grants capacity for so many connections more, less what was used ahead of that.
+    /// Adds capacity for this many connections, less what was borrowed.
     pub fn add_capacity(&self, connections: usize) {
-        let repaid = self.overdraft.load(Ordering::Relaxed).min(connections);
-        self.overdraft.fetch_sub(repaid, Ordering::Relaxed);
-        self.grow(connections - repaid);
+        let returned = self.borrowed.load(Ordering::Relaxed).min(connections);
+        self.borrowed.fetch_sub(returned, Ordering::Relaxed);
+        self.add_permits(connections - returned);
     }
 
-    fn grow(&self, connections: usize) {
+    fn add_permits(&self, connections: usize) {
         self.capacity.fetch_add(connections, Ordering::Relaxed);
         self.permits.add_permits(connections);
     }
 
-    /// Number of connections.
+    /// Number of open connections, in use or idle.
     pub fn connection_count(&self) -> usize {
         self.capacity.load(Ordering::Relaxed).saturating_sub(self.permits.available_permits())
     }
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Takes over the addresses of a list; idle connections to workers that are gone or have moved are closed.
+    /// Applies an endpoint list; closes idle connections to workers that are gone or whose address has
+    /// changed.
     pub fn update_endpoints(&self, members: &[EndpointRecord], is_complete: bool) {
         let mut endpoints = self.endpoints();
         if is_complete {
@@ -218,17 +222,17 @@
         }
     }
 
-    /// A connection to this worker, idle or new.
+    /// Returns a connection to this worker: an idle one, or a new one.
     ///
     /// # Errors
-    /// [`ConnectError`] if there is none within the settings' time.
+    /// [`ConnectError`] if none is obtained within the connect timeout.
     pub async fn acquire(&self, worker: WorkerId) -> Result<Connection, ConnectError> {
         let timeouts = self.timeouts();
         let address = {
             let mut endpoints = self.endpoints();
             let endpoint = endpoints.get_mut(&worker).ok_or(ConnectError::Unreachable)?;
             while let Some(connection) = endpoint.idle.pop() {
-                if connection.is_reusable(timeouts.keep) {
+                if connection.is_reusable(timeouts.keep_alive) {
                     if let Ok(mut progress) = connection.progress.lock() {
                         *progress = RequestProgress::default();
                     }
@@ -237,20 +241,24 @@
             }
             endpoint.address
         };
-        self.open(address, timeouts.connect).await
+        self.open_connection(address, timeouts.connect).await
     }
 
-    /// Whether a request may begin at this worker now. It may have been told to drain while its connection was coming up,
-    /// and what is written now is new to it.
+    /// Whether a new request may be sent to this worker now. The worker may have started to drain while its
+    /// connection was being established.
     pub fn accepts_new_requests(&self, worker: WorkerId) -> bool {
         let grace = self.timeouts().drain_grace.saturating_sub(STALL_ALLOWANCE);
         let draining_since = self.endpoints().get(&worker).and_then(|endpoint| endpoint.draining_since);
         draining_since.is_none_or(|at| at.elapsed() < grace)
     }
 
-    async fn open(&self, address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
-        let permit = self.permit().await?;
-        // Errors of this machine say nothing about the worker: a moment later there may be a socket.
+    async fn open_connection(
+        &self,
+        address: SocketAddr,
+        limit: Duration,
+    ) -> Result<Connection, ConnectError> {
+        let permit = self.acquire_permit().await?;
+        // Errors of this machine are not evidence about the worker and often pass, so the call is retried.
         let connect = transient::retry_local_failures(limit, || TcpStream::connect(address));
         let socket = match timeout(limit, connect).await {
             Ok(Ok(socket)) => socket,
@@ -259,37 +267,38 @@
         };
         socket.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
         let stream = CountingStream::new(Socket::new(socket), SharedProgress::default());
-        let connection = self.start(stream, address, permit).await;
+        let connection = self.handshake(stream, address, permit).await;
         self.counters.worker_connections_opened.add();
         connection.ok_or(ConnectError::Unreachable)
     }
 
-    /// A descriptor for a connection. Where all are in use, idle connections elsewhere make way.
-    async fn permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
+    /// Acquires a descriptor for a connection. If all are in use, closes the idle connections to all workers.
+    async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Ok(permit);
         }
         self.close_idle();
-        tokio::task::yield_now().await; // lets the drivers of those connections end
+        tokio::task::yield_now().await; // lets the tasks of those connections end
         self.permits.clone().try_acquire_owned().map_err(|_| ConnectError::LocalResources)
     }
 
-    /// A connection on which another process has written a request with a body of `body` bytes; what its worker has
-    /// answered so far comes first. `None` where the socket cannot be used.
-    pub async fn adopt(&self, adopted: TransferredAttempt, body: usize) -> Option<Connection> {
+    /// Opens a connection over a socket on which another process has written a request with a body of
+    /// `body_len` bytes. The part of the response that that process has read is replayed first. `None` if the
+    /// socket cannot be used.
+    pub async fn adopt(&self, adopted: TransferredAttempt, body_len: usize) -> Option<Connection> {
         let permit = self.permits.clone().try_acquire_owned();
         let permit = permit.or_else(|_| {
-            // The other process releases its descriptor for it.
-            self.grow(1);
-            self.overdraft.fetch_add(1, Ordering::Relaxed);
+            // The other process closes its descriptor of the same socket.
+            self.add_permits(1);
+            self.borrowed.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
         });
         let socket = Socket::received(adopted.socket, adopted.response.to_vec()).ok()?;
-        let stream = CountingStream::with_request_written(socket, SharedProgress::default(), body);
-        self.start(stream, adopted.address, permit.ok()?).await
+        let stream = CountingStream::with_request_written(socket, SharedProgress::default(), body_len);
+        self.handshake(stream, adopted.address, permit.ok()?).await
     }
 
-    async fn start(
+    async fn handshake(
         &self,
         stream: CountingStream<Socket>,
         address: SocketAddr,
@@ -299,10 +308,10 @@
         let socket_handle = stream.get_ref().socket_handle();
         let io = TokioIo::new(stream);
         let (mut sender, connection) =
-            Builder::new().max_buf_size(READ_AHEAD).handshake::<_, Full<Bytes>>(io).await.ok()?;
+            Builder::new().max_buf_size(READ_BUFFER_MAX).handshake::<_, Full<Bytes>>(io).await.ok()?;
         let driver = tokio::spawn(async move {
             if let Err(e) = connection.await {
-                log::debug!(event = "worker_connection_broken", address:%, error:% = e; "connection to a worker broke");
+                log::debug!(event = "worker_connection_broken", address:%, error:% = e; "worker connection failed");
             }
         });
         sender.ready().await.ok()?;
@@ -320,7 +329,8 @@
         })
     }
 
-    /// Keeps a connection whose last answer ended cleanly, unless its worker is gone.
+    /// Keeps a connection for reuse after its response has ended, unless the worker is gone or has another
+    /// address.
     pub fn release(&self, worker: WorkerId, mut connection: Connection) {
         if let Some(endpoint) = self.endpoints().get_mut(&worker) {
             let is_current = endpoint.is_listed && endpoint.address == connection.address;
@@ -333,14 +343,14 @@
         }
     }
 
-    /// Drops connections that have been idle too long or have closed, at an interval, without end.
+    /// Closes connections that have been idle too long, and drops closed ones, at an interval. Never returns.
     pub async fn evict_expired(self: Arc<Self>) {
         let mut interval = interval(EVICTION_INTERVAL);
         loop {
             interval.tick().await;
-            let keep = self.timeouts().keep;
+            let keep_alive = self.timeouts().keep_alive;
             for endpoint in self.endpoints().values_mut() {
-                endpoint.idle.retain(|c| c.idle_since.elapsed() < keep && !c.sender.is_closed());
+                endpoint.idle.retain(|c| c.idle_since.elapsed() < keep_alive && !c.sender.is_closed());
             }
         }
     }
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -1,4 +1,5 @@
-//! Health checks: a worker is asked for its load, where the settings allow that. The decision module says whom and when.
+//! Health checks: requests the load report of a worker. The decision module decides which workers are probed,
+//! and when.
 
 use super::attempt::AttemptRunner;
 use super::fields;
@@ -11,35 +12,36 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Longest load report, in bytes: it is a few numbers.
+/// Longest load report, in bytes: it consists of a few numbers.
 const BODY_MAX: usize = 4096;
 
-/// Why a worker told no load.
+/// Why a probe failed.
 #[derive(Debug, thiserror::Error)]
 enum ProbeError {
-    #[error("no connection")]
+    #[error("connecting failed")]
     Connect(#[from] ConnectError),
-    #[error("no answer")]
+    #[error("the exchange failed")]
     Exchange(#[source] Box<dyn std::error::Error + Send + Sync>),
-    #[error("the worker answered with status {0}")]
+    #[error("the worker responded with status {0}")]
     Status(StatusCode),
-    #[error("the answer is no load report")]
-    NotAReport,
+    #[error("the load report is malformed")]
+    MalformedReport,
 }
 
-/// Probes a worker and reports the one outcome: a missing, a late and a wrong answer count as a failure. The connection may
-/// take as long as the settings allow to come up, the answer as long again.
+/// Probes a worker and reports one outcome: a missing, late or malformed response counts as a failure.
+/// Connecting may take the connect timeout of the settings, and the response as long again.
 pub async fn run(runner: Arc<AttemptRunner>, worker: WorkerId) {
     let limit = 2 * runner.names.borrow().connect_timeout;
-    let answer = timeout(limit, request_load(&runner, worker)).await;
-    let load = answer.ok().and_then(Result::ok);
+    let result = timeout(limit, request_load(&runner, worker)).await;
+    let load = result.ok().and_then(Result::ok);
     if load.is_some() {
         runner.counters.probes_answered.add();
     }
     runner.handle.probe_ended(worker, load.is_some(), load.flatten());
 }
 
-/// The worker's load; `None` if it has none to tell yet. A connection that is not read to its end is closed.
+/// Requests the worker's load report; `None` if it has none yet. Closes the connection if the response is not
+/// read to its end.
 async fn request_load(runner: &AttemptRunner, worker: WorkerId) -> Result<Option<LoadReport>, ProbeError> {
     let exchange_failed = |error: hyper::Error| ProbeError::Exchange(error.into());
     let mut connection = runner.pool.acquire(worker).await?;
@@ -57,7 +59,7 @@
         return Err(ProbeError::Status(head.status));
     }
     match fields::load_body(&body, &runner.names.borrow()) {
-        None if !body.is_empty() => Err(ProbeError::NotAReport),
+        None if !body.is_empty() => Err(ProbeError::MalformedReport),
         load => Ok(load),
     }
 }
--- a/node/src/platform/send_guard.rs
+++ b/node/src/platform/send_guard.rs
@@ -1,61 +1,62 @@
-//! Last check before a request is sent: made right before its first byte goes to a worker, on whichever connection and
-//! however long that took to come up.
+//! Last check before a request is sent, made right before its first byte is written to a worker: on a new or
+//! a reused connection, however long connecting took.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Why a request must not be written. Nothing of it has gone out.
+/// Why a request must not be sent. None of its bytes have been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendBlocked {
-    /// Its client has left.
-    #[error("its client has left")]
+    /// The client has disconnected.
+    #[error("the client has disconnected")]
     ClientLeft,
-    /// Its client stops waiting now.
-    #[error("its deadline has passed")]
+    /// The deadline has passed.
+    #[error("the deadline has passed")]
     DeadlinePassed,
-    /// Its worker was told to drain, or is gone, for about as long as the settings allow.
-    #[error("its worker is draining or gone")]
+    /// The worker has been draining or gone for nearly the drain grace period of the settings.
+    #[error("the worker is draining or gone")]
     EndpointDraining,
 }
 
 type Check = Box<dyn FnOnce() -> Result<(), SendBlocked> + Send>;
 
-/// What is known of the next request.
+/// State of the check for the next request.
 #[derive(Default)]
 enum State {
-    /// Nothing is to be checked, or the check has passed.
+    /// No check is set, or it has passed.
     #[default]
-    Open,
-    /// The check is made with the next byte.
+    Inactive,
+    /// The check is made before the next byte is written.
     Armed(Check),
     /// The check has failed.
     Blocked(SendBlocked),
 }
 
-/// Guard that a connection's user and its socket share.
+/// Guard that is shared between a connection's user and its stream.
 #[derive(Clone, Default)]
 pub struct SendGuard(Arc<Mutex<State>>);
 
 impl SendGuard {
-    /// Has this checked before the next byte goes out.
+    /// Sets the check to make before the next byte is written.
     pub fn arm(&self, check: impl FnOnce() -> Result<(), SendBlocked> + Send + 'static) {
         *self.state() = State::Armed(Box::new(check));
     }
 
     /// Why the request was not sent, if its check failed.
-    pub fn blocked_by(&self) -> Option<SendBlocked> {
+    pub fn block_reason(&self) -> Option<SendBlocked> {
         match *self.state() {
             State::Blocked(reason) => Some(reason),
-            State::Open | State::Armed(_) => None,
+            State::Inactive | State::Armed(_) => None,
         }
     }
 
-    /// Makes the check, once for each request.
+    /// Makes the check if one is set, once for each request.
     ///
     /// # Errors
-    /// The request must not be written; its connection ends with this error, whose source is a [`SendBlocked`].
+    /// The request must not be written; the connection ends with this error, whose source is a
+    /// [`SendBlocked`].
     pub fn check(&self) -> io::Result<()> {
-        // Taken out first: the check may take its time, and locks of its own.
+        // Made without holding the lock: the check may take time, and other locks.
         let check = {
             let mut state = self.state();
             match std::mem::take(&mut *state) {
