--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -23,14 +23,14 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{timeout, Instant};
 
-/// Longest line of a worker's response, in bytes, which also bounds the length of a result.
+/// Longest line of a worker's response, in bytes: a whole response needs no more.
 const LINE_MAX: usize = 64 * 1024;
 /// Longest body, in bytes, of a response other than 200 after which the connection is reused.
 const REJECTION_BODY_MAX: usize = 4096;
 /// Time after a request's end in which a response without an id may be a second one to that request. A worker
 /// may send it some milliseconds after the first.
 const STRAY_RESPONSE_WINDOW: Duration = Duration::from_millis(20);
-/// Time for a response to end after its final update; its connection is closed if it does not.
+/// Time to wait for the end of a response whose outcome is known; its connection is closed after it.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request as an attempt forwards it.
@@ -85,8 +85,7 @@
     result: Bytes,
     /// Whether the outcome is not evidence about the worker.
     is_unattributable: bool,
-    /// Rest of the response, to be read before the connection is reused; without one, the connection is
-    /// closed.
+    /// Rest of the response, to be read before the connection is reused; `None` closes the connection.
     unread: Option<UnreadResponse>,
 }
 
@@ -147,8 +146,7 @@
         let AttemptEnd { outcome, report, result, is_unattributable, unread } = end;
         let (attempt_id, worker) = (request.attempt_id, request.worker);
         let Some(unread) = unread else {
-            // Closed before the dispatcher can start another attempt: at most one copy of a request may be
-            // executed.
+            // At most one copy may be executed: closed before the dispatcher can start another attempt.
             if let Some(connection) = connection {
                 connection.close().await;
             }
@@ -164,8 +162,7 @@
         }
     }
 
-    /// Returns the connection to the pool if the response ends in time and within its limit; closes it
-    /// otherwise.
+    /// Returns the connection to the pool if the response ends in time and within its limit, or closes it.
     async fn release_if_ended(&self, worker: WorkerId, mut connection: Connection, unread: UnreadResponse) {
         let has_ended = timeout(RESPONSE_END_TIMEOUT, unread.ends_within_limit()).await.unwrap_or(false);
         if has_ended && connection.sender.ready().await.is_ok() {
@@ -174,8 +171,7 @@
         }
     }
 
-    /// Sends the request and reads the response. Leaves the connection in `opened`, also when it is
-    /// cancelled.
+    /// Sends the request and reads the response. Leaves the connection in `opened`, even if cancelled.
     async fn exchange(
         &self,
         request: &AttemptRequest,
@@ -196,8 +192,7 @@
         let may_be_stray =
             connection.last_request_ended_at.is_some_and(|at| at.elapsed() < STRAY_RESPONSE_WINDOW);
         match connection.sender.send_request(http_request).await {
-            // It may be a second response to the previous request: even 'not executed' proves nothing about
-            // this one.
+            // Possibly a second response to the previous request: 'not executed' is no proof for this one.
             Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
                 AttemptEnd::unattributable(Outcome::ConnectionLost)
             }
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -1,5 +1,4 @@
-//! Pool of connections to workers: one request at a time on each; idle connections are kept for a limited
-//! time.
+//! Pool of connections to workers, each for one request at a time; idle ones are kept for a limited time.
 
 use super::job_handover::TransferredAttempt;
 use super::request_progress::{CountingStream, RequestProgress, SharedProgress};
@@ -24,8 +23,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout, Instant};
 
-/// Fraction of the workers' idle timeout for which a connection is reused: a request written after it is
-/// lost.
+/// Fraction of the workers' idle timeout for which a connection is reused: a request written after that
+/// timeout is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
 /// Size of the read buffer, in bytes: no response needs more.
 const READ_BUFFER_MAX: usize = 64 * 1024;
@@ -194,8 +193,7 @@
         }
     }
 
-    /// Applies an endpoint list; closes idle connections to workers that are gone or whose address has
-    /// changed.
+    /// Applies an endpoint list; closes idle connections to workers that are gone or have a new address.
     pub fn update_endpoints(&self, members: &[EndpointRecord], is_complete: bool) {
         let mut endpoints = self.endpoints();
         if is_complete {
@@ -329,8 +327,7 @@
         })
     }
 
-    /// Keeps a connection for reuse after its response has ended, unless the worker is gone or has another
-    /// address.
+    /// Keeps a connection whose response has ended for reuse, unless the worker is gone or has a new address.
     pub fn release(&self, worker: WorkerId, mut connection: Connection) {
         if let Some(endpoint) = self.endpoints().get_mut(&worker) {
             let is_current = endpoint.is_listed && endpoint.address == connection.address;
