--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -1,5 +1,6 @@
-//! Jobs that run while another process takes the node's place go on there: their client's and their worker's socket
-//! with what either has said so far, which the new process plays back into connections of its own.
+//! Transfer of running requests during a process handover: the sockets of client and worker go to the
+//! successor, together with the request and the response so far, which the successor replays into its own
+//! connections.
 
 use super::monitored_stream::MessageMonitor;
 use super::request_progress::SharedProgress;
@@ -20,84 +21,95 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// A client's connection, for who may move it.
+/// Handle to a client's connection, for a transfer to another process.
 #[derive(Clone)]
 pub struct ClientHandle {
-    /// Its socket.
+    /// The socket.
     pub socket_handle: SocketHandle,
-    /// Where its messages end.
+    /// Tells whether the connection is between two messages.
     pub message_monitor: MessageMonitor,
-    /// Told once nothing more is to be done with it here: it has moved, or its client has left.
+    /// Notified when this process is done with the connection: it was transferred, or the client has
+    /// disconnected.
     pub finished: Arc<Notify>,
-    /// It is another process's.
+    /// Whether the connection belongs to another process now.
     pub is_transferred: Arc<AtomicBool>,
 }
 
-/// The core's hold on an attempt.
+/// The dispatcher's handle to an attempt.
 pub struct AttemptHandle {
-    /// Ends it.
+    /// Ends the attempt with this outcome.
     pub stop: oneshot::Sender<Outcome>,
-    /// Its connection.
+    /// State shared with the attempt.
     pub shared: Arc<SharedAttempt>,
 }
 
-/// An attempt's connection, once there is one, and whether it has moved.
+/// State of an attempt that the dispatcher reads and sets while the attempt runs.
 #[derive(Default)]
 pub struct SharedAttempt {
-    /// The socket, what has passed over it, and where it leads.
+    /// Socket, progress and worker address of the connection, once there is one.
     pub connection: Mutex<Option<(SocketHandle, SharedProgress, SocketAddr)>>,
-    /// It is another process's: its end is not this one's to report.
+    /// Whether another process continues the attempt and reports its outcome.
     pub is_transferred: AtomicBool,
-    /// Its client has left: what is not on its way need not go.
+    /// Whether the client has disconnected: the request need not be sent any more.
     pub is_abandoned: AtomicBool,
 }
 
-/// A job on its way, beside its two sockets.
+/// A running request as it is sent to another process, apart from its two sockets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredJob {
     /// The class, by name.
     pub class: String,
-    /// The tenant, by name; empty where there are none.
+    /// The tenant, by name; empty if tenants are not configured.
     pub tenant: String,
     target: String,
-    id: String,
-    key: Option<String>,
+    #[serde(rename = "id")]
+    wire_id: String,
+    #[serde(rename = "key")]
+    idempotency_key: Option<String>,
     body: Bytes,
-    hint_us: Option<u64>,
-    retry: bool,
+    #[serde(rename = "hint_us")]
+    cost_hint_us: Option<u64>,
+    #[serde(rename = "retry")]
+    is_retry: bool,
     slots: f64,
     memory: f64,
-    left: Duration,
-    /// The worker, where it listens, and how long ago it was sent the job and started it.
+    #[serde(rename = "left")]
+    time_left: Duration,
+    /// The worker, its address, the time since the request was sent to it, and the time since it started the
+    /// execution.
     worker: (u64, SocketAddr, Duration, Option<Duration>),
-    said: Bytes,
+    #[serde(rename = "said")]
+    response: Bytes,
 }
 
-/// What goes on here of an attempt that another process made.
+/// An attempt that another process started and this one continues.
 pub struct TransferredAttempt {
-    /// Its socket, with what its worker said so far.
+    /// Socket of the connection to the worker.
     pub socket: OwnedFd,
-    /// Where the worker listens.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// What the worker said.
+    /// Response received so far.
     pub response: Bytes,
-    /// What the module is told.
+    /// Start of the attempt, for the dispatcher.
     pub start: AttemptStart,
 }
 
 impl TransferredJob {
-    /// Freezes a running job and takes it up, if all of it can move.
+    /// Freezes a running request and collects its state, if it can be transferred.
     pub fn freeze(
-        sent: &AttemptStart,
+        start: &AttemptStart,
         job: &Job,
-        hold: &AttemptHandle,
+        attempt: &AttemptHandle,
         names: &Names,
     ) -> Option<(TransferredJob, SocketHandle, SocketHandle)> {
         let client = job.client.as_ref()?;
-        let link = hold.shared.connection.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let (socket_handle, meter, address) = link?;
-        let said =
-            meter.lock().ok().filter(|m| m.is_complete(job.body.len())).and_then(|m| m.response_so_far())?;
+        let connection = attempt.shared.connection.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let (socket_handle, progress, address) = connection?;
+        let response = progress
+            .lock()
+            .ok()
+            .filter(|p| p.is_complete(job.body.len()))
+            .and_then(|p| p.response_so_far())?;
         if !client.message_monitor.is_between_messages()
             || !client.socket_handle.is_replay_done()
             || !socket_handle.is_replay_done()
@@ -105,112 +117,119 @@
             return None;
         }
         let text = |value: &hyper::header::HeaderValue| value.to_str().ok().map(String::from);
-        let Request { work_hint_us: hint_us, is_retry: retry, slots, memory, .. } = job.fields;
-        let moving = TransferredJob {
+        let Request { work_hint_us: cost_hint_us, is_retry, slots, memory, .. } = job.fields;
+        let transferred = TransferredJob {
             class: names.classes.get(job.fields.class)?.clone(),
             tenant: names.tenants.get(job.fields.tenant).cloned().unwrap_or_default(),
             target: job.target.to_string(),
-            id: text(&job.id.value)?,
-            key: match &job.key {
+            wire_id: text(&job.id.value)?,
+            idempotency_key: match &job.key {
                 Some(key) => Some(text(key)?),
                 None => None,
             },
             body: job.body.clone(),
-            hint_us,
-            retry,
+            cost_hint_us,
+            is_retry,
             slots,
             memory,
-            left: sent.deadline.saturating_duration_since(Instant::now()),
-            worker: (sent.worker.0, address, sent.sent_at.elapsed(), sent.started_at.map(|at| at.elapsed())),
-            said,
+            time_left: start.deadline.saturating_duration_since(Instant::now()),
+            worker: (
+                start.worker.0,
+                address,
+                start.sent_at.elapsed(),
+                start.started_at.map(|at| at.elapsed()),
+            ),
+            response,
         };
         client.socket_handle.freeze();
         socket_handle.freeze();
-        Some((moving, client.socket_handle.clone(), socket_handle))
+        Some((transferred, client.socket_handle.clone(), socket_handle))
     }
 
-    /// The same, this much later.
-    fn delayed_by(mut self, span: Duration) -> TransferredJob {
-        self.left = self.left.saturating_sub(span);
-        let (_, _, sent, started) = &mut self.worker;
-        *sent += span;
-        *started = started.map(|ago| ago + span);
+    /// Adjusts the durations after this delay.
+    fn delayed_by(mut self, delay: Duration) -> TransferredJob {
+        self.time_left = self.time_left.saturating_sub(delay);
+        let (_, _, since_sent, since_started) = &mut self.worker;
+        *since_sent += delay;
+        *since_started = since_started.map(|since| since + delay);
         self
     }
 
-    /// The request as its client might have written it now.
+    /// The HTTP request as the client would send it now.
     pub fn to_request_bytes(&self) -> Vec<u8> {
-        let mut head = format!("POST {} HTTP/1.1\r\nX-Request-Id: {}\r\n", self.target, self.id);
-        let mut field = |name: &str, value: &dyn std::fmt::Display| {
-            let _ = write!(head, "{name}: {value}\r\n"); // a string takes all
+        let mut head = format!("POST {} HTTP/1.1\r\nX-Request-Id: {}\r\n", self.target, self.wire_id);
+        let mut add_header = |name: &str, value: &dyn std::fmt::Display| {
+            let _ = write!(head, "{name}: {value}\r\n"); // writing to a string does not fail
         };
-        field("X-Deadline", &format_args!("{:.6}", self.left.as_secs_f64().max(1e-6)));
-        field("X-Extras", &format_args!("slots={},memory={}", self.slots, self.memory));
+        add_header("X-Deadline", &format_args!("{:.6}", self.time_left.as_secs_f64().max(1e-6)));
+        add_header("X-Extras", &format_args!("slots={},memory={}", self.slots, self.memory));
         if !self.tenant.is_empty() {
-            field("X-Tenant", &self.tenant);
+            add_header("X-Tenant", &self.tenant);
         }
-        if let Some(key) = &self.key {
-            field("Idempotency-Key", key);
+        if let Some(key) = &self.idempotency_key {
+            add_header("Idempotency-Key", key);
         }
-        if let Some(hint) = self.hint_us {
-            field("X-Cost-Hint", &hint);
+        if let Some(hint) = self.cost_hint_us {
+            add_header("X-Cost-Hint", &hint);
         }
-        if self.retry {
-            field("X-Retry", &1);
+        if self.is_retry {
+            add_header("X-Retry", &1);
         }
-        field("Content-Length", &self.body.len());
+        add_header("Content-Length", &self.body.len());
         head.push_str("\r\n");
         let mut request = head.into_bytes();
         request.extend_from_slice(&self.body);
         request
     }
 
-    /// Its wire id.
+    /// Wire id of the request.
     pub fn wire_id(&self) -> &str {
-        &self.id
+        &self.wire_id
     }
 
-    /// Its attempt, with the worker's socket.
+    /// The attempt to continue over this socket, which is connected to the worker.
     pub fn to_attempt(&self, socket: OwnedFd) -> TransferredAttempt {
-        let (worker, address, at, started) = self.worker;
-        let ago = |span: Duration| Instant::now().checked_sub(span).unwrap_or_else(Instant::now);
+        let (worker, address, since_sent, since_started) = self.worker;
+        let ago = |duration: Duration| Instant::now().checked_sub(duration).unwrap_or_else(Instant::now);
         let start = AttemptStart {
             worker: WorkerId(worker),
-            sent_at: ago(at),
-            started_at: started.map(ago),
-            deadline: Instant::now() + self.left,
+            sent_at: ago(since_sent),
+            started_at: since_started.map(ago),
+            deadline: Instant::now() + self.time_left,
         };
-        TransferredAttempt { socket, address, response: self.said.clone(), start }
+        TransferredAttempt { socket, address, response: self.response.clone(), start }
     }
 }
 
-/// What the core's front gives to the other process, and what becomes of the job here.
+/// Combines the state and the sockets of a frozen request for the other process with what happens here to the
+/// request when the transfer ends.
 pub fn frozen_job(
     handle: &Handle<Job>,
-    tag: crate::dispatcher::AttemptId,
+    attempt_id: crate::dispatcher::AttemptId,
     job: &Job,
-    hold: &AttemptHandle,
-    (moving, client, worker): (TransferredJob, SocketHandle, SocketHandle),
+    attempt: &AttemptHandle,
+    (transferred, client, worker): (TransferredJob, SocketHandle, SocketHandle),
 ) -> Option<FrozenJob> {
-    let connection = job.client.as_ref()?;
-    let (handle, shared, finished) = (handle.clone(), hold.shared.clone(), connection.finished.clone());
-    let client_moved = connection.is_transferred.clone();
+    let client_handle = job.client.as_ref()?;
+    let (handle, shared, finished) = (handle.clone(), attempt.shared.clone(), client_handle.finished.clone());
+    let is_client_transferred = client_handle.is_transferred.clone();
     let socket_handles = [client, worker];
     let finish = {
         let socket_handles = socket_handles.clone();
-        Box::new(move |taken: bool| {
-            if taken {
+        Box::new(move |is_accepted: bool| {
+            if is_accepted {
                 shared.is_transferred.store(true, Ordering::Relaxed);
-                client_moved.store(true, Ordering::Relaxed);
-                handle.transferred(tag);
+                is_client_transferred.store(true, Ordering::Relaxed);
+                handle.transferred(attempt_id);
                 finished.notify_one();
             } else {
                 socket_handles.iter().for_each(SocketHandle::thaw);
             }
         })
     };
-    // Guards the client's wait, and what further workers are told of it: jobs go one after the other.
-    let (taken_up, moving) = (Instant::now(), moving);
-    let to_json = Box::new(move || serde_json::to_string(&moving.delayed_by(taken_up.elapsed())).ok());
+    // Requests are transferred one after the other: the time since the freeze is deducted from the time left
+    // to the client, which further attempts also pass on.
+    let (frozen_at, transferred) = (Instant::now(), transferred);
+    let to_json = Box::new(move || serde_json::to_string(&transferred.delayed_by(frozen_at.elapsed())).ok());
     Some(FrozenJob { to_json, sockets: socket_handles, finish })
 }
