--- a/node/src/platform/endpoint_watch/client.rs
+++ b/node/src/platform/endpoint_watch/client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: the whole list, or a watch for what has changed since a version.
+//! HTTP client of discovery: requests the complete endpoint list, or long polls for changes since a version.
 
 use super::super::socket::Socket;
 use crate::endpoint_list::EndpointList;
@@ -14,55 +14,55 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest list, in bytes: of some thousand workers.
+/// Longest list, in bytes: enough for some thousands of workers.
 const BODY_MAX: usize = 4 << 20;
-/// Time beyond the wait of a watch after which a silent call is given up and made anew.
+/// Time beyond the timeout of a long poll after which a call without a response is abandoned.
 pub const CALL_GRACE: Duration = Duration::from_millis(1500);
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No answer came.
-    #[error("not reached: {0}")]
+    /// No response was received.
+    #[error("discovery is unreachable: {0}")]
     Unreachable(#[source] ExchangeError),
-    /// Discovery has no time for the call.
-    #[error("turned away: {0}")]
+    /// Discovery is overloaded.
+    #[error("discovery rejected the call: {0}")]
     Rejected(StatusCode),
-    /// An answer came that is no list.
-    #[error("a bad list: {0}")]
+    /// The response is not a valid list.
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[source] ListError),
 }
 
-/// Why no answer came.
+/// Why no response was received.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection did not come up.
+    /// Connecting failed.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The exchange broke off.
+    /// Sending the request or receiving the response failed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The request could not be made.
+    /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The answer's body broke off.
+    /// Receiving the body of the response failed.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// Nothing came in time.
-    #[error("silence")]
+    /// No complete response was received in time.
+    #[error("timed out")]
     Timeout,
 }
 
-/// Why an answer is no list.
+/// Why a response is not a valid list.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is too long.
+    /// The body is too long.
     #[error("longer than {BODY_MAX} bytes")]
     TooLong,
-    /// Its status is not 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// Its body is malformed.
+    /// The body is malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
 }
@@ -73,17 +73,17 @@
     }
 }
 
-/// A call that is answered once there is something newer, or after a while.
+/// A long poll: discovery responds once it has a newer version, or after a timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
-    /// The version that is known.
+    /// The known version.
     pub version: u64,
-    /// Time for which discovery may wait for something newer.
+    /// Time for which discovery waits for a newer version.
     pub wait: Duration,
 }
 
 impl Watch {
-    /// Path and query of a call; without a watch, it asks for the whole list.
+    /// Path and query of a call; without a watch, the call requests the complete list.
     fn target(watch: Option<Watch>) -> String {
         match watch {
             Some(Watch { version, wait }) => {
@@ -96,27 +96,27 @@
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// Client of one address, with the connection that it keeps.
+/// Client of one address, with a persistent connection.
 pub struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Sender>,
 }
 
 impl DiscoveryClient {
-    /// A client that is not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(address: SocketAddr) -> DiscoveryClient {
         DiscoveryClient { address, connection: None }
     }
 
-    /// Closes the connection; the next call makes a new one.
+    /// Closes the connection; the next call opens a new one.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// Asks for the whole list, or for what has changed since a version.
+    /// Requests the complete list, or the changes since a version.
     ///
     /// # Errors
-    /// [`CallError`] if discovery cannot be reached, rejects the call, or answers what is no list.
+    /// [`CallError`] if discovery is unreachable, rejects the call, or returns no valid list.
     pub async fn call(&mut self, watch: Option<Watch>) -> Result<EndpointList, CallError> {
         let limit = CALL_GRACE + watch.map_or(Duration::ZERO, |watch| watch.wait);
         let exchange = self.exchange(Watch::target(watch));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The connection that is kept, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn sender(&mut self) -> Result<&mut Sender, ExchangeError> {
         if let Some(sender) = &mut self.connection {
             if sender.ready().await.is_err() {
@@ -157,12 +157,12 @@
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(Socket::new(socket))).await?;
-    // The task ends with the connection, when its sender is dropped or discovery closes it.
+    // The task ends with the connection, when the sender is dropped or discovery closes it.
     tokio::spawn(connection);
     Ok(sender)
 }
 
-/// Reads the body, whatever the status: only then can the connection be kept.
+/// Reads the body, whatever the status: otherwise the connection cannot be reused.
 async fn read_body(response: Response<Incoming>) -> Result<Bytes, CallError> {
     let body = Limited::new(response.into_body(), BODY_MAX).collect().await;
     let body = body.map_err(|error| match error.downcast_ref::<LengthLimitError>() {
--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -1,8 +1,9 @@
-//! Endpoint watch: brings the list of workers from discovery to the connection pool and the dispatcher. It begins with the
-//! list that was known, then asks for the whole list, then for one watch event after the other.
+//! Endpoint watch: passes the endpoint list from discovery to the connection pool and the dispatcher. It
+//! starts with the list that is known at the start, if any, or else requests the complete list; after that it
+//! long polls for changes.
 //!
-//! `sharing` holds how nodes share their calls, `source` the calls to one address of discovery, `backoff` the pauses after
-//! failed ones, and `client` a single call.
+//! `sharing` is the interface to nodes that share their lists, `source` follows one address of discovery,
+//! `backoff` sets the pauses after failed calls, and `client` makes a single call.
 
 pub mod backoff;
 mod client;
@@ -25,93 +26,100 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// Address of discovery, which may change.
+/// Current address of discovery.
 type DiscoveryAddress = watch::Receiver<Option<SocketAddr>>;
 
-/// What the watch brings its lists to, and the settings that it goes by.
+/// Watch of the endpoint list: receivers of the lists, and settings.
 pub struct EndpointWatch {
     /// The dispatcher.
     pub handle: Handle<Job>,
     /// Connections to workers.
     pub(super) pool: Arc<Pool>,
-    /// Names on the wire.
+    /// Names of classes and tenants, and limits, from the settings.
     pub names: watch::Receiver<Arc<Names>>,
     /// Counters of this frontend.
     pub counters: Arc<Counters>,
-    /// Number of nodes that ask discovery, this one included.
+    /// Number of nodes that call discovery, including this one.
     pub node_count: u32,
-    /// Whether discovery is one service that answers all of them, and not an agent of this machine's own.
+    /// Whether discovery is one service for all of them, and not an agent on this machine.
     pub is_shared_service: bool,
     /// Seed for random numbers.
     pub seed: u64,
-    /// Latest list of all workers.
+    /// Latest complete list, updated by each received one.
     pub latest_list: Arc<Mutex<EndpointList>>,
 }
 
 impl EndpointWatch {
-    /// Feeds the list that was known, then all that discovery tells, wherever it is at each moment. Without end.
+    /// Applies the list known at the start, then each list from discovery's current address. Never returns.
     pub async fn run(
         self,
         address: DiscoveryAddress,
         sharing: Option<ListSharing>,
         known: Option<EndpointList>,
     ) {
-        // The list that was known is a version of discovery's own: it tells what has changed since.
+        // The known list has a version of discovery, which can return the changes since.
         let version = known.as_ref().map(|known| known.revision);
         if let Some(known) = known {
-            self.feed(&EndpointList { complete: true, ..known });
+            self.apply(&EndpointList { complete: true, ..known });
         }
-        Follower::new(self, address, sharing, version).run().await;
+        WatchTask::new(self, address, sharing, version).run().await;
     }
 
-    /// Takes over a list that has been received.
-    fn accept(&self, list: &EndpointList) {
-        self.feed(list);
+    /// Applies a received list and counts it.
+    fn apply_received(&self, list: &EndpointList) {
+        self.apply(list);
         self.counters.endpoint_lists_applied.add();
     }
 
-    fn feed(&self, list: &EndpointList) {
+    fn apply(&self, list: &EndpointList) {
         self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).merge(list);
         self.pool.update_endpoints(&list.members, list.complete);
-        // Also a list without changes: a worker that appears in the next one has started since this one.
+        // Passed on even without changes: a worker that is new in the next list has started since this one.
         let names = self.names.borrow().clone();
         let entries = list.members.iter().map(|member| member.endpoint(&names)).collect();
         self.handle.update_endpoints(entries, list.complete);
     }
 }
 
-/// The watch as it runs.
-struct Follower {
+/// State of a running watch.
+struct WatchTask {
     watch: EndpointWatch,
     address: DiscoveryAddress,
     sharing: Option<ListSharing>,
-    /// Set while discovery cannot be reached.
+    /// Set while discovery is unreachable.
     unreachable: Arc<AtomicBool>,
     /// Version of the latest list.
     version: Option<u64>,
-    /// The address whose lists count.
-    current: Option<ListSource>,
-    /// The address that discovery has moved to, until it has told the whole list.
-    next: Option<ListSource>,
+    /// Source whose lists are applied.
+    current_source: Option<ListSource>,
+    /// Source at the new address of discovery, until it has returned the complete list.
+    next_source: Option<ListSource>,
 }
 
-impl Follower {
+impl WatchTask {
     fn new(
         watch: EndpointWatch,
         mut address: DiscoveryAddress,
         sharing: Option<ListSharing>,
         version: Option<u64>,
-    ) -> Follower {
+    ) -> WatchTask {
         let unreachable = sharing.as_ref().map_or_else(Arc::default, |s| s.discovery_unreachable.clone());
-        let first = *address.borrow_and_update();
-        let mut follower =
-            Follower { watch, address, sharing, unreachable, version, current: None, next: None };
-        follower.current = follower.source(first, version);
-        follower
+        let first_address = *address.borrow_and_update();
+        let mut task = WatchTask {
+            watch,
+            address,
+            sharing,
+            unreachable,
+            version,
+            current_source: None,
+            next_source: None,
+        };
+        task.current_source = task.start_source(first_address, version);
+        task
     }
 
-    /// A source for this address, if there is one, that asks for what has changed since a version.
-    fn source(&self, address: Option<SocketAddr>, version: Option<u64>) -> Option<ListSource> {
+    /// Starts a source for this address, if there is one, that requests the changes since a version.
+    fn start_source(&self, address: Option<SocketAddr>, version: Option<u64>) -> Option<ListSource> {
         let EndpointWatch { node_count, is_shared_service, seed, .. } = self.watch;
         let backoff = Backoff::new(node_count, is_shared_service, seed);
         let (discovery, unreachable) = (self.address.clone(), self.unreachable.clone());
@@ -124,39 +132,39 @@
                 biased;
                 Ok(()) = self.address.changed() => {
                     let address = *self.address.borrow_and_update();
-                    self.next = self.source(address, None);
+                    self.next_source = self.start_source(address, None);
                 }
-                event = sharing::next_event(&mut self.sharing) => self.handle_sharing(event),
-                // Protects the list while discovery moves: the old address counts until the new one has told all.
-                list = source::next_list(&mut self.next) => {
-                    self.current = self.next.take();
+                event = sharing::next_event(&mut self.sharing) => self.handle_sharing_event(event),
+                // The old address of discovery remains in use until the new one has returned a complete list.
+                list = source::next_list(&mut self.next_source) => {
+                    self.current_source = self.next_source.take();
                     self.handle_list(list);
                 }
-                list = source::next_list(&mut self.current) => self.handle_list(list),
+                list = source::next_list(&mut self.current_source) => self.handle_list(list),
             }
         }
     }
 
-    fn handle_sharing(&mut self, event: SharingEvent) {
+    fn handle_sharing_event(&mut self, event: SharingEvent) {
         match event {
-            SharingEvent::Watch(true) => {
+            SharingEvent::PollDiscovery(true) => {
                 let address = *self.address.borrow();
-                self.current = self.source(address, self.version);
+                self.current_source = self.start_source(address, self.version);
             }
-            SharingEvent::Watch(false) => self.current = None,
+            SharingEvent::PollDiscovery(false) => self.current_source = None,
             SharingEvent::Received(list) => {
                 self.version = Some(list.revision);
-                self.watch.accept(&list);
+                self.watch.apply_received(&list);
             }
         }
     }
 
-    /// Takes over a list of discovery, and publishes it where lists are shared.
+    /// Applies a list of discovery, and publishes it if lists are shared.
     fn handle_list(&mut self, list: EndpointList) {
         self.version = Some(list.revision);
-        self.watch.accept(&list);
+        self.watch.apply_received(&list);
         if let Some(sharing) = &self.sharing {
-            // A list that finds no room is made up for by a later whole list.
+            // A list that does not fit into the queue is dropped; a later complete list makes up for it.
             let _ = sharing.published_lists.try_send(list);
         }
     }
--- a/node/src/platform/endpoint_watch/sharing.rs
+++ b/node/src/platform/endpoint_watch/sharing.rs
@@ -1,35 +1,35 @@
-//! Sharing of endpoint lists: one node of a zone watches discovery and publishes its lists to the others.
+//! Sharing of endpoint lists: one node of a zone polls discovery and publishes its lists to the others.
 
 use crate::endpoint_list::EndpointList;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// The watch's side of list sharing.
+/// Channels between the endpoint watch and list sharing.
 pub struct ListSharing {
-    /// Whether discovery is watched from here.
+    /// Whether this node polls discovery.
     pub polls_discovery: watch::Receiver<bool>,
-    /// Lists of the node that watches for all.
+    /// Lists from the node that polls discovery for the zone.
     pub received_lists: mpsc::Receiver<EndpointList>,
-    /// Lists that discovery told here.
+    /// Lists that this node received from discovery, to be published.
     pub published_lists: mpsc::Sender<EndpointList>,
-    /// Set while discovery cannot be reached from here.
+    /// Set while this node cannot reach discovery.
     pub discovery_unreachable: Arc<AtomicBool>,
 }
 
-/// What list sharing tells the watch.
+/// Event of list sharing for the watch.
 pub enum SharingEvent {
-    /// Discovery is to be watched from here, or no more.
-    Watch(bool),
-    /// A list of the node that watches for all.
+    /// Whether this node is to poll discovery has changed.
+    PollDiscovery(bool),
+    /// A list from the node that polls discovery for the zone.
     Received(EndpointList),
 }
 
-/// The next event; never returns where nothing is shared, or no more.
+/// Returns the next event; never returns if lists are not shared, or no longer.
 pub async fn next_event(sharing: &mut Option<ListSharing>) -> SharingEvent {
     if let Some(ListSharing { polls_discovery, received_lists, .. }) = sharing {
         tokio::select! {
-            Ok(()) = polls_discovery.changed() => return SharingEvent::Watch(*polls_discovery.borrow_and_update()),
+            Ok(()) = polls_discovery.changed() => return SharingEvent::PollDiscovery(*polls_discovery.borrow_and_update()),
             Some(list) = received_lists.recv() => return SharingEvent::Received(list),
             else => {}
         }
--- a/node/src/platform/endpoint_watch/source.rs
+++ b/node/src/platform/endpoint_watch/source.rs
@@ -1,4 +1,4 @@
-//! One address of discovery: its whole list first, then one watch after the other.
+//! Follows one address of discovery: requests the complete list, then long polls for changes.
 
 use super::backoff::Backoff;
 use super::client::{CallError, DiscoveryClient, Watch};
@@ -12,14 +12,14 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// Lists of one address. Its task ends with it.
+/// Source of the lists of one address. Dropping it ends its task.
 pub struct ListSource {
     lists: mpsc::Receiver<EndpointList>,
     task: AbortHandle,
 }
 
 impl ListSource {
-    /// Starts to call an address, for what has changed since a version, if there is one.
+    /// Starts to poll an address, for the changes since a version if one is given.
     pub fn start(
         address: SocketAddr,
         version: Option<u64>,
@@ -27,10 +27,10 @@
         backoff: Backoff,
         unreachable: Arc<AtomicBool>,
     ) -> ListSource {
-        let (lists, receiver) = mpsc::channel(1);
+        let (list_sender, lists) = mpsc::channel(1);
         let client = DiscoveryClient::new(address);
-        let caller = Caller { client, address, version, discovery, backoff, unreachable, lists };
-        ListSource { lists: receiver, task: tokio::spawn(caller.run()).abort_handle() }
+        let poller = Poller { client, address, version, discovery, backoff, unreachable, list_sender };
+        ListSource { lists, task: tokio::spawn(poller.run()).abort_handle() }
     }
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The next list of a source; never returns where there is no source, or where it has ended.
+/// Returns the next list of a source; never returns if there is no source, or it has ended.
 pub async fn next_list(source: &mut Option<ListSource>) -> EndpointList {
     if let Some(source) = source {
         if let Some(list) = source.lists.recv().await {
@@ -50,29 +50,29 @@
     std::future::pending().await
 }
 
-/// The task of a source.
-struct Caller {
+/// Task of a source.
+struct Poller {
     client: DiscoveryClient,
     address: SocketAddr,
-    /// Version of the latest list of this address, or of the list that was known.
+    /// Version of the latest list of this address, or of the list known at the start.
     version: Option<u64>,
     discovery: DiscoveryAddress,
     backoff: Backoff,
     unreachable: Arc<AtomicBool>,
-    lists: mpsc::Sender<EndpointList>,
+    list_sender: mpsc::Sender<EndpointList>,
 }
 
-/// What follows a call.
-enum Next {
-    /// Another call, after a pause if there is one.
+/// What to do after a call.
+enum NextStep {
+    /// Make another call, after a pause if one is given.
     Call(Option<Duration>),
-    /// The end: nobody needs this address's lists any more.
-    End,
+    /// Stop: the lists of this address are not needed any more.
+    Stop,
 }
 
-impl Caller {
+impl Poller {
     async fn run(mut self) {
-        // Before the first call, and after one that failed; none after an answer.
+        // `Some` before the first call and after a failed one, `None` after a successful one.
         let mut pause = Some(Duration::ZERO);
         self.unreachable.store(false, Ordering::Relaxed);
         loop {
@@ -86,46 +86,46 @@
                 Err(error) => self.handle_error(error),
             };
             match next {
-                Next::Call(next_pause) => pause = next_pause,
-                Next::End => return,
+                NextStep::Call(next_pause) => pause = next_pause,
+                NextStep::Stop => return,
             }
         }
     }
 
-    async fn handle_list(&mut self, list: EndpointList) -> Next {
-        // An older list of the same address must not take a drain back. The whole list is asked for, and counts whatever
-        // its version, for discovery may have restarted.
+    async fn handle_list(&mut self, list: EndpointList) -> NextStep {
+        // An older list from the same address must not undo a drain. The complete list is requested instead,
+        // and applied whatever its version, since discovery may have restarted.
         if let Some(version) = self.version.filter(|version| list.revision < *version) {
             log::warn!(event = "endpoint_list_older", discovery:% = self.address, version = list.revision,
-                known_version = version; "older endpoint list ignored: asking for the whole list");
+                known_version = version; "older endpoint list ignored; requesting the complete list");
             self.version = None;
-            return Next::Call(Some(self.backoff.pause_after_rejection()));
+            return NextStep::Call(Some(self.backoff.pause_after_rejection()));
         }
         self.version = Some(list.revision);
         self.backoff.reset();
         if self.unreachable.swap(false, Ordering::Relaxed) {
-            log::info!(event = "discovery_recovered", discovery:% = self.address; "discovery reached again");
+            log::info!(event = "discovery_recovered", discovery:% = self.address; "discovery is reachable again");
         }
-        match self.lists.send(list).await {
-            Ok(()) => Next::Call(None),
-            Err(_) => Next::End,
+        match self.list_sender.send(list).await {
+            Ok(()) => NextStep::Call(None),
+            Err(_) => NextStep::Stop,
         }
     }
 
-    fn handle_error(&mut self, error: CallError) -> Next {
-        // Discovery has moved: this address owes nothing more.
+    fn handle_error(&mut self, error: CallError) -> NextStep {
+        // Discovery has moved: this address is not needed any more.
         if *self.discovery.borrow() != Some(self.address) {
-            return Next::End;
+            return NextStep::Stop;
         }
-        // Logged once for each outage, not with each call.
+        // Logged once for each outage, not for each call.
         if !self.unreachable.swap(true, Ordering::Relaxed) {
             log::warn!(event = "discovery_failed", discovery:% = self.address, reason:% = error;
-                "no endpoint list from discovery: the latest one stays in use");
+                "no endpoint list from discovery; the latest one remains in use");
         }
-        Next::Call(Some(match error {
-            // Over the same connection, for what has changed since the known list.
+        NextStep::Call(Some(match error {
+            // The next call uses the same connection and requests the changes since the known version.
             CallError::Rejected(_) => self.backoff.pause_after_rejection(),
-            // The whole list is asked for, and not in a tight loop.
+            // The complete list is requested, after a pause that prevents a busy loop.
             CallError::InvalidList(_) => {
                 self.version = None;
                 self.client.disconnect();
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -1,6 +1,5 @@
-//! Transfer of running requests during a process handover: the sockets of client and worker go to the
-//! successor, together with the request and the response so far, which the successor replays into its own
-//! connections.
+//! Transfer of running requests during a process handover: the successor receives the sockets of client and
+//! worker, and replays the request and the response so far into its own connections.
 
 use super::monitored_stream::MessageMonitor;
 use super::request_progress::SharedProgress;
@@ -28,8 +27,7 @@
     pub socket_handle: SocketHandle,
     /// Tells whether the connection is between two messages.
     pub message_monitor: MessageMonitor,
-    /// Notified when this process is done with the connection: it was transferred, or the client has
-    /// disconnected.
+    /// Notified when the connection was transferred, or its client has disconnected.
     pub finished: Arc<Notify>,
     /// Whether the connection belongs to another process now.
     pub is_transferred: Arc<AtomicBool>,
