--- a/node/src/platform/endpoint_watch/sharing.rs
+++ b/node/src/platform/endpoint_watch/sharing.rs
@@ -29,7 +29,9 @@
 pub async fn next_event(sharing: &mut Option<ListSharing>) -> SharingEvent {
     if let Some(ListSharing { polls_discovery, received_lists, .. }) = sharing {
         tokio::select! {
-            Ok(()) = polls_discovery.changed() => return SharingEvent::PollDiscovery(*polls_discovery.borrow_and_update()),
+            Ok(()) = polls_discovery.changed() => {
+                return SharingEvent::PollDiscovery(*polls_discovery.borrow_and_update());
+            }
             Some(list) = received_lists.recv() => return SharingEvent::Received(list),
             else => {}
         }
--- a/node/src/platform/endpoint_watch/source.rs
+++ b/node/src/platform/endpoint_watch/source.rs
@@ -104,7 +104,7 @@
         self.version = Some(list.revision);
         self.backoff.reset();
         if self.unreachable.swap(false, Ordering::Relaxed) {
-            log::info!(event = "discovery_recovered", discovery:% = self.address; "discovery is reachable again");
+            log::info!(event = "discovery_recovered", discovery:% = self.address; "discovery reachable again");
         }
         match self.list_sender.send(list).await {
             Ok(()) => NextStep::Call(None),
--- a/node/src/process_handover/link.rs
+++ b/node/src/process_handover/link.rs
@@ -1,4 +1,4 @@
-//! Link between the two processes of a hand-over: lines of text, and descriptors that go with one byte each.
+//! Link between the two processes of a handover: lines of text, and descriptors attached to single bytes.
 
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -11,27 +11,27 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Interest};
 use tokio::net::UnixStream;
 
-/// Byte that descriptors go with.
-const DESCRIPTORS: &[u8] = b"D";
-/// Byte before a report of held resources, where descriptors might come as well.
-const HELD_RESOURCES: &[u8] = b"H";
+/// Byte to which descriptors are attached.
+const DESCRIPTORS_TAG: &[u8] = b"D";
+/// Byte before a report of held resources, where the receiver also expects descriptors.
+const HELD_RESOURCES_TAG: &[u8] = b"H";
 
-/// Message of the new process: one line.
+/// Message from the new process to the old one: one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// It serves: the old process takes nothing new.
+    /// The new process serves: the old one must accept nothing new.
     Serving,
-    /// It is ready to continue running jobs.
+    /// The new process is ready to continue running requests.
     Ready,
-    /// It continues the job that it was sent.
+    /// The new process continues the transferred request.
     JobAccepted,
-    /// It does not; the job goes on in the old process.
+    /// The new process does not continue the request, which remains in the old one.
     JobRejected,
 }
 
 impl Message {
     /// Whether a line is this message.
-    pub fn is(self, line: &str) -> bool {
+    pub fn matches(self, line: &str) -> bool {
         self.text() == line
     }
 
@@ -57,10 +57,10 @@
         self.0.get_mut().write_all(format!("{}\n", message.text()).as_bytes()).await
     }
 
-    /// Receives this message; another one is an error.
+    /// Receives a message, and fails if it is not the expected one.
     pub async fn expect(&mut self, expected: Message) -> io::Result<()> {
         match self.read_line().await? {
-            line if expected.is(&line) => Ok(()),
+            line if expected.matches(&line) => Ok(()),
             _ => Err(ErrorKind::InvalidData.into()),
         }
     }
@@ -72,9 +72,9 @@
         self.0.get_mut().write_all(&text).await
     }
 
-    /// Sends a report of held resources where the other process waits for descriptors or for it.
+    /// Sends a report of held resources while the receiver expects either descriptors or a report.
     pub async fn send_held_resources(&mut self, held: &impl Serialize) -> io::Result<()> {
-        self.0.get_mut().write_all(HELD_RESOURCES).await?;
+        self.0.get_mut().write_all(HELD_RESOURCES_TAG).await?;
         self.send_json(held).await
     }
 
@@ -96,8 +96,8 @@
         stream.async_io(Interest::WRITABLE, || send_descriptors(stream, descriptors)).await
     }
 
-    /// Receives one byte and the descriptors that came with it. What is buffered came without any: a job's sockets come
-    /// with its first byte, and nothing follows a job before it has its answer.
+    /// Receives one byte and the descriptors attached to it. A buffered byte has none: the sockets of a
+    /// request are attached to its first byte, and nothing follows a request before its reply.
     pub async fn receive_descriptors(&mut self) -> io::Result<Vec<OwnedFd>> {
         if !self.0.buffer().is_empty() {
             self.0.consume(1);
@@ -112,7 +112,7 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     control.push(SendAncillaryMessage::ScmRights(descriptors));
-    sendmsg(stream, &[IoSlice::new(DESCRIPTORS)], &mut control, SendFlags::empty())?;
+    sendmsg(stream, &[IoSlice::new(DESCRIPTORS_TAG)], &mut control, SendFlags::empty())?;
     Ok(())
 }
 
--- a/node/src/process_handover/mod.rs
+++ b/node/src/process_handover/mod.rs
@@ -1,8 +1,8 @@
-//! Hand-over of a node from one process to the next, while a new version starts.
+//! Handover of a node from one process to its successor, for upgrades without downtime.
 //!
-//! The new process asks the one before it, over a Unix socket, for its listener and its state; once it serves, the old one
-//! takes nothing new and answers what it has. The resources that either holds count for both, and the end of their link
-//! tells each of the other's end.
+//! The successor connects to its predecessor over a Unix socket and receives its listener and state. Once the
+//! successor serves, the predecessor accepts nothing new and completes the requests that it has. The
+//! resources of both count towards the same limits, and each detects the other's end by the end of the link.
 
 mod link;
 mod predecessor;
@@ -19,53 +19,53 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Time for an answer of the other process; one that gives none counts as hung.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for a reply of the other process; it counts as unresponsive without one.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What goes with the listener.
+/// State that is sent with the listener.
 #[derive(Serialize, Deserialize)]
 pub struct NodeState {
-    /// The workers as the old process knows them.
+    /// Latest endpoint list of the old process.
     #[serde(rename = "known")]
     pub endpoint_list: EndpointList,
-    /// The wire ids that are open there.
+    /// Wire ids of the requests in flight there.
     #[serde(rename = "ids")]
     pub in_flight_ids: Vec<String>,
 }
 
-/// What the old process may hold at most from now on.
+/// Upper bound of the resources that the old process holds from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HeldResources {
     /// Descriptors.
     pub descriptors: usize,
-    /// Memory for bodies.
+    /// Memory for request bodies.
     pub bodies_kib: usize,
 }
 
-/// A running job that was taken up: it moves, or it is let go and goes on here.
+/// A running request that is frozen for a transfer; if the transfer fails, it continues here.
 pub struct FrozenJob {
-    /// What goes with its sockets, as of the moment in which it goes; `None` where that can't be told.
+    /// Serializes the request as of the moment of the call; `None` if that fails.
     pub to_json: Box<dyn FnOnce() -> Option<String> + Send>,
-    /// Its client's and its worker's.
+    /// Sockets of its client and its worker.
     pub sockets: [SocketHandle; 2],
-    /// Whether the other process has it.
+    /// Ends the transfer; the argument tells whether the other process has accepted the request.
     pub finish: Box<dyn FnOnce(bool) + Send>,
 }
 
-/// A front that can be taken over.
+/// A frontend that can be handed over.
 pub trait HandoverSource {
-    /// What goes with the listener.
+    /// State that is sent with the listener.
     fn node_state(&self) -> NodeState;
-    /// What is held now.
+    /// Resources that are held now.
     fn held_resources(&self) -> HeldResources;
-    /// Nothing new comes: what is kept for later can go.
+    /// Closes idle connections, since no new requests will need them.
     fn close_idle(&self);
-    /// Takes up the running jobs that can move.
+    /// Freezes the running requests that can be transferred.
     fn freeze_jobs(&self) -> impl Future<Output = Vec<FrozenJob>> + Send;
 }
 
-/// Where the process that serves this address waits for the next one: in `TMPDIR`, which the platform keeps to
-/// one node; without it there are no upgrades.
+/// Path of the socket at which the process that serves this address waits for its successor. It is in
+/// `TMPDIR`, which the platform does not share between nodes; without that variable there is no handover.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|f| !f.is_empty())?;
     Some(PathBuf::from(folder).join(format!("molevale-{listen}")))
--- a/node/src/process_handover/predecessor.rs
+++ b/node/src/process_handover/predecessor.rs
@@ -1,46 +1,46 @@
-//! The process that served before, as the new one sees it.
+//! The side of the new process: takes over from its predecessor.
 
 use super::link::{Link, Message};
-use super::{HeldResources, NodeState, ANSWER_TIMEOUT};
+use super::{HeldResources, NodeState, REPLY_TIMEOUT};
 use std::io::{self, ErrorKind};
 use std::os::fd::OwnedFd;
 use std::path::Path;
 use tokio::net::{TcpListener, UnixStream};
 use tokio::time::timeout;
 
-/// The process that serves now.
+/// The process that serves now, before the handover.
 pub struct Predecessor {
-    /// What it knew.
+    /// Its state.
     pub state: NodeState,
     link: Link,
 }
 
-/// Who serves now.
+/// Result of a look-up of the predecessor.
 pub enum PredecessorLookup {
-    /// A process that hands over, and its listener with all that waits there.
+    /// The listener, with its backlog, and the process that hands it over.
     Serving(TcpListener, Predecessor),
-    /// A process that gives no answer.
+    /// There is a process, but it does not reply.
     Unresponsive,
-    /// Nobody; a file may be left from a process that is gone.
+    /// There is no process, though a socket file of one that has ended may remain.
     Absent,
 }
 
 impl Predecessor {
-    /// Asks at this place.
-    pub async fn look_up(place: &Path) -> PredecessorLookup {
-        let Ok(link) = UnixStream::connect(place).await else { return PredecessorLookup::Absent };
-        let asked = timeout(ANSWER_TIMEOUT, Predecessor::ask(link)).await;
-        match asked.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
-            Ok((listener, before)) => PredecessorLookup::Serving(listener, before),
+    /// Connects to the handover socket at this path and receives listener and state.
+    pub async fn look_up(path: &Path) -> PredecessorLookup {
+        let Ok(stream) = UnixStream::connect(path).await else { return PredecessorLookup::Absent };
+        let received = timeout(REPLY_TIMEOUT, Predecessor::receive_state(stream)).await;
+        match received.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
+            Ok((listener, predecessor)) => PredecessorLookup::Serving(listener, predecessor),
             Err(e) => {
                 log::warn!(event = "predecessor_unresponsive", error:% = e;
-                    "the process before gives no answer: starting beside it");
+                    "predecessor does not respond; starting beside it");
                 PredecessorLookup::Unresponsive
             }
         }
     }
 
-    async fn ask(stream: UnixStream) -> io::Result<(TcpListener, Predecessor)> {
+    async fn receive_state(stream: UnixStream) -> io::Result<(TcpListener, Predecessor)> {
         let mut link = Link::new(stream);
         let listener = link.receive_descriptors().await?.into_iter().next().ok_or(ErrorKind::InvalidData)?;
         let listener = std::net::TcpListener::from(listener);
@@ -50,57 +50,59 @@
         Ok((listener, Predecessor { state, link }))
     }
 
-    /// Tells it that this process serves; returns what it still holds. From here on it takes nothing new.
+    /// Reports that this process serves; returns the resources that the predecessor still holds. From then on
+    /// the predecessor accepts nothing new.
     pub async fn take_over(mut self) -> (HeldResources, PredecessorLink) {
-        let told = async {
+        let exchange = async {
             self.link.send(Message::Serving).await?;
             Ok::<HeldResources, io::Error>(serde_json::from_str(&self.link.read_line().await?)?)
         };
-        let held = timeout(ANSWER_TIMEOUT, told).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+        let held = timeout(REPLY_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let held = held.unwrap_or_else(|e| {
             log::warn!(event = "predecessor_silent", error:% = e;
-                "the process before has fallen silent: it is taken to hold nothing");
+                "predecessor stopped responding; assuming that it holds no resources");
             HeldResources::default()
         });
         log::info!(event = "handover_taken_over", descriptors = held.descriptors, bodies_kib = held.bodies_kib;
-            "took over from the process before, which still holds this much");
+            "took over from the predecessor, which still holds these resources");
         (held, PredecessorLink(self.link))
     }
 }
 
-/// What remains of the process before.
+/// Link to the predecessor after this process has taken over.
 pub struct PredecessorLink(Link);
 
 impl PredecessorLink {
-    /// Takes the jobs that run there over, each as `adopt` says whether it can be; then brings each word on what
-    /// it still holds, and nothing, at its end.
+    /// Receives the running requests of the predecessor and passes them to `adopt`, which returns whether it
+    /// continues them; passes each report of held resources to `on_held_resources`, and an empty one when the
+    /// predecessor ends.
     pub async fn run(
         mut self,
-        mut hear: impl FnMut(HeldResources),
+        mut on_held_resources: impl FnMut(HeldResources),
         mut adopt: impl FnMut(&str, [OwnedFd; 2]) -> bool,
     ) {
         let mut ended = self.0.send(Message::Ready).await.is_err();
         while !ended {
-            ended = self.word(&mut hear, &mut adopt).await.is_err();
+            ended = self.receive_message(&mut on_held_resources, &mut adopt).await.is_err();
         }
-        log::info!(event = "predecessor_ended"; "the process before has ended");
-        hear(HeldResources::default());
+        log::info!(event = "predecessor_ended"; "predecessor has ended");
+        on_held_resources(HeldResources::default());
     }
 
-    async fn word(
+    async fn receive_message(
         &mut self,
-        hear: &mut impl FnMut(HeldResources),
+        on_held_resources: &mut impl FnMut(HeldResources),
         adopt: &mut impl FnMut(&str, [OwnedFd; 2]) -> bool,
     ) -> io::Result<()> {
         let sockets = self.0.receive_descriptors().await?;
-        let text = self.0.read_line().await?;
+        let json = self.0.read_line().await?;
         match <[OwnedFd; 2]>::try_from(sockets) {
             Ok(sockets) => {
-                let accepted = adopt(&text, sockets);
-                self.0.send(if accepted { Message::JobAccepted } else { Message::JobRejected }).await
+                let is_accepted = adopt(&json, sockets);
+                self.0.send(if is_accepted { Message::JobAccepted } else { Message::JobRejected }).await
             }
             Err(_) => {
-                hear(serde_json::from_str(&text)?);
+                on_held_resources(serde_json::from_str(&json)?);
                 Ok(())
             }
         }
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -1,7 +1,7 @@
-//! Processes that take over from this one: the socket at which they ask, and the transfer of running jobs to one.
+//! The side of the old process: offers the handover at a Unix socket and transfers running requests.
 
 use super::link::{Link, Message};
-use super::{HandoverSource, ANSWER_TIMEOUT};
+use super::{HandoverSource, REPLY_TIMEOUT};
 use crate::phase::Phases;
 use std::io::{self, ErrorKind};
 use std::os::fd::AsFd;
@@ -13,147 +13,151 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// Time for the new process to serve, once it has the listener and the state, and then to be ready for running jobs.
+/// Time for the new process to serve after it has received listener and state, and again to be ready for
+/// running requests.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between reports of the resources that the old process still holds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Turns of the runtime in which idle connections close before the first report: one to hear of the phase, one to end.
-const SETTLING_TURNS: u32 = 3;
-/// Pause after a failed accept, where there is no descriptor left.
+/// Number of yields to the runtime in which idle connections close before the first report: a task needs one
+/// to see the phase, and one to end.
+const IDLE_CLOSE_YIELDS: u32 = 3;
+/// Pause after a failed accept, for instance without a free descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Waits at this place for the next process and lets it take over, as long as there is a listener. `displaced` is called
-/// where another process has taken the place while this one stood still.
+/// Waits at this path for a successor and hands over to it, as long as there is a listener. Calls
+/// `on_displaced` if another process has bound the path while this one was stalled.
 pub async fn serve_successors(
-    place: &Path,
+    path: &Path,
     listener: Weak<TcpListener>,
     phases: &Phases,
-    holder: &impl HandoverSource,
-    displaced: impl Fn(),
+    source: &impl HandoverSource,
+    on_displaced: impl Fn(),
 ) {
-    let mut socket = match bind(place) {
+    let mut socket = match bind(path) {
         Ok(socket) => socket,
-        // Where there are no such sockets, a new version starts as after a stop.
+        // Without the socket, the next process starts as after a stop.
         Err(error) => {
-            return log::warn!(event = "handover_unavailable", path:% = place.display(), error:%;
-                "no process can take over from this one");
+            return log::warn!(event = "handover_unavailable", path:% = path.display(), error:%;
+                "handover unavailable: no process can take over from this one");
         }
     };
-    let mut own = inode(place);
-    log::info!(event = "handover_offered", path:% = place.display(); "another process may take over");
+    let mut own_inode = inode(path);
+    log::info!(event = "handover_offered", path:% = path.display(); "ready to hand over to another process");
     while listener.strong_count() > 0 {
         match socket.accept().await {
-            Ok((link, _)) => {
-                let Err(error) = hand_over(link, &listener, phases, holder).await else { continue };
+            Ok((stream, _)) => {
+                let Err(error) = hand_over(stream, &listener, phases, source).await else { continue };
                 log::warn!(event = "handover_failed", error:%;
-                    "handover failed: this process continues to serve");
-                // Guards the next upgrade: the process that failed may have waited at this place already.
-                if inode(place) == own {
+                    "handover failed; this process continues to serve");
+                // The process that failed may already have bound its own socket at this path. Without a new
+                // socket, the next process could not take over.
+                if inode(path) == own_inode {
                     continue;
                 }
-                if UnixStream::connect(place).await.is_ok() {
+                if UnixStream::connect(path).await.is_ok() {
                     log::warn!(event = "handover_socket_replaced";
-                        "another process has taken this one's place");
-                    displaced();
+                        "another process serves at the handover socket of this one");
+                    on_displaced();
                     continue;
                 }
-                match bind(place) {
-                    Ok(again) => (socket, own) = (again, inode(place)),
+                match bind(path) {
+                    Ok(bound) => (socket, own_inode) = (bound, inode(path)),
                     Err(error) => {
-                        log::warn!(event = "handover_socket_lost", path:% = place.display(), error:%;
-                            "handover socket not bound again");
+                        log::warn!(event = "handover_socket_lost", path:% = path.display(), error:%;
+                            "handover socket could not be bound again");
                     }
                 }
             }
             Err(error) => {
                 log::warn!(event = "handover_accept_failed", error:%;
-                    "no process accepted at the handover socket");
+                    "accepting a connection at the handover socket failed");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Which file this is: another one of the same name has another number.
-fn inode(place: &Path) -> Option<u64> {
-    std::fs::metadata(place).ok().map(|m| m.ino())
+/// Inode of the file at this path, which distinguishes it from a later file of the same name.
+fn inode(path: &Path) -> Option<u64> {
+    std::fs::metadata(path).ok().map(|m| m.ino())
 }
 
-/// Guards against files that are left over: the new name takes the old one's place in one step.
-fn bind(place: &Path) -> io::Result<UnixListener> {
-    let own = place.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&own); // there is one only if this process's number was in use before
-    let socket = UnixListener::bind(&own)?;
-    std::fs::rename(&own, place)?;
+/// Binds a socket under a temporary name and renames it, which atomically replaces a leftover file.
+fn bind(path: &Path) -> io::Result<UnixListener> {
+    let temporary = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&temporary); // exists only if an earlier process had the same process id
+    let socket = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(socket)
 }
 
 async fn hand_over(
-    link: UnixStream,
+    stream: UnixStream,
     listener: &Weak<TcpListener>,
     phases: &Phases,
-    holder: &impl HandoverSource,
+    source: &impl HandoverSource,
 ) -> io::Result<()> {
-    let mut link = Link::new(link);
-    let told = async {
+    let mut link = Link::new(stream);
+    let exchange = async {
         let listener = listener.upgrade().ok_or(ErrorKind::NotConnected)?;
         link.send_descriptors(&[listener.as_fd()]).await?;
         drop(listener);
-        link.send_json(&holder.node_state()).await
+        link.send_json(&source.node_state()).await
     };
-    timeout(ANSWER_TIMEOUT, told).await??;
-    log::info!(event = "handover_started"; "a new process starts");
+    timeout(REPLY_TIMEOUT, exchange).await??;
+    log::info!(event = "handover_started"; "new process received listener and state");
     timeout(START_TIMEOUT, link.expect(Message::Serving)).await??;
-    let before = phases.hand_over();
-    holder.close_idle();
-    let ended = match transfer_jobs(&mut link, holder).await {
-        Ok(()) => follow_successor(&mut link, holder).await,
+    let phase_before = phases.hand_over();
+    source.close_idle();
+    let error = match transfer_jobs(&mut link, source).await {
+        Ok(()) => report_held_resources(&mut link, source).await,
         Err(e) => e,
     };
-    phases.undo_hand_over(before);
-    Err(ended)
+    phases.undo_hand_over(phase_before);
+    Err(error)
 }
 
-/// Says what is held, and hands the running jobs over, one after the other.
-async fn transfer_jobs(link: &mut Link, holder: &impl HandoverSource) -> io::Result<()> {
-    // Idle connections close now; what they held is not to be missed by the new process.
-    for _ in 0..SETTLING_TURNS {
+/// Reports the held resources, and transfers the running requests one after the other.
+async fn transfer_jobs(link: &mut Link, source: &impl HandoverSource) -> io::Result<()> {
+    // Lets idle connections close first: the new process can then use their descriptors.
+    for _ in 0..IDLE_CLOSE_YIELDS {
         yield_now().await;
     }
-    link.send_json(&holder.held_resources()).await?;
+    link.send_json(&source.held_resources()).await?;
     timeout(START_TIMEOUT, link.expect(Message::Ready)).await??;
-    let mut jobs = holder.freeze_jobs().await.into_iter();
-    let (mut moved, mut result) = (0, Ok(()));
+    let mut jobs = source.freeze_jobs().await.into_iter();
+    let (mut transferred, mut result) = (0, Ok(()));
     for job in jobs.by_ref() {
         let sockets = [job.sockets[0].descriptor().as_fd(), job.sockets[1].descriptor().as_fd()];
-        let Some(text) = (job.to_json)() else {
+        let Some(json) = (job.to_json)() else {
             (job.finish)(false);
             continue;
         };
         let exchange = async {
             link.send_descriptors(&sockets).await?;
-            link.send_line(&text).await?;
+            link.send_line(&json).await?;
             link.read_line().await
         };
-        let answer =
-            timeout(ANSWER_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
-        let taken = answer.as_ref().is_ok_and(|line| Message::JobAccepted.is(line));
-        moved += usize::from(taken);
-        (job.finish)(taken);
-        if let Err(e) = answer {
+        let reply =
+            timeout(REPLY_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+        let is_accepted = reply.as_ref().is_ok_and(|line| Message::JobAccepted.matches(line));
+        transferred += usize::from(is_accepted);
+        (job.finish)(is_accepted);
+        if let Err(e) = reply {
             result = Err(e);
             break;
         }
     }
-    // Guards those that are left where the other process has failed: they go on here.
+    // If the other process has failed, the remaining requests continue here.
     jobs.for_each(|job| (job.finish)(false));
-    log::info!(event = "jobs_transferred", jobs = moved; "running jobs transferred to the new process");
+    log::info!(event = "jobs_transferred", jobs = transferred; "running requests transferred to the new process");
     result
 }
 
-async fn follow_successor(link: &mut Link, holder: &impl HandoverSource) -> io::Error {
+/// Reports the held resources at an interval until the link ends.
+async fn report_held_resources(link: &mut Link, source: &impl HandoverSource) -> io::Error {
     loop {
-        if let Err(e) = link.send_held_resources(&holder.held_resources()).await {
+        if let Err(e) = link.send_held_resources(&source.held_resources()).await {
             return e;
         }
         if let Ok(Err(e)) = timeout(REPORT_INTERVAL, link.read_line()).await {
--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -276,16 +276,16 @@
         assert!(log.any(|l| l.contains(what)), "the log ends without: {what}");
     }
     let (mut old, mut old_log) = start(9001);
-    said(&mut old_log, "INFO another process may take over event=handover_offered path=");
+    said(&mut old_log, "INFO ready to hand over to another process event=handover_offered path=");
     let (mut failing, mut failing_log) = start(9001); // its second address is taken
     said(&mut failing_log, "management");
     assert_eq!(failing.0.wait().unwrap().code(), Some(2));
     let (mut new, mut new_log) = start(9002);
-    said(&mut new_log, "INFO took over from the process before, which still holds this much event=handover_taken_over descriptors=");
+    said(&mut new_log, "INFO took over from the predecessor, which still holds these resources event=handover_taken_over descriptors=");
     said(&mut old_log, "INFO phase changed event=phase_changed from=Serving to=HandedOver");
     old.signal("-TERM");
     assert!(old.0.wait().unwrap().success());
-    said(&mut new_log, "INFO the process before has ended event=predecessor_ended");
+    said(&mut new_log, "INFO predecessor has ended event=predecessor_ended");
     new.signal("-TERM");
     assert!(new.0.wait().unwrap().success());
     std::fs::remove_dir_all(&folder).unwrap();
