--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -150,7 +150,8 @@
     }
     // If the other process has failed, the remaining requests continue here.
     jobs.for_each(|job| (job.finish)(false));
-    log::info!(event = "jobs_transferred", jobs = transferred; "running requests transferred to the new process");
+    log::info!(event = "jobs_transferred", jobs = transferred;
+        "running requests transferred to the new process");
     result
 }
 
