--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -121,7 +121,7 @@
             tenant: names.tenants.get(job.fields.tenant).cloned().unwrap_or_default(),
             target: job.target.to_string(),
             wire_id: text(&job.id.value)?,
-            idempotency_key: match &job.key {
+            idempotency_key: match &job.idempotency_key {
                 Some(key) => Some(text(key)?),
                 None => None,
             },
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -128,7 +128,7 @@
     let mut jobs = source.freeze_jobs().await.into_iter();
     let (mut transferred, mut result) = (0, Ok(()));
     for job in jobs.by_ref() {
-        let sockets = [job.sockets[0].descriptor().as_fd(), job.sockets[1].descriptor().as_fd()];
+        let sockets = [job.sockets[0].tcp_stream().as_fd(), job.sockets[1].tcp_stream().as_fd()];
         let Some(json) = (job.to_json)() else {
             (job.finish)(false);
             continue;
