--- a/node/src/platform/endpoint_watch/mod.rs
+++ b/node/src/platform/endpoint_watch/mod.rs
@@ -1,6 +1,5 @@
-//! Endpoint watch: passes the endpoint list from discovery to the connection pool and the dispatcher. It
-//! starts with the list that is known at the start, if any, or else requests the complete list; after that it
-//! long polls for changes.
+//! Endpoint watch: passes endpoint lists from discovery to the connection pool and the dispatcher. It starts
+//! with the list known at the start, or else requests the complete list, and then long polls for changes.
 //!
 //! `sharing` is the interface to nodes that share their lists, `source` follows one address of discovery,
 //! `backoff` sets the pauses after failed calls, and `client` makes a single call.
@@ -45,7 +44,7 @@
     pub is_shared_service: bool,
     /// Seed for random numbers.
     pub seed: u64,
-    /// Latest complete list, updated by each received one.
+    /// Complete list, updated with each received one.
     pub latest_list: Arc<Mutex<EndpointList>>,
 }
 
@@ -57,7 +56,7 @@
         sharing: Option<ListSharing>,
         known: Option<EndpointList>,
     ) {
-        // The known list has a version of discovery, which can return the changes since.
+        // Discovery knows the version of this list and can return the changes since.
         let version = known.as_ref().map(|known| known.revision);
         if let Some(known) = known {
             self.apply(&EndpointList { complete: true, ..known });
--- a/node/src/platform/endpoint_watch/source.rs
+++ b/node/src/platform/endpoint_watch/source.rs
@@ -1,4 +1,5 @@
-//! Follows one address of discovery: requests the complete list, then long polls for changes.
+//! Follows one address of discovery: requests the complete list unless a version is known, then long polls for
+//! changes.
 
 use super::backoff::Backoff;
 use super::client::{CallError, DiscoveryClient, Watch};
@@ -64,7 +65,7 @@
 
 /// What to do after a call.
 enum NextStep {
-    /// Make another call, after a pause if one is given.
+    /// Make another call, after the pause if there is one.
     Call(Option<Duration>),
     /// Stop: the lists of this address are not needed any more.
     Stop,
@@ -81,11 +82,11 @@
             }
             let wait = self.backoff.watch_wait(pause);
             let watch = self.version.map(|version| Watch { version, wait });
-            let next = match self.client.call(watch).await {
+            let next_step = match self.client.call(watch).await {
                 Ok(list) => self.handle_list(list).await,
                 Err(error) => self.handle_error(error),
             };
-            match next {
+            match next_step {
                 NextStep::Call(next_pause) => pause = next_pause,
                 NextStep::Stop => return,
             }
--- a/node/src/platform/job_handover.rs
+++ b/node/src/platform/job_handover.rs
@@ -73,8 +73,7 @@
     memory: f64,
     #[serde(rename = "left")]
     time_left: Duration,
-    /// The worker, its address, the time since the request was sent to it, and the time since it started the
-    /// execution.
+    /// Worker, its address, and the times since the request was sent to it and since it started the execution.
     worker: (u64, SocketAddr, Duration, Option<Duration>),
     #[serde(rename = "said")]
     response: Bytes,
@@ -199,8 +198,7 @@
     }
 }
 
-/// Combines the state and the sockets of a frozen request for the other process with what happens here to the
-/// request when the transfer ends.
+/// Prepares the transfer of a frozen request, and what happens to the request here when the transfer ends.
 pub fn frozen_job(
     handle: &Handle<Job>,
     attempt_id: crate::dispatcher::AttemptId,
--- a/node/src/platform/pool.rs
+++ b/node/src/platform/pool.rs
@@ -286,7 +286,7 @@
     pub async fn adopt(&self, adopted: TransferredAttempt, body_len: usize) -> Option<Connection> {
         let permit = self.permits.clone().try_acquire_owned();
         let permit = permit.or_else(|_| {
-            // The other process closes its descriptor of the same socket.
+            // The other process releases a descriptor for it, which is granted to this one later.
             self.add_permits(1);
             self.borrowed.fetch_add(1, Ordering::Relaxed);
             self.permits.clone().try_acquire_owned()
--- a/node/src/platform/probe.rs
+++ b/node/src/platform/probe.rs
@@ -1,5 +1,5 @@
-//! Health checks: requests the load report of a worker. The decision module decides which workers are probed,
-//! and when.
+//! Health checks: requests a worker's load report. The decision module decides which worker to probe, and
+//! when.
 
 use super::attempt::AttemptRunner;
 use super::fields;
@@ -40,8 +40,8 @@
     runner.handle.probe_ended(worker, load.is_some(), load.flatten());
 }
 
-/// Requests the worker's load report; `None` if it has none yet. Closes the connection if the response is not
-/// read to its end.
+/// Requests the worker's load report; `None` if it has none yet. The connection is closed unless it is read
+/// to its end.
 async fn request_load(runner: &AttemptRunner, worker: WorkerId) -> Result<Option<LoadReport>, ProbeError> {
     let exchange_failed = |error: hyper::Error| ProbeError::Exchange(error.into());
     let mut connection = runner.pool.acquire(worker).await?;
--- a/node/src/platform/request_progress.rs
+++ b/node/src/platform/request_progress.rs
@@ -42,7 +42,8 @@
 
     /// Records bytes of the response.
     pub fn record_read(&mut self, bytes: &[u8]) {
-        let free = (RESPONSE_BUFFER_MAX + 1).saturating_sub(self.response.len()); // one more marks it as too long
+        // One byte more than the limit marks the response as too long.
+        let free = (RESPONSE_BUFFER_MAX + 1).saturating_sub(self.response.len());
         self.response.extend_from_slice(&bytes[..bytes.len().min(free)]);
     }
 
--- a/node/src/process_handover/successor.rs
+++ b/node/src/process_handover/successor.rs
@@ -49,14 +49,14 @@
                 let Err(error) = hand_over(stream, &listener, phases, source).await else { continue };
                 log::warn!(event = "handover_failed", error:%;
                     "handover failed; this process continues to serve");
-                // The process that failed may already have bound its own socket at this path. Without a new
-                // socket, the next process could not take over.
+                // The process that failed may already have replaced the socket at this path; unless it is bound
+                // again, no later process could take over.
                 if inode(path) == own_inode {
                     continue;
                 }
                 if UnixStream::connect(path).await.is_ok() {
                     log::warn!(event = "handover_socket_replaced";
-                        "another process serves at the handover socket of this one");
+                        "another process has replaced the handover socket of this one");
                     on_displaced();
                     continue;
                 }
