--- a/node/src/platform/mod.rs
+++ b/node/src/platform/mod.rs
@@ -4,7 +4,6 @@
 
 mod attempt;
 pub mod connection_slots;
-pub mod counted_writes;
 pub mod endpoint_watch;
 pub mod fields;
 pub mod framing;
@@ -15,6 +14,7 @@
 mod pool;
 mod probe;
 mod rate_gossip;
+pub mod request_progress;
 pub mod resource_budget;
 mod send_guard;
 mod server;
@@ -76,7 +76,7 @@
     /// Fields that the decision module needs.
     fields: Request,
     /// Connection of its client.
-    client: Option<job_handover::ClientConnection>,
+    client: Option<job_handover::ClientHandle>,
     /// Attempt that the predecessor started, until this process continues it.
     adopted: Mutex<Option<TransferredAttempt>>,
     reply: oneshot::Sender<Answer>,
--- a/node/src/platform/resource_budget.rs
+++ b/node/src/platform/resource_budget.rs
@@ -118,7 +118,7 @@
 
     /// Number of connections to workers.
     pub fn worker_connections(&self) -> usize {
-        self.pool.taken()
+        self.pool.connection_count()
     }
 
     fn body_memory_used_kib(&self) -> usize {
@@ -134,11 +134,11 @@
 
     /// Current usage of resources.
     pub fn usage(&self) -> ResourceUsage {
-        let idle = self.pool.idle();
+        let idle = self.pool.idle_count();
         ResourceUsage {
             client_connections: self.client_slots.in_use(),
             busy_clients: self.client_slots.busy(),
-            attempt_connections: self.pool.taken().saturating_sub(idle),
+            attempt_connections: self.pool.connection_count().saturating_sub(idle),
             idle_connections: idle,
             wire_ids: self.in_flight_ids.len(),
             bodies_kib: self.body_memory_used_kib(),
@@ -151,7 +151,7 @@
         let mut allocation = self.lock_allocation();
         let updated = Allocation::new(self.limits, other_process);
         self.client_slots.grant(updated.clients.saturating_sub(allocation.clients));
-        self.pool.grant(updated.workers.saturating_sub(allocation.workers));
+        self.pool.add_capacity(updated.workers.saturating_sub(allocation.workers));
         self.body_memory_kib.add_permits(updated.bodies_kib.saturating_sub(allocation.bodies_kib));
         *allocation = allocation.max(updated);
     }
@@ -159,15 +159,15 @@
 
 impl HandoverSource for ResourceBudget {
     fn node_state(&self) -> NodeState {
-        let known = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        NodeState { known, ids: self.in_flight_ids.to_strings() }
+        let endpoint_list = self.latest_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        NodeState { endpoint_list, in_flight_ids: self.in_flight_ids.to_strings() }
     }
 
     fn held_resources(&self) -> HeldResources {
         let clients = self.client_slots.in_use();
         let rejected = REJECTION_SLOTS.saturating_sub(self.rejection_slots.available_permits());
         // Each client that waits for an answer may still get an attempt.
-        let workers = self.client_slots.busy().max(self.pool.taken());
+        let workers = self.client_slots.busy().max(self.pool.connection_count());
         let descriptors = FIXED_DESCRIPTORS + clients + rejected + workers;
         HeldResources { descriptors, bodies_kib: self.body_memory_used_kib() }
     }
--- a/node/src/platform/server/connection.rs
+++ b/node/src/platform/server/connection.rs
@@ -33,7 +33,7 @@
     /// Connection slot that it holds.
     pub slot: Slot,
     /// Its socket and what else is needed to transfer it to a successor.
-    pub client: job_handover::ClientConnection,
+    pub client: job_handover::ClientHandle,
     /// Number of requests so far.
     request_count: AtomicU64,
     /// Attempt of the predecessor that the first request continues.
@@ -63,11 +63,11 @@
         accept_delay: Duration,
     ) -> ClientConnection {
         let monitor = stream.monitor();
-        let client = job_handover::ClientConnection {
+        let client = job_handover::ClientHandle {
             socket_handle: stream.get_ref().socket_handle(),
-            watcher: monitor.clone(),
-            over: Arc::new(Notify::new()),
-            moved: Arc::default(),
+            message_monitor: monitor.clone(),
+            finished: Arc::new(Notify::new()),
+            is_transferred: Arc::default(),
         };
         let adopted = Mutex::new(adopted);
         ClientConnection { monitor, slot, client, request_count: AtomicU64::new(0), adopted, accept_delay }
@@ -120,7 +120,7 @@
             // Checked before the connection is polled: it must not read a request and then be evicted.
             reason = connection.evicted() => reason,
             ended = http_connection.as_mut() => return log_failure(ended),
-            () = connection.client.over.notified() => {
+            () = connection.client.finished.notified() => {
                 return log::debug!(event = "client_connection_given_up";
                     "client left, or connection transferred to another process");
             }
@@ -136,7 +136,7 @@
         http_connection.as_mut().graceful_shutdown();
         tokio::select! {
             ended = timeout(limit, http_connection) => ended.map_or((), log_failure),
-            () = connection.client.over.notified() => {}
+            () = connection.client.finished.notified() => {}
         }
     }
 
--- a/node/src/platform/server/mod.rs
+++ b/node/src/platform/server/mod.rs
@@ -183,13 +183,13 @@
         if names.class(&transferred.class).is_none() || !is_tenant_known {
             return false;
         }
-        let Ok(socket) = Socket::received(client, transferred.request()) else { return false };
+        let Ok(socket) = Socket::received(client, transferred.to_request_bytes()) else { return false };
         let stream = MonitoredStream::new(socket);
         let Some(slot) = self.budget.client_slots.acquire_transferred(&stream.monitor()) else {
             return false;
         };
-        reserved_ids.remove(transferred.id());
-        let adopted = Some(transferred.attempt(worker));
+        reserved_ids.remove(transferred.wire_id());
+        let adopted = Some(transferred.to_attempt(worker));
         let connection = ClientConnection::new(&stream, slot, adopted, Duration::ZERO);
         let server = self.clone();
         tokio::spawn(async move { server.serve(stream, connection).await });
--- a/node/src/platform/server/request.rs
+++ b/node/src/platform/server/request.rs
@@ -123,7 +123,7 @@
             }
         }
         let (reply, answer) = oneshot::channel();
-        let attempt_start = adopted.as_ref().map(|adopted| adopted.sent);
+        let attempt_start = adopted.as_ref().map(|adopted| adopted.start);
         let job = Job {
             id: id.clone(),
             idempotency_key: head.headers.get("idempotency-key").cloned(),
@@ -248,7 +248,7 @@
             answer = &mut self.answer => answer,
             // Hyper detects that the client has left only if no unread bytes follow the request.
             () = connection.socket_handle.peer_closed() => {
-                connection.over.notify_one();
+                connection.finished.notify_one();
                 std::future::pending().await
             }
         };
@@ -263,7 +263,7 @@
     handle: &'a Handle<Job>,
     id: RequestId,
     is_waiting: bool,
-    connection: &'a job_handover::ClientConnection,
+    connection: &'a job_handover::ClientHandle,
     counters: &'a Counters,
 }
 
@@ -272,7 +272,7 @@
         if !self.is_waiting {
             return;
         }
-        let was_transferred = self.connection.moved.load(Ordering::Relaxed);
+        let was_transferred = self.connection.is_transferred.load(Ordering::Relaxed);
         if !was_transferred && !self.connection.socket_handle.is_peer_closed() {
             self.counters.violations.add(Invariant::Answered, self.id);
         }
--- a/node/src/platform/startup.rs
+++ b/node/src/platform/startup.rs
@@ -73,7 +73,7 @@
         let (mut initial_endpoints, mut predecessor_usage, mut handed_over) =
             (config.known_endpoints, HeldResources::default(), None);
         if let Some(predecessor) = predecessor {
-            initial_endpoints = Some(predecessor.state.known.clone());
+            initial_endpoints = Some(predecessor.state.endpoint_list.clone());
             let (held, predecessor) = take_over(predecessor).await;
             (predecessor_usage, handed_over) = (held, Some(predecessor));
         }
@@ -176,7 +176,7 @@
             pool: self.budget.pool.clone(),
             names: self.names.clone(),
             counters: self.counters.clone(),
-            siblings: self.settings.dispatchers,
+            node_count: self.settings.dispatchers,
             is_shared_service: self.settings.polls_endpoints,
             seed: self.seed,
             latest_list: self.budget.latest_list.clone(),
@@ -223,7 +223,7 @@
 
 /// Takes over from the predecessor; returns the resources that it still holds.
 async fn take_over(predecessor: Predecessor) -> (HeldResources, HandedOverPredecessor) {
-    let in_flight_ids = predecessor.state.ids.clone();
+    let in_flight_ids = predecessor.state.in_flight_ids.clone();
     let (held, link) = predecessor.take_over().await;
     (held, HandedOverPredecessor { link, in_flight_ids })
 }
--- a/node/src/platform/transport.rs
+++ b/node/src/platform/transport.rs
@@ -1,7 +1,7 @@
 //! Executes the dispatcher's decisions towards workers, clients and other nodes.
 
 use super::attempt::{AttemptRequest, AttemptRunner};
-use super::job_handover::{self, AttemptConnection, AttemptHandle, TransferredJob};
+use super::job_handover::{self, AttemptHandle, SharedAttempt, TransferredJob};
 use super::rate_gossip::RatePublisher;
 use super::{probe, Job};
 use crate::dispatcher::{Answer, AttemptId, AttemptStart, Frontend};
@@ -43,21 +43,21 @@
         deadline: Instant,
     ) -> Self::Attempt {
         let (stop, stop_receiver) = oneshot::channel();
-        let connection = Arc::new(AttemptConnection::default());
+        let shared = Arc::new(SharedAttempt::default());
         let request = AttemptRequest {
-            tag: attempt_id,
+            attempt_id,
             worker,
             deadline,
-            id: job.id.clone(),
-            key: job.idempotency_key.clone(),
+            wire_id: job.id.clone(),
+            idempotency_key: job.idempotency_key.clone(),
             target: job.target.clone(),
             body: job.body.clone(),
-            line: connection.clone(),
+            shared: shared.clone(),
             client: job.client.as_ref().map(|client| client.socket_handle.observer()),
         };
         let adopted = job.adopted.lock().unwrap_or_else(PoisonError::into_inner).take();
         tokio::spawn(self.runner.clone().run(request, adopted, stop_receiver));
-        AttemptHandle { stop, line: connection }
+        AttemptHandle { stop, shared }
     }
 
     fn is_client_waiting(&self, job: &Job) -> bool {
@@ -70,7 +70,7 @@
     }
 
     fn abandon(&mut self, attempt: &Self::Attempt) {
-        attempt.line.unwanted.store(true, Ordering::Relaxed);
+        attempt.shared.is_abandoned.store(true, Ordering::Relaxed);
     }
 
     fn freeze_for_transfer(
