--- a/node/tests/leaving.rs
+++ b/node/tests/client_disconnects.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{late_worker, request, stop, Client, Platform, Worker};
+use common::{request, stop_until_closing, worker_with_full_backlog, Client, PlatformNode, Worker};
 use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::json;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
 
 /// The client leaves; one that half-closes stays to be kept.
 async fn leave(mut client: Client, way: Way) -> Option<Client> {
-    client.add(&behind(way)).await;
+    client.send(&behind(way)).await;
     go(client, way).await
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Lets what the kernel has to tell arrive, and the time pass in which the request must be off; says whether it is.
-async fn off(node: &Platform, left: u64) -> bool {
+async fn off(node: &PlatformNode, left: u64) -> bool {
     for _ in 0..OFF / 10 {
         for _ in 0..20 {
             yield_now().await;
@@ -83,7 +83,7 @@
     false
 }
 
-async fn taken(node: &Platform, n: u64) {
+async fn taken(node: &PlatformNode, n: u64) {
     while node.counters.requests_accepted.get() < n {
         yield_now().await;
     }
@@ -91,10 +91,10 @@
 
 /// The worker's next request is this one's, and is served.
 async fn next_is(worker: &Worker, client: &mut Client, id: &str) {
-    let mut seen = worker.take().await;
-    assert_eq!(seen.field("x-request-id"), id, "sent on though its client had left");
-    seen.done("r").await;
-    assert_eq!(client.answer().await.expect("an answer").body, "r");
+    let mut seen = worker.receive_request().await;
+    assert_eq!(seen.header("x-request-id"), id, "sent on though its client had left");
+    seen.complete("r").await;
+    assert_eq!(client.read_answer().await.expect("an answer").body, "r");
 }
 
 /// While the module holds it: no worker is there. Then one is, and gets the next client's request only.
@@ -102,18 +102,18 @@
 async fn a_request_that_waits_for_a_worker_is_dropped_however_its_client_leaves() {
     for way in WAYS {
         let worker = Worker::start().await;
-        let node = Platform::start(vec![worker.line("s-1", "terminating")], 1024).await;
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", GONE, 60.0, "x")).await;
+        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
         taken(&node, 1).await;
         let _kept = leave(client, way).await;
         assert!(off(&node, 1).await, "{way:?}: still held");
-        node.owes_nothing().await;
-        node.list(2, vec![worker.line("s-1", "in_service")]).await;
+        node.assert_nothing_open().await;
+        node.apply_list(2, vec![worker.list_entry("s-1", "in_service")]).await;
         let mut next = Client::connect(&node).await;
-        next.tell(&request("check", NEXT, 60.0, "x")).await;
+        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
         next_is(&worker, &mut next, NEXT).await;
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         assert_eq!(
             (node.counters.attempts_sent.get(), node.counters.requests_accepted.get()),
             (1, 2),
@@ -127,18 +127,18 @@
 async fn an_attempt_is_called_off_however_its_client_leaves() {
     for way in WAYS {
         let worker = Worker::start().await;
-        let node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", GONE, 60.0, "x")).await;
-        let mut seen = worker.take().await;
-        seen.begin().await;
+        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
+        let mut seen = worker.receive_request().await;
+        seen.begin_response().await;
         while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         let _kept = leave(client, way).await;
         assert!(off(&node, 1).await, "{way:?}");
-        assert!(seen.next().await.is_none(), "{way:?}: its connection is closed");
-        node.owes_nothing().await;
+        assert!(seen.next_request().await.is_none(), "{way:?}: its connection is closed");
+        node.assert_nothing_open().await;
         assert_eq!((node.counters.requests_accepted.get(), node.counters.cancelled.get()), (1, 1), "{way:?}");
     }
 }
@@ -148,28 +148,28 @@
 async fn a_request_between_two_attempts_is_dropped() {
     for way in WAYS {
         let worker = Worker::start().await;
-        let node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("lodge", GONE, 60.0, "x")).await;
-        let mut seen = worker.take().await;
+        client.send_after_pause(&request("lodge", GONE, 60.0, "x")).await;
+        let mut seen = worker.receive_request().await;
         // It drains before it hands the job back: there is nowhere else to go for now.
-        node.list(2, vec![worker.line("s-1", "terminating")]).await;
-        seen.begin().await;
-        seen.say(json!({"state": "returned"})).await;
+        node.apply_list(2, vec![worker.list_entry("s-1", "terminating")]).await;
+        seen.begin_response().await;
+        seen.send_update(json!({"state": "returned"})).await;
         seen.write("0\r\n\r\n").await;
         while node.counters.rejected.get() < 1 {
             yield_now().await;
         }
         let _kept = leave(client, way).await;
         assert!(off(&node, 1).await, "{way:?}: still held");
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         let other = Worker::start().await;
-        node.list(3, vec![other.line("s-2", "in_service")]).await;
+        node.apply_list(3, vec![other.list_entry("s-2", "in_service")]).await;
         let mut next = Client::connect(&node).await;
-        next.tell(&request("check", NEXT, 60.0, "x")).await;
+        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
         next_is(&other, &mut next, NEXT).await;
         assert_eq!(node.counters.attempts_sent.get(), 2, "{way:?}");
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
     }
 }
 
@@ -177,12 +177,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_connection_comes_up_late_is_not_written_then() {
     for cancelling in [true, false] {
-        let (worker, _fills) = late_worker().await;
+        let (worker, _fills) = worker_with_full_backlog().await;
         let mut settings = common::settings(cancelling, 60_000_000);
         settings["Limits"]["ConnectTimeoutUs"] = 60_000_000.into();
-        let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
+        let node =
+            PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", GONE, 60.0, "x")).await;
+        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
         while node.counters.in_flight.get() < 1 {
             yield_now().await;
         }
@@ -195,11 +196,11 @@
             late.read_to_end(&mut bytes).await.unwrap();
             assert_eq!(String::from_utf8_lossy(&bytes), "", "the client had left");
         }
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         let mut next = Client::connect(&node).await;
-        next.tell(&request("check", NEXT, 60.0, "x")).await;
+        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
         next_is(&worker, &mut next, NEXT).await;
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
     }
 }
 
@@ -213,43 +214,45 @@
 async fn a_client_that_leaves_in_a_hand_over_is_seen_by_the_process_that_has_its_request() {
     let place = place("over");
     let (worker, waits) = (Worker::start().await, Worker::start().await);
-    let known = vec![worker.line("s-1", "in_service")];
-    let old = Platform::at(Some(place.clone()), known, 256, 32, None).await;
+    let known = vec![worker.list_entry("s-1", "in_service")];
+    let old = PlatformNode::start_with_handover(Some(place.clone()), known, 256, 32, None).await;
     while !place.exists() {
         yield_now().await;
     }
     let mut runs = Client::connect(&old).await;
-    runs.tell(&request("lodge", GONE, 60.0, "")).await;
-    let mut seen = worker.take().await;
-    seen.begin().await;
+    runs.send_after_pause(&request("lodge", GONE, 60.0, "")).await;
+    let mut seen = worker.receive_request().await;
+    seen.begin_response().await;
     while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
-    old.list(2, vec![worker.line("s-1", "terminating")]).await;
+    old.apply_list(2, vec![worker.list_entry("s-1", "terminating")]).await;
     let mut held = Client::connect(&old).await;
-    held.tell(&request("check", "9b1f03aa5c7e2d43", 60.0, "x")).await;
+    held.send_after_pause(&request("check", "9b1f03aa5c7e2d43", 60.0, "x")).await;
     taken(&old, 2).await;
     let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
         panic!("nobody")
     };
-    let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some((listener, before))).await;
+    let new =
+        PlatformNode::start_with_handover(Some(place.clone()), vec![], 256, 32, Some((listener, before)))
+            .await;
     while new.counters.transferred_in.get() < 1 {
         yield_now().await;
     }
     drop((runs, leave(held, Way::Part).await));
     assert!(off(&old, 1).await && off(&new, 1).await);
-    assert!(seen.next().await.is_none(), "called off");
-    old.owes_nothing().await;
+    assert!(seen.next_request().await.is_none(), "called off");
+    old.assert_nothing_open().await;
     for node in [&old, &new] {
-        node.list(3, vec![waits.line("s-2", "in_service")]).await;
+        node.apply_list(3, vec![waits.list_entry("s-2", "in_service")]).await;
     }
     let mut next = Client::connect(&new).await;
-    next.tell(&request("check", NEXT, 60.0, "x")).await;
+    next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
     next_is(&waits, &mut next, NEXT).await;
     assert_eq!((old.counters.attempts_sent.get(), new.counters.attempts_sent.get()), (1, 1));
     advance(Duration::from_secs(5)).await;
-    assert_eq!(old.served.await.unwrap(), Ok(()), "nothing holds it up");
-    new.owes_only_ids(1).await; // until the old process is gone: here both are in one
+    assert_eq!(old.task.await.unwrap(), Ok(()), "nothing holds it up");
+    new.assert_only_ids_open(1).await; // until the old process is gone: here both are in one
     std::fs::remove_file(place).unwrap();
 }
 
@@ -259,15 +262,15 @@
     for way in [Way::Close, Way::Reset, Way::HalfClose] {
         let place = place(&format!("frozen-{way:?}"));
         let worker = Worker::start().await;
-        let known = vec![worker.line("s-1", "in_service")];
-        let old = Platform::at(Some(place.clone()), known, 256, 32, None).await;
+        let known = vec![worker.list_entry("s-1", "in_service")];
+        let old = PlatformNode::start_with_handover(Some(place.clone()), known, 256, 32, None).await;
         while !place.exists() {
             yield_now().await;
         }
         let mut client = Client::connect(&old).await;
-        client.tell(&request("lodge", GONE, 60.0, "")).await;
-        let mut seen = worker.take().await;
-        seen.begin().await;
+        client.send_after_pause(&request("lodge", GONE, 60.0, "")).await;
+        let mut seen = worker.receive_request().await;
+        seen.begin_response().await;
         while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
@@ -291,8 +294,8 @@
         let follow = tokio::spawn(remains.run(|_| {}, adopt));
         offered.recv().await.unwrap();
         assert!(off(&old, 1).await, "{way:?}");
-        assert!(seen.next().await.is_none(), "called off");
-        old.owes_nothing().await;
+        assert!(seen.next_request().await.is_none(), "called off");
+        old.assert_nothing_open().await;
         follow.abort();
         std::fs::remove_file(place).unwrap();
     }
@@ -302,17 +305,17 @@
 #[tokio::test(start_paused = true)]
 async fn a_long_wait_leaves_no_timer_behind() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "terminating")], 1024).await;
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
     for n in 0..40 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2e{n:02}"), 86_400.0, "x")).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2e{n:02}"), 86_400.0, "x")).await;
         taken(&node, n + 1).await;
         drop(client);
         while node.counters.client_left.get() < n + 1 {
             yield_now().await;
         }
     }
-    node.owes_nothing().await;
+    node.assert_nothing_open().await;
 }
 
 /// In one turn with the request: it is gone before anything looked at the request.
@@ -321,19 +324,19 @@
     // What fits into no single write keeps the client there for a while.
     for way in WAYS.into_iter().filter(|w| !matches!(w, Way::Much | Way::MuchReset)) {
         let worker = Worker::start().await;
-        let node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
         // A connection that is idle: nothing has to come up before a request can be written.
         let mut first = Client::connect(&node).await;
-        first.tell(&request("check", "9b1f03aa5c7e2d40", 60.0, "x")).await;
-        let mut seen = worker.take().await;
-        seen.done("r").await;
-        assert_eq!(first.answer().await.unwrap().status, 200);
+        first.send_after_pause(&request("check", "9b1f03aa5c7e2d40", 60.0, "x")).await;
+        let mut seen = worker.receive_request().await;
+        seen.complete("r").await;
+        assert_eq!(first.read_answer().await.unwrap().status, 200);
         while node.counters.kept_alive.get() < 1 {
             yield_now().await;
         }
         advance(Duration::from_millis(100)).await;
         let mut client = Client::connect(&node).await;
-        client.add(&(request("check", GONE, 60.0, "x") + &behind(way))).await;
+        client.send(&(request("check", GONE, 60.0, "x") + &behind(way))).await;
         let _kept = go(client, way).await;
         off(&node, 1).await;
         assert_eq!(
@@ -341,22 +344,22 @@
             node.counters.requests_accepted.get() - 1,
             "{way:?}: gone, where it was taken"
         );
-        first.tell(&request("check", NEXT, 60.0, "x")).await;
+        first.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
         // Called off before a byte was written, its connection may be closed for it: then there is a new one.
         let kept = async {
-            match seen.next().await {
+            match seen.next_request().await {
                 Some(seen) => seen,
                 None => std::future::pending().await,
             }
         };
         let mut seen = tokio::select! {
             seen = kept => seen,
-            seen = worker.take() => seen,
+            seen = worker.receive_request() => seen,
         };
-        assert_eq!(seen.field("x-request-id"), NEXT, "{way:?}");
-        seen.done("s").await;
-        assert_eq!(first.answer().await.unwrap().body, "s");
-        node.owes_nothing().await;
+        assert_eq!(seen.header("x-request-id"), NEXT, "{way:?}");
+        seen.complete("s").await;
+        assert_eq!(first.read_answer().await.unwrap().body, "s");
+        node.assert_nothing_open().await;
     }
 }
 
@@ -366,21 +369,21 @@
     for way in WAYS {
         for closes in [false, true] {
             let worker = Worker::start().await;
-            let node = Platform::start(vec![worker.line("s-1", "terminating")], 1024).await;
+            let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
             let mut client = Client::connect(&node).await;
-            client.tell(&request("check", GONE, 60.0, "x")).await;
+            client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
             taken(&node, 1).await;
             if closes {
-                stop(&node.phases).await;
+                stop_until_closing(&node.phases).await;
             } else {
                 node.phases.drain();
             }
             let _kept = leave(client, way).await;
             assert!(off(&node, 1).await, "{way:?} {closes}: still held");
-            node.owes_nothing().await;
+            node.assert_nothing_open().await;
             assert_eq!(node.counters.attempts_sent.get(), 0);
             if closes {
-                assert_eq!(node.served.await.unwrap(), Ok(()), "nothing holds it up");
+                assert_eq!(node.task.await.unwrap(), Ok(()), "nothing holds it up");
             }
         }
     }
--- a/node/tests/gone.rs
+++ b/node/tests/client_disconnects_in_handover.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{request, Client, Platform, Seen, Worker};
+use common::{request, Client, PlatformNode, ReceivedRequest, Worker};
 use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::json;
 use std::path::PathBuf;
@@ -47,7 +47,7 @@
 
 /// The client leaves; one that half-closes stays to be kept.
 async fn leave(mut client: Client, way: Way) -> Option<Client> {
-    client.add(&behind(way)).await;
+    client.send(&behind(way)).await;
     go(client, way).await
 }
 
@@ -72,9 +72,9 @@
 /// A node that may be taken over, with a job at one worker while another is free.
 struct TransferredJob {
     place: PathBuf,
-    old: Platform,
+    old: PlatformNode,
     client: Client,
-    seen: Seen,
+    seen: ReceivedRequest,
     workers: [Worker; 2],
 }
 
@@ -82,18 +82,19 @@
     async fn start(name: &str) -> TransferredJob {
         let place = std::env::temp_dir().join(format!("molevale-gone-{}-{name}", std::process::id()));
         let workers = [Worker::start().await, Worker::start().await];
-        let known = vec![workers[0].line("s-1", "in_service"), workers[1].line("s-2", "in_service")];
-        let old = Platform::at(Some(place.clone()), known, 256, 32, None).await;
+        let known =
+            vec![workers[0].list_entry("s-1", "in_service"), workers[1].list_entry("s-2", "in_service")];
+        let old = PlatformNode::start_with_handover(Some(place.clone()), known, 256, 32, None).await;
         while !place.exists() {
             yield_now().await;
         }
         let mut client = Client::connect(&old).await;
-        client.tell(&request("lodge", ID, 60.0, "")).await;
+        client.send_after_pause(&request("lodge", ID, 60.0, "")).await;
         let mut seen = tokio::select! {
-            seen = workers[0].take() => seen,
-            seen = workers[1].take() => seen,
+            seen = workers[0].receive_request() => seen,
+            seen = workers[1].receive_request() => seen,
         };
-        seen.begin().await;
+        seen.begin_response().await;
         while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
@@ -142,17 +143,17 @@
         });
         offered.recv().await.unwrap();
         let _kept = leave(client, way).await;
-        seen.now(&handed_back());
+        seen.write_now(&handed_back());
         settle().await;
         advance(2 * LEFT).await;
         settle().await;
         assert_eq!(old.counters.client_left.get(), 0, "{way:?}: frozen");
         decide.send(()).unwrap();
-        common::until("it is seen that the client has left", Duration::from_millis(10), || {
+        common::advance_until("it is seen that the client has left", Duration::from_millis(10), || {
             old.counters.client_left.get() == 1
         })
         .await;
-        old.owes_nothing().await;
+        old.assert_nothing_open().await;
         assert_eq!(old.counters.attempts_sent.get(), 1, "{way:?}: sent again though its client had left");
         assert_eq!(old.counters.requests_accepted.get(), 1, "{way:?}: what came behind it is not taken");
         drop(workers);
@@ -170,21 +171,22 @@
             let moving = TransferredJob::start(&format!("over-{way:?}-{steps}")).await;
             let found = moving.find().await;
             let TransferredJob { place, old, client, seen, workers } = moving;
-            let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some(found)).await;
+            let new =
+                PlatformNode::start_with_handover(Some(place.clone()), vec![], 256, 32, Some(found)).await;
             for _ in 0..steps {
                 yield_now().await;
             }
             let _kept = leave(client, way).await;
-            seen.now(&handed_back());
+            seen.write_now(&handed_back());
             settle().await;
             advance(LEFT).await;
-            common::until("it is seen that the client has left", Duration::from_millis(10), || {
+            common::advance_until("it is seen that the client has left", Duration::from_millis(10), || {
                 old.counters.client_left.get() + new.counters.client_left.get() == 1
             })
             .await;
             let sent = old.counters.attempts_sent.get() + new.counters.attempts_sent.get();
             assert_eq!(sent, 1, "{way:?} after {steps} steps: sent again though its client had left");
-            old.owes_nothing().await;
+            old.assert_nothing_open().await;
             drop(workers);
             std::fs::remove_file(place).unwrap();
         }
@@ -199,7 +201,7 @@
         for due_at_once in [false, true] {
             let moving = TransferredJob::start(&format!("late-{way:?}-{due_at_once}")).await;
             let TransferredJob { place, old, mut client, seen, workers } = moving;
-            client.add(&behind(way)).await;
+            client.send(&behind(way)).await;
             settle().await;
             advance(Duration::from_millis(1)).await;
             settle().await;
@@ -210,10 +212,10 @@
                 settle().await;
                 assert_eq!(old.counters.client_left.get(), 1, "{way:?}: not seen after {LEFT:?}");
             }
-            seen.now(&handed_back());
+            seen.write_now(&handed_back());
             settle().await;
             assert_eq!(old.counters.client_left.get(), 1, "{way:?}: not seen when a further attempt was due");
-            old.owes_nothing().await;
+            old.assert_nothing_open().await;
             assert_eq!(
                 (old.counters.attempts_sent.get(), old.counters.requests_accepted.get()),
                 (1, 1),
--- a/node/tests/common/deployments.rs
+++ b/node/tests/common/deployments.rs
@@ -1,59 +1,58 @@
-//! The deployments in `deploy/sites` and the settings that a node of each is given.
+//! The deployments in `deploy/sites` and the settings of a node of each.
 
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
 /// A deployment's file.
-pub struct Site {
-    /// Its name.
+pub struct Deployment {
     pub name: String,
     file: toml::Value,
 }
 
-/// A number; of a range, its first one.
+/// A number, or the first one of a range.
 fn number(value: &toml::Value) -> f64 {
     let value = value.as_array().map_or(value, |range| &range[0]);
     value.as_float().or(value.as_integer().map(|i| i as f64)).unwrap()
 }
 
-/// Microseconds of some milliseconds.
-fn us(ms: f64) -> u64 {
+/// Converts milliseconds to microseconds.
+fn micros(ms: f64) -> u64 {
     (ms * 1000.0) as u64
 }
 
-impl Site {
+impl Deployment {
     /// All deployments, by name.
-    pub fn all() -> Vec<Site> {
+    pub fn all() -> Vec<Deployment> {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/sites");
         let mut folders: Vec<_> = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path()).collect();
         folders.sort();
-        folders.into_iter().map(Site::read).collect()
+        folders.into_iter().map(Deployment::read).collect()
     }
 
-    fn read(folder: PathBuf) -> Site {
+    fn read(folder: PathBuf) -> Deployment {
         let name = folder.file_name().unwrap().to_str().unwrap().to_string();
         let text = std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap();
-        Site { name, file: text.parse::<toml::Table>().unwrap().into() }
+        Deployment { name, file: text.parse::<toml::Table>().unwrap().into() }
     }
 
-    /// What stands at a path of keys with dots between them.
-    fn at(&self, path: &str) -> Option<&toml::Value> {
+    /// The value at a path of keys separated by dots.
+    fn value(&self, path: &str) -> Option<&toml::Value> {
         path.split('.').try_fold(&self.file, |value, key| value.get(key))
     }
 
     fn number(&self, path: &str) -> f64 {
-        self.at(path).map_or(0.0, number)
+        self.value(path).map_or(0.0, number)
     }
 
     fn flag(&self, path: &str) -> bool {
-        self.at(path).and_then(|v| v.as_bool()).unwrap_or(false)
+        self.value(path).and_then(|v| v.as_bool()).unwrap_or(false)
     }
 
     fn list(&self, path: &str) -> &[toml::Value] {
-        self.at(path).and_then(|v| v.as_array()).map_or(&[], Vec::as_slice)
+        self.value(path).and_then(|v| v.as_array()).map_or(&[], Vec::as_slice)
     }
 
-    /// The settings that a node of this deployment is given.
+    /// The settings of a node of this deployment.
     pub fn settings(&self) -> Value {
         let tier = &self.list("tier")[0];
         let kinds = tier["kind"].as_array().unwrap().iter();
@@ -61,13 +60,13 @@
             "Azs": self.list("net.zones").iter().map(|z| z.as_str().unwrap()).collect::<Vec<_>>(),
             "HostTypes": kinds.map(|kind| kind["name"].as_str().unwrap()).collect::<Vec<_>>(),
             "Siblings": self.number("scale.balancers").max(3.0) as u64,
-            "ResolutionUs": us(self.number("day.tick_ms")), "Discovery": "push",
+            "ResolutionUs": micros(self.number("day.tick_ms")), "Discovery": "push",
             "Weights": tier["weights"].as_str(),
-            "OverShareWorth": self.at("load.over_share_worth").map_or(1.0, number),
+            "OverShareWorth": self.value("load.over_share_worth").map_or(1.0, number),
             "Stats": {"Fields": report_fields(tier), "Source": tier["report"]["how"].as_str()},
-            "FamilyInfo": self.family(), "Limits": self.limits(tier),
-            "Invariants": {"DrainGraceUs": us(self.number("rules.drain_grace_ms")),
-                "FallMultiple": self.number("rules.fall_multiple"), "FallUs": us(self.number("rules.fall_ms")),
+            "FamilyInfo": self.family_info(), "Limits": self.limits(tier),
+            "Invariants": {"DrainGraceUs": micros(self.number("rules.drain_grace_ms")),
+                "FallMultiple": self.number("rules.fall_multiple"), "FallUs": micros(self.number("rules.fall_ms")),
                 "ColdShare": 0.2, "WarmUpUs": 10_000_000},
             "ClientHabits": {"MarksRetry": self.flag("clients.marks_retry")},
             "Prices": {"CrossZone": self.number("prices.cross_zone"), "Handshake": self.number("prices.handshake")},
@@ -76,7 +75,7 @@
         })
     }
 
-    fn family(&self) -> Value {
+    fn family_info(&self) -> Value {
         let stretches: Vec<f64> = self.list("fam.class").iter().map(|j| number(&j["stretch"])).collect();
         json!({"TellsStart": self.flag("fam.tells_start"), "ProgressUs": (self.number("fam.progress_s") * 1e6) as u64,
             "ReportX0": "free_slots", "ReportX1": "free_memory", "ClassStretch": stretches,
@@ -86,14 +85,14 @@
     fn limits(&self, tier: &toml::Value) -> Value {
         json!({"MaxAttempts": self.number("allow.max_attempts") as u64, "Cancelling": self.flag("allow.cancel"),
             "RetryAfter": self.flag("allow.retry_after"),
-            "MaxRetryAfterUs": us(self.number("clients.max_retry_after_ms")),
+            "MaxRetryAfterUs": micros(self.number("clients.max_retry_after_ms")),
             "MayDuplicate": self.flag("allow.second_copies"), "Peers": self.flag("allow.peers"),
-            "Probes": self.flag("allow.probes"), "ConnectTimeoutUs": us(number(&tier["conn"]["connect_timeout_ms"])),
+            "Probes": self.flag("allow.probes"), "ConnectTimeoutUs": micros(number(&tier["conn"]["connect_timeout_ms"])),
             "ConnIdleUs": (number(&tier["conn"]["idle_s"]) * 1e6) as u64})
     }
 }
 
-/// The fields of load reports, by the names that the settings give them.
+/// The fields of load reports, by their names in the settings.
 fn report_fields(tier: &toml::Value) -> Vec<String> {
     let field = |name: &str| match name {
         "queue" => "depth".to_string(),
@@ -111,8 +110,8 @@
 
 fn class(class: &toml::Value) -> Value {
     let text = |key: &str| class.get(key).and_then(|v| v.as_str()).unwrap_or("all");
-    json!({"Name": text("name"), "AimUs": us(number(&class["aim_ms"])),
-        "DeadlineUs": us(number(&class["deadline_ms"])), "Worth": number(&class["worth"]),
+    json!({"Name": text("name"), "AimUs": micros(number(&class["aim_ms"])),
+        "DeadlineUs": micros(number(&class["deadline_ms"])), "Worth": number(&class["worth"]),
         "LateWorth": number(&class["late_worth"]), "Semantics": text("effect"), "Group": text("group"),
-        "RepeatWindowUs": class.get("window_ms").map_or(0, |w| us(number(w))), "Stream": false})
+        "RepeatWindowUs": class.get("window_ms").map_or(0, |w| micros(number(w))), "Stream": false})
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: small settings and stand-ins that speak the wires from their public pages.
+//! Shared test support: small settings, and stand-ins that speak the public protocols.
 #![allow(dead_code)]
 
 pub mod deployments;
@@ -24,41 +24,41 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::JoinHandle;
 
-/// A health check on the platform's front.
+/// A health check on the platform frontend.
 pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-/// Real time after which a test that still waits is held to hang; all of them take a second.
-const HUNG: Duration = Duration::from_secs(60);
+/// Real time after which a test that still waits counts as hung; each takes about a second.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Random steps that are the same in every run.
-pub fn checker(tests: u64, size: usize) -> QuickCheck {
+/// A `QuickCheck` with a fixed seed: the same random input in every run.
+pub fn seeded_quickcheck(tests: u64, size: usize) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(size, 0x6d6f_6c65)).tests(tests)
 }
 
-/// Walks through the steps in a runtime of its own, on paused time.
-pub fn holds(walk: impl std::future::Future<Output = ()>) -> bool {
+/// Runs a future to its end in a new runtime with a paused clock; the result is that of a property that holds.
+pub fn run_paused(future: impl std::future::Future<Output = ()>) -> bool {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    runtime.enable_all().start_paused(true).build().unwrap().block_on(walk);
+    runtime.enable_all().start_paused(true).build().unwrap().block_on(future);
     true
 }
 
-/// Holds paused time where it is, also while all wait for sockets, until it is dropped: only what a test
-/// advances passes, so no verdict depends on the machine's pace. A test that hangs all the same ends the run.
-pub fn still() -> std::sync::mpsc::Sender<()> {
+/// Stops the paused clock from advancing on its own while all tasks wait for sockets, until the result is dropped.
+/// Only what a test advances passes, so no verdict depends on the machine's speed. A test that hangs ends the run.
+pub fn freeze_clock() -> std::sync::mpsc::Sender<()> {
     let (hold, held) = std::sync::mpsc::channel();
     tokio::task::spawn_blocking(move || {
-        if let Err(RecvTimeoutError::Timeout) = held.recv_timeout(HUNG) {
-            eprintln!("a test hangs: nothing of what it waits for came in {HUNG:?}");
+        if let Err(RecvTimeoutError::Timeout) = held.recv_timeout(HANG_TIMEOUT) {
+            eprintln!("a test hangs: what it waits for did not happen in {HANG_TIMEOUT:?}");
             std::process::exit(101);
         }
     });
     hold
 }
 
-/// Lets all that are ready have one turn; sockets are not looked at for that, as they are for `yield_now`.
-pub async fn turn() {
-    let mut had = false;
+/// Lets every ready task run once. Unlike `yield_now`, it does not poll sockets.
+pub async fn yield_without_io() {
+    let mut has_yielded = false;
     std::future::poll_fn(|cx| {
-        if std::mem::replace(&mut had, true) {
+        if std::mem::replace(&mut has_yielded, true) {
             return std::task::Poll::Ready(());
         }
         cx.waker().wake_by_ref();
@@ -67,51 +67,52 @@
     .await;
 }
 
-/// Lets time pass, this much at once, until something holds.
-pub async fn until(what: &str, step: Duration, mut holds: impl FnMut() -> bool) {
+/// Advances the clock in steps until the condition holds.
+pub async fn advance_until(what: &str, step: Duration, mut condition: impl FnMut() -> bool) {
     for _ in 0..400 {
         for _ in 0..50 {
-            if holds() {
+            if condition() {
                 return;
             }
             tokio::task::yield_now().await;
         }
         tokio::time::advance(step).await;
     }
-    panic!("not so: {what}");
+    panic!("the condition never held: {what}");
 }
 
-/// Tells a node to stop, and lets the time pass in which it takes what still comes.
-pub async fn stop(phases: &Phases) {
-    stopping(phases).await;
+/// Tells a node to stop, and advances past the time in which it still accepts connections.
+pub async fn stop_until_closing(phases: &Phases) {
+    begin_stop(phases).await;
     tokio::time::advance(Duration::from_millis(720)).await;
     let mut phase = phases.subscribe();
     phase.wait_for(|p| *p == Phase::Closing).await.unwrap();
 }
 
-/// Tells a node to stop; it still takes what comes.
-pub async fn stopping(phases: &Phases) {
+/// Tells a node to stop; it still accepts connections.
+pub async fn begin_stop(phases: &Phases) {
     let (mut phase, phases) = (phases.subscribe(), phases.clone());
     tokio::spawn(async move { phases.stop().await });
     phase.wait_for(|p| *p == Phase::Stopping || *p == Phase::Closing).await.unwrap();
 }
 
-pub fn operator(aim_us: u64) -> FaktoryConfig {
-    operator_of(settings(false, aim_us))
+/// A Faktory configuration whose classes have this objective.
+pub fn faktory_config(objective_us: u64) -> FaktoryConfig {
+    faktory_config_with(settings(false, objective_us))
 }
 
-/// With these settings.
-pub fn operator_of(settings: Value) -> FaktoryConfig {
+/// A Faktory configuration with these settings.
+pub fn faktory_config_with(settings: Value) -> FaktoryConfig {
     let text = toml::to_string(&json!({"listen": "127.0.0.1:0", "settings": settings})).unwrap();
     FaktoryConfig::parse(&text).unwrap()
 }
 
-/// A Faktory front without a listener, its counters and the phase it goes by.
-pub fn faktory(password: Option<&str>) -> (Server, Arc<Counters>, Phases) {
+/// A Faktory frontend without a listener, its counters and its phases.
+pub fn start_faktory(password: Option<&str>) -> (Server, Arc<Counters>, Phases) {
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
     let node = Server::start(
-        &operator(1_000_000),
+        &faktory_config(1_000_000),
         7,
         password.map(String::from),
         counters.clone(),
@@ -123,35 +124,36 @@
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<S: AsyncRead + AsyncWrite + Unpin + Send> Stream for S {}
 
-/// A stand-in for a Faktory client or worker.
-pub struct Peer(pub BufReader<Box<dyn Stream>>);
+/// A stand-in for a Faktory client or worker: its connection to the frontend.
+pub struct FaktoryConnection(pub BufReader<Box<dyn Stream>>);
 
-impl Peer {
-    /// Connects within the process: with paused time, nothing here depends on the machine's pace.
-    pub async fn connect(node: &Server, hello: &str) -> Peer {
+impl FaktoryConnection {
+    /// Connects within the process: with a paused clock, nothing here depends on the machine's speed.
+    pub async fn connect(node: &Server, hello: &str) -> FaktoryConnection {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.session(far).await });
-        let mut peer = Peer(BufReader::new(Box::new(near)));
-        assert_eq!(peer.reply().await, "+HI {\"v\":2}");
-        assert_eq!(peer.ask(&format!("HELLO {hello}")).await, "+OK");
-        peer
+        let mut connection = FaktoryConnection(BufReader::new(Box::new(near)));
+        assert_eq!(connection.read_reply().await, "+HI {\"v\":2}");
+        assert_eq!(connection.send_command(&format!("HELLO {hello}")).await, "+OK");
+        connection
     }
 
-    pub async fn client(node: &Server) -> Peer {
-        Peer::connect(node, "{\"v\":2}").await
+    pub async fn connect_client(node: &Server) -> FaktoryConnection {
+        FaktoryConnection::connect(node, "{\"v\":2}").await
     }
 
-    pub async fn worker(node: &Server, wid: &str) -> Peer {
-        Peer::connect(node, &format!("{{\"v\":2,\"wid\":\"{wid}\"}}")).await
+    pub async fn connect_worker(node: &Server, wid: &str) -> FaktoryConnection {
+        FaktoryConnection::connect(node, &format!("{{\"v\":2,\"wid\":\"{wid}\"}}")).await
     }
 
-    pub async fn tell(&mut self, line: &str) {
+    /// Sends a command without waiting for its reply.
+    pub async fn send_line(&mut self, line: &str) {
         self.0.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
     }
 
-    /// A reply: a line, or what a bulk string holds; empty at the end of the connection.
-    pub async fn reply(&mut self) -> String {
+    /// A reply: a line, or the content of a bulk string; empty at the end of the connection.
+    pub async fn read_reply(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).await.unwrap();
         let line = line.trim_end().to_string();
@@ -161,45 +163,47 @@
         String::from_utf8(body[..n].to_vec()).unwrap()
     }
 
-    pub async fn ask(&mut self, line: &str) -> String {
-        self.tell(line).await;
-        self.reply().await
+    /// Sends a command and returns its reply.
+    pub async fn send_command(&mut self, line: &str) -> String {
+        self.send_line(line).await;
+        self.read_reply().await
     }
 
     pub async fn push(&mut self, queue: &str, jid: &str, key: &str) -> String {
-        self.ask(&format!("PUSH {}", job(queue, jid, key))).await
+        self.send_command(&format!("PUSH {}", faktory_job(queue, jid, key))).await
     }
 
     /// Fetches a job and returns its jid; `None` where there is none.
     pub async fn fetch(&mut self) -> Option<String> {
-        let got = self.ask("FETCH check lodge").await;
-        let job = (got != "$-1").then(|| serde_json::from_str::<Value>(&got).expect(&got))?;
+        let reply = self.send_command("FETCH check lodge").await;
+        let job = (reply != "$-1").then(|| serde_json::from_str::<Value>(&reply).expect(&reply))?;
         Some(job["jid"].as_str().unwrap().to_string())
     }
 
-    pub async fn done(&mut self, jid: &str) -> String {
-        self.ask(&format!("ACK {{\"jid\":\"{jid}\"}}")).await
+    pub async fn ack(&mut self, jid: &str) -> String {
+        self.send_command(&format!("ACK {{\"jid\":\"{jid}\"}}")).await
     }
 
-    /// How a job ended, or what it is about.
-    pub async fn state(&mut self, jid: &str) -> String {
-        let got = self.ask(&format!("TRACK GET {jid}")).await;
-        let Ok(told) = serde_json::from_str::<Value>(&got) else { return got };
-        told["answer"].as_str().or(told["state"].as_str()).unwrap().to_string()
+    /// How a job ended, else its current state; the reply itself where it is an error.
+    pub async fn job_state(&mut self, jid: &str) -> String {
+        let reply = self.send_command(&format!("TRACK GET {jid}")).await;
+        let Ok(tracked) = serde_json::from_str::<Value>(&reply) else { return reply };
+        tracked["answer"].as_str().or(tracked["state"].as_str()).unwrap().to_string()
     }
 }
 
-pub fn job(queue: &str, jid: &str, key: &str) -> String {
+/// The argument of `PUSH` for this job.
+pub fn faktory_job(queue: &str, jid: &str, key: &str) -> String {
     json!({"jid": jid, "jobtype": "declare", "args": [1, "x"], "queue": queue,
         "custom": {"tenant": "sava", "key": key}})
     .to_string()
 }
 
-/// A stand-in for a worker of the platform: hands each request to the test.
+/// A stand-in for a worker of the platform: the test itself answers each request.
 pub struct Worker(pub TcpListener);
 
-/// A request as a worker sees it, and its connection.
-pub struct Seen {
+/// A request as a worker receives it, and its connection.
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
     stream: BufReader<TcpStream>,
@@ -210,33 +214,34 @@
         Worker(TcpListener::bind("127.0.0.1:0").await.unwrap())
     }
 
-    /// This worker's line of the list.
-    pub fn line(&self, id: &str, phase: &str) -> Value {
+    /// This worker's entry in the endpoint list.
+    pub fn list_entry(&self, id: &str, phase: &str) -> Value {
         wire::line(id, self.0.local_addr().unwrap(), phase, 0)
     }
 
     /// The first request on a new connection.
-    pub async fn take(&self) -> Seen {
+    pub async fn receive_request(&self) -> ReceivedRequest {
         let (socket, _) = self.0.accept().await.unwrap();
-        Seen::first(socket).await
+        ReceivedRequest::read_first(socket).await
     }
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// The first request on this connection.
-    pub async fn first(socket: TcpStream) -> Seen {
-        socket.set_nodelay(true).unwrap(); // what is said is there at once
-        Seen::read(BufReader::new(socket)).await.expect("a request")
+    pub async fn read_first(socket: TcpStream) -> ReceivedRequest {
+        socket.set_nodelay(true).unwrap(); // each write is sent at once
+        ReceivedRequest::read(BufReader::new(socket)).await.expect("a request")
     }
 
-    async fn read(mut stream: BufReader<TcpStream>) -> Option<Seen> {
+    async fn read(mut stream: BufReader<TcpStream>) -> Option<ReceivedRequest> {
         let head = head(&mut stream).await?;
         let mut body = vec![0; length(&head)];
         stream.read_exact(&mut body).await.ok()?;
-        Some(Seen { head, body, stream })
+        Some(ReceivedRequest { head, body, stream })
     }
 
-    pub fn field(&self, name: &str) -> String {
+    /// The value of a header, empty if it is missing.
+    pub fn header(&self, name: &str) -> String {
         field(&self.head, name).unwrap_or_default()
     }
 
@@ -244,194 +249,199 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Says this in this very moment: nobody else has a turn meanwhile.
-    pub fn now(&self, text: &str) {
+    /// Writes without yielding, so no other task runs in between.
+    pub fn write_now(&self, text: &str) {
         assert_eq!(self.stream.get_ref().try_write(text.as_bytes()).unwrap(), text.len());
     }
 
-    pub async fn begin(&mut self) {
+    /// Sends the head of a chunked response.
+    pub async fn begin_response(&mut self) {
         self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
     }
 
-    pub async fn say(&mut self, line: Value) {
+    /// Sends a line of the response, with the request's id.
+    pub async fn send_update(&mut self, line: Value) {
         let mut line = line;
-        line["id"] = self.field("x-request-id").into();
+        line["id"] = self.header("x-request-id").into();
         line["from"] = "s-1".into();
         self.write(&format!("{:x}\r\n{line}\n\r\n", line.to_string().len() + 1)).await;
     }
 
-    pub async fn done(&mut self, result: &str) {
-        self.begin().await;
-        self.say(json!({"state": "started"})).await;
-        self.say(json!({"state": "done", "result": result, "load": {"x0": 2, "depth": 0}})).await;
+    /// Answers that the request was executed with this result.
+    pub async fn complete(&mut self, result: &str) {
+        self.begin_response().await;
+        self.send_update(json!({"state": "started"})).await;
+        self.send_update(json!({"state": "done", "result": result, "load": {"x0": 2, "depth": 0}})).await;
         self.write("0\r\n\r\n").await;
     }
 
     /// The next request on this connection; `None` where it is closed.
-    pub async fn next(self) -> Option<Seen> {
-        Seen::read(self.stream).await
+    pub async fn next_request(self) -> Option<ReceivedRequest> {
+        ReceivedRequest::read(self.stream).await
     }
 }
 
-/// A worker whose connections come up late: its backlog is full until the stand-in that fills it is taken out, and the
-/// kernel tries again a second later.
-pub async fn late_worker() -> (Worker, TcpStream) {
+/// A worker whose connections are established late: its backlog is full until the connection that fills it is accepted,
+/// and the kernel then retries the handshake a second later.
+pub async fn worker_with_full_backlog() -> (Worker, TcpStream) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let worker = Worker(socket.listen(0).unwrap());
-    let fills = TcpStream::connect(worker.0.local_addr().unwrap()).await.unwrap();
-    (worker, fills)
+    let backlog_filler = TcpStream::connect(worker.0.local_addr().unwrap()).await.unwrap();
+    (worker, backlog_filler)
 }
 
 /// A stand-in for a client of the platform.
 pub struct Client(BufReader<TcpStream>);
 
-/// An answer as a client sees it.
+/// An answer as a client receives it.
 #[derive(Debug)]
-pub struct Got {
+pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
 impl Client {
-    pub async fn connect(node: &Platform) -> Client {
+    pub async fn connect(node: &PlatformNode) -> Client {
         Client(BufReader::new(TcpStream::connect(node.address).await.unwrap()))
     }
 
-    /// On a connection that was made without giving the node a turn.
-    pub fn of(socket: std::net::TcpStream) -> Client {
+    /// Wraps a connection that was made without yielding to the node.
+    pub fn from_std(socket: std::net::TcpStream) -> Client {
         socket.set_nonblocking(true).unwrap();
         Client(BufReader::new(TcpStream::from_std(socket).unwrap()))
     }
 
-    /// With so little room for answers that a long one does not fit.
-    pub async fn narrow(node: &Platform) -> Client {
+    /// Connects with the smallest receive buffer, so that a long answer does not fit.
+    pub async fn connect_with_small_buffer(node: &PlatformNode) -> Client {
         let socket = TcpSocket::new_v4().unwrap();
-        socket.set_recv_buffer_size(1).unwrap(); // the least that the kernel gives
+        socket.set_recv_buffer_size(1).unwrap(); // the kernel raises it to its minimum
         Client(BufReader::new(socket.connect(node.address).await.unwrap()))
     }
 
-    /// Sends this, some time after what came before: the module paces what it admits.
-    pub async fn tell(&mut self, text: &str) {
+    /// Sends this after a pause, since the decision module limits the rate at which it admits requests.
+    pub async fn send_after_pause(&mut self, text: &str) {
         tokio::time::advance(Duration::from_millis(20)).await;
         self.0.write_all(text.as_bytes()).await.unwrap();
     }
 
     /// The next answer; `None` where the connection is closed.
-    pub async fn answer(&mut self) -> Option<Got> {
+    pub async fn read_answer(&mut self) -> Option<Answer> {
         let head = head(&mut self.0).await?;
         let mut body = vec![0; length(&head)];
         self.0.read_exact(&mut body).await.ok()?;
         let status = wire::status(&head)?;
-        Some(Got { status, head, body: String::from_utf8(body).ok()? })
+        Some(Answer { status, head, body: String::from_utf8(body).ok()? })
     }
 
     /// Sends this at once.
-    pub async fn add(&mut self, text: &str) {
+    pub async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Half-closes: nothing more comes from here, an answer would still be read.
+    /// Closes the sending half; an answer can still be read.
     pub async fn half_close(&mut self) {
         self.0.shutdown().await.unwrap();
     }
 
-    /// Goes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(self.0.get_ref(), Some(Duration::ZERO)).unwrap();
     }
 
-    pub async fn ask(&mut self, text: &str) -> Got {
-        self.tell(text).await;
-        self.answer().await.expect("an answer")
+    /// Sends a request after a pause and reads its answer.
+    pub async fn exchange(&mut self, text: &str) -> Answer {
+        self.send_after_pause(text).await;
+        self.read_answer().await.expect("an answer")
     }
 }
 
-/// In place of a list: discovery has no time for the call.
-const TURNED_AWAY: &str = "busy";
-/// In place of a list: half of one, then the end of the connection.
-const CUT: &str = "cut";
-/// In place of a list: half of one, then silence.
-const HALF: &str = "half";
+/// In place of a list: discovery rejects the call with a 503.
+const BUSY: &str = "busy";
+/// In place of a list: part of one, then the end of the connection.
+const TRUNCATED: &str = "cut";
+/// In place of a list: part of one, then silence.
+const STALLED: &str = "half";
 /// In place of a list: the end of the connection.
-const RESET: &str = "reset";
+const CLOSED: &str = "reset";
 
-/// A stand-in for discovery: what it is to answer, and the heads of the calls that came.
-struct Agent {
+/// A stand-in for discovery: takes the answers it is to give, and signals when a connection to it has ended.
+struct DiscoveryServer {
     answers: mpsc::UnboundedSender<String>,
     closed: Arc<Notify>,
 }
 
-impl Agent {
-    async fn start() -> (Agent, SocketAddr, mpsc::UnboundedReceiver<String>) {
+impl DiscoveryServer {
+    async fn start() -> (DiscoveryServer, SocketAddr, mpsc::UnboundedReceiver<String>) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (answers, told) = mpsc::unbounded_channel();
+        let (answers, queued_answers) = mpsc::unbounded_channel();
         let (calls, heads) = mpsc::unbounded_channel();
         let closed = Arc::new(Notify::new());
-        tokio::spawn(discover(listener, told, calls, closed.clone()));
-        (Agent { answers, closed }, address, heads)
+        tokio::spawn(serve_discovery(listener, queued_answers, calls, closed.clone()));
+        (DiscoveryServer { answers, closed }, address, heads)
     }
 }
 
-/// A node of the platform with a stand-in for discovery.
-pub struct Platform {
+/// A node with the platform frontend and a stand-in for discovery.
+pub struct PlatformNode {
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
     pub phases: Phases,
-    pub served: JoinHandle<Result<(), String>>,
+    pub task: JoinHandle<Result<(), String>>,
     pub effective_settings: watch::Sender<EffectiveSettings>,
-    discovery: watch::Sender<Option<SocketAddr>>,
-    calls: mpsc::UnboundedReceiver<String>,
-    agent: Agent,
-    old: Option<Agent>,
-    _time: std::sync::mpsc::Sender<()>,
+    discovery_address: watch::Sender<Option<SocketAddr>>,
+    discovery_calls: mpsc::UnboundedReceiver<String>,
+    discovery: DiscoveryServer,
+    previous_discovery: Option<DiscoveryServer>,
+    _frozen_clock: std::sync::mpsc::Sender<()>,
 }
 
-impl Platform {
-    /// Starts with these workers known, and this many descriptors to use.
-    pub async fn start(known: Vec<Value>, sockets: usize) -> Platform {
-        Platform::within(known, sockets, 192).await
+impl PlatformNode {
+    /// Starts a node that knows these workers and may use this many descriptors.
+    pub async fn start(known: Vec<Value>, sockets: usize) -> PlatformNode {
+        PlatformNode::start_with_memory(known, sockets, 192).await
     }
 
-    /// The same, with this much memory.
-    pub async fn within(known: Vec<Value>, sockets: usize, memory_mb: usize) -> Platform {
-        Platform::at(None, known, sockets, memory_mb, None).await
+    /// The same, with this memory limit.
+    pub async fn start_with_memory(known: Vec<Value>, sockets: usize, memory_mb: usize) -> PlatformNode {
+        PlatformNode::start_with_handover(None, known, sockets, memory_mb, None).await
     }
 
-    /// The same, where a next process may take over, and from the one before, if it was found.
-    pub async fn at(
-        place: Option<PathBuf>,
+    /// The same, with the socket on which a successor may take over, and the predecessor to take over from.
+    pub async fn start_with_handover(
+        handover_path: Option<PathBuf>,
         known: Vec<Value>,
         sockets: usize,
         memory_mb: usize,
-        found: Option<(TcpListener, Predecessor)>,
-    ) -> Platform {
-        let told = json!({"settings": settings(true, 60_000_000), "known": known});
-        Platform::all(told, place, sockets, memory_mb, found).await
+        predecessor: Option<(TcpListener, Predecessor)>,
+    ) -> PlatformNode {
+        let parts = json!({"settings": settings(true, 60_000_000), "known": known});
+        PlatformNode::start_with_config_and_handover(parts, handover_path, sockets, memory_mb, predecessor)
+            .await
     }
 
-    /// With other settings.
-    pub async fn under(settings: Value, known: Vec<Value>) -> Platform {
-        Platform::told(json!({"settings": settings, "known": known})).await
+    /// Starts a node with other settings.
+    pub async fn start_with_settings(settings: Value, known: Vec<Value>) -> PlatformNode {
+        PlatformNode::start_with_config(json!({"settings": settings, "known": known})).await
     }
 
-    /// With these parts of a configuration; `known` is the members alone.
-    pub async fn told(parts: Value) -> Platform {
-        Platform::all(parts, None, 1024, 192, None).await
+    /// Starts a node with these parts of a configuration; `known` holds only the members of the list.
+    pub async fn start_with_config(parts: Value) -> PlatformNode {
+        PlatformNode::start_with_config_and_handover(parts, None, 1024, 192, None).await
     }
 
-    /// With these parts of a configuration, and where it may take over from another process or be taken over.
-    pub async fn all(
+    /// Starts a node with these parts of a configuration that may take over and be taken over.
+    pub async fn start_with_config_and_handover(
         parts: Value,
-        place: Option<PathBuf>,
+        handover_path: Option<PathBuf>,
         sockets: usize,
         memory_mb: usize,
-        found: Option<(TcpListener, Predecessor)>,
-    ) -> Platform {
-        let _time = still();
-        let (agent, at, calls) = Agent::start().await;
+        predecessor: Option<(TcpListener, Predecessor)>,
+    ) -> PlatformNode {
+        let _frozen_clock = freeze_clock();
+        let (discovery, at, discovery_calls) = DiscoveryServer::start().await;
         let mut config = json!({
             "name": "n1", "listen": "127.0.0.1:0", "discovery": at.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
@@ -439,74 +449,73 @@
         config.as_object_mut().unwrap().extend(parts.as_object().unwrap().clone());
         config["known"] = json!({"revision": 1, "complete": true, "members": parts["known"]});
         let config = config::parse(&config.to_string(), |_| None).unwrap();
-        let (listener, before) = match found {
-            Some((listener, before)) => (listener, Some(before)),
+        let (listener, predecessor) = match predecessor {
+            Some((listener, predecessor)) => (listener, Some(predecessor)),
             None => (platform::listen(config.listen, false).unwrap(), None),
         };
         let address = listener.local_addr().unwrap();
         let phases = Phases::default();
         let counters = Arc::new(Counters::default());
-        // A test may name another discovery than the stand-in that comes with the node.
-        let (discovery, followed) = watch::channel(Some(config.discovery));
-        let (effective_settings, follow_tuning) = watch::channel(config.effective_settings.clone());
+        // A test may configure another discovery than the stand-in started here.
+        let (discovery_address, address_changes) = watch::channel(Some(config.discovery));
+        let (effective_settings, settings_changes) = watch::channel(config.effective_settings.clone());
         let (ready, mut is_ready) = watch::channel(false);
         let dependencies = platform::Dependencies {
             counters: counters.clone(),
             phases: phases.clone(),
-            discovery: followed,
-            effective_settings: follow_tuning,
+            discovery: address_changes,
+            effective_settings: settings_changes,
             ready,
-            predecessor: before,
-            handover_path: place,
+            predecessor,
+            handover_path,
             fleet: None,
             list_sharing: None,
         };
-        let served = platform::serve(config, listener, dependencies);
-        let served = tokio::spawn(async move { served.await.map_err(|e| e.to_string()) });
+        let serving = platform::serve(config, listener, dependencies);
+        let task = tokio::spawn(async move { serving.await.map_err(|e| e.to_string()) });
         is_ready.wait_for(|ready| *ready).await.unwrap();
-        Platform {
+        PlatformNode {
             address,
             counters,
             phases,
             effective_settings,
-            served,
+            task,
+            discovery_address,
+            discovery_calls,
             discovery,
-            calls,
-            agent,
-            old: None,
-            _time,
+            previous_discovery: None,
+            _frozen_clock,
         }
     }
 
-    /// The one check after each bad order: all that is counted goes back to nothing. Every request had one end and every
-    /// attempt one outcome; no entry, id, body, descriptor at work or attempt's connection is left, and of timers
-    /// no more than the module's own.
-    pub async fn owes_nothing(&self) {
-        self.owes_only_ids(0).await;
+    /// Checks that every request had exactly one end and every attempt one outcome, and that all resources are released:
+    /// no entry, id, body, busy descriptor or attempt's connection is left, and only the module's own timers.
+    pub async fn assert_nothing_open(&self) {
+        self.assert_only_ids_open(0).await;
     }
 
-    /// The same, where another process of the node still has so many ids open.
-    pub async fn owes_only_ids(&self, ids: usize) {
+    /// The same, where another process of the node still has this many ids open.
+    pub async fn assert_only_ids_open(&self, ids: usize) {
         let c = &self.counters;
-        let held = || {
-            let h = c.usage().unwrap();
+        let open = || {
+            let usage = c.usage().unwrap();
             (
                 c.open_requests.get(),
                 c.in_flight.get(),
-                h.busy_clients,
-                h.attempt_connections,
-                h.wire_ids,
-                h.bodies_kib,
+                usage.busy_clients,
+                usage.attempt_connections,
+                usage.wire_ids,
+                usage.bodies_kib,
             )
         };
         for _ in 0..2000 {
-            if held() == (0, 0, 0, 0, ids, 0) {
+            if open() == (0, 0, 0, 0, ids, 0) {
                 break;
             }
             tokio::task::yield_now().await;
-            std::thread::sleep(Duration::from_micros(200)); // the kernel's part, not the node's
+            std::thread::sleep(Duration::from_micros(200)); // for work that the kernel still has to do
         }
-        assert_eq!(held(), (0, 0, 0, 0, ids, 0), "open, out, at work, attempts, ids, bodies: {c}");
+        assert_eq!(open(), (0, 0, 0, 0, ids, 0), "open, in flight, busy, attempts, ids, bodies: {c}");
         let ends = [&c.served, &c.shed, &c.failed, &c.client_left, &c.transferred_out]
             .map(|n| n.get())
             .iter()
@@ -525,122 +534,122 @@
         assert_eq!(
             c.attempts_sent.get() + c.transferred_in.get(),
             outcomes + c.transferred_out.get(),
-            "one outcome each: {c}"
+            "one outcome for each attempt: {c}"
         );
-        assert!(c.timers.get() <= 16, "timers are left over: {c}");
+        assert!(c.timers.get() <= 16, "timers are left: {c}");
     }
 
-    /// The head of the next call that discovery gets, whenever it comes.
-    pub async fn call(&mut self) -> String {
+    /// Advances the clock until discovery receives its next call, and returns its head.
+    pub async fn next_discovery_call(&mut self) -> String {
         loop {
-            match self.calls.try_recv() {
+            match self.discovery_calls.try_recv() {
                 Ok(head) => return head,
                 Err(_) => tokio::time::advance(Duration::from_millis(1)).await,
             }
         }
     }
 
-    /// Discovery turns the next call away.
-    pub fn turn_away(&self) {
-        self.agent.answers.send(TURNED_AWAY.to_string()).unwrap();
+    /// Discovery rejects the next call with a 503.
+    pub fn reject_discovery_call(&self) {
+        self.discovery.answers.send(BUSY.to_string()).unwrap();
     }
 
-    /// Discovery's next answer ends in its middle.
-    pub fn cut(&self) {
-        self.agent.answers.send(CUT.to_string()).unwrap();
+    /// Discovery closes the connection in the middle of its next answer.
+    pub fn truncate_discovery_answer(&self) {
+        self.discovery.answers.send(TRUNCATED.to_string()).unwrap();
     }
 
-    /// Discovery's next answer stops in its middle, and the connection stays open.
-    pub fn half(&self) {
-        self.agent.answers.send(HALF.to_string()).unwrap();
+    /// Discovery stops in the middle of its next answer, and the connection stays open.
+    pub fn stall_discovery_answer(&self) {
+        self.discovery.answers.send(STALLED.to_string()).unwrap();
     }
 
-    /// Discovery ends the connection of the next call with no answer.
-    pub fn reset_call(&self) {
-        self.agent.answers.send(RESET.to_string()).unwrap();
+    /// Discovery closes the connection of the next call without an answer.
+    pub fn close_discovery_call(&self) {
+        self.discovery.answers.send(CLOSED.to_string()).unwrap();
     }
 
-    /// Discovery's next answer, whatever the call.
-    pub fn tell(&self, body: impl ToString) {
-        self.agent.answers.send(body.to_string()).unwrap();
+    /// Discovery answers its next call with this body.
+    pub fn answer_discovery_call(&self, body: impl ToString) {
+        self.discovery.answers.send(body.to_string()).unwrap();
     }
 
-    /// Tells the node the whole list and returns once the node has taken it.
-    pub async fn list(&self, revision: u64, members: Vec<Value>) {
-        self.list_from(&self.agent, revision, members).await;
+    /// Discovery answers with a complete list; returns once the node has applied it.
+    pub async fn apply_list(&self, revision: u64, members: Vec<Value>) {
+        self.apply_list_from(&self.discovery, revision, members).await;
     }
 
     /// The same from the address that discovery had before it moved.
-    pub async fn list_old(&self, revision: u64, members: Vec<Value>) {
-        self.list_from(self.old.as_ref().unwrap(), revision, members).await;
+    pub async fn apply_list_from_previous_discovery(&self, revision: u64, members: Vec<Value>) {
+        self.apply_list_from(self.previous_discovery.as_ref().unwrap(), revision, members).await;
     }
 
-    async fn list_from(&self, agent: &Agent, revision: u64, members: Vec<Value>) {
+    async fn apply_list_from(&self, discovery: &DiscoveryServer, revision: u64, members: Vec<Value>) {
         let lists = self.counters.endpoint_lists_applied.get();
         let body = json!({"revision": revision, "complete": true, "members": members});
-        agent.answers.send(body.to_string()).unwrap();
+        discovery.answers.send(body.to_string()).unwrap();
         while self.counters.endpoint_lists_applied.get() == lists {
-            tokio::time::advance(Duration::from_millis(1)).await; // it waits before it asks again
+            tokio::time::advance(Duration::from_millis(1)).await; // the node pauses between calls
         }
     }
 
     /// Moves discovery; returns the heads of the calls that the new address gets.
     pub async fn move_discovery(&mut self) -> mpsc::UnboundedReceiver<String> {
-        let (agent, at, heads) = Agent::start().await;
-        self.old = Some(std::mem::replace(&mut self.agent, agent));
-        self.discovery.send_replace(Some(at));
+        let (discovery, at, heads) = DiscoveryServer::start().await;
+        self.previous_discovery = Some(std::mem::replace(&mut self.discovery, discovery));
+        self.discovery_address.send_replace(Some(at));
         heads
     }
 
-    /// Moves discovery, and looks at the calls of the new address from here on.
+    /// Moves discovery; `next_discovery_call` returns the calls of the new address from here on.
     pub async fn follow_moved_discovery(&mut self) {
-        self.calls = self.move_discovery().await;
+        self.discovery_calls = self.move_discovery().await;
     }
 
     /// Waits until the node has closed its connection to the address that discovery had before it moved.
-    pub async fn old_is_closed(&self) {
-        self.old.as_ref().unwrap().closed.notified().await;
+    pub async fn previous_discovery_closed(&self) {
+        self.previous_discovery.as_ref().unwrap().closed.notified().await;
     }
 }
 
 /// A node with one worker, and a client.
-pub async fn one() -> (Worker, Platform, Client) {
+pub async fn start_node_with_worker() -> (Worker, PlatformNode, Client) {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
     let client = Client::connect(&node).await;
     (worker, node, client)
 }
 
-/// Answers each call with the next text it is given, and is silent until then.
-async fn discover(
-    agent: TcpListener,
-    mut told: mpsc::UnboundedReceiver<String>,
+/// Answers each call with the next queued answer, and is silent while there is none.
+async fn serve_discovery(
+    listener: TcpListener,
+    mut answers: mpsc::UnboundedReceiver<String>,
     calls: mpsc::UnboundedSender<String>,
     closed: Arc<Notify>,
 ) {
     loop {
-        let (socket, _) = agent.accept().await.unwrap();
+        let (socket, _) = listener.accept().await.unwrap();
         let (read, mut writer) = socket.into_split();
         let mut stream = BufReader::new(read);
         while let Some(head) = head(&mut stream).await {
-            let _ = calls.send(head); // nobody may look at them
+            let _ = calls.send(head); // the test may not read them
             let body = tokio::select! {
-                body = told.recv() => body,
-                _ = stream.fill_buf() => break, // closed: nothing comes before an answer
+                body = answers.recv() => body,
+                _ = stream.fill_buf() => break, // closed: a client sends nothing more before an answer
             };
             let Some(body) = body else { return std::future::pending().await };
-            if body == RESET {
+            if body == CLOSED {
                 break;
             }
-            if body == CUT || body == HALF {
-                let half = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"revision\": 9, \"complete\": true, \"mem";
-                let _ = writer.write_all(half.as_bytes()).await;
-                if body == HALF {
-                    let _ = stream.fill_buf().await; // returns once the node has given the call up
+            if body == TRUNCATED || body == STALLED {
+                let part = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"revision\": 9, \"complete\": true, \"mem";
+                let _ = writer.write_all(part.as_bytes()).await;
+                if body == STALLED {
+                    let _ = stream.fill_buf().await; // returns once the node has closed the connection
                 }
                 break;
             }
-            let status = if body == TURNED_AWAY { "503 Service Unavailable" } else { "200 OK" };
+            let status = if body == BUSY { "503 Service Unavailable" } else { "200 OK" };
             let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             if writer.write_all(text.as_bytes()).await.is_err() {
                 break;
--- a/node/tests/asked.rs
+++ b/node/tests/discovery_polling.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{request, Client, Platform, Worker};
+use common::{request, Client, PlatformNode, Worker};
 use serde_json::{json, Value};
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -20,9 +20,9 @@
 }
 
 /// The next call, and after how long it came: within this many milliseconds.
-async fn call(node: &mut Platform, within_ms: RangeInclusive<u128>, what: &str) -> String {
+async fn call(node: &mut PlatformNode, within_ms: RangeInclusive<u128>, what: &str) -> String {
     let start = Instant::now();
-    let head = node.call().await;
+    let head = node.next_discovery_call().await;
     let after = start.elapsed().as_millis();
     assert!(within_ms.contains(&after), "{what}: after {after} ms");
     head
@@ -33,14 +33,19 @@
 #[tokio::test(start_paused = true)]
 async fn rejected_polls_back_off_and_discovery_that_returns_is_applied() {
     let (old, new) = (Worker::start().await, Worker::start().await);
-    let mut node =
-        Platform::told(json!({"settings": asked(), "known": [old.line("s-1", "in_service")]})).await;
+    let mut node = PlatformNode::start_with_config(
+        json!({"settings": asked(), "known": [old.list_entry("s-1", "in_service")]}),
+    )
+    .await;
     let watch = |ms| format!("GET /discovery/hosts?index=1&wait={ms} HTTP/1.1");
-    assert!(node.call().await.starts_with(&watch(2000)), "one watch, from the version that was known");
+    assert!(
+        node.next_discovery_call().await.starts_with(&watch(2000)),
+        "one watch, from the version that was known"
+    );
     for (within, what) in
         [(25..=60, "first"), (50..=110, "second"), (100..=210, "third"), (200..=410, "fourth")]
     {
-        node.turn_away();
+        node.reject_discovery_call();
         let head = call(&mut node, within, what).await;
         let wait =
             head.strip_prefix("GET /discovery/hosts?index=1&wait=").and_then(|rest| rest.split(' ').next());
@@ -48,28 +53,28 @@
         assert!((1_000..2_000).contains(&wait), "{what}: waits {wait} ms");
     }
     // It goes down in the middle of an answer.
-    node.cut();
+    node.truncate_discovery_answer();
     assert!(call(&mut node, 50..=60, "cut").await.starts_with(&watch(1950)));
     // It is silent: the watch's own wait and some more, then again, soon.
     assert!(call(&mut node, 3_500..=3_600, "silent").await.starts_with(&watch(1950)));
-    node.list(2, vec![old.line("s-1", "terminating"), new.line("s-2", "in_service")]).await;
-    assert!(node.call().await.starts_with("GET /discovery/hosts?index=2&wait=3000"));
+    node.apply_list(2, vec![old.list_entry("s-1", "terminating"), new.list_entry("s-2", "in_service")]).await;
+    assert!(node.next_discovery_call().await.starts_with("GET /discovery/hosts?index=2&wait=3000"));
     let mut client = Client::connect(&node).await;
-    client.tell(&request("lodge", ID, 60.0, "x")).await;
-    new.take().await.done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
-    node.owes_nothing().await;
+    client.send_after_pause(&request("lodge", ID, 60.0, "x")).await;
+    new.receive_request().await.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
+    node.assert_nothing_open().await;
 }
 
 /// All that the last list names is gone: a job that never ran there waits for a list that names somebody, and runs once.
 #[tokio::test(start_paused = true)]
 async fn node_serves_once_discovery_names_reachable_workers() {
     let (gone, here) = (Worker::start().await, Worker::start().await);
-    let known = [gone.line("s-1", "in_service")];
+    let known = [gone.list_entry("s-1", "in_service")];
     drop(gone);
-    let node = Platform::told(json!({"settings": asked(), "known": known})).await;
+    let node = PlatformNode::start_with_config(json!({"settings": asked(), "known": known})).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("lodge", ID, 60.0, "x")).await;
+    client.send_after_pause(&request("lodge", ID, 60.0, "x")).await;
     for _ in 0..100 {
         for _ in 0..50 {
             yield_now().await;
@@ -80,9 +85,9 @@
         advance(Duration::from_millis(5)).await;
     }
     assert_eq!(node.counters.connect_failed.get(), 1, "tried, and in doubt since");
-    node.list(2, vec![here.line("s-2", "in_service")]).await;
-    here.take().await.done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
-    node.owes_nothing().await;
+    node.apply_list(2, vec![here.list_entry("s-2", "in_service")]).await;
+    here.receive_request().await.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
+    node.assert_nothing_open().await;
     assert_eq!((node.counters.attempts_sent.get(), node.counters.succeeded.get()), (2, 1));
 }
--- a/node/tests/told.rs
+++ b/node/tests/discovery_recovery.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{until, Platform, Worker};
+use common::{advance_until, PlatformNode, Worker};
 use molevale::process_handover::{Predecessor, PredecessorLookup};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -48,30 +48,32 @@
 }
 
 /// The call that has come is lost.
-fn lose(node: &Platform, loss: Loss) {
+fn lose(node: &PlatformNode, loss: Loss) {
     match loss {
-        Loss::Refused => node.turn_away(),
-        Loss::Reset => node.reset_call(),
-        Loss::Cut => node.cut(),
-        Loss::Half => node.half(),
-        Loss::Bad => node.tell("{}"),
+        Loss::Refused => node.reject_discovery_call(),
+        Loss::Reset => node.close_discovery_call(),
+        Loss::Cut => node.truncate_discovery_answer(),
+        Loss::Half => node.stall_discovery_answer(),
+        Loss::Bad => node.answer_discovery_call("{}"),
         Loss::Silent => {}
     }
 }
 
 /// The next call comes in time to be told what counts as told 6 s after `since`.
-async fn next_call(node: &mut Platform, since: Instant, what: &str) -> String {
-    let head = node.call().await;
+async fn next_call(node: &mut PlatformNode, since: Instant, what: &str) -> String {
+    let head = node.next_discovery_call().await;
     let after = since.elapsed();
     assert!(after <= TOLD - MARGIN, "{what}: called again after {after:?}");
     head
 }
 
 /// Tells a list of this version, and sees it taken.
-async fn tell(node: &Platform, worker: &Worker, revision: u64) {
+async fn tell(node: &PlatformNode, worker: &Worker, revision: u64) {
     let lists = node.counters.endpoint_lists_applied.get();
-    node.tell(json!({"revision": revision, "complete": true, "members": [worker.line("s-1", "in_service")]}));
-    until("the list is taken", Duration::from_millis(1), || {
+    node.answer_discovery_call(
+        json!({"revision": revision, "complete": true, "members": [worker.list_entry("s-1", "in_service")]}),
+    );
+    advance_until("the list is taken", Duration::from_millis(1), || {
         node.counters.endpoint_lists_applied.get() == lists + 1
     })
     .await;
@@ -83,29 +85,29 @@
     for discovery in ["ask", "push"] {
         for nodes in FLEETS {
             let worker = Worker::start().await;
-            let known = [worker.line("s-1", "in_service")];
+            let known = [worker.list_entry("s-1", "in_service")];
             let parts = json!({"settings": settings(discovery, nodes), "known": known});
-            let mut node = Platform::told(parts).await;
-            node.call().await;
+            let mut node = PlatformNode::start_with_config(parts).await;
+            node.next_discovery_call().await;
             for (n, loss) in LOSSES.into_iter().enumerate() {
                 let (what, revision) = (format!("{discovery}, {nodes} nodes, {loss:?}"), 2 * n as u64 + 2);
                 tell(&node, &worker, revision).await;
-                node.call().await; // a watch as long as they get
+                node.next_discovery_call().await; // a watch as long as they get
                 lose(&node, loss);
                 next_call(&mut node, Instant::now(), &format!("{what}: a watch")).await;
                 // The pause is as long as pauses get, and the call behind it falls silent.
                 for _ in 0..8 {
-                    node.turn_away();
-                    node.call().await;
+                    node.reject_discovery_call();
+                    node.next_discovery_call().await;
                 }
                 let since = Instant::now();
                 lose(&node, loss);
                 next_call(&mut node, since, &format!("{what}: once more")).await;
                 tell(&node, &worker, revision + 1).await;
-                node.call().await;
-                node.turn_away();
+                node.next_discovery_call().await;
+                node.reject_discovery_call();
                 let since = Instant::now();
-                node.call().await; // it falls silent
+                node.next_discovery_call().await; // it falls silent
                 next_call(&mut node, since, &format!("{what}: refused, then silent")).await;
             }
         }
@@ -119,11 +121,11 @@
         for nodes in FLEETS {
             for loss in LOSSES {
                 let worker = Worker::start().await;
-                let known = [worker.line("s-1", "terminating")];
+                let known = [worker.list_entry("s-1", "terminating")];
                 let parts = json!({"settings": settings(discovery, nodes), "known": known});
-                let mut node = Platform::told(parts).await;
+                let mut node = PlatformNode::start_with_config(parts).await;
                 let since = Instant::now();
-                let head = node.call().await;
+                let head = node.next_discovery_call().await;
                 assert!(head.contains("?index=1&"), "from the list that was known: {head}");
                 lose(&node, loss);
                 next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {loss:?}")).await;
@@ -140,13 +142,13 @@
         for nodes in FLEETS {
             for loss in LOSSES {
                 let worker = Worker::start().await;
-                let known = [worker.line("s-1", "in_service")];
+                let known = [worker.list_entry("s-1", "in_service")];
                 let parts = json!({"settings": settings(discovery, nodes), "known": known});
-                let mut node = Platform::told(parts).await;
-                node.call().await;
+                let mut node = PlatformNode::start_with_config(parts).await;
+                node.next_discovery_call().await;
                 let since = Instant::now();
                 node.follow_moved_discovery().await;
-                let head = node.call().await;
+                let head = node.next_discovery_call().await;
                 assert!(!head.contains("index="), "the whole list: {head}");
                 lose(&node, loss);
                 next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {loss:?}")).await;
@@ -164,18 +166,32 @@
             let place: PathBuf = std::env::temp_dir()
                 .join(format!("molevale-told-{}-{discovery}-{loss:?}", std::process::id()));
             let worker = Worker::start().await;
-            let known = [worker.line("s-1", "in_service")];
+            let known = [worker.list_entry("s-1", "in_service")];
             let parts = json!({"settings": settings(discovery, 350), "known": known});
-            let _old = Platform::all(parts.clone(), Some(place.clone()), 256, 32, None).await;
+            let _old = PlatformNode::start_with_config_and_handover(
+                parts.clone(),
+                Some(place.clone()),
+                256,
+                32,
+                None,
+            )
+            .await;
             while !place.exists() {
                 yield_now().await;
             }
             let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
                 panic!("nobody")
             };
-            let mut new = Platform::all(parts, Some(place.clone()), 256, 32, Some((listener, before))).await;
+            let mut new = PlatformNode::start_with_config_and_handover(
+                parts,
+                Some(place.clone()),
+                256,
+                32,
+                Some((listener, before)),
+            )
+            .await;
             let since = Instant::now();
-            new.call().await;
+            new.next_discovery_call().await;
             lose(&new, loss);
             next_call(&mut new, since, &format!("{discovery}, {loss:?}")).await;
             tell(&new, &worker, 2).await;
@@ -255,25 +271,25 @@
 const NODES: usize = 350;
 
 /// So many nodes, and the service that was silent when all of them called and answers from now on.
-async fn many(pace: Pace) -> (Vec<Platform>, Service, Instant) {
+async fn many(pace: Pace) -> (Vec<PlatformNode>, Service, Instant) {
     let worker = Worker::start().await;
-    let line = worker.line("s-1", "in_service");
+    let line = worker.list_entry("s-1", "in_service");
     let list = json!({"revision": 2, "complete": true, "members": [line]}).to_string();
     let service = Service::new(list, pace);
     let mut nodes = Vec::with_capacity(NODES);
     for n in 0..NODES {
         let parts = json!({"settings": settings("ask", NODES as u32), "known": [line], "seed": n.to_string(),
             "discovery": service.listen().await.to_string()});
-        nodes.push(Platform::told(parts).await);
+        nodes.push(PlatformNode::start_with_config(parts).await);
     }
     let lost = || service.lost.load(Ordering::Relaxed) as usize;
-    until("all have called in vain", Duration::from_millis(1), || lost() >= NODES).await;
+    advance_until("all have called in vain", Duration::from_millis(1), || lost() >= NODES).await;
     service.up.add_permits(1);
     (nodes, service, Instant::now())
 }
 
 /// How many nodes have been told so often within this time.
-async fn told(nodes: &[Platform], times: u64, since: Instant, within: Duration) -> usize {
+async fn told(nodes: &[PlatformNode], times: u64, since: Instant, within: Duration) -> usize {
     let told = || nodes.iter().filter(|node| node.counters.endpoint_lists_applied.get() >= times).count();
     while since.elapsed() < within && told() < nodes.len() {
         advance(Duration::from_millis(1)).await;
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{checker, holds, settings};
+use common::{run_paused, seeded_quickcheck, settings};
 use dispatch_policy::api::{Availability, Endpoint, Outcome, Request, WorkerId};
 use molevale::counters::Counters;
 use molevale::dispatcher::{queue, Answer, AttemptId, Dispatcher, Frontend, Handle};
@@ -180,7 +180,7 @@
 #[test]
 fn random_steps_get_one_answer_a_request_and_one_outcome_an_attempt() {
     fn property(steps: Vec<Step>) -> bool {
-        holds(walk(steps))
+        run_paused(walk(steps))
     }
-    checker(200, 100).quickcheck(property as fn(Vec<Step>) -> bool);
+    seeded_quickcheck(200, 100).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -4,7 +4,10 @@
 
 mod common;
 
-use common::{checker, faktory, holds, job, operator, still, stop, Peer};
+use common::{
+    faktory_config, faktory_job, freeze_clock, run_paused, seeded_quickcheck, start_faktory,
+    stop_until_closing, FaktoryConnection,
+};
 use molevale::counters::Counters;
 use molevale::faktory::Server;
 use molevale::phase::Phases;
@@ -18,40 +21,46 @@
 
 #[tokio::test(start_paused = true)]
 async fn job_is_delivered_unchanged_and_ends_served() {
-    let (node, counters, _phase) = faktory(None);
-    let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
-    worker.tell("FETCH check").await;
-    let sent = job("check", "job-00001", "k").replace(',', " , ");
-    assert_eq!(client.ask(&format!("PUSH {sent}")).await, "+OK");
-    assert_eq!(worker.reply().await, sent);
-    assert_eq!(client.state("job-00001").await, "working");
-    assert_eq!(worker.done("job-00001").await, "+OK");
-    assert_eq!(client.state("job-00001").await, "served");
-    assert!(worker.done("job-00001").await.starts_with("-ERR"), "a second ACK is stale");
+    let (node, counters, _phase) = start_faktory(None);
+    let (mut client, mut worker) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    worker.send_line("FETCH check").await;
+    let sent = faktory_job("check", "job-00001", "k").replace(',', " , ");
+    assert_eq!(client.send_command(&format!("PUSH {sent}")).await, "+OK");
+    assert_eq!(worker.read_reply().await, sent);
+    assert_eq!(client.job_state("job-00001").await, "working");
+    assert_eq!(worker.ack("job-00001").await, "+OK");
+    assert_eq!(client.job_state("job-00001").await, "served");
+    assert!(worker.ack("job-00001").await.starts_with("-ERR"), "a second ACK is stale");
     assert_eq!(
         (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
         (1, 1, 1)
     );
-    assert!(client.ask("INFO").await.contains("\"workers\":1"));
+    assert!(client.send_command("INFO").await.contains("\"workers\":1"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn draining_worker_finishes_its_job_and_gets_no_other() {
-    let (node, counters, _phase) = faktory(None);
-    let (mut client, mut old) = (Peer::client(&node).await, Peer::worker(&node, "old").await);
-    old.tell("FETCH lodge").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let (mut client, mut old) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "old").await,
+    );
+    old.send_line("FETCH lodge").await;
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
-    assert!(old.reply().await.contains("job-00001"));
-    let quiet = old.ask("BEAT {\"wid\":\"old\",\"current_state\":\"quiet\"}").await;
+    assert!(old.read_reply().await.contains("job-00001"));
+    let quiet = old.send_command("BEAT {\"wid\":\"old\",\"current_state\":\"quiet\"}").await;
     assert_eq!(quiet, "{\"state\":\"quiet\"}");
-    let mut new = Peer::worker(&node, "new").await;
+    let mut new = FaktoryConnection::connect_worker(&node, "new").await;
     assert_eq!(client.push("lodge", "job-00002", "b").await, "+OK");
     assert_eq!(old.fetch().await, None);
     assert_eq!(new.fetch().await.as_deref(), Some("job-00002"));
-    assert_eq!(old.done("job-00001").await, "+OK");
-    assert_eq!(new.done("job-00002").await, "+OK");
+    assert_eq!(old.ack("job-00001").await, "+OK");
+    assert_eq!(new.ack("job-00002").await, "+OK");
     assert_eq!(
-        (client.state("job-00001").await, client.state("job-00002").await),
+        (client.job_state("job-00001").await, client.job_state("job-00002").await),
         ("served".into(), "served".into())
     );
     assert_eq!(
@@ -62,27 +71,33 @@
 
 #[tokio::test(start_paused = true)]
 async fn waiting_fetch_of_a_draining_worker_ends_without_a_job() {
-    let (node, _, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
-    let (mut waits, mut beats) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
-    waits.tell("FETCH lodge").await;
-    beats.ask("BEAT {\"wid\":\"w1\",\"current_state\":\"terminate\"}").await;
-    assert_eq!(waits.reply().await, "$-1");
+    let (node, _, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
+    let (mut waits, mut beats) = (
+        FaktoryConnection::connect_worker(&node, "w1").await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    waits.send_line("FETCH lodge").await;
+    beats.send_command("BEAT {\"wid\":\"w1\",\"current_state\":\"terminate\"}").await;
+    assert_eq!(waits.read_reply().await, "$-1");
     client.push("lodge", "job-00001", "a").await;
     assert_eq!(waits.fetch().await, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn closed_connection_with_a_waiting_fetch_takes_no_job() {
-    let (node, counters, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
-    let (mut goes, mut stays) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
-    goes.tell("FETCH lodge").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
+    let (mut goes, mut stays) = (
+        FaktoryConnection::connect_worker(&node, "w1").await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    goes.send_line("FETCH lodge").await;
     drop(goes);
-    stays.tell("FETCH lodge").await;
+    stays.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(stays.reply().await.contains("job-00001"));
-    assert_eq!(stays.done("job-00001").await, "+OK");
+    assert!(stays.read_reply().await.contains("job-00001"));
+    assert_eq!(stays.ack("job-00001").await, "+OK");
     assert_eq!(
         (counters.attempts_sent.get(), counters.succeeded.get(), counters.connection_lost.get()),
         (1, 1, 0)
@@ -91,30 +106,36 @@
 
 #[tokio::test(start_paused = true)]
 async fn pipelined_commands_are_answered_in_order() {
-    let (node, _, _phase) = faktory(None);
-    let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
-    worker.tell("FETCH lodge\r\nACK {\"jid\":\"job-00001\"}\r\nFETCH lodge").await;
+    let (node, _, _phase) = start_faktory(None);
+    let (mut client, mut worker) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    worker.send_line("FETCH lodge\r\nACK {\"jid\":\"job-00001\"}\r\nFETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(worker.reply().await.contains("job-00001"));
-    assert_eq!((worker.reply().await.as_str(), worker.reply().await.as_str()), ("+OK", "$-1"));
-    assert_eq!(client.state("job-00001").await, "served");
+    assert!(worker.read_reply().await.contains("job-00001"));
+    assert_eq!((worker.read_reply().await.as_str(), worker.read_reply().await.as_str()), ("+OK", "$-1"));
+    assert_eq!(client.job_state("job-00001").await, "served");
 }
 
 #[tokio::test(start_paused = true)]
 async fn duplicate_push_after_a_reconnect_runs_once() {
-    let (node, counters, _phase) = faktory(None);
-    let mut first = Peer::client(&node).await;
-    first.tell(&format!("PUSH {}", job("lodge", "job-00001", "consignment"))).await;
+    let (node, counters, _phase) = start_faktory(None);
+    let mut first = FaktoryConnection::connect_client(&node).await;
+    first.send_line(&format!("PUSH {}", faktory_job("lodge", "job-00001", "consignment"))).await;
     drop(first); // its reply is never read
-    let (mut again, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
+    let (mut again, mut worker) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
     assert_eq!(again.push("lodge", "job-00002", "consignment").await, "+OK");
     let fetched = worker.fetch().await.unwrap();
     assert_eq!(again.push("lodge", "job-00001", "consignment").await, "+OK", "while it runs");
-    assert_eq!(worker.done(&fetched).await, "+OK");
+    assert_eq!(worker.ack(&fetched).await, "+OK");
     assert_eq!(again.push("lodge", "job-00003", "consignment").await, "+OK", "after its end");
     assert_eq!(worker.fetch().await, None);
     for jid in ["job-00001", "job-00002", "job-00003"] {
-        assert_eq!(again.state(jid).await, "served");
+        assert_eq!(again.job_state(jid).await, "served");
     }
     assert_eq!(
         (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
@@ -122,69 +143,82 @@
     );
     // The record stays for the window and not for ever.
     advance(Duration::from_secs(61)).await;
-    assert!(again.state("job-00001").await.starts_with("-ERR"));
+    assert!(again.job_state("job-00001").await.starts_with("-ERR"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn invalid_pushes_and_a_jid_in_use_are_rejected() {
-    let (node, _, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
-    let _worker = Peer::worker(&node, "w1").await;
+    let (node, _, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
+    let _worker = FaktoryConnection::connect_worker(&node, "w1").await;
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
     assert!(client.push("lodge", "job-00001", "b").await.starts_with("-ERR"));
     assert!(client.push("check", "job-00001", "a").await.starts_with("-ERR"));
     for bad in ["\"sava\"", "\"lodge\""] {
-        let bad = job("lodge", "job-00009", "c").replace(bad, "\"nobody\"");
-        assert!(client.ask(&format!("PUSH {bad}")).await.starts_with("-ERR"), "{bad}");
+        let bad = faktory_job("lodge", "job-00009", "c").replace(bad, "\"nobody\"");
+        assert!(client.send_command(&format!("PUSH {bad}")).await.starts_with("-ERR"), "{bad}");
     }
-    let later = job("lodge", "job-00009", "c").replace("\"jid\"", "\"at\":\"2030-01-01T00:00:00Z\",\"jid\"");
-    assert!(client.ask(&format!("PUSH {later}")).await.starts_with("-ERR"));
+    let later =
+        faktory_job("lodge", "job-00009", "c").replace("\"jid\"", "\"at\":\"2030-01-01T00:00:00Z\",\"jid\"");
+    assert!(client.send_command(&format!("PUSH {later}")).await.starts_with("-ERR"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn lost_lease_is_retried_elsewhere_and_its_late_ack_is_rejected() {
-    let (node, counters, _phase) = faktory(None);
-    let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
-    one.tell("FETCH lodge").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let (mut client, mut one) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "one").await,
+    );
+    one.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(one.reply().await.contains("job-00001"));
-    let mut two = Peer::worker(&node, "two").await;
+    assert!(one.read_reply().await.contains("job-00001"));
+    let mut two = FaktoryConnection::connect_worker(&node, "two").await;
     drop(one);
     assert_eq!(two.fetch().await.as_deref(), Some("job-00001"));
-    let mut back = Peer::worker(&node, "one").await;
-    assert!(back.done("job-00001").await.starts_with("-ERR"));
-    assert_eq!(two.done("job-00001").await, "+OK");
-    assert_eq!(client.state("job-00001").await, "served");
+    let mut back = FaktoryConnection::connect_worker(&node, "one").await;
+    assert!(back.ack("job-00001").await.starts_with("-ERR"));
+    assert_eq!(two.ack("job-00001").await, "+OK");
+    assert_eq!(client.job_state("job-00001").await, "served");
     assert_eq!((counters.connection_lost.get(), counters.succeeded.get(), counters.served.get()), (1, 1, 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn worker_keeps_its_leases_while_one_connection_remains() {
-    let (node, counters, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
-    let (mut fetches, mut stays) = (Peer::worker(&node, "w1").await, Peer::worker(&node, "w1").await);
-    fetches.tell("FETCH lodge").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
+    let (mut fetches, mut stays) = (
+        FaktoryConnection::connect_worker(&node, "w1").await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    fetches.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(fetches.reply().await.contains("job-00001"));
+    assert!(fetches.read_reply().await.contains("job-00001"));
     drop(fetches);
-    assert_eq!(stays.done("job-00001").await, "+OK");
+    assert_eq!(stays.ack("job-00001").await, "+OK");
     assert_eq!((counters.connection_lost.get(), counters.succeeded.get()), (0, 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn failed_job_is_retried_on_another_worker() {
-    let (node, counters, _phase) = faktory(None);
-    let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
-    one.tell("FETCH check").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let (mut client, mut one) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "one").await,
+    );
+    one.send_line("FETCH check").await;
     client.push("check", "job-00001", "a").await;
-    assert!(one.reply().await.contains("job-00001"));
-    let mut two = Peer::worker(&node, "two").await;
-    two.tell("FETCH check").await;
-    assert_eq!(one.ask("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await, "+OK");
-    assert!(two.reply().await.contains("job-00001"));
-    assert!(one.done("job-00001").await.starts_with("-ERR"), "its attempt is over");
-    assert_eq!(two.done("job-00001").await, "+OK");
-    assert_eq!(client.state("job-00001").await, "served");
+    assert!(one.read_reply().await.contains("job-00001"));
+    let mut two = FaktoryConnection::connect_worker(&node, "two").await;
+    two.send_line("FETCH check").await;
+    assert_eq!(
+        one.send_command("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await,
+        "+OK"
+    );
+    assert!(two.read_reply().await.contains("job-00001"));
+    assert!(one.ack("job-00001").await.starts_with("-ERR"), "its attempt is over");
+    assert_eq!(two.ack("job-00001").await, "+OK");
+    assert_eq!(client.job_state("job-00001").await, "served");
     assert_eq!((counters.errors.get(), counters.succeeded.get(), counters.served.get()), (1, 1, 1));
 }
 
@@ -195,16 +229,24 @@
         let mut settings = common::settings(false, 6_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 2_000_000.into();
         let (counters, phases) = (Arc::new(Counters::default()), Phases::default());
-        let node =
-            Server::start(&common::operator_of(settings), 7, None, counters.clone(), phases.subscribe())
-                .unwrap();
-        let (mut client, mut one) = (Peer::client(&node).await, Peer::worker(&node, "one").await);
-        one.tell("FETCH lodge").await;
+        let node = Server::start(
+            &common::faktory_config_with(settings),
+            7,
+            None,
+            counters.clone(),
+            phases.subscribe(),
+        )
+        .unwrap();
+        let (mut client, mut one) = (
+            FaktoryConnection::connect_client(&node).await,
+            FaktoryConnection::connect_worker(&node, "one").await,
+        );
+        one.send_line("FETCH lodge").await;
         client.push("lodge", "job-00001", "a").await;
-        assert!(one.reply().await.contains("job-00001"));
-        let mut two = Peer::worker(&node, "two").await;
+        assert!(one.read_reply().await.contains("job-00001"));
+        let mut two = FaktoryConnection::connect_worker(&node, "two").await;
         sleep(Duration::from_millis(failed_ms)).await;
-        one.ask("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await;
+        one.send_command("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await;
         sleep(Duration::from_millis(240)).await; // within which a job that was offered is given to a FETCH
         assert_eq!(two.fetch().await.is_some(), again, "failed after {failed_ms} ms");
         assert_eq!(counters.attempts_sent.get(), 1 + u64::from(again));
@@ -213,65 +255,71 @@
 
 #[tokio::test(start_paused = true)]
 async fn lease_ends_at_the_deadline_with_one_final_state() {
-    let (node, counters, _phase) = faktory(None);
-    let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
-    worker.tell("FETCH lodge").await;
+    let (node, counters, _phase) = start_faktory(None);
+    let (mut client, mut worker) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    worker.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(worker.reply().await.contains("job-00001"));
+    assert!(worker.read_reply().await.contains("job-00001"));
     sleep(Duration::from_millis(7_900)).await;
-    assert_eq!(client.state("job-00001").await, "working");
+    assert_eq!(client.job_state("job-00001").await, "working");
     sleep(Duration::from_millis(200)).await;
-    let end = client.state("job-00001").await;
+    let end = client.job_state("job-00001").await;
     assert!(end == "refused" || end == "failed", "{end}");
-    assert!(worker.done("job-00001").await.starts_with("-ERR"));
+    assert!(worker.ack("job-00001").await.starts_with("-ERR"));
     // It may have run: a repeat within the window joins it and is not sent out.
     assert_eq!(client.push("lodge", "job-00002", "a").await, "+OK");
     assert_eq!(worker.fetch().await, None);
-    assert_eq!(client.state("job-00002").await, end);
+    assert_eq!(client.job_state("job-00002").await, end);
     assert_eq!((counters.timed_out.get(), counters.attempts_sent.get()), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn job_without_a_worker_is_rejected_and_may_be_pushed_again() {
-    let (node, counters, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
+    let (node, counters, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
     sleep(Duration::from_secs(8)).await;
-    assert_eq!(client.state("job-00001").await, "refused");
-    let mut worker = Peer::worker(&node, "w1").await;
-    worker.tell("FETCH lodge").await;
+    assert_eq!(client.job_state("job-00001").await, "refused");
+    let mut worker = FaktoryConnection::connect_worker(&node, "w1").await;
+    worker.send_line("FETCH lodge").await;
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
-    assert!(worker.reply().await.contains("job-00001"));
-    assert_eq!(worker.done("job-00001").await, "+OK");
+    assert!(worker.read_reply().await.contains("job-00001"));
+    assert_eq!(worker.ack("job-00001").await, "+OK");
     assert_eq!((counters.requests_accepted.get(), counters.shed.get(), counters.served.get()), (2, 1, 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn invalid_command_gets_an_error_and_the_session_continues() {
-    let (node, _, _phase) = faktory(None);
-    let (mut client, mut worker) = (Peer::client(&node).await, Peer::worker(&node, "w1").await);
-    assert!(client.ask("PUSH {\"jid\":").await.starts_with("-MALFORMED"));
-    assert!(client.ask(&format!("PUSH {}", "x".repeat(70_000))).await.starts_with("-MALFORMED"));
+    let (node, _, _phase) = start_faktory(None);
+    let (mut client, mut worker) = (
+        FaktoryConnection::connect_client(&node).await,
+        FaktoryConnection::connect_worker(&node, "w1").await,
+    );
+    assert!(client.send_command("PUSH {\"jid\":").await.starts_with("-MALFORMED"));
+    assert!(client.send_command(&format!("PUSH {}", "x".repeat(70_000))).await.starts_with("-MALFORMED"));
     client.0.write_all(b"PUSH \xff\xfe\r\n").await.unwrap();
-    assert!(client.reply().await.starts_with("-MALFORMED"));
-    assert!(client.ask("NONSENSE").await.starts_with("-ERR"));
-    assert!(client.ask("FETCH check").await.starts_with("-ERR"), "only workers fetch");
-    assert!(worker.ask("BEAT {\"wid\":\"w2\"}").await.starts_with("-ERR"));
-    assert_eq!(worker.ask("BEAT {\"wid\":\"w1\"}").await, "+OK");
+    assert!(client.read_reply().await.starts_with("-MALFORMED"));
+    assert!(client.send_command("NONSENSE").await.starts_with("-ERR"));
+    assert!(client.send_command("FETCH check").await.starts_with("-ERR"), "only workers fetch");
+    assert!(worker.send_command("BEAT {\"wid\":\"w2\"}").await.starts_with("-ERR"));
+    assert_eq!(worker.send_command("BEAT {\"wid\":\"w1\"}").await, "+OK");
     assert_eq!(client.push("check", "job-00001", "a").await, "+OK");
-    client.tell("END").await;
-    assert_eq!(client.reply().await, "", "the session has ended");
+    client.send_line("END").await;
+    assert_eq!(client.read_reply().await, "", "the session has ended");
 }
 
 #[tokio::test(start_paused = true)]
 async fn wrong_password_is_rejected() {
-    let (node, _, _phase) = faktory(Some("secret"));
+    let (node, _, _phase) = start_faktory(Some("secret"));
     for (right, want) in [(true, "+OK"), (false, "-ERR invalid password")] {
         let (near, far) = tokio::io::duplex(4096);
         let node = node.clone();
         tokio::spawn(async move { node.session(far).await });
-        let mut peer = Peer(BufReader::new(Box::new(near)));
-        let hi = peer.reply().await;
+        let mut peer = FaktoryConnection(BufReader::new(Box::new(near)));
+        let hi = peer.read_reply().await;
         let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
         let (salt, rounds) = (hi["s"].as_str().unwrap(), hi["i"].as_u64().unwrap());
         let secret = if right { "secret" } else { "guess" };
@@ -280,22 +328,22 @@
             hash = <sha2::Sha256 as sha2::Digest>::digest(hash);
         }
         let hash: String = hash.iter().map(|b| format!("{b:02x}")).collect();
-        assert_eq!(peer.ask(&format!("HELLO {{\"v\":2,\"pwdhash\":\"{hash}\"}}")).await, want);
+        assert_eq!(peer.send_command(&format!("HELLO {{\"v\":2,\"pwdhash\":\"{hash}\"}}")).await, want);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn silent_worker_is_disconnected() {
-    let (node, _, _phase) = faktory(None);
-    let mut worker = Peer::worker(&node, "w1").await;
+    let (node, _, _phase) = start_faktory(None);
+    let mut worker = FaktoryConnection::connect_worker(&node, "w1").await;
     sleep(Duration::from_secs(50)).await;
-    assert_eq!(worker.ask("BEAT {\"wid\":\"w1\"}").await, "+OK");
+    assert_eq!(worker.send_command("BEAT {\"wid\":\"w1\"}").await, "+OK");
     sleep(Duration::from_secs(50)).await;
     assert_eq!(worker.fetch().await, None);
     sleep(Duration::from_secs(70)).await;
-    assert_eq!(worker.reply().await, "", "its session was ended");
-    let mut client = Peer::client(&node).await;
-    assert!(client.ask("INFO").await.contains("\"workers\":0"));
+    assert_eq!(worker.read_reply().await, "", "its session was ended");
+    let mut client = FaktoryConnection::connect_client(&node).await;
+    assert!(client.send_command("INFO").await.contains("\"workers\":0"));
 }
 
 const MS: Duration = Duration::from_millis(1);
@@ -304,10 +352,10 @@
 #[tokio::test(start_paused = true)]
 #[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn every_job_over_loopback_has_one_answer_and_runs_at_most_once() {
-    let _time = still();
+    let _time = freeze_clock();
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
-    let node = Server::start(&operator(60_000_000), 7, None, counters, phases.subscribe()).unwrap();
+    let node = Server::start(&faktory_config(60_000_000), 7, None, counters, phases.subscribe()).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn({
@@ -315,9 +363,10 @@
         async move { node.serve(listener, 64).await }
     });
     let connect = |hello: String| async move {
-        let mut peer = Peer(BufReader::new(Box::new(TcpStream::connect(address).await.unwrap())));
-        peer.reply().await;
-        assert_eq!(peer.ask(&format!("HELLO {hello}")).await, "+OK");
+        let mut peer =
+            FaktoryConnection(BufReader::new(Box::new(TcpStream::connect(address).await.unwrap())));
+        peer.read_reply().await;
+        assert_eq!(peer.send_command(&format!("HELLO {hello}")).await, "+OK");
         peer
     };
     let mut works = Vec::new();
@@ -329,7 +378,7 @@
             loop {
                 if let Some(jid) = worker.fetch().await {
                     lodged.send(jid.clone()).unwrap();
-                    assert_eq!(worker.done(&jid).await, "+OK");
+                    assert_eq!(worker.ack(&jid).await, "+OK");
                 }
             }
         }));
@@ -346,7 +395,7 @@
     for n in 0..20 {
         let jid = format!("job-{n:05}");
         let end = loop {
-            match client.state(&jid).await {
+            match client.job_state(&jid).await {
                 s if s == "enqueued" || s == "working" => tokio::time::advance(MS).await,
                 end => break end,
             }
@@ -354,7 +403,7 @@
         assert!(["served", "refused", "failed"].contains(&end.as_str()), "{end}");
         served += usize::from(end == "served");
     }
-    stop(&phases).await;
+    stop_until_closing(&phases).await;
     server.await.unwrap().unwrap();
     works.iter().for_each(|w| w.abort());
     let mut seen = BTreeSet::new();
@@ -397,11 +446,15 @@
 
 #[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
 async fn walk(steps: Vec<Step>) {
-    let (node, _, _phase) = faktory(None);
-    let mut client = Peer::client(&node).await;
+    let (node, _, _phase) = start_faktory(None);
+    let mut client = FaktoryConnection::connect_client(&node).await;
     let mut workers = Vec::new();
     for w in 0..2 {
-        workers.push((Peer::worker(&node, &format!("w{w}-0")).await, Model::default(), 0));
+        workers.push((
+            FaktoryConnection::connect_worker(&node, &format!("w{w}-0")).await,
+            Model::default(),
+            0,
+        ));
     }
     let mut taken = BTreeMap::new();
     for step in steps {
@@ -427,29 +480,30 @@
             Step::Ack(w) => {
                 let (peer, model, _) = &mut workers[usize::from(w)];
                 if let Some((jid, until)) = model.held.pop() {
-                    let reply = peer.done(&jid).await;
+                    let reply = peer.ack(&jid).await;
                     if reply == "+OK" {
                         assert!(tokio::time::Instant::now() < until, "{jid}'s lease was over");
-                        assert_eq!(client.state(&jid).await, "served");
+                        assert_eq!(client.job_state(&jid).await, "served");
                     }
-                    assert!(peer.done(&jid).await.starts_with("-ERR"), "{jid} was done twice");
+                    assert!(peer.ack(&jid).await.starts_with("-ERR"), "{jid} was done twice");
                 }
             }
             Step::Quiet(w) => {
                 let (peer, model, life) = &mut workers[usize::from(w)];
                 let wid = format!("w{}-{life}", u8::from(w));
-                peer.ask(&format!("BEAT {{\"wid\":\"{wid}\",\"current_state\":\"quiet\"}}")).await;
+                peer.send_command(&format!("BEAT {{\"wid\":\"{wid}\",\"current_state\":\"quiet\"}}")).await;
                 model.draining = true;
             }
             Step::Drop(w) => {
                 let life = workers[usize::from(w)].2 + 1;
-                let peer = Peer::worker(&node, &format!("w{}-{life}", u8::from(w))).await;
+                let peer =
+                    FaktoryConnection::connect_worker(&node, &format!("w{}-{life}", u8::from(w))).await;
                 workers[usize::from(w)] = (peer, Model::default(), life);
             }
             Step::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 20)).await,
         }
         for (jid, end) in &mut taken {
-            let now = client.state(jid).await;
+            let now = client.job_state(jid).await;
             let ended = ["served", "failed"].contains(&end.as_str());
             assert!(!ended || *end == now || now.starts_with("-ERR"), "{jid}: {end} became {now}");
             *end = now;
@@ -457,7 +511,7 @@
     }
     sleep(Duration::from_secs(9)).await;
     for jid in taken.keys() {
-        let end = client.state(jid).await;
+        let end = client.job_state(jid).await;
         assert!(!["enqueued", "working"].contains(&end.as_str()), "{jid} has no end state: {end}");
     }
 }
@@ -465,7 +519,7 @@
 #[test]
 fn random_steps_keep_one_lease_and_one_final_state_per_job() {
     fn property(steps: Vec<Step>) -> bool {
-        holds(walk(steps))
+        run_paused(walk(steps))
     }
-    checker(60, 100).quickcheck(property as fn(Vec<Step>) -> bool);
+    seeded_quickcheck(60, 100).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{faktory, job, Peer};
+use common::{faktory_job, start_faktory, FaktoryConnection};
 use molevale::faktory::Server;
 use molevale::phase::Phases;
 use std::path::PathBuf;
@@ -39,14 +39,14 @@
         self.0 += &format!("{name}{way} {shown}\n");
     }
 
-    async fn tell(&mut self, (name, peer): (&str, &mut Peer), line: impl AsRef<[u8]>) {
+    async fn tell(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
         self.note(name, '>', line.as_ref());
         peer.0.write_all(line.as_ref()).await.unwrap();
         peer.0.write_all(b"\r\n").await.unwrap();
     }
 
     /// Reads one whole reply with its line ends; nothing at the end of the connection.
-    async fn reply(&mut self, (name, peer): (&str, &mut Peer)) -> Vec<u8> {
+    async fn reply(&mut self, (name, peer): (&str, &mut FaktoryConnection)) -> Vec<u8> {
         let mut bytes = Vec::new();
         peer.0.read_until(b'\n', &mut bytes).await.unwrap();
         let head = String::from_utf8_lossy(&bytes).into_owned();
@@ -59,17 +59,17 @@
         bytes
     }
 
-    async fn ask(&mut self, (name, peer): (&str, &mut Peer), line: impl AsRef<[u8]>) {
+    async fn ask(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
         self.tell((name, &mut *peer), line).await;
         self.reply((name, peer)).await;
     }
 
     /// Opens a connection and reads the greeting.
-    async fn open(&mut self, node: &Server, name: &str) -> Peer {
+    async fn open(&mut self, node: &Server, name: &str) -> FaktoryConnection {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.session(far).await });
-        let mut peer = Peer(BufReader::new(Box::new(near)));
+        let mut peer = FaktoryConnection(BufReader::new(Box::new(near)));
         let before = self.0.len();
         let greeting = self.reply((name, &mut peer)).await;
         // The salt is drawn at random.
@@ -82,7 +82,7 @@
         peer
     }
 
-    async fn hello(&mut self, node: &Server, name: &str, hello: &str) -> Peer {
+    async fn hello(&mut self, node: &Server, name: &str, hello: &str) -> FaktoryConnection {
         let mut peer = self.open(node, name).await;
         self.ask((name, &mut peer), format!("HELLO {hello}")).await;
         peer
@@ -90,13 +90,13 @@
 }
 
 async fn greetings(t: &mut Transcript) {
-    let (node, _, _phases) = faktory(Some("secret"));
+    let (node, _, _phases) = start_faktory(Some("secret"));
     for hello in ["HELLO {\"v\":2}", "HELLO {\"v\":2,\"pwdhash\":\"00\"}"] {
         let mut peer = t.open(&node, "password").await;
         t.ask(("password", &mut peer), hello).await;
         t.reply(("password", &mut peer)).await;
     }
-    let (node, _, _phases) = faktory(None);
+    let (node, _, _phases) = start_faktory(None);
     let long = format!("HELLO {{\"v\":2,\"wid\":\"{}\"}}", "w".repeat(257));
     for first in [
         "HELLO {\"v\":1}",
@@ -117,8 +117,8 @@
     }
 }
 
-async fn errors_of_clients(t: &mut Transcript, client: &mut Peer) {
-    let good = job("lodge", "job-00009", "k");
+async fn errors_of_clients(t: &mut Transcript, client: &mut FaktoryConnection) {
+    let good = faktory_job("lodge", "job-00009", "k");
     let custom = |fields: &str| good.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
     let many: String = (0..65).map(|n| format!(" q{n}")).collect();
     let lines = [
@@ -168,7 +168,7 @@
     t.ask(("client", &mut *client), b"PUSH \xff\xfe").await;
 }
 
-async fn life_of_jobs(t: &mut Transcript, node: &Server, client: &mut Peer) {
+async fn life_of_jobs(t: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
     let mut w1 = t.hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
     t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
@@ -177,7 +177,7 @@
     t.ask(("w1", &mut w1), "FETCH check nobody").await;
     // One that is served, pushed as spaced by its client.
     t.tell(("w1", &mut w1), "FETCH check").await;
-    let spaced = job("check", "job-00001", "a").replace(',', " , ");
+    let spaced = faktory_job("check", "job-00001", "a").replace(',', " , ");
     t.ask(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
     t.reply(("w1", &mut w1)).await;
     t.ask(("client", &mut *client), "TRACK GET job-00001").await;
@@ -185,10 +185,10 @@
     t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
     t.ask(("client", &mut *client), "TRACK GET job-00001").await;
     // One that waits, its repeats, and a jid that stands for another job.
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-00002", "b"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b"))).await;
     t.ask(("client", &mut *client), "TRACK GET job-00002").await;
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-00003", "b"))).await;
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-00002", "c"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c"))).await;
     t.ask(("w1", &mut w1), "FETCH lodge").await;
     t.ask(("client", &mut *client), "TRACK GET job-00003").await;
     t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
@@ -204,21 +204,21 @@
     t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
     t.ask(("w1", &mut w1), "FETCH lodge").await;
     // Nobody takes it before its deadline.
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-00004", "d"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d"))).await;
     sleep(Duration::from_secs(9)).await;
     t.ask(("client", &mut *client), "TRACK GET job-00004").await;
     for n in 0..70 {
         client.push("lodge", &format!("job-100{n:02}"), "e").await;
     }
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-20000", "e"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e"))).await;
     t.tell(("w1", &mut w1), "END").await;
     t.reply(("w1", &mut w1)).await;
     t.ask(("client", &mut *client), "INFO").await;
 }
 
-async fn end(t: &mut Transcript, client: &mut Peer, phases: &Phases) {
+async fn end(t: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
     assert!(phases.drain());
-    t.ask(("client", &mut *client), format!("PUSH {}", job("lodge", "job-00005", "f"))).await;
+    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f"))).await;
     t.tell(("client", &mut *client), "END").await;
     t.reply(("client", client)).await;
 }
@@ -227,7 +227,7 @@
 async fn each_reply_keeps_its_bytes() {
     let mut t = Transcript::default();
     greetings(&mut t).await;
-    let (node, _, phases) = faktory(None);
+    let (node, _, phases) = start_faktory(None);
     let mut client = t.hello(&node, "client", "{\"v\":2}").await;
     errors_of_clients(&mut t, &mut client).await;
     life_of_jobs(&mut t, &node, &mut client).await;
@@ -239,12 +239,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_refused_push_names_its_wait() {
     let mut t = Transcript::default();
-    let (node, _, _phases) = faktory(None);
+    let (node, _, _phases) = start_faktory(None);
     let mut client = t.hello(&node, "client", "{\"v\":2}").await;
     let _worker = t.hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     for deadline in ["1e-9", "0.001", "0.02"] {
         let custom = format!("\"custom\":{{\"deadline\":{deadline},");
-        let push = job("check", "job-00001", "k").replace("\"custom\":{", &custom);
+        let push = faktory_job("check", "job-00001", "k").replace("\"custom\":{", &custom);
         t.ask(("client", &mut client), format!("PUSH {push}")).await;
         t.ask(("client", &mut client), "TRACK GET job-00001").await;
     }
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -230,7 +230,7 @@
     };
     let operator: Value = toml::from_str(include_str!("../../deploy/faktory.toml")).unwrap();
     read("faktory.toml", &operator["settings"]);
-    for site in deployments::Site::all() {
+    for site in deployments::Deployment::all() {
         read(&site.name, &site.settings());
     }
     read("of the tests", &common::settings(true, 1_000_000));
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -7,7 +7,10 @@
 
 mod common;
 
-use common::{one, request, stop, stopping, until, Client, Platform, Worker, UP};
+use common::{
+    advance_until, begin_stop, request, start_node_with_worker, stop_until_closing, Client, PlatformNode,
+    Worker, UP,
+};
 use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
@@ -33,7 +36,7 @@
     }
 
     async fn add_answer(&mut self, title: &str, client: &mut Client) {
-        match client.answer().await {
+        match client.read_answer().await {
             Some(got) => self.add(title, &(got.head + &got.body)),
             None => self.add(title, "(closed)"),
         }
@@ -77,42 +80,42 @@
     marked + ending
 }
 
-async fn until_taken(node: &Platform, n: u64) {
-    until("requests are taken", Duration::ZERO, || node.counters.requests_accepted.get() >= n).await;
+async fn until_taken(node: &PlatformNode, n: u64) {
+    advance_until("requests are taken", Duration::ZERO, || node.counters.requests_accepted.get() >= n).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn answers_to_jobs_keep_their_bytes() {
     let mut seen = Transcript::default();
-    let (worker, node, mut client) = one().await;
-    client.tell(&request("lodge", ID, 60.0, "{\"a\" : 1}")).await;
-    worker.take().await.done("a \"result\" \u{fc}").await;
+    let (worker, node, mut client) = start_node_with_worker().await;
+    client.send_after_pause(&request("lodge", ID, 60.0, "{\"a\" : 1}")).await;
+    worker.receive_request().await.complete("a \"result\" \u{fc}").await;
     seen.add_answer("served", &mut client).await;
 
-    client.tell(&request("check", ID, 60.0, "")).await;
-    let mut job = worker.take().await;
-    job.begin().await;
-    job.say(json!({"state": "started"})).await;
-    job.say(json!({"state": "running", "share": 0.5})).await;
-    job.say(json!({"state": "done", "result": {"sum": [1, 2.50]}})).await;
+    client.send_after_pause(&request("check", ID, 60.0, "")).await;
+    let mut job = worker.receive_request().await;
+    job.begin_response().await;
+    job.send_update(json!({"state": "started"})).await;
+    job.send_update(json!({"state": "running", "share": 0.5})).await;
+    job.send_update(json!({"state": "done", "result": {"sum": [1, 2.50]}})).await;
     seen.add_answer("served, with progress and a result that is no string", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     let chunks = request("check", ID, 60.0, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    client.tell(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n")).await;
-    worker.take().await.done("").await;
+    client.send_after_pause(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n")).await;
+    worker.receive_request().await.complete("").await;
     seen.add_answer("served, of a chunked request and with an empty result", &mut client).await;
     seen.add_answer("and after that", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     let old = request("check", ID, 60.0, "").replace("HTTP/1.1", "HTTP/1.0");
-    client.tell(&old).await;
-    worker.take().await.done("r").await;
+    client.send_after_pause(&old).await;
+    worker.receive_request().await.complete("r").await;
     seen.add_answer("served, of HTTP/1.0", &mut client).await;
 
     let mut client = Client::connect(&node).await;
-    client.tell(&request("lodge", ID, 0.2, "")).await;
-    let _job = worker.take().await;
+    client.send_after_pause(&request("lodge", ID, 0.2, "")).await;
+    let _job = worker.receive_request().await;
     advance(Duration::from_millis(200)).await;
     seen.add_answer("no time left for another attempt", &mut client).await;
     seen.is_golden("answers_to_jobs.txt");
@@ -124,53 +127,54 @@
     let worker = Worker::start().await;
     let mut settings = common::settings(true, 60_000_000);
     settings["Profiles"][0]["Semantics"] = "unsafe".into();
-    let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
+    let node =
+        PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "")).await;
-    let mut job = worker.take().await;
-    job.begin().await;
-    job.say(json!({"state": "failed"})).await;
+    client.send_after_pause(&request("check", ID, 60.0, "")).await;
+    let mut job = worker.receive_request().await;
+    job.begin_response().await;
+    job.send_update(json!({"state": "failed"})).await;
     seen.add_answer("failed, and it must not run twice", &mut client).await;
 
-    let (worker, node, mut client) = one().await;
-    client.tell(&request("check", ID, 0.2, "")).await;
-    let mut job = worker.take().await;
-    job.begin().await;
-    until("it runs", Duration::ZERO, || node.counters.acknowledged.get() == 1).await;
+    let (worker, node, mut client) = start_node_with_worker().await;
+    client.send_after_pause(&request("check", ID, 0.2, "")).await;
+    let mut job = worker.receive_request().await;
+    job.begin_response().await;
+    advance_until("it runs", Duration::ZERO, || node.counters.acknowledged.get() == 1).await;
     advance(Duration::from_millis(200)).await;
     seen.add_answer("its deadline has passed while it ran", &mut client).await;
 
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "").replace("60.000", "0.0000001")).await;
+    client.send_after_pause(&request("check", ID, 60.0, "").replace("60.000", "0.0000001")).await;
     seen.add_answer("less than a microsecond is left", &mut client).await;
 
-    let node = Platform::within(vec![worker.line("s-1", "in_service")], 1024, 1).await;
+    let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await;
     let body = "x".repeat(64 * 1024);
     let mut large = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
         large.push(client);
     }
     until_taken(&node, 4).await;
     let mut beyond = Client::connect(&node).await;
-    beyond.tell(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    beyond.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     seen.add_answer("no memory for its body", &mut beyond).await;
 
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await;
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await;
     let mut clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
         clients.push(client);
     }
     until_taken(&node, 4).await;
     let mut beyond = Client::connect(&node).await;
-    beyond.tell(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    beyond.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     seen.add_answer("no descriptor for its connection", &mut beyond).await;
     seen.add_answer("and after that", &mut beyond).await;
     let mut beyond = Client::connect(&node).await;
-    beyond.tell("nonsense\r\n\r\n").await;
+    beyond.send_after_pause("nonsense\r\n\r\n").await;
     seen.add_answer("no descriptor, and it is no HTTP", &mut beyond).await;
     seen.is_golden("answers_to_failed_and_refused_jobs.txt");
 }
@@ -226,25 +230,25 @@
 #[tokio::test(start_paused = true)]
 async fn answers_to_malformed_requests_keep_their_bytes() {
     let mut seen = Transcript::default();
-    let (worker, node, _) = one().await;
+    let (worker, node, _) = start_node_with_worker().await;
     for (title, text) in malformed_requests() {
         let mut client = Client::connect(&node).await;
-        client.tell(&text).await;
+        client.send_after_pause(&text).await;
         seen.add_answer(title, &mut client).await;
     }
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    let _job = worker.take().await;
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    let _job = worker.receive_request().await;
     let mut second = Client::connect(&node).await;
-    second.tell(&request("check", ID, 60.0, "x")).await;
+    second.send_after_pause(&request("check", ID, 60.0, "x")).await;
     seen.add_answer("an id that is open", &mut second).await;
 
     let mut slow = Client::connect(&node).await;
-    slow.tell(
+    slow.send_after_pause(
         &request("check", "9b1f03aa5c7e2d42", 60.0, "x").replace("Content-Length: 1", "Content-Length: 2"),
     )
     .await;
-    until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() >= 30).await;
+    advance_until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() >= 30).await;
     for _ in 0..50 {
         tokio::task::yield_now().await;
     }
@@ -256,40 +260,42 @@
 #[tokio::test(start_paused = true)]
 async fn answers_about_the_state_keep_their_bytes_in_each_phase() {
     let mut seen = Transcript::default();
-    let (worker, node, mut client) = one().await;
-    client.tell(UP).await;
+    let (worker, node, mut client) = start_node_with_worker().await;
+    client.send_after_pause(UP).await;
     seen.add_answer("serving", &mut client).await;
 
     let mut fresh = Client::connect(&node).await;
     let mut job = Client::connect(&node).await;
-    until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 3).await;
+    advance_until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 3)
+        .await;
     node.phases.drain();
-    fresh.tell(UP).await;
+    fresh.send_after_pause(UP).await;
     seen.add_answer("draining", &mut fresh).await;
     seen.add_answer("and after that", &mut fresh).await;
-    job.tell(&request("check", ID, 60.0, "")).await;
-    worker.take().await.done("r").await;
+    job.send_after_pause(&request("check", ID, 60.0, "")).await;
+    worker.receive_request().await.complete("r").await;
     seen.add_answer("a job while draining", &mut job).await;
     seen.add_answer("and after that", &mut job).await;
     assert!(node.phases.resume());
 
     let mut fresh = Client::connect(&node).await;
-    until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 4).await;
+    advance_until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 4).await;
     let before = node.phases.hand_over();
-    fresh.tell(UP).await;
+    fresh.send_after_pause(UP).await;
     seen.add_answer("handed over", &mut fresh).await;
     node.phases.undo_hand_over(before);
 
     let mut fresh = Client::connect(&node).await;
     let mut late = Client::connect(&node).await;
-    until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 6).await;
-    stopping(&node.phases).await;
-    fresh.tell(UP).await;
+    advance_until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 6)
+        .await;
+    begin_stop(&node.phases).await;
+    fresh.send_after_pause(UP).await;
     seen.add_answer("stopping", &mut fresh).await;
-    stop(&node.phases).await;
-    fresh.tell(UP).await;
+    stop_until_closing(&node.phases).await;
+    fresh.send_after_pause(UP).await;
     seen.add_answer("and after that", &mut fresh).await;
-    late.tell(UP).await;
+    late.send_after_pause(UP).await;
     seen.add_answer("closing", &mut late).await;
     seen.is_golden("answers_about_the_state.txt");
 }
@@ -297,25 +303,25 @@
 #[tokio::test(start_paused = true)]
 async fn requests_to_workers_keep_their_bytes() {
     let mut seen = Transcript::default();
-    let (worker, _node, mut client) = one().await;
+    let (worker, _node, mut client) = start_node_with_worker().await;
     let all = request("lodge", ID, 60.0, "{\"a\" : 1}");
     let more =
         "X-Cost-Hint: 900\r\nX-Retry: 1\r\nX-Extras: slots=2,memory=1.5\r\nX-Other: o\r\nContent-Length";
-    client.tell(&all.replace("Content-Length", more)).await;
-    let mut job = worker.take().await;
+    client.send_after_pause(&all.replace("Content-Length", more)).await;
+    let mut job = worker.receive_request().await;
     seen.add("a job with a key", &(job.head.clone() + std::str::from_utf8(&job.body).unwrap()));
-    job.done("r").await;
-    assert_eq!(client.answer().await.unwrap().status, 200);
+    job.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().status, 200);
 
-    let (worker, node, mut client) = one().await;
+    let (worker, node, mut client) = start_node_with_worker().await;
     let plain = request("check", "UPPER lower", 60.0, "").replace("?user=00ff&x=a%20b", "");
-    client.tell(&plain).await;
-    let mut job = worker.take().await;
+    client.send_after_pause(&plain).await;
+    let mut job = worker.receive_request().await;
     seen.add("a job without a key or a body", &(job.head.clone() + std::str::from_utf8(&job.body).unwrap()));
     // Its connection is closed, so that the next attempt comes on a new one.
     job.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
     drop(job);
-    let taken = worker.take();
+    let taken = worker.receive_request();
     tokio::pin!(taken);
     let again = loop {
         assert!(node.counters.shed.get() == 0, "it has attempts left");
@@ -336,10 +342,11 @@
     settings["FamilyInfo"]["TellsStart"] = false.into();
     settings["Limits"]["Probes"] = true.into();
     let worker = Worker::start().await;
-    let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
+    let node =
+        PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    let probe = worker.take().await;
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    let probe = worker.receive_request().await;
     seen.add("a probe", &(probe.head.clone() + std::str::from_utf8(&probe.body).unwrap()));
     seen.is_golden("probes.txt");
 }
@@ -351,14 +358,17 @@
     for how in ["ask", "push"] {
         let mut settings = common::settings(true, 60_000_000);
         settings["Discovery"] = how.into();
-        let mut node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
-        seen.add(&format!("{how}: a watch since the known list"), &node.call().await);
-        node.tell(json!({"revision": 7, "complete": false, "members": []}));
-        seen.add(&format!("{how}: a watch after an answer"), &node.call().await);
-        node.tell("[]");
-        seen.add(&format!("{how}: the whole list after a bad one"), &node.call().await);
-        node.tell(json!({"revision": 9, "complete": true, "members": [worker.line("s-1", "in_service")]}));
-        seen.add(&format!("{how}: a watch after the whole list"), &node.call().await);
+        let mut node =
+            PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
+        seen.add(&format!("{how}: a watch since the known list"), &node.next_discovery_call().await);
+        node.answer_discovery_call(json!({"revision": 7, "complete": false, "members": []}));
+        seen.add(&format!("{how}: a watch after an answer"), &node.next_discovery_call().await);
+        node.answer_discovery_call("[]");
+        seen.add(&format!("{how}: the whole list after a bad one"), &node.next_discovery_call().await);
+        node.answer_discovery_call(
+            json!({"revision": 9, "complete": true, "members": [worker.list_entry("s-1", "in_service")]}),
+        );
+        seen.add(&format!("{how}: a watch after the whole list"), &node.next_discovery_call().await);
         let mut calls = node.move_discovery().await;
         seen.add(&format!("{how}: the first call after a move"), &calls.recv().await.unwrap());
     }
@@ -382,13 +392,13 @@
     settings["Siblings"] = 2.into();
     settings["Ordinal"] = 0.into();
     let at = |s: &UdpSocket| s.local_addr().unwrap().to_string();
-    let _node = Platform::told(json!({
-        "settings": settings, "known": [worker.line("s-1", "in_service")],
+    let _node = PlatformNode::start_with_config(json!({
+        "settings": settings, "known": [worker.list_entry("s-1", "in_service")],
         "peer_listen": at(&own), "peers": [at(&own), at(&other)],
     }))
     .await;
     let (mut buffer, mut length) = ([0; 2048], 0);
-    until("it sends", STEP, || {
+    advance_until("it sends", STEP, || {
         length = other.recv_from(&mut buffer).map_or(0, |(n, _)| n);
         length > 0
     })
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{request, Client, Platform, Worker, UP};
+use common::{request, Client, PlatformNode, Worker, UP};
 use molevale::config::Limits;
 use molevale::dispatcher::queue;
 use molevale::names::Names;
@@ -120,51 +120,51 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_beyond_the_descriptor_budget_is_refused_at_once() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
     let mut clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
         clients.push(client);
     }
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
-    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     assert_eq!(got.status, 503);
     assert!(got.head.to_lowercase().contains("retry-after"));
-    assert!(beyond.answer().await.is_none(), "and closed");
+    assert!(beyond.read_answer().await.is_none(), "and closed");
     assert_eq!((node.counters.rejected_early.get(), node.counters.requests_accepted.get()), (1, 4));
     // Room that is given up serves again.
     clients.clear();
     while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
     }
-    assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
+    assert_eq!(Client::connect(&node).await.exchange(UP).await.status, 200);
 }
 
 /// Protects the memory limit from many large bodies at once, also unfinished ones.
 #[tokio::test(start_paused = true)]
 async fn a_body_beyond_the_memory_budget_is_refused_and_small_requests_are_served() {
     let worker = Worker::start().await;
-    let node = Platform::within(vec![worker.line("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
+    let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
     let body = "x".repeat(64 * 1024);
     let mut large = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
         large.push(client);
     }
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
-    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     assert_eq!((got.status, node.counters.requests_accepted.get()), (503, 4));
     assert!(got.head.to_lowercase().contains("retry-after"));
     let mut small = Client::connect(&node).await;
-    small.tell(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
+    small.send_after_pause(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
     while node.counters.requests_accepted.get() < 5 {
         tokio::task::yield_now().await;
     }
@@ -174,7 +174,7 @@
         tokio::task::yield_now().await;
     }
     let mut again = Client::connect(&node).await;
-    again.tell(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
+    again.send_after_pause(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
     while node.counters.requests_accepted.get() < 6 {
         tokio::task::yield_now().await;
     }
@@ -185,15 +185,15 @@
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_is_evicted_for_a_new_one_and_a_busy_one_is_not() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 4 for clients
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 4 for clients
     let mut busy = Client::connect(&node).await;
-    busy.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    let mut seen = worker.take().await;
-    seen.begin().await;
+    busy.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
+    let mut seen = worker.receive_request().await;
+    seen.begin_response().await;
     let mut served = Vec::new();
     for _ in 0..2 {
         let mut client = Client::connect(&node).await;
-        assert_eq!(client.ask(UP).await.status, 200);
+        assert_eq!(client.exchange(UP).await.status, 200);
         served.push(client);
     }
     let mut silent = Client::connect(&node).await;
@@ -203,11 +203,11 @@
     advance(Duration::from_millis(300)).await;
     for gone in [&mut silent, &mut served[0]] {
         let mut new = Client::connect(&node).await;
-        assert_eq!(new.ask(UP).await.status, 200);
-        assert!(gone.answer().await.is_none(), "closed");
+        assert_eq!(new.exchange(UP).await.status, 200);
+        assert!(gone.read_answer().await.is_none(), "closed");
         *gone = new;
     }
-    assert_eq!(served[1].ask(UP).await.status, 200);
-    seen.say(json!({"state": "done", "result": "r"})).await;
-    assert_eq!(busy.answer().await.unwrap().body, "r");
+    assert_eq!(served[1].exchange(UP).await.status, 200);
+    seen.send_update(json!({"state": "done", "result": "r"})).await;
+    assert_eq!(busy.read_answer().await.unwrap().body, "r");
 }
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{checker, holds, stop};
+use common::{run_paused, seeded_quickcheck, stop_until_closing};
 use molevale::management::{Management, MAX_CONNECTIONS};
 use molevale::phase::{Phase, Phases};
 use quickcheck::{Arbitrary, Gen};
@@ -37,7 +37,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn calls_report_and_change_the_phase_and_unknown_ones_are_rejected() {
-    let _time = common::still();
+    let _time = common::freeze_clock();
     let (at, phases, ready) = management().await;
     assert_eq!(call(at, "GET", "/healthcheck").await, 503, "it can't serve yet");
     ready.send_replace(true);
@@ -59,7 +59,7 @@
     }
     assert_eq!(*phase.borrow(), Phase::Serving);
     call(at, "POST", "/healthcheck/fail").await;
-    stop(&phases).await;
+    stop_until_closing(&phases).await;
     assert_eq!(call(at, "POST", "/healthcheck/fail").await, 200);
     assert_eq!(call(at, "POST", "/healthcheck/ok").await, 503, "it does not come back");
     assert_eq!(*phase.borrow(), Phase::Closing);
@@ -68,7 +68,7 @@
 /// Guards calls against callers that connect and finish none: they neither hold up others nor stay.
 #[tokio::test(start_paused = true)]
 async fn silent_callers_delay_no_other_call_and_are_closed() {
-    let _time = common::still();
+    let _time = common::freeze_clock();
     let (at, _phases, ready) = management().await;
     ready.send_replace(true);
     let mut silent = Vec::new();
@@ -162,7 +162,7 @@
 #[test]
 fn a_stopping_process_never_serves_again_after_random_calls_and_signals() {
     fn property(steps: Vec<Step>) -> bool {
-        holds(walk(steps))
+        run_paused(walk(steps))
     }
-    checker(100, 30).quickcheck(property as fn(Vec<Step>) -> bool);
+    seeded_quickcheck(100, 30).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/peers.rs
+++ b/node/tests/peers.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{request, until, Client, Platform, Worker};
+use common::{advance_until, request, Client, PlatformNode, Worker};
 use molevale::platform::peers::{decode, encode, is_newer, DATAGRAM_MAX, HEADER_LENGTH, VERSION};
 use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use serde_json::json;
@@ -25,15 +25,15 @@
 }
 
 /// A node that is the first of two, with a worker; the other one's socket.
-async fn first_of_two(allowed: bool) -> (Platform, UdpSocket, UdpSocket, Worker) {
+async fn first_of_two(allowed: bool) -> (PlatformNode, UdpSocket, UdpSocket, Worker) {
     let (own, other, worker) = (place(), place(), Worker::start().await);
     let mut settings = common::settings(true, 60_000_000);
     settings["Limits"]["Peers"] = allowed.into();
     settings["Siblings"] = 2.into();
     settings["Ordinal"] = 0.into();
     let at = |s: &UdpSocket| s.local_addr().unwrap().to_string();
-    let node = Platform::told(json!({
-        "settings": settings, "known": [worker.line("s-1", "in_service")],
+    let node = PlatformNode::start_with_config(json!({
+        "settings": settings, "known": [worker.list_entry("s-1", "in_service")],
         "peer_listen": at(&own), "peers": [at(&own), at(&other)],
     }));
     (node.await, own, other, worker)
@@ -48,7 +48,7 @@
 /// What the node tells the other one first.
 async fn first_told(other: &UdpSocket) -> Vec<u8> {
     let mut told = None;
-    until("it tells", STEP, || {
+    advance_until("it tells", STEP, || {
         told = take(other);
         told.is_some()
     })
@@ -67,7 +67,7 @@
     let own = own.local_addr().unwrap();
     let say = |from: &UdpSocket, bytes: &[u8]| assert_eq!(from.send_to(bytes, own).unwrap(), bytes.len());
     say(&other, &sent_at(100));
-    until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
+    advance_until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
     let other_version = [&[2], &sent_at(103)[1..]].concat();
     let mut other_tenants = sent_at(104);
     other_tenants[1] ^= 1;
@@ -81,13 +81,13 @@
     say(&other, &[&sent_at(105)[..], &[0; 246]].concat()); // 257 bytes
     say(&other, &[0xff; 2000]);
     say(&other, &sent_at(106));
-    until("the last one counts", STEP, || node.counters.gossip_received.get() == 2).await;
+    advance_until("the last one counts", STEP, || node.counters.gossip_received.get() == 2).await;
     // And all the while it serves.
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    worker.take().await.done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
-    node.owes_nothing().await;
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
+    worker.receive_request().await.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
+    node.assert_nothing_open().await;
     assert_eq!(node.counters.gossip_received.get(), 2);
 }
 
@@ -99,7 +99,7 @@
     let sent_at = |ms: u32| [&told[..5], &ms.to_be_bytes(), &told[9..]].concat();
     let own = own.local_addr().unwrap();
     other.send_to(&sent_at(5_000_000), own).unwrap();
-    until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
+    advance_until("it counts", STEP, || node.counters.gossip_received.get() == 1).await;
     other.send_to(&sent_at(1_400_000), own).unwrap();
     for _ in 0..250 {
         advance(STEP).await;
@@ -107,9 +107,9 @@
     }
     assert_eq!(node.counters.gossip_received.get(), 1, "at once, it is one that came late");
     other.send_to(&sent_at(1_405_000), own).unwrap();
-    until("it counts", STEP, || node.counters.gossip_received.get() == 2).await;
+    advance_until("it counts", STEP, || node.counters.gossip_received.get() == 2).await;
     other.send_to(&sent_at(1_406_000), own).unwrap();
-    until("and so does what follows", STEP, || node.counters.gossip_received.get() == 3).await;
+    advance_until("and so does what follows", STEP, || node.counters.gossip_received.get() == 3).await;
 }
 
 /// Nobody there, or more than is read in a second: jobs go on.
@@ -122,12 +122,12 @@
     }
     drop(other);
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    worker.take().await.done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
-    until("it goes on telling", STEP, || node.counters.gossip_sent.get() >= 3).await;
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
+    worker.receive_request().await.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
+    advance_until("it goes on telling", STEP, || node.counters.gossip_sent.get() >= 3).await;
     assert_eq!(node.counters.gossip_received.get(), 0);
-    node.owes_nothing().await;
+    node.assert_nothing_open().await;
 }
 
 /// Where the settings bar it, nothing is said, and nothing is listened for.
--- a/node/tests/probes.rs
+++ b/node/tests/probes.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{request, until, Client, Platform, Seen, Worker};
+use common::{advance_until, request, Client, PlatformNode, ReceivedRequest, Worker};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     settings
 }
 
-async fn answers(probe: &mut Seen, body: &str) {
+async fn answers(probe: &mut ReceivedRequest, body: &str) {
     assert!(probe.head.starts_with("GET /metrics/load HTTP/1.1\r\n"), "{}", probe.head);
     probe.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
 }
@@ -32,24 +32,26 @@
         "x0=2,depth=0".into(),
     ] {
         let worker = Worker::start().await;
-        let node = Platform::under(asking(true), vec![worker.line("s-1", "in_service")]).await;
+        let node =
+            PlatformNode::start_with_settings(asking(true), vec![worker.list_entry("s-1", "in_service")])
+                .await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", ID, 60.0, "x")).await;
-        let mut probe = worker.take().await;
+        client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+        let mut probe = worker.receive_request().await;
         assert_eq!(node.counters.attempts_sent.get(), 0, "asked first");
         // One that has just started answers and has nothing to tell yet: it is asked again.
         let asked = 1 + u64::from(body.starts_with("x0"));
         if asked > 1 {
             answers(&mut probe, "").await;
-            probe = probe.next().await.expect("asked again");
+            probe = probe.next_request().await.expect("asked again");
         }
         answers(&mut probe, &body).await;
-        let mut seen = probe.next().await.expect("the job");
-        assert_eq!(seen.field("x-request-id"), ID);
-        seen.done("r").await;
-        assert_eq!(client.answer().await.unwrap().body, "r", "{body}");
+        let mut seen = probe.next_request().await.expect("the job");
+        assert_eq!(seen.header("x-request-id"), ID);
+        seen.complete("r").await;
+        assert_eq!(client.read_answer().await.unwrap().body, "r", "{body}");
         assert_eq!((node.counters.probes.get(), node.counters.probes_answered.get()), (asked, asked));
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
     }
 }
 
@@ -59,8 +61,8 @@
 async fn a_failed_probe_is_an_outcome_and_holds_no_job_up() {
     for case in ["hangs", "503", "404", "strange", "endless", "breaks", "gone"] {
         let (bad, good) = (Worker::start().await, Worker::start().await);
-        let list = vec![bad.line("s-1", "in_service")];
-        let node = Platform::under(asking(true), list).await;
+        let list = vec![bad.list_entry("s-1", "in_service")];
+        let node = PlatformNode::start_with_settings(asking(true), list).await;
         let bad = if case == "gone" {
             drop(bad);
             None
@@ -68,10 +70,10 @@
             Some(bad)
         };
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", ID, 60.0, "x")).await;
+        client.send_after_pause(&request("check", ID, 60.0, "x")).await;
         let mut held = None;
         if let Some(bad) = &bad {
-            let mut probe = bad.take().await;
+            let mut probe = bad.receive_request().await;
             match case {
                 "503" | "404" => {
                     probe.write(&format!("HTTP/1.1 {case} No\r\nContent-Length: 0\r\n\r\n")).await;
@@ -85,24 +87,26 @@
             }
             held = Some(probe).filter(|_| case != "breaks");
         }
-        until("the probe has its outcome", STEP, || node.counters.usage().unwrap().attempt_connections == 0)
-            .await;
+        advance_until("the probe has its outcome", STEP, || {
+            node.counters.usage().unwrap().attempt_connections == 0
+        })
+        .await;
         assert_eq!(node.counters.probes_answered.get(), 0, "{case}");
-        let line = |worker: &Worker, id| worker.line(id, "in_service");
+        let line = |worker: &Worker, id| worker.list_entry(id, "in_service");
         let listed = bad.iter().map(|b| line(b, "s-1")).chain([line(&good, "s-2")]).collect();
-        node.list(2, listed).await;
+        node.apply_list(2, listed).await;
         let accepted = tokio::spawn(async move {
-            let mut probe = good.take().await;
+            let mut probe = good.receive_request().await;
             answers(&mut probe, "x0=1").await;
-            let mut seen = probe.next().await.expect("the job");
-            seen.done("r").await;
+            let mut seen = probe.next_request().await.expect("the job");
+            seen.complete("r").await;
             (good, seen)
         });
-        until("the job is done", STEP, || node.counters.succeeded.get() == 1).await;
-        assert_eq!(client.answer().await.unwrap().body, "r", "{case}");
+        advance_until("the job is done", STEP, || node.counters.succeeded.get() == 1).await;
+        assert_eq!(client.read_answer().await.unwrap().body, "r", "{case}");
         accepted.await.unwrap();
         drop(held);
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
     }
 }
 
@@ -113,32 +117,34 @@
     let (full, free) = (Worker::start().await, Worker::start().await);
     let mut settings = asking(true);
     settings["Profiles"][0]["Semantics"] = "unsafe".into();
-    let node = Platform::under(settings, vec![full.line("s-1", "in_service")]).await;
+    let node = PlatformNode::start_with_settings(settings, vec![full.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    let mut probe = full.take().await;
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    let mut probe = full.receive_request().await;
     answers(&mut probe, "x0=1").await;
-    let mut seen = probe.next().await.expect("the job");
-    node.list(2, vec![full.line("s-1", "terminating"), free.line("s-2", "in_service")]).await;
+    let mut seen = probe.next_request().await.expect("the job");
+    node.apply_list(2, vec![full.list_entry("s-1", "terminating"), free.list_entry("s-2", "in_service")])
+        .await;
     seen.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").await;
-    let mut probe = free.take().await;
+    let mut probe = free.receive_request().await;
     answers(&mut probe, "x0=1").await;
-    probe.next().await.expect("the job").done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
+    probe.next_request().await.expect("the job").complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
     assert_eq!((node.counters.rejected.get(), node.counters.connection_lost.get()), (1, 0));
-    node.owes_nothing().await;
+    node.assert_nothing_open().await;
 }
 
 /// Where the settings bar them there are none.
 #[tokio::test(start_paused = true)]
 async fn no_worker_is_probed_where_the_settings_forbid_it() {
     let worker = Worker::start().await;
-    let node = Platform::under(asking(false), vec![worker.line("s-1", "in_service")]).await;
+    let node =
+        PlatformNode::start_with_settings(asking(false), vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    let mut seen = worker.take().await;
-    assert_eq!(seen.field("x-request-id"), ID);
-    seen.done("r").await;
-    assert_eq!(client.answer().await.unwrap().body, "r");
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    let mut seen = worker.receive_request().await;
+    assert_eq!(seen.header("x-request-id"), ID);
+    seen.complete("r").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
     assert_eq!(node.counters.probes.get(), 0);
 }
--- a/node/tests/endings.rs
+++ b/node/tests/request_completion.rs
@@ -5,7 +5,10 @@
 
 mod common;
 
-use common::{one, request, stop, stopping, Client, Platform, Seen, Worker};
+use common::{
+    begin_stop, request, start_node_with_worker, stop_until_closing, Client, PlatformNode, ReceivedRequest,
+    Worker,
+};
 use molevale::names::parse_settings;
 use molevale::phase::Phase;
 use molevale::settings_merge::EffectiveSettings;
@@ -19,14 +22,15 @@
 const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// A worker that has served a job on a connection which is kept, and that connection.
-async fn kept(settings: serde_json::Value) -> (Worker, Platform, Client, Seen) {
+async fn kept(settings: serde_json::Value) -> (Worker, PlatformNode, Client, ReceivedRequest) {
     let worker = Worker::start().await;
-    let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
+    let node =
+        PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    let mut seen = worker.take().await;
-    seen.done("first").await;
-    assert_eq!(client.answer().await.unwrap().body, "first");
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    let mut seen = worker.receive_request().await;
+    seen.complete("first").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "first");
     while node.counters.kept_alive.get() < 1 {
         yield_now().await;
     }
@@ -34,7 +38,7 @@
 }
 
 /// Lets time pass until so many attempts were sent: a worker may be in doubt for a while.
-async fn sent(node: &Platform, n: u64) {
+async fn sent(node: &PlatformNode, n: u64) {
     for _ in 0..200 {
         for _ in 0..50 {
             yield_now().await;
@@ -51,44 +55,44 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_is_half_written_at_the_end_goes_out_whole() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 1024).await;
-    let mut client = Client::narrow(&node).await;
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
+    let mut client = Client::connect_with_small_buffer(&node).await;
     let result = "r".repeat(60_000);
-    client.tell(&request("check", ID, 60.0, "x")).await;
-    worker.take().await.done(&result).await;
+    client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+    worker.receive_request().await.complete(&result).await;
     while node.counters.served.get() < 1 {
         yield_now().await;
     }
-    stop(&node.phases).await;
-    assert_eq!(client.answer().await.expect("the whole answer").body, result);
-    node.owes_nothing().await;
-    assert_eq!(node.served.await.unwrap(), Ok(()));
+    stop_until_closing(&node.phases).await;
+    assert_eq!(client.read_answer().await.expect("the whole answer").body, result);
+    node.assert_nothing_open().await;
+    assert_eq!(node.task.await.unwrap(), Ok(()));
 }
 
 /// SIGTERM again, at each phase of the end, and while the node drains: what was taken is answered, once.
 #[tokio::test(start_paused = true)]
 async fn a_second_word_to_stop_changes_nothing() {
     for drains in [false, true] {
-        let (worker, node, mut client) = one().await;
-        client.tell(&request("lodge", ID, 60.0, "x")).await;
-        let mut seen = worker.take().await;
-        seen.begin().await;
+        let (worker, node, mut client) = start_node_with_worker().await;
+        client.send_after_pause(&request("lodge", ID, 60.0, "x")).await;
+        let mut seen = worker.receive_request().await;
+        seen.begin_response().await;
         while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
         if drains {
             node.phases.drain();
         }
-        stopping(&node.phases).await;
+        begin_stop(&node.phases).await;
         node.phases.stop().await; // returns at once
         assert_eq!(*node.phases.subscribe().borrow(), Phase::Stopping);
         advance(Duration::from_millis(720)).await;
         node.phases.subscribe().wait_for(|p| *p == Phase::Closing).await.unwrap();
         node.phases.stop().await;
-        seen.say(json!({"state": "done", "result": "r"})).await;
-        assert_eq!(client.answer().await.unwrap().body, "r");
-        node.owes_nothing().await;
-        assert_eq!(node.served.await.unwrap(), Ok(()));
+        seen.send_update(json!({"state": "done", "result": "r"})).await;
+        assert_eq!(client.read_answer().await.unwrap().body, "r");
+        node.assert_nothing_open().await;
+        assert_eq!(node.task.await.unwrap(), Ok(()));
     }
 }
 
@@ -109,13 +113,14 @@
         for class in settings["Profiles"].as_array_mut().unwrap() {
             class["DeadlineUs"] = (longest_ms * 1000).into();
         }
-        let node = Platform::under(settings, vec![worker.line("s-1", "in_service")]).await;
+        let node =
+            PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
         let text = request("check", ID, longest_ms as f64 / 1e3, "");
         let (begin, end) = text.split_at(40);
-        stopping(&node.phases).await;
+        begin_stop(&node.phases).await;
         advance(Duration::from_millis(700)).await;
         let mut client = Client::connect(&node).await; // the last moment in which it is taken
-        client.add(begin).await;
+        client.send(begin).await;
         while node.counters.connections_accepted.get() < 1 {
             yield_now().await;
         }
@@ -125,14 +130,14 @@
             node.phases.subscribe().wait_for(|p| *p == Phase::Closing).await.unwrap();
         }
         advance(Duration::from_millis(at_ms - closes)).await;
-        client.add(end).await;
+        client.send(end).await;
         if served {
-            worker.take().await.done("r").await;
-            assert_eq!(client.answer().await.expect("an answer").body, "r", "{longest_ms} {at_ms}");
+            worker.receive_request().await.complete("r").await;
+            assert_eq!(client.read_answer().await.expect("an answer").body, "r", "{longest_ms} {at_ms}");
         } else {
-            assert_eq!(client.answer().await.expect("an answer").status, 503, "{longest_ms} {at_ms}");
+            assert_eq!(client.read_answer().await.expect("an answer").status, 503, "{longest_ms} {at_ms}");
         }
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         assert_eq!(node.counters.attempts_sent.get(), u64::from(served));
     }
 }
@@ -142,18 +147,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_second_answer_is_not_the_next_requests() {
     let (worker, node, mut client, seen) = kept(common::settings(true, 60_000_000)).await;
-    client.tell(&request("check", NEXT, 60.0, "x")).await;
-    let mut seen: Seen = seen.next().await.expect("the kept connection");
-    seen.begin().await;
+    client.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
+    let mut seen: ReceivedRequest = seen.next_request().await.expect("the kept connection");
+    seen.begin_response().await;
     let line = json!({"id": ID, "from": "s-1", "state": "done", "result": "first again"}).to_string();
     seen.write(&format!("{:x}\r\n{line}\n\r\n0\r\n\r\n", line.len() + 1)).await;
     sent(&node, 3).await;
-    let mut again = worker.take().await;
-    assert_eq!(again.field("x-request-id"), NEXT);
-    again.done("second").await;
-    assert_eq!(client.answer().await.unwrap().body, "second");
-    assert!(seen.next().await.is_none(), "closed");
-    node.owes_nothing().await;
+    let mut again = worker.receive_request().await;
+    assert_eq!(again.header("x-request-id"), NEXT);
+    again.complete("second").await;
+    assert_eq!(client.read_answer().await.unwrap().body, "second");
+    assert!(seen.next_request().await.is_none(), "closed");
+    node.assert_nothing_open().await;
 }
 
 /// In the instant in which a kept connection is given to the next request, its worker says something more on it, or closes:
@@ -170,24 +175,24 @@
         let counters = node.counters.clone();
         let kept = tokio::spawn(async move {
             while counters.usage().unwrap().busy_clients < 1 {
-                common::turn().await;
+                common::yield_without_io().await;
             }
             assert_eq!(counters.attempts_sent.get(), 1, "not sent yet");
             if said.is_empty() {
                 return None; // drops it
             }
-            seen.now(said);
+            seen.write_now(said);
             Some(seen)
         });
-        client.tell(&request("check", NEXT, 60.0, "x")).await;
-        let mut again = worker.take().await;
-        assert_eq!(again.field("x-request-id"), NEXT);
-        again.done("second").await;
-        assert_eq!(client.answer().await.unwrap().body, "second", "{said:?}");
+        client.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
+        let mut again = worker.receive_request().await;
+        assert_eq!(again.header("x-request-id"), NEXT);
+        again.complete("second").await;
+        assert_eq!(client.read_answer().await.unwrap().body, "second", "{said:?}");
         if let Some(kept) = kept.await.unwrap() {
-            assert!(kept.next().await.is_none(), "nothing was written there after {said:?}");
+            assert!(kept.next_request().await.is_none(), "nothing was written there after {said:?}");
         }
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         assert_eq!(
             (node.counters.attempts_sent.get(), node.counters.succeeded.get()),
             (2, 2),
@@ -207,20 +212,24 @@
         settings["Profiles"][0]["Semantics"] = semantics.into();
         let (worker, node, mut client, seen) = kept(settings).await;
         advance(Duration::from_millis(rests_ms)).await;
-        client.add(&request("check", NEXT, 60.0, "x")).await;
-        let mut seen = seen.next().await.expect("the kept connection");
-        assert_eq!(seen.field("x-request-id"), NEXT);
+        client.send(&request("check", NEXT, 60.0, "x")).await;
+        let mut seen = seen.next_request().await.expect("the kept connection");
+        assert_eq!(seen.header("x-request-id"), NEXT);
         seen.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").await;
         if sent_again {
             sent(&node, 3).await;
-            let mut again = if rests_ms < 20 { worker.take().await } else { seen.next().await.unwrap() };
-            again.done("second").await;
-            assert_eq!(client.answer().await.unwrap().body, "second", "{semantics}, {rests_ms}");
+            let mut again = if rests_ms < 20 {
+                worker.receive_request().await
+            } else {
+                seen.next_request().await.unwrap()
+            };
+            again.complete("second").await;
+            assert_eq!(client.read_answer().await.unwrap().body, "second", "{semantics}, {rests_ms}");
         } else {
-            assert_eq!(client.answer().await.unwrap().status, 502, "{semantics}, {rests_ms}");
-            assert!(seen.next().await.is_none(), "what may run there is called off");
+            assert_eq!(client.read_answer().await.unwrap().status, 502, "{semantics}, {rests_ms}");
+            assert!(seen.next_request().await.is_none(), "what may run there is called off");
         }
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         assert_eq!(node.counters.attempts_sent.get(), 2 + u64::from(sent_again), "{semantics}, {rests_ms}");
     }
 }
@@ -234,29 +243,34 @@
         let (first, second) = (Worker::start().await, Worker::start().await);
         let mut settings = common::settings(true, 60_000_000);
         settings["Profiles"][0]["Semantics"] = "unsafe".into();
-        let node = Platform::under(settings, vec![first.line("s-1", "in_service")]).await;
+        let node =
+            PlatformNode::start_with_settings(settings, vec![first.list_entry("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", ID, 60.0, "x")).await;
-        let mut seen = first.take().await;
-        node.list(2, vec![first.line("s-1", "terminating"), second.line("s-2", "in_service")]).await;
+        client.send_after_pause(&request("check", ID, 60.0, "x")).await;
+        let mut seen = first.receive_request().await;
+        node.apply_list(
+            2,
+            vec![first.list_entry("s-1", "terminating"), second.list_entry("s-2", "in_service")],
+        )
+        .await;
         match ends {
             "closed" => drop(seen),
             "not run" => {
                 seen.write("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").await;
             }
             _ => {
-                seen.begin().await;
-                seen.say(json!({"state": ends})).await;
+                seen.begin_response().await;
+                seen.send_update(json!({"state": ends})).await;
                 seen.write("0\r\n\r\n").await;
             }
         }
         if again {
-            second.take().await.done("r").await;
-            assert_eq!(client.answer().await.unwrap().body, "r", "{ends}");
+            second.receive_request().await.complete("r").await;
+            assert_eq!(client.read_answer().await.unwrap().body, "r", "{ends}");
         } else {
-            assert_eq!(client.answer().await.unwrap().status, 502, "{ends}");
+            assert_eq!(client.read_answer().await.unwrap().status, 502, "{ends}");
         }
-        node.owes_nothing().await;
+        node.assert_nothing_open().await;
         assert_eq!(node.counters.attempts_sent.get(), 1 + u64::from(again), "{ends}");
     }
 }
@@ -266,17 +280,22 @@
 #[tokio::test(start_paused = true)]
 async fn a_keyed_job_goes_again_only_if_it_surely_begins_inside_its_window() {
     for (broke_ms, again) in [(740, true), (760, false), (990, false)] {
-        let (first, (slow, _fills)) = (Worker::start().await, common::late_worker().await);
+        let (first, (slow, _fills)) = (Worker::start().await, common::worker_with_full_backlog().await);
         let mut settings = common::settings(true, 60_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 1_000_000.into();
-        let node = Platform::under(settings, vec![first.line("s-1", "in_service")]).await;
+        let node =
+            PlatformNode::start_with_settings(settings, vec![first.list_entry("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("lodge", ID, 5.0, "x")).await;
+        client.send_after_pause(&request("lodge", ID, 5.0, "x")).await;
         let out = Instant::now();
-        let mut seen = first.take().await;
-        seen.begin().await;
-        seen.say(json!({"state": "started"})).await;
-        node.list(2, vec![first.line("s-1", "terminating"), slow.line("s-2", "in_service")]).await;
+        let mut seen = first.receive_request().await;
+        seen.begin_response().await;
+        seen.send_update(json!({"state": "started"})).await;
+        node.apply_list(
+            2,
+            vec![first.list_entry("s-1", "terminating"), slow.list_entry("s-2", "in_service")],
+        )
+        .await;
         advance(Duration::from_millis(broke_ms) - out.elapsed()).await;
         drop(seen);
         while node.counters.connection_lost.get() < 1 {
@@ -294,8 +313,8 @@
             advance(Duration::from_millis(100)).await;
         }
         // All workers drop repeats of it, so a refusal is harmless also past the window.
-        assert_eq!(client.answer().await.unwrap().status, 503, "{broke_ms}");
-        node.owes_nothing().await;
+        assert_eq!(client.read_answer().await.unwrap().status, 503, "{broke_ms}");
+        node.assert_nothing_open().await;
         assert_eq!(node.counters.attempts_sent.get(), 1 + u64::from(again), "{broke_ms}");
     }
 }
@@ -305,12 +324,12 @@
 async fn a_connection_whose_request_has_just_come_makes_no_way() {
     for served_before in [false, true] {
         let worker = Worker::start().await;
-        let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 4 for clients
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 4 for clients
         let mut clients = Vec::new();
         for n in 1..5 {
             let mut client = Client::connect(&node).await;
             if served_before {
-                assert_eq!(client.ask(UP).await.status, 200);
+                assert_eq!(client.exchange(UP).await.status, 200);
             }
             while node.counters.connections_accepted.get() < n {
                 yield_now().await;
@@ -322,11 +341,11 @@
         // In one turn: the newcomer connects, then the one whose turn it is to go writes its request. So the node asks
         // it to go before it has read a byte of that.
         let new = std::net::TcpStream::connect(node.address).unwrap();
-        clients[0].add(UP).await;
-        let mut new = Client::of(new);
-        assert_eq!(clients[0].answer().await.expect("not closed on").status, 200);
-        assert_eq!(new.ask(UP).await.status, 200);
-        assert!(clients[1].answer().await.is_none(), "the next one makes way");
+        clients[0].send(UP).await;
+        let mut new = Client::from_std(new);
+        assert_eq!(clients[0].read_answer().await.expect("not closed on").status, 200);
+        assert_eq!(new.exchange(UP).await.status, 200);
+        assert!(clients[1].read_answer().await.is_none(), "the next one makes way");
     }
 }
 
@@ -334,17 +353,17 @@
 #[tokio::test(start_paused = true)]
 async fn a_crowd_that_goes_leaves_nothing_behind() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "terminating")], 1024).await;
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
     let mut crowd = Vec::new();
     for n in 0..300 {
         let mut client = Client::connect(&node).await;
         let text = request("check", &format!("{n:016x}"), 60.0, "body");
         match n % 5 {
             0 => {}
-            1 => client.add(&text[..30]).await,
-            2 => client.add(&text[..text.len() - 2]).await,
-            3 => client.add(&(text.clone() + &text[..50])).await,
-            _ => client.add(&text).await,
+            1 => client.send(&text[..30]).await,
+            2 => client.send(&text[..text.len() - 2]).await,
+            3 => client.send(&(text.clone() + &text[..50])).await,
+            _ => client.send(&text).await,
         }
         crowd.push(client);
         yield_now().await;
@@ -360,10 +379,10 @@
         }
         advance(Duration::from_millis(10)).await;
     }
-    node.owes_nothing().await;
+    node.assert_nothing_open().await;
     assert_eq!(node.counters.usage().unwrap().client_connections, 0);
     assert_eq!(node.counters.attempts_sent.get(), 0);
-    assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
+    assert_eq!(Client::connect(&node).await.exchange(UP).await.status, 200);
 }
 
 /// Settings go while requests are there: one that waits, one that is out, one that is to be tried again, each of a class
@@ -373,23 +392,23 @@
     for case in ["waits", "out", "again"] {
         let (first, second) = (Worker::start().await, Worker::start().await);
         let state = if case == "waits" { "terminating" } else { "in_service" };
-        let node = Platform::start(vec![first.line("s-1", state)], 1024).await;
+        let node = PlatformNode::start(vec![first.list_entry("s-1", state)], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.tell(&request("lodge", ID, 60.0, "x")).await;
+        client.send_after_pause(&request("lodge", ID, 60.0, "x")).await;
         let mut seen = None;
         if case == "waits" {
             while node.counters.requests_accepted.get() < 1 {
                 yield_now().await;
             }
         } else {
-            let mut out = first.take().await;
-            out.begin().await;
+            let mut out = first.receive_request().await;
+            out.begin_response().await;
             while node.counters.acknowledged.get() < 1 {
                 yield_now().await;
             }
             if case == "again" {
-                node.list(2, vec![first.line("s-1", "terminating")]).await;
-                out.say(json!({"state": "failed"})).await;
+                node.apply_list(2, vec![first.list_entry("s-1", "terminating")]).await;
+                out.send_update(json!({"state": "failed"})).await;
                 out.write("0\r\n\r\n").await;
                 while node.counters.errors.get() < 1 {
                     yield_now().await;
@@ -404,21 +423,25 @@
         node.effective_settings
             .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
         let mut late = Client::connect(&node).await;
-        assert_eq!(late.ask(&request("lodge", NEXT, 60.0, "")).await.status, 400, "offered no more");
+        assert_eq!(late.exchange(&request("lodge", NEXT, 60.0, "")).await.status, 400, "offered no more");
         let lists = node.counters.endpoint_lists_applied.get() + 2;
-        node.list(lists, vec![first.line("s-1", "terminating"), second.line("s-2", "in_service")]).await;
+        node.apply_list(
+            lists,
+            vec![first.list_entry("s-1", "terminating"), second.list_entry("s-2", "in_service")],
+        )
+        .await;
         match (case, seen) {
             ("out", Some(mut out)) => {
-                out.say(json!({"state": "done", "result": "r"})).await;
+                out.send_update(json!({"state": "done", "result": "r"})).await;
                 out.write("0\r\n\r\n").await;
             }
             _ => {
                 sent(&node, if case == "waits" { 1 } else { 2 }).await;
-                let mut again = second.take().await;
-                again.done("r").await;
+                let mut again = second.receive_request().await;
+                again.complete("r").await;
             }
         }
-        assert_eq!(client.answer().await.unwrap().body, "r", "{case}");
-        node.owes_nothing().await;
+        assert_eq!(client.read_answer().await.unwrap().body, "r", "{case}");
+        node.assert_nothing_open().await;
     }
 }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -4,7 +4,9 @@
 
 mod common;
 
-use common::{one, request, stop, stopping, Client, Platform, Worker, UP};
+use common::{
+    begin_stop, request, start_node_with_worker, stop_until_closing, Client, PlatformNode, Worker, UP,
+};
 use molevale::phase::Phase;
 use serde_json::json;
 use std::time::Duration;
@@ -13,53 +15,53 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_stopping_node_answers_jobs_that_came_before_and_that_still_come() {
-    let (worker, node, mut client) = one().await;
+    let (worker, node, mut client) = start_node_with_worker().await;
     let mut idle = Client::connect(&node).await;
-    assert_eq!(idle.ask(UP).await.status, 200);
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
-    let mut before = worker.take().await;
-    before.begin().await;
-    stopping(&node.phases).await;
+    assert_eq!(idle.exchange(UP).await.status, 200);
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    let mut before = worker.receive_request().await;
+    before.begin_response().await;
+    begin_stop(&node.phases).await;
     let mut late = Client::connect(&node).await;
-    assert_eq!(late.ask(UP).await.status, 503, "it wants no new clients");
-    late.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
-    let mut after = worker.take().await;
-    after.begin().await;
+    assert_eq!(late.exchange(UP).await.status, 503, "it wants no new clients");
+    late.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
+    let mut after = worker.receive_request().await;
+    after.begin_response().await;
     while node.counters.acknowledged.get() < 2 {
         tokio::task::yield_now().await; // a job without word is called off in the time that passes now
     }
     advance(Duration::from_millis(720)).await;
-    assert!(idle.answer().await.is_none(), "an idle connection is closed");
+    assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
     for (seen, client, result) in [(&mut before, &mut client, "a"), (&mut after, &mut late, "b")] {
-        seen.say(json!({"state": "done", "result": result})).await;
-        let got = client.answer().await.unwrap();
+        seen.send_update(json!({"state": "done", "result": result})).await;
+        let got = client.read_answer().await.unwrap();
         assert_eq!((got.status, got.body.as_str()), (200, result));
         assert!(got.head.to_lowercase().contains("connection: close"), "{got:?}");
     }
-    assert_eq!(node.served.await.unwrap(), Ok(()));
+    assert_eq!(node.task.await.unwrap(), Ok(()));
 }
 
 /// Protects requests that are written slowly while the node stops: nothing that came later than 0.7 s after SIGTERM
 /// may be without its answer when SIGKILL comes, 3.7 s after it.
 #[tokio::test(start_paused = true)]
 async fn a_slow_request_to_a_stopping_node_is_answered_before_sigkill() {
-    let (worker, node, _) = one().await;
+    let (worker, node, _) = start_node_with_worker().await;
     let mut slow = Client::connect(&node).await;
     let text = request("check", "9b1f03aa5c7e2d41", 60.0, "");
     let (begin, end) = text.split_at(text.len() - 2);
-    slow.tell(begin).await;
-    stop(&node.phases).await;
+    slow.send_after_pause(begin).await;
+    stop_until_closing(&node.phases).await;
     advance(Duration::from_millis(1300)).await; // 2.02 s after SIGTERM
-    slow.tell(end).await;
-    let mut seen = worker.take().await;
-    assert!(seen.field("x-deadline").parse::<f64>().unwrap() < 1.6);
-    seen.begin().await;
+    slow.send_after_pause(end).await;
+    let mut seen = worker.receive_request().await;
+    assert!(seen.header("x-deadline").parse::<f64>().unwrap() < 1.6);
+    seen.begin_response().await;
     while node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(1560)).await;
-    assert_eq!(slow.answer().await.expect("an answer").status, 503);
-    assert_eq!(node.served.await.unwrap(), Ok(()));
+    assert_eq!(slow.read_answer().await.expect("an answer").status, 503);
+    assert_eq!(node.task.await.unwrap(), Ok(()));
 }
 
 /// Protects a request of a class with a short wait that came just before the close: the node ends once it is answered,
@@ -71,13 +73,14 @@
     for class in short["Profiles"].as_array_mut().unwrap() {
         class["DeadlineUs"] = 800_000.into();
     }
-    let mut node = Platform::under(short, vec![worker.line("s-1", "in_service")]).await;
+    let mut node =
+        PlatformNode::start_with_settings(short, vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
-    stopping(&node.phases).await;
+    begin_stop(&node.phases).await;
     advance(Duration::from_millis(670)).await; // so early that its own wait is not cut for the end
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 0.8, "")).await;
-    let mut seen = worker.take().await;
-    seen.begin().await;
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 0.8, "")).await;
+    let mut seen = worker.receive_request().await;
+    seen.begin_response().await;
     while node.counters.acknowledged.get() < 1 {
         tokio::task::yield_now().await;
     }
@@ -87,42 +90,42 @@
         tokio::task::yield_now().await; // until the listener is closed: from there on it waits for the last answer
     }
     advance(Duration::from_millis(765)).await; // up to 5 ms before the end of its wait
-    seen.say(json!({"state": "done", "result": "r"})).await;
+    seen.send_update(json!({"state": "done", "result": "r"})).await;
     let got = tokio::select! {
         biased;
-        got = client.answer() => got,
-        ended = &mut node.served => panic!("ended with a request taken: {ended:?}"),
+        got = client.read_answer() => got,
+        ended = &mut node.task => panic!("ended with a request taken: {ended:?}"),
     };
     assert_eq!(got.expect("an answer").body, "r");
-    assert_eq!(node.served.await.unwrap(), Ok(()));
+    assert_eq!(node.task.await.unwrap(), Ok(()));
 }
 
 /// Protects clients of a node that drains: idle connections close, what runs and what still comes is served and
 /// its connection closed then; and the node comes back whole.
 #[tokio::test(start_paused = true)]
 async fn a_draining_node_closes_connections_between_requests_and_resumes() {
-    let (worker, node, mut client) = one().await;
+    let (worker, node, mut client) = start_node_with_worker().await;
     let mut idle = Client::connect(&node).await;
-    assert_eq!(idle.ask(UP).await.status, 200);
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
-    let mut before = worker.take().await;
+    assert_eq!(idle.exchange(UP).await.status, 200);
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    let mut before = worker.receive_request().await;
     let mut fresh = Client::connect(&node).await;
     while node.counters.connections_accepted.get() < 3 {
         tokio::task::yield_now().await;
     }
     assert!(node.phases.drain() && node.phases.drain(), "again is harmless");
-    assert!(idle.answer().await.is_none(), "an idle connection is closed");
+    assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
     let mut late = Client::connect(&node).await;
-    assert_eq!(late.ask(UP).await.status, 503, "the listener stays open, and it wants no new clients");
-    assert!(late.answer().await.is_none(), "and closed");
-    fresh.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
-    let mut after = worker.take().await;
+    assert_eq!(late.exchange(UP).await.status, 503, "the listener stays open, and it wants no new clients");
+    assert!(late.read_answer().await.is_none(), "and closed");
+    fresh.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
+    let mut after = worker.receive_request().await;
     for (seen, client, result) in [(&mut before, &mut client, "a"), (&mut after, &mut fresh, "b")] {
-        seen.done(result).await;
-        let got = client.answer().await.unwrap();
+        seen.complete(result).await;
+        let got = client.read_answer().await.unwrap();
         assert_eq!((got.status, got.body.as_str()), (200, result));
         assert!(got.head.to_lowercase().contains("connection: close"), "{got:?}");
-        assert!(client.answer().await.is_none());
+        assert!(client.read_answer().await.is_none());
     }
     let mut waits = Client::connect(&node).await; // says nothing while the node drains
     while node.counters.connections_accepted.get() < 5 {
@@ -130,10 +133,10 @@
     }
     assert!(node.phases.resume());
     for _ in 0..2 {
-        let got = waits.ask(UP).await;
+        let got = waits.exchange(UP).await;
         assert!(got.status == 200 && !got.head.to_lowercase().contains("connection: close"), "{got:?}");
     }
-    stop(&node.phases).await;
-    assert!(waits.answer().await.is_none());
-    assert_eq!(node.served.await.unwrap(), Ok(()));
+    stop_until_closing(&node.phases).await;
+    assert!(waits.read_answer().await.is_none());
+    assert_eq!(node.task.await.unwrap(), Ok(()));
 }
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::deployments::Site;
+use common::deployments::Deployment;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -40,7 +40,7 @@
 
 impl Node {
     /// Starts the `n`-th deployment's node, with few descriptors, as the least deployment has them.
-    async fn start(n: usize, site: &Site) -> Node {
+    async fn start(n: usize, site: &Deployment) -> Node {
         let pid = std::process::id();
         let own = format!("127.{}.{}.{}", 80 + n, pid / 256 % 256, pid % 256);
         let settings = site.settings();
@@ -108,7 +108,7 @@
 
 #[tokio::test]
 async fn the_program_serves_every_class_of_every_deployment() {
-    let sites = Site::all();
+    let sites = Deployment::all();
     assert!(sites.len() >= 3);
     for (n, site) in sites.iter().enumerate() {
         let node = Node::start(n, site).await;
