--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{request, Client, Peer, Seen, Worker};
+use common::{request, Client, FaktoryConnection, ReceivedRequest, Worker};
 use membership::keys::Keys;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use serde_json::{json, Value};
@@ -95,9 +95,9 @@
     /// A job on a connection of its own: the answer's status; `None` where the connection is closed without one.
     async fn job(&self, id: &str) -> Option<u16> {
         let socket = TcpStream::connect(self.listen).await.ok()?.into_std().ok()?;
-        let mut client = Client::of(socket);
-        client.add(&request("check", id, 60.0, "x")).await;
-        client.answer().await.map(|got| got.status)
+        let mut client = Client::from_std(socket);
+        client.send(&request("check", id, 60.0, "x")).await;
+        client.read_answer().await.map(|got| got.status)
     }
 
     /// Returns once a job was served. A refusal is tried again: on a busy machine a place may be free too late.
@@ -136,10 +136,10 @@
         loop {
             let (socket, _) = worker.0.accept().await.unwrap();
             tokio::spawn(async move {
-                let mut next = Some(Seen::first(socket).await);
+                let mut next = Some(ReceivedRequest::read_first(socket).await);
                 while let Some(mut seen) = next {
-                    seen.done("r").await;
-                    next = seen.next().await;
+                    seen.complete("r").await;
+                    next = seen.next_request().await;
                 }
             });
         }
@@ -216,8 +216,8 @@
 async fn idle_clients_leave_descriptors_for_all_other_calls() {
     let folder = Folder::new("idle");
     let (old, new) = (Worker::start().await, Worker::start().await);
-    let known = vec![old.line("s-1", "in_service")];
-    let later = vec![old.line("s-1", "terminating"), new.line("s-2", "in_service")];
+    let known = vec![old.list_entry("s-1", "in_service")];
+    let later = vec![old.list_entry("s-1", "terminating"), new.list_entry("s-2", "in_service")];
     let (node, at) = limited(&folder, 1, known).await;
     let idle = Idle::start(3 * SOCKETS, node.listen);
     idle.fill(&node).await;
@@ -227,7 +227,7 @@
         node.served(&format!("9b1f03aa5c7e2e{n:02}")).await;
     }
     let _discovery = back(at, later).await;
-    let works = async { new.take().await.done("r").await };
+    let works = async { new.receive_request().await.complete("r").await };
     let job = async { tokio::join!(node.job(ID), works) };
     let (status, ()) = timeout(SOON, job).await.expect("the new worker has it");
     assert_eq!(status, Some(200));
@@ -320,7 +320,7 @@
             let port = if mode == "ask" { 8500 + how as u16 } else { 8510 + how as u16 };
             let at = SocketAddr::new(ip, port);
             useless(how, at).await;
-            let parts = json!({"discovery": at.to_string(), "known": [worker.line("s-1", "in_service")],
+            let parts = json!({"discovery": at.to_string(), "known": [worker.list_entry("s-1", "in_service")],
                 "settings": settings, "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256}});
             serve(worker);
             let start = |n: u16| {
@@ -386,14 +386,14 @@
         while let Ok((socket, _)) = self.listener.accept().await {
             let (work, at_work) = (work.clone(), at_work.clone());
             tokio::spawn(async move {
-                let mut seen = Seen::first(socket).await;
+                let mut seen = ReceivedRequest::read_first(socket).await;
                 at_work.fetch_add(1, Ordering::Relaxed);
-                seen.begin().await;
-                seen.say(json!({"state": "started"})).await;
+                seen.begin_response().await;
+                seen.send_update(json!({"state": "started"})).await;
                 let _permit = work.acquire().await.unwrap();
-                seen.say(json!({"state": "done", "result": "r"})).await;
+                seen.send_update(json!({"state": "done", "result": "r"})).await;
                 seen.write("0\r\n\r\n").await;
-                let _ = seen.next().await; // until the node closes it
+                let _ = seen.next_request().await; // until the node closes it
             });
         }
     }
@@ -402,7 +402,7 @@
     async fn serve_one(&self) -> SocketAddr {
         let (socket, _) = self.listener.accept().await.unwrap();
         let at = socket.local_addr().unwrap();
-        Seen::first(socket).await.done("r").await;
+        ReceivedRequest::read_first(socket).await.complete("r").await;
         at
     }
 }
@@ -446,20 +446,20 @@
 #[tokio::test(start_paused = true)]
 async fn the_last_of_1024_faktory_workers_gets_a_job() {
     const MANY: usize = 1024;
-    let (node, _, _) = common::faktory(None);
+    let (node, _, _) = common::start_faktory(None);
     let mut workers = Vec::with_capacity(MANY);
     for n in 0..MANY {
-        workers.push(Peer::worker(&node, &format!("w{n}")).await);
+        workers.push(FaktoryConnection::connect_worker(&node, &format!("w{n}")).await);
     }
     for (n, worker) in workers.iter_mut().enumerate().take(MANY - 1) {
         let beat = format!("BEAT {{\"wid\":\"w{n}\",\"current_state\":\"quiet\"}}");
-        assert_eq!(worker.ask(&beat).await, r#"{"state":"quiet"}"#);
+        assert_eq!(worker.send_command(&beat).await, r#"{"state":"quiet"}"#);
     }
-    let mut client = Peer::client(&node).await;
+    let mut client = FaktoryConnection::connect_client(&node).await;
     let last = workers.last_mut().unwrap();
-    last.tell("FETCH check lodge").await;
+    last.send_line("FETCH check lodge").await;
     assert_eq!(client.push("check", "job-0001", "k1").await, "+OK");
-    let got: Value = serde_json::from_str(&last.reply().await).expect("a job");
+    let got: Value = serde_json::from_str(&last.read_reply().await).expect("a job");
     assert_eq!(got["jid"], "job-0001");
 }
 
--- a/node/tests/upgrade.rs
+++ b/node/tests/upgrade.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{request, Client, Platform, Worker};
+use common::{request, Client, PlatformNode, Worker};
 use molevale::phase::Phase;
 use molevale::platform::listen;
 use molevale::process_handover::{Predecessor, PredecessorLookup};
@@ -27,10 +27,10 @@
     }
 }
 
-async fn old_node(place: &Path) -> (Worker, Platform) {
+async fn old_node(place: &Path) -> (Worker, PlatformNode) {
     let worker = Worker::start().await;
-    let known = vec![worker.line("s-1", "in_service")];
-    let old = Platform::at(Some(place.to_path_buf()), known, 256, 32, None).await;
+    let known = vec![worker.list_entry("s-1", "in_service")];
+    let old = PlatformNode::start_with_handover(Some(place.to_path_buf()), known, 256, 32, None).await;
     while !place.exists() {
         yield_now().await;
     }
@@ -44,33 +44,33 @@
     let place = place("over");
     let (worker, old) = old_node(&place).await;
     let mut idle = Client::connect(&old).await;
-    assert_eq!(idle.ask(UP).await.status, 200);
+    assert_eq!(idle.exchange(UP).await.status, 200);
     let mut busy = Client::connect(&old).await;
     let text = request("lodge", "9b1f03aa5c7e2d41", 60.0, "");
-    busy.tell(&text).await;
-    let mut before = worker.take().await;
-    before.begin().await;
-    before.say(json!({"state": "started"})).await;
+    busy.send_after_pause(&text).await;
+    let mut before = worker.receive_request().await;
+    before.begin_response().await;
+    before.send_update(json!({"state": "started"})).await;
     while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
     before.write("38\r\n{\"id\":\"9b1f03aa").await; // a line that is cut, here and there
     let found = find(&place).await.expect("the old process answers");
     assert!(old.phases.subscribe().borrow().is_serving(), "it serves until the new one does");
-    let new = Platform::at(Some(place.clone()), vec![], 256, 32, Some(found)).await;
+    let new = PlatformNode::start_with_handover(Some(place.clone()), vec![], 256, 32, Some(found)).await;
     assert_eq!(new.address, old.address);
-    assert!(idle.answer().await.is_none(), "an idle connection is closed");
+    assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
     let mut late = Client::connect(&old).await;
-    late.tell(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
-    let mut after = worker.take().await; // it was told of this worker by the old one only
+    late.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
+    let mut after = worker.receive_request().await; // it was told of this worker by the old one only
     assert_eq!((new.counters.requests_accepted.get(), old.counters.requests_accepted.get()), (1, 1));
-    after.begin().await;
+    after.begin_response().await;
     let mut again = Client::connect(&old).await;
-    assert_eq!(again.ask(&text).await.status, 409, "the id is open in the old process");
+    assert_eq!(again.exchange(&text).await.status, 409, "the id is open in the old process");
     before.write("5c7e2d41\",\"state\":\"running\",\"share\":0.5}\n\r\n").await;
     for (seen, client, result) in [(&mut before, &mut busy, "a"), (&mut after, &mut late, "b")] {
-        seen.say(json!({"state": "done", "result": result})).await;
-        assert_eq!(client.answer().await.unwrap().body, result);
+        seen.send_update(json!({"state": "done", "result": result})).await;
+        assert_eq!(client.read_answer().await.unwrap().body, result);
     }
     assert_eq!(
         (old.counters.transferred_out.get(), new.counters.transferred_in.get()),
@@ -82,10 +82,10 @@
         (1, 1),
         "nothing was sent again"
     );
-    assert_eq!(busy.ask(UP).await.status, 200, "its connection is the new one's");
+    assert_eq!(busy.exchange(UP).await.status, 200, "its connection is the new one's");
     advance(Duration::from_secs(5)).await;
-    assert_eq!(old.served.await.unwrap(), Ok(()), "the old one has nothing left");
-    assert_eq!(late.ask(UP).await.status, 200);
+    assert_eq!(old.task.await.unwrap(), Ok(()), "the old one has nothing left");
+    assert_eq!(late.exchange(UP).await.status, 200);
     // The place is the new one's now.
     assert!(find(&place).await.is_some());
     std::fs::remove_file(place).unwrap();
@@ -97,18 +97,18 @@
     let place = place("fails");
     let (worker, old) = old_node(&place).await;
     drop(find(&place).await.expect("the old process answers"));
-    assert_eq!(Client::connect(&old).await.ask(UP).await.status, 200);
+    assert_eq!(Client::connect(&old).await.exchange(UP).await.status, 200);
     let (listener, before) = find(&place).await.expect("it answers again");
     let (held, remains) = before.take_over().await;
     assert!(held.descriptors > 0);
     let mut phase = old.phases.subscribe();
     assert_eq!(*phase.borrow(), Phase::HandedOver);
     let mut client = Client::connect(&old).await;
-    client.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
     drop((listener, remains));
     phase.wait_for(|p| *p == Phase::Serving).await.unwrap();
-    worker.take().await.done("r").await; // what waited at the listener is there still
-    assert_eq!(client.answer().await.unwrap().body, "r");
+    worker.receive_request().await.complete("r").await; // what waited at the listener is there still
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
     std::fs::remove_file(place).unwrap();
 }
 
@@ -118,9 +118,9 @@
     let place = place("stays");
     let (worker, old) = old_node(&place).await;
     let mut client = Client::connect(&old).await;
-    client.tell(&request("lodge", "9b1f03aa5c7e2d41", 60.0, "")).await;
-    let mut seen = worker.take().await;
-    seen.begin().await;
+    client.send_after_pause(&request("lodge", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    let mut seen = worker.receive_request().await;
+    seen.begin_response().await;
     while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
@@ -133,8 +133,8 @@
     };
     let follow = tokio::spawn(remains.run(|_| {}, adopt));
     assert!(offered.recv().await.unwrap().contains("9b1f03aa5c7e2d41"));
-    seen.say(json!({"state": "done", "result": "r"})).await;
-    let got = client.answer().await.unwrap();
+    seen.send_update(json!({"state": "done", "result": "r"})).await;
+    let got = client.read_answer().await.unwrap();
     assert_eq!((got.status, got.body.as_str(), old.counters.transferred_out.get()), (200, "r", 0));
     follow.abort();
     std::fs::remove_file(place).unwrap();
@@ -215,9 +215,9 @@
     let mut seen = Vec::new();
     for n in 0..2 {
         let mut client = Client::connect(&old).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "")).await;
-        let mut came = worker.take().await;
-        came.begin().await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "")).await;
+        let mut came = worker.receive_request().await;
+        came.begin_response().await;
         clients.push(client);
         seen.push(came);
     }
