--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -371,7 +371,7 @@
     /// A line for each of so many workers, in the phase that `phase` tells.
     fn lines(&self, workers: usize, phase: impl Fn(usize) -> &'static str) -> Vec<Value> {
         let line = |worker: usize| {
-            common::wire::line(&format!("s-{worker:08x}"), self.address(worker), phase(worker), 0)
+            common::wire::endpoint_entry(&format!("s-{worker:08x}"), self.address(worker), phase(worker), 0)
         };
         (0..workers).map(line).collect()
     }
