--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -216,7 +216,7 @@
 
     /// This worker's entry in the endpoint list.
     pub fn list_entry(&self, id: &str, phase: &str) -> Value {
-        wire::line(id, self.0.local_addr().unwrap(), phase, 0)
+        wire::endpoint_entry(id, self.0.local_addr().unwrap(), phase, 0)
     }
 
     /// The first request on a new connection.
