--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -212,7 +212,7 @@
 
     /// This worker's line of the list.
     pub fn line(&self, id: &str, phase: &str) -> Value {
-        wire::line(id, self.0.local_addr().unwrap(), phase, 0)
+        wire::endpoint_entry(id, self.0.local_addr().unwrap(), phase, 0)
     }
 
     /// The first request on a new connection.
--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -12,7 +12,7 @@
 use testbed::cluster::{Cluster, CoordinationSpec, Spec, TENANTS};
 use testbed::fault_proxy::LinkRule;
 use testbed::history_check::violations;
-use testbed::load::{play, Load};
+use testbed::load::{run_load, Load};
 use testbed::process::call;
 use testbed::resource::Resource;
 use testbed::soak::shim::Fault;
@@ -48,7 +48,7 @@
     yard.spec.coordination = Some(CoordinationSpec {
         voters,
         lease_ms: LEASE_MS,
-        lists: false,
+        list_broadcast: false,
         rolling_restart: false,
         scheduled_calls,
     });
@@ -65,13 +65,13 @@
         let start = Instant::now();
         loop {
             let newest =
-                self.resource.acts().iter().filter(|a| a.accepted).map(|a| a.token).max().unwrap_or(0);
+                self.resource.operations().iter().filter(|a| a.accepted).map(|a| a.token).max().unwrap_or(0);
             if newest > token {
                 return newest;
             }
             if start.elapsed() > BOUND {
                 for i in 0..self.yard.spec.nodes {
-                    eprintln!("n{i}: {:?}", self.yard.duties(i).await);
+                    eprintln!("n{i}: {:?}", self.yard.coordination_status(i).await);
                 }
                 panic!("nobody acts under a token above {token}");
             }
@@ -81,7 +81,7 @@
 
     /// Who acted last, and under which token.
     fn last(&self) -> (usize, u64) {
-        let acts = self.resource.acts();
+        let acts = self.resource.operations();
         let act = acts.iter().rev().find(|a| a.accepted).expect("somebody acted");
         (act.process.trim_start_matches('n').parse().unwrap(), act.token)
     }
@@ -97,7 +97,7 @@
     }
 
     async fn standing(&self, i: usize) -> Option<String> {
-        match &self.yard.duties(i).await?["voter"] {
+        match &self.yard.coordination_status(i).await?["voter"] {
             Value::String(standing) => Some(standing.clone()),
             Value::Object(broken) => broken.keys().next().cloned(),
             _ => None,
@@ -113,7 +113,7 @@
     }
 
     fn right(&self) {
-        assert_eq!(violations(&self.resource.acts()), []);
+        assert_eq!(violations(&self.resource.operations()), []);
     }
 }
 
@@ -173,7 +173,7 @@
     let (holder, _) = stage.last();
     stage.yard.node(holder).signal(Signal::TERM);
     let token = stage.acts_after(token).await;
-    stage.until("it ended", async || stage.yard.duties(holder).await.is_none()).await;
+    stage.until("it ended", async || stage.yard.coordination_status(holder).await.is_none()).await;
     stage.yard.start_node(holder).unwrap();
     // Killed: a lease later.
     let (holder, _) = stage.last();
@@ -184,7 +184,7 @@
     let (holder, _) = stage.last();
     stage.yard.node(holder).stop();
     let token = stage.acts_after(token).await;
-    stage.yard.node(holder).go_on();
+    stage.yard.node(holder).resume();
     stage.until("it says so", async || stage.yard.log(holder).contains("\"event\":\"lease_lost\"")).await;
     sleep(S).await;
     assert_eq!(stage.last().1, token, "it does not act on");
@@ -242,9 +242,9 @@
     let gone: Vec<usize> = (0..5).filter(|v| *v != holder).take(3).collect();
     gone.iter().for_each(|v| stage.yard.kill(*v));
     sleep(Duration::from_millis(LEASE_MS)).await;
-    let before = stage.resource.acts().len();
+    let before = stage.resource.operations().len();
     sleep(2 * S).await;
-    assert_eq!(stage.resource.acts().len(), before, "nobody may act");
+    assert_eq!(stage.resource.operations().len(), before, "nobody may act");
     assert_eq!(call(stage.yard.listen(5), "GET", "/up").await.map(|a| a.0), Some(200));
     let at = stage.yard.node(5).management.to_string();
     let (code, out, _) = run(&["fleet", "duties", &at]);
@@ -253,7 +253,7 @@
         stage.yard.start_node(v).unwrap();
     }
     // Under the same token, where nobody else has had it meanwhile.
-    stage.until("somebody acts again", async || stage.resource.acts().len() > before).await;
+    stage.until("somebody acts again", async || stage.resource.operations().len() > before).await;
     stage.right();
 }
 
@@ -332,7 +332,7 @@
 
 /// The version of the list that a node has, and whether it asks discovery itself.
 async fn list_of(yard: &Cluster, i: usize) -> Option<(u64, bool)> {
-    let lists = &yard.duties(i).await?["lists"];
+    let lists = &yard.coordination_status(i).await?["lists"];
     Some((lists["version"].as_u64()?, lists["asks"].as_bool()?))
 }
 
@@ -360,7 +360,7 @@
     yard.spec.coordination = Some(CoordinationSpec {
         voters: 3,
         lease_ms: LEASE_MS,
-        lists: true,
+        list_broadcast: true,
         rolling_restart: false,
         scheduled_calls: Vec::new(),
     });
@@ -387,16 +387,16 @@
     assert!((10..=14).contains(&calls), "{calls} calls in 6 s, of 8 nodes");
 
     // A worker drains under load: 500 ms after the first was told, nobody sends it anything new.
-    let load = Load { rate: 40.0, length: 12 * S, seed: 5, tenants: TENANTS.map(String::from).to_vec() };
+    let load = Load { rate: 40.0, duration: 12 * S, seed: 5, tenants: TENANTS.map(String::from).to_vec() };
     let nodes = all.iter().map(|i| yard.listen(*i)).collect();
-    let load = tokio::spawn(play(load, nodes));
+    let load = tokio::spawn(run_load(load, nodes));
     let sent = |yard: &Cluster, n: usize| {
-        let seen = yard.workers[n].as_ref().map(|w| w.0.seen());
-        seen.map_or(0, |s| s.sent.values().sum::<u64>())
+        let seen = yard.workers[n].as_ref().map(|w| w.0.record());
+        seen.map_or(0, |s| s.received.values().sum::<u64>())
     };
     sleep(3 * S).await;
     assert!(sent(&yard, 1) > 0);
-    yard.list_draining(1);
+    yard.publish_draining(1);
     sleep(S / 2).await;
     let at_most = sent(&yard, 1);
     sleep(S).await;
@@ -405,14 +405,14 @@
     let holder = until_two_ask(&yard, &all).await[0];
     yard.kill(holder);
     let rest: Vec<usize> = all.iter().copied().filter(|i| *i != holder).collect();
-    yard.list_draining(2);
+    yard.publish_draining(2);
     sleep(2 * S).await;
     let at_most = sent(&yard, 2);
     sleep(S).await;
     assert_eq!(sent(&yard, 2), at_most);
     until_two_ask(&yard, &rest).await;
     let report = load.await.unwrap();
-    assert!(report.worth > 0.6, "{report}");
+    assert!(report.weight_in_time > 0.6, "{report}");
     // Without a voter: all ask, as without the duty.
     (0..3).filter(|v| *v != holder).for_each(|v| yard.kill(v));
     let rest: Vec<usize> = rest.into_iter().filter(|i| *i > 2).collect();
@@ -433,7 +433,7 @@
     yard.spec.coordination = Some(CoordinationSpec {
         voters: 3,
         lease_ms: LEASE_MS,
-        lists: false,
+        list_broadcast: false,
         rolling_restart: true,
         scheduled_calls: Vec::new(),
     });
@@ -448,14 +448,14 @@
         assert!(start.elapsed() < BOUND, "nobody takes the word");
         sleep(S / 5).await;
     }
-    let load = Load { rate: 30.0, length: 30 * S, seed: 9, tenants: TENANTS.map(String::from).to_vec() };
-    let load = tokio::spawn(play(load, (0..10).map(|i| yard.listen(i)).collect()));
+    let load = Load { rate: 30.0, duration: 30 * S, seed: 9, tenants: TENANTS.map(String::from).to_vec() };
+    let load = tokio::spawn(run_load(load, (0..10).map(|i| yard.listen(i)).collect()));
     let (mut restarted, mut killed) = (Vec::new(), None);
     let start = Instant::now();
     let ended = loop {
         restarted.extend(yard.restart_ended().unwrap());
         assert!(yard.nodes.iter().flatten().count() >= 9, "one at a time");
-        let told = yard.duties(9).await;
+        let told = yard.coordination_status(9).await;
         let held = told.as_ref().map(|t| t["told"]["table"]["held"]["roll"].clone()).unwrap_or_default();
         let holder =
             held["holder"]["name"].as_str().and_then(|n| n.trim_start_matches('n').parse::<usize>().ok());
@@ -487,10 +487,15 @@
     // Jobs may be lost with the process that was killed (those that it held, and those that the front sent there until it
     // saw that: about two), to nothing else.
     let killed = killed.map(|i| yard.listen(i));
-    let elsewhere: u64 = report.missed.iter().filter(|(at, _)| Some(**at) != killed).map(|(_, n)| n).sum();
-    assert!(elsewhere == 0 && report.nowhere == 0, "{report}; {:?}, killed {killed:?}", report.missed);
+    let elsewhere: u64 =
+        report.unserved_by_node.iter().filter(|(at, _)| Some(**at) != killed).map(|(_, n)| n).sum();
+    assert!(
+        elsewhere == 0 && report.without_node == 0,
+        "{report}; {:?}, killed {killed:?}",
+        report.unserved_by_node
+    );
     assert!(report.lost + report.failed <= 10, "{report}");
-    assert!(report.worth > 0.9, "{report}");
+    assert!(report.weight_in_time > 0.9, "{report}");
 }
 
 /// Faults drawn by seed.
@@ -515,7 +520,7 @@
                     stage.yard.start_node(i).unwrap();
                 }
                 3 if runs => stage.yard.node(i).stop(),
-                4 if runs => stage.yard.node(i).go_on(),
+                4 if runs => stage.yard.node(i).resume(),
                 5 => {
                     let parts: Vec<u32> = (0..7).map(|_| rng.random_range(0..2)).collect();
                     stage.yard.proxies.partition(&parts);
@@ -535,13 +540,13 @@
         stage.yard.proxies.heal();
         for i in 0..7 {
             match &mut stage.yard.nodes[i] {
-                Some(process) => process.go_on(),
+                Some(process) => process.resume(),
                 None => stage.yard.start_node(i).unwrap(),
             }
         }
-        let acts = stage.resource.acts().len();
-        stage.until("somebody acts again", async || stage.resource.acts().len() > acts + 20).await;
-        let wrong = violations(&stage.resource.acts());
+        let acts = stage.resource.operations().len();
+        stage.until("somebody acts again", async || stage.resource.operations().len() > acts + 20).await;
+        let wrong = violations(&stage.resource.operations());
         assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
     }
 }
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -353,7 +353,7 @@
     let mut config = good();
     config["listen"] = format!("{own}:8443").into();
     config["management"] = format!("{own}:9000").into();
-    let member = common::wire::line("s-1", format!("{own}:8500").parse().unwrap(), "in_service", 0);
+    let member = common::wire::endpoint_entry("s-1", format!("{own}:8500").parse().unwrap(), "in_service", 0);
     config["known"] = json!({"revision": 1, "complete": true, "members": [member]});
     config
 }
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -11,7 +11,7 @@
 use testbed::check::ExpectedViews;
 use testbed::cluster::{Cluster, Spec, TENANTS};
 use testbed::fault_proxy::LinkRule;
-use testbed::load::{play, Load, Report};
+use testbed::load::{run_load, Load, Report};
 use testbed::process::call;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{sleep, timeout, Instant};
@@ -170,7 +170,7 @@
     let deaths =
         |cluster: &Cluster| (0..8).map(|i| count_events(&cluster.log(i), "member_down")).sum::<usize>();
     let before = deaths(&cluster);
-    cluster.node(6).go_on();
+    cluster.node(6).resume();
     settled(&cluster, 0..8).await;
     assert_eq!(count_events(&cluster.log(6), "rejoined"), 1);
     assert_eq!(
@@ -236,7 +236,7 @@
     .await;
     assert_eq!(status(&cluster, 0, 2).await, Some(MemberStatus::Draining));
     cluster.node(2).signal(Signal::TERM);
-    until("it ended", || std::future::ready(cluster.node(2).ended().is_some())).await;
+    until("it ended", || std::future::ready(cluster.node(2).exit_status().is_some())).await;
     until("it left, and did not die", || async { status(&cluster, 0, 2).await == Some(MemberStatus::Left) })
         .await;
     settled(&cluster, [0, 1, 3, 4, 5]).await;
@@ -260,7 +260,7 @@
     until("the new process serves", || up(at)).await;
     settled(&cluster, 0..5).await;
     cluster.predecessors[0].signal(Signal::TERM);
-    until("the old one ends", || std::future::ready(cluster.predecessors[0].ended().is_some())).await;
+    until("the old one ends", || std::future::ready(cluster.predecessors[0].exit_status().is_some())).await;
     settled(&cluster, 0..5).await;
     assert_eq!(dead(&cluster), 0);
     cluster.predecessors.clear();
@@ -285,7 +285,7 @@
     let at = cluster.node(2).management;
     until("the new process serves", || up(at)).await;
     settled(&cluster, 0..5).await;
-    cluster.predecessors[0].go_on();
+    cluster.predecessors[0].resume();
     sleep(2 * S).await; // it may want its place back; it is the older one
     settled(&cluster, 0..5).await;
     cluster.predecessors.clear();
@@ -310,7 +310,7 @@
     until("the new process serves", || up(at)).await;
     cluster.node(2).stop();
     settled(&cluster, [0, 1, 3, 4]).await;
-    cluster.node(2).go_on();
+    cluster.node(2).resume();
     settled(&cluster, 0..5).await;
 }
 
@@ -352,14 +352,14 @@
 /// Plays a load against a node that is flooded, and one of the same rate against a node that is not, at the same time.
 /// Checks the resources that the flood costs.
 async fn play_flooded_and_calm(cluster: &mut Cluster, [hit, spared]: [usize; 2], seed: u64) -> [Report; 2] {
-    let load = |seed| Load { rate: 15.0, length: 5 * S, seed, tenants: TENANTS.map(String::from).to_vec() };
-    let (memory, ticks) = (cluster.node(hit).memory_kib().unwrap(), cluster.node(hit).ticks().unwrap());
+    let load = |seed| Load { rate: 15.0, duration: 5 * S, seed, tenants: TENANTS.map(String::from).to_vec() };
+    let (memory, ticks) = (cluster.node(hit).memory_kib().unwrap(), cluster.node(hit).cpu_ticks().unwrap());
     let target = cluster.gossip_address(hit);
     let flooding = std::thread::spawn(move || flood(target, 6 * S));
     let plays = async {
         tokio::join!(
-            play(load(seed), vec![cluster.listen(hit)]),
-            play(load(seed + 1), vec![cluster.listen(spared)])
+            run_load(load(seed), vec![cluster.listen(hit)]),
+            run_load(load(seed + 1), vec![cluster.listen(spared)])
         )
     };
     let (flooded, calm) = timeout(BOUND, plays).await.unwrap();
@@ -367,7 +367,7 @@
     assert!(sent > 20_000, "{sent}");
     let grown = cluster.node(hit).memory_kib().unwrap().saturating_sub(memory);
     assert!(grown < 8 * 1024, "{grown} KiB more");
-    let used = cluster.node(hit).ticks().unwrap() - ticks;
+    let used = cluster.node(hit).cpu_ticks().unwrap() - ticks;
     assert!(used < 250, "{used} hundredths of a second, of about 500, jobs included");
     [flooded, calm]
 }
@@ -448,8 +448,8 @@
 async fn tenant_rates_are_exchanged_and_fleet_show_prints_the_view() {
     let _slot = cluster_slot().await;
     let mut cluster = started(Spec { workers: 3, quota: 20.0, ..spec(4) }).await;
-    let load = Load { rate: 20.0, length: 4 * S, seed: 5, tenants: TENANTS.map(String::from).to_vec() };
-    let report = play(load, (0..4).map(|i| cluster.listen(i)).collect()).await;
+    let load = Load { rate: 20.0, duration: 4 * S, seed: 5, tenants: TENANTS.map(String::from).to_vec() };
+    let report = run_load(load, (0..4).map(|i| cluster.listen(i)).collect()).await;
     assert!(report.in_time > report.due / 2, "{report}");
     for (name, shown) in cluster.statuses().await {
         assert!(shown.unwrap().counters.rate_messages > 0, "{name} heard of nobody's tenants");
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -46,7 +46,7 @@
         let settings = site.settings();
         let worker =
             Worker::start("127.0.0.1:0".parse().unwrap(), WorkerProfile::default(), false).await.unwrap();
-        let mut line = wire::line("s-1", worker.address, "in_service", 0);
+        let mut line = wire::endpoint_entry("s-1", worker.address, "in_service", 0);
         line["locality"] = settings["Azs"][0].clone();
         line["flavor"] = settings["HostTypes"][0].clone();
         let discovery = Discovery::start("127.0.0.1:0".parse().unwrap(), vec![line.clone()]).await.unwrap();
@@ -89,7 +89,7 @@
         let name = class["Name"].as_str().unwrap();
         let deadline = class["DeadlineUs"].as_f64().unwrap() / 1e6;
         let key = (class["Semantics"] == "keyed").then_some("k1");
-        let text = wire::job(name, id, tenant, key, deadline, None, "1000");
+        let text = wire::request_with_fields(name, id, tenant, key, deadline, None, "1000");
         let text = text.replacen(&format!("POST /{name}"), &format!("POST /{}", in_path(name)), 1);
         let mut stream = BufReader::new(TcpStream::connect(&self.address).await.unwrap());
         stream.get_mut().write_all(text.as_bytes()).await.unwrap();
@@ -120,7 +120,7 @@
                 served += 1;
             }
         }
-        assert_eq!(node.worker.seen().done, served, "{name}");
+        assert_eq!(node.worker.record().done, served, "{name}");
         node.end();
     }
 }
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -70,7 +70,7 @@
             let worker = SoakWorker::start(number, at, &recorder, false, false, 1).unwrap();
             list.set(
                 &format!("w{number:03}"),
-                wire::line(&format!("w{number:03}"), at, "in_service", 0),
+                wire::endpoint_entry(&format!("w{number:03}"), at, "in_service", 0),
                 false,
             );
             worker
@@ -153,7 +153,15 @@
 
 fn request(class: &str, id: &str) -> String {
     let class = CLASSES.iter().find(|c| c.name == class).unwrap();
-    wire::job(class.name, id, "sava", None, class.deadline.as_secs_f64(), Some(20_000), "20000")
+    wire::request_with_fields(
+        class.name,
+        id,
+        "sava",
+        None,
+        class.deadline.as_secs_f64(),
+        Some(20_000),
+        "20000",
+    )
 }
 
 async fn answer(stream: &mut BufReader<TcpStream>) -> Option<u16> {
@@ -224,7 +232,7 @@
         node.process.signal(Signal::HUP);
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(node.process.ended().is_none(), "it ended: {}", node.log());
+    assert!(node.process.exit_status().is_none(), "it ended: {}", node.log());
     node.inject(Fault::RecvEintr, 0);
     node.assert_injected(Fault::RecvEintr);
     assert!(node.log().contains("\"event\":\"configuration_"), "no signal was heard");
@@ -239,7 +247,7 @@
     sleep(Duration::from_millis(500)).await;
     node.inject(Fault::SendEintr, 0);
     let started = Instant::now();
-    while node.process.ended().is_none() {
+    while node.process.exit_status().is_none() {
         assert!(started.elapsed() < LIMIT, "it never stopped: {}", node.log());
         sleep(Duration::from_millis(10)).await;
     }
@@ -261,7 +269,7 @@
         }
         node.inject(fault, MOST);
         sleep(Duration::from_millis(400)).await;
-        node.process.go_on();
+        node.process.resume();
         for (n, stream) in streams.iter_mut().enumerate() {
             assert!(answer(stream).await.is_some(), "{fault:?}: request {n} had no answer");
         }
@@ -286,7 +294,7 @@
     node.assert_injected(Fault::AcceptEnfile);
     for attempt in node.history().attempts {
         let left = (sent + Duration::from_millis(1_500)).saturating_sub(attempt.first_byte).as_secs_f64();
-        let told = attempt.told_deadline.unwrap();
+        let told = attempt.sent_deadline.unwrap();
         assert!(told <= left + 0.15, "{} was told {told:.3} s with {left:.3} s left", attempt.id);
     }
 }
@@ -351,15 +359,15 @@
     // A worker whose connections come up a second after they are asked for.
     let (listener, fills) = late_listener();
     let at = listener.local_addr().unwrap();
-    node.list.set("late", wire::line("late", at, "in_service", 0), false);
-    node.agent.feed(Arc::new(node.list.clone()));
+    node.list.set("late", wire::endpoint_entry("late", at, "in_service", 0), false);
+    node.agent.set_list(Arc::new(node.list.clone()));
     sleep(Duration::from_millis(100)).await;
     let mut client = node.connect().await;
     client.write_all(request("check", "late").as_bytes()).await.unwrap();
     sleep(Duration::from_millis(530)).await;
-    node.list.set("late", wire::line("late", at, "terminating", 0), false);
+    node.list.set("late", wire::endpoint_entry("late", at, "terminating", 0), false);
     let told = Instant::now();
-    node.agent.feed(Arc::new(node.list.clone()));
+    node.agent.set_list(Arc::new(node.list.clone()));
     drop(fills);
     // Heard by now: the next thing that it writes is the request.
     sleep(Duration::from_millis(100)).await;
@@ -377,7 +385,7 @@
     if let Ok(after) = accepted.await {
         assert!(after < Duration::from_millis(550), "it was sent {after:?} after the drain was told");
     }
-    assert!(node.process.ended().is_none());
+    assert!(node.process.exit_status().is_none());
     let _ = &node.config;
 }
 
--- a/node/tests/terms.rs
+++ b/node/tests/terms.rs
@@ -205,7 +205,7 @@
 /// Discovery is back with these lines, and the node takes them.
 async fn back(at: SocketAddr, lines: Vec<Value>) -> Discovery {
     let discovery = Discovery::start(at, Vec::new()).await.unwrap();
-    discovery.tell(lines);
+    discovery.publish(lines);
     until("discovery is called, and again after its answer", || discovery.calls() >= 2).await;
     discovery
 }
@@ -371,7 +371,7 @@
     /// A line for each of so many workers, in the phase that `phase` tells.
     fn lines(&self, workers: usize, phase: impl Fn(usize) -> &'static str) -> Vec<Value> {
         let line = |worker: usize| {
-            common::wire::line(&format!("s-{worker:08x}"), self.address(worker), phase(worker), 0)
+            common::wire::endpoint_entry(&format!("s-{worker:08x}"), self.address(worker), phase(worker), 0)
         };
         (0..workers).map(line).collect()
     }
@@ -429,7 +429,7 @@
     until("it watches", || discovery.calls() > 0).await;
     for (n, worker) in [1, 255, 256, 999, 1000, MANY - 1].into_iter().enumerate() {
         let calls = discovery.calls();
-        discovery.tell(crowd.lines_with_one(MANY, worker));
+        discovery.publish(crowd.lines_with_one(MANY, worker));
         until("it has the list and calls again", || discovery.calls() > calls).await;
         let id = format!("9b1f03aa5c7e2c{n:02}");
         let job = async { tokio::join!(node.job(&id), crowd.serve_one()) };
--- a/testbed/src/cluster/configuration.rs
+++ b/testbed/src/cluster/configuration.rs
@@ -41,7 +41,7 @@
             "[duties]\n{state}voters = [{}]\nlease_ms = {}\nelection_ms = {ELECTION_MS}\nlists = {}\nroll = {}\n",
             voters.join(", "),
             spec.lease_ms,
-            spec.lists,
+            spec.list_broadcast,
             spec.rolling_restart
         );
         for (name, address, interval_ms) in &spec.scheduled_calls {
@@ -71,7 +71,7 @@
         settings["Prices"] = json!({"Peer": 0.01});
         settings["OverShareWorth"] = 0.05.into();
         settings["Invariants"] = json!({"ColdShare": profile.cold_share, "WarmUpUs": us(profile.warm_up),
-            "FallMultiple": profile.fall_multiple, "FallUs": us(profile.fall)});
+            "FallMultiple": profile.overload_multiple, "FallUs": us(profile.overload_window)});
         let tenant = |name: &&str| json!({"Name": name, "QuotaPerS": self.spec.quota, "Share": 0.5});
         settings["Parties"] = TENANTS.iter().map(tenant).collect();
         for (index, class) in [0, 1].into_iter().zip(crate::load::classes()) {
@@ -87,7 +87,7 @@
         let workers = self.workers.iter().enumerate().filter_map(|(n, worker)| Some((n, worker.as_ref()?)));
         workers
             .map(|(n, (worker, since_ms))| {
-                wire::line(&format!("w{n:03}"), worker.address, "in_service", *since_ms)
+                wire::endpoint_entry(&format!("w{n:03}"), worker.address, "in_service", *since_ms)
             })
             .collect()
     }
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -121,7 +121,7 @@
         for _ in 0..cluster.spec.workers {
             cluster.add_worker(false).await?;
         }
-        cluster.list();
+        cluster.publish_workers();
         Ok(cluster)
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Coordination status of a node, as JSON.
-    pub async fn duties(&self, i: usize) -> Option<Value> {
+    pub async fn coordination_status(&self, i: usize) -> Option<Value> {
         let at = self.nodes[i].as_ref()?.management;
         let (status, body) = crate::process::call(at, "GET", "/fleet/duties").await?;
         serde_json::from_slice(&body).ok().filter(|_| status == 200)
@@ -216,7 +216,7 @@
         };
         let process = Process::start_with(&self.spec.binary, &folder, &config, arguments, &variables)?;
         if let Some(mut old) = self.nodes[i].replace(process) {
-            if old.ended().is_none() {
+            if old.exit_status().is_none() {
                 self.predecessors.push(old);
             }
         }
@@ -224,16 +224,16 @@
     }
 
     /// Publishes the workers to discovery.
-    pub fn list(&self) {
-        self.discovery.tell(self.worker_lines());
+    pub fn publish_workers(&self) {
+        self.discovery.publish(self.worker_lines());
     }
 
     /// Publishes the workers, one of them as draining.
-    pub fn list_draining(&self, n: usize) {
+    pub fn publish_draining(&self, n: usize) {
         let mut lines = self.worker_lines();
         let id = format!("w{n:03}");
         lines.iter_mut().filter(|l| l["id"] == id.as_str()).for_each(|l| l["phase"] = "terminating".into());
-        self.discovery.tell(lines);
+        self.discovery.publish(lines);
     }
 
     /// Adds a worker, which is not published yet. Returns its number.
@@ -263,7 +263,7 @@
     /// # Errors
     /// As [`Cluster::start_node`].
     pub fn restart_ended(&mut self) -> io::Result<Vec<usize>> {
-        let ended = |p: &mut Option<Process>| p.as_mut().is_some_and(|p| p.ended().is_some());
+        let ended = |p: &mut Option<Process>| p.as_mut().is_some_and(|p| p.exit_status().is_some());
         let all: Vec<usize> =
             self.nodes.iter_mut().enumerate().filter_map(|(i, p)| ended(p).then_some(i)).collect();
         all.iter().try_for_each(|i| self.start_node(*i))?;
--- a/testbed/src/cluster/spec.rs
+++ b/testbed/src/cluster/spec.rs
@@ -39,7 +39,7 @@
     /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
     /// Whether one node of each zone follows discovery for the others.
-    pub lists: bool,
+    pub list_broadcast: bool,
     /// Whether nodes may be restarted one after another.
     pub rolling_restart: bool,
     /// Calls that one node makes for all: name, address, interval in milliseconds.
--- a/testbed/src/coordination.rs
+++ b/testbed/src/coordination.rs
@@ -10,7 +10,7 @@
 use crate::disk::MemDisk;
 use crate::emulated_network::EventQueue;
 use crate::fault_proxy::LinkRules;
-use crate::history_check::Act;
+use crate::history_check::FencedOperation;
 use ::coordination::{
     FencingGuard, LeaseLost, Message, Operation, Timing, VoterEvent, VoterMetrics, VoterState,
 };
@@ -75,7 +75,7 @@
     Message { from: usize, process_id: u64, to: usize, message: Message },
     Persisted { node: usize, process_id: u64, number: u64, succeeded: bool },
     StartAct { node: usize, process_id: u64 },
-    ActArrived { act: Act },
+    ActArrived { act: FencedOperation },
     Wake(usize),
 }
 
@@ -90,7 +90,7 @@
     /// Guard of the resource.
     guard: FencingGuard,
     /// Acts in the order of their arrival at the resource.
-    pub acts: Vec<Act>,
+    pub acts: Vec<FencedOperation>,
     /// Events of the voters: time, node and event.
     pub voter_events: Vec<(Duration, usize, VoterEvent)>,
     /// Leases acquired and lost.
--- a/testbed/src/coordination/node.rs
+++ b/testbed/src/coordination/node.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::MemDisk;
 use crate::emulated_network::node_address;
-use crate::history_check::Act;
+use crate::history_check::FencedOperation;
 use ::coordination::{Client, Message, Store, Voter};
 use rand::rngs::SmallRng;
 use rand::RngExt;
@@ -30,8 +30,8 @@
     pub(super) is_stalled: bool,
     /// Messages that arrived while it was stalled.
     pub(super) inbox: Vec<(usize, Message)>,
-    /// Act that had passed its check and not left when the process was stalled.
-    pub(super) stalled_act: Option<Act>,
+    /// Operation that had passed its check and not left when the process was stalled.
+    pub(super) stalled_act: Option<FencedOperation>,
     pub(super) wake_at: Option<Duration>,
 }
 
@@ -66,10 +66,10 @@
 }
 
 impl Process {
-    /// Act whose lease is valid now.
-    pub(super) fn act(&self, node: usize, now: Duration, local: Duration) -> Option<Act> {
+    /// Operation whose lease is valid now.
+    pub(super) fn act(&self, node: usize, now: Duration, local: Duration) -> Option<FencedOperation> {
         let token = self.client.valid_token(local, super::LEASE)?;
         let process = format!("{} {}", name(node), self.process_id);
-        Some(Act { started_at: now, arrived_at: now, process, token, accepted: false })
+        Some(FencedOperation { started_at: now, arrived_at: now, process, token, accepted: false })
     }
 }
--- a/testbed/src/coordination/processing.rs
+++ b/testbed/src/coordination/processing.rs
@@ -2,7 +2,7 @@
 
 use super::node::{address, Process};
 use super::{EmulatedCluster, Event, LeaseEvent, LEASE};
-use crate::history_check::Act;
+use crate::history_check::FencedOperation;
 use ::coordination::{ClientAction, Message, Store, StoreError, Voter, VoterAction};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -65,10 +65,10 @@
         self.queue.schedule(ACT_INTERVAL, Event::StartAct { node, process_id });
     }
 
-    fn act_arrived(&mut self, act: Act) {
+    fn act_arrived(&mut self, act: FencedOperation) {
         let accepted = self.guard.check(LEASE, act.token).is_ok();
         self.rejected_acts += u64::from(!accepted);
-        self.acts.push(Act { arrived_at: self.now(), accepted, ..act });
+        self.acts.push(FencedOperation { arrived_at: self.now(), accepted, ..act });
     }
 
     pub(super) fn deliver(&mut self, from: usize, to: usize, message: Message) {
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::check::ViewFault;
 use crate::cluster::{Cluster, Spec, TENANTS};
-use crate::load::{play, Load};
+use crate::load::{run_load, Load};
 use membership::{MemberStatus, Status};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -65,8 +65,8 @@
     let all: Vec<(usize, u32)> = (0..NODES).map(|i| (i, 0)).collect();
     settle(&cluster, "all five find each other", &all).await?;
     let tenants = TENANTS.map(String::from).to_vec();
-    let load = Load { rate: RATE, length: LOAD_LENGTH, seed: 1, tenants };
-    let load = tokio::spawn(play(load, (0..NODES).map(|i| cluster.listen(i)).collect()));
+    let load = Load { rate: RATE, duration: LOAD_LENGTH, seed: 1, tenants };
+    let load = tokio::spawn(run_load(load, (0..NODES).map(|i| cluster.listen(i)).collect()));
     sleep(BEFORE_FAULTS).await;
     cluster.kill(KILLED);
     let killed = format!("{} is killed", Cluster::name(KILLED));
@@ -84,10 +84,10 @@
         report.due,
         report.in_time,
         report.late,
-        report.refused,
+        report.shed,
         report.failed,
-        report.lost + report.nowhere,
-        report.worth
+        report.lost + report.without_node,
+        report.weight_in_time
     );
     Ok(())
 }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -52,7 +52,7 @@
     }
 
     /// The list from here on.
-    pub fn tell(&self, members: Vec<Value>) {
+    pub fn publish(&self, members: Vec<Value>) {
         self.list.send_modify(|list| *list = (list.0 + 1, members));
     }
 
--- a/testbed/src/history_check.rs
+++ b/testbed/src/history_check.rs
@@ -7,7 +7,7 @@
 
 /// One operation on a resource that only one holder may operate on at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Act {
+pub struct FencedOperation {
     /// Time at which the holder checked that it may act, on one global clock.
     pub started_at: Duration,
     /// Time at which the resource accepted or rejected it.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// An operation was accepted under a token lower than one accepted before.
-    TokenWentBack(u64, u64),
+    TokenRegressed(u64, u64),
     /// Two processes acted under one token.
     TokenShared(u64, String, String),
     /// A process began an operation under a token after another had begun one under a higher token.
@@ -36,7 +36,7 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::TokenWentBack(old, new) => {
+            Violation::TokenRegressed(old, new) => {
                 write!(f, "an act under {old} was taken after one under {new}")
             }
             Violation::TokenShared(token, a, b) => write!(f, "{a} and {b} acted under {token}"),
@@ -51,13 +51,13 @@
 }
 
 /// Returns all violations in the operations on one resource, which are in the order of their arrival.
-pub fn violations(acts: &[Act]) -> Vec<Violation> {
+pub fn violations(operations: &[FencedOperation]) -> Vec<Violation> {
     let mut found = Vec::new();
     let (mut highest, mut seen) = (0, 0);
     let mut owners: BTreeMap<u64, &str> = BTreeMap::new();
-    for act in acts {
+    for act in operations {
         match act.accepted {
-            true if act.token < highest => found.push(Violation::TokenWentBack(act.token, highest)),
+            true if act.token < highest => found.push(Violation::TokenRegressed(act.token, highest)),
             true => highest = act.token,
             false if act.token >= seen => found.push(Violation::RejectedWithoutCause(act.token)),
             false => {}
@@ -69,7 +69,7 @@
         }
     }
     // What counts between holders is when each checked its lease, however long the act was on its way.
-    let mut by_start: Vec<&Act> = acts.iter().collect();
+    let mut by_start: Vec<&FencedOperation> = operations.iter().collect();
     by_start.sort_by_key(|a| a.started_at);
     let mut latest = 0;
     for act in by_start {
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,7 +1,7 @@
 //! Open-loop load of jobs: each is due at a drawn time whether or not the ones before it have ended, and its time is
 //! counted from when it was due.
 
-use crate::wire::{head, job, length, status};
+use crate::wire::{head, length, request_with_fields, status};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -47,7 +47,7 @@
     /// Time that its client waits.
     pub deadline: Duration,
     /// Priority weight of each second of work.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Whether it carries an idempotency key.
     pub keyed: bool,
 }
@@ -62,7 +62,7 @@
         latency_objective: ms(250),
         stretch: 2.5,
         deadline: ms(3_000),
-        worth: 2.0,
+        priority_weight: 2.0,
         keyed: false,
     };
     let lodge = Class {
@@ -72,7 +72,7 @@
         latency_objective: ms(800),
         stretch: 2.0,
         deadline: ms(8_000),
-        worth: 5.0,
+        priority_weight: 5.0,
         keyed: true,
     };
     [check, lodge]
@@ -84,7 +84,7 @@
     /// Jobs a second.
     pub rate: f64,
     /// Duration.
-    pub length: Duration,
+    pub duration: Duration,
     /// Seed of all that is drawn.
     pub seed: u64,
     /// The tenants, all with the same share of the jobs.
@@ -101,21 +101,21 @@
     /// Served too late to be worth anything.
     pub late: u64,
     /// Rejected.
-    pub refused: u64,
+    pub shed: u64,
     /// Failed.
     pub failed: u64,
     /// No answer at all by their deadline.
     pub lost: u64,
     /// Of those that failed or were lost, the number that was sent to each node.
-    pub missed: HashMap<SocketAddr, u64>,
+    pub unserved_by_node: HashMap<SocketAddr, u64>,
     /// Due while no node was healthy.
-    pub nowhere: u64,
+    pub without_node: u64,
     /// Priority weight that was served in time, as a share of all that was due.
-    pub worth: f64,
+    pub weight_in_time: f64,
     /// Time from when each was due to its answer, in microseconds, of those served.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
     /// Of jobs with an idempotency key: how often each was answered 200.
-    pub keys: HashMap<String, u32>,
+    pub answers_by_key: HashMap<String, u32>,
 }
 
 impl fmt::Display for Report {
@@ -124,16 +124,16 @@
             f,
             "worth {:.3}; {} due, {} in time, {} late, {} refused, {} failed, {} lost, {} nowhere; median {:.0} ms, \
              99% {:.0} ms",
-            self.worth,
+            self.weight_in_time,
             self.due,
             self.in_time,
             self.late,
-            self.refused,
+            self.shed,
             self.failed,
             self.lost,
-            self.nowhere,
-            self.times.value_at_quantile(0.5) as f64 / 1e3,
-            self.times.value_at_quantile(0.99) as f64 / 1e3
+            self.without_node,
+            self.latencies.value_at_quantile(0.5) as f64 / 1e3,
+            self.latencies.value_at_quantile(0.99) as f64 / 1e3
         )
     }
 }
@@ -144,14 +144,14 @@
             due: 0,
             in_time: 0,
             late: 0,
-            refused: 0,
+            shed: 0,
             failed: 0,
             lost: 0,
-            missed: HashMap::new(),
-            nowhere: 0,
-            worth: 0.0,
-            times: Histogram::new(3).expect("three digits are allowed"),
-            keys: HashMap::new(),
+            unserved_by_node: HashMap::new(),
+            without_node: 0,
+            weight_in_time: 0.0,
+            latencies: Histogram::new(3).expect("three digits are allowed"),
+            answers_by_key: HashMap::new(),
         }
     }
 }
@@ -160,8 +160,8 @@
 struct Tally {
     report: Report,
     /// Weight that was served in time, and that was due.
-    earned: f64,
-    due_worth: f64,
+    served_weight: f64,
+    due_weight: f64,
 }
 
 /// Idle connections by node.
@@ -190,9 +190,9 @@
 ///
 /// # Panics
 /// Where the rate is not above zero, or there is no tenant.
-pub async fn play(load: Load, nodes: Vec<SocketAddr>) -> Report {
+pub async fn run_load(load: Load, nodes: Vec<SocketAddr>) -> Report {
     let shared = Arc::new(Shared {
-        tally: Mutex::new(Tally { report: Report::empty(), earned: 0.0, due_worth: 0.0 }),
+        tally: Mutex::new(Tally { report: Report::empty(), served_weight: 0.0, due_weight: 0.0 }),
         healthy: Mutex::new(nodes.clone()),
         pool: Mutex::default(),
     });
@@ -202,7 +202,7 @@
     let (start, mut at, mut jobs) = (Instant::now(), Duration::ZERO, JoinSet::new());
     for number in 0u64.. {
         at += Duration::from_secs_f64(gap.sample(&mut rng));
-        if at >= load.length {
+        if at >= load.duration {
             break;
         }
         let job = Job::draw(&load, number, start + at, &mut rng);
@@ -214,7 +214,7 @@
     while jobs.join_next().await.is_some() {}
     health_checks.abort();
     let tally = lock(&shared.tally);
-    Report { worth: tally.earned / tally.due_worth.max(1e-9), ..tally.report.clone() }
+    Report { weight_in_time: tally.served_weight / tally.due_weight.max(1e-9), ..tally.report.clone() }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -258,7 +258,15 @@
         let key = self.class.keyed.then(|| format!("key-{}", self.id));
         let (deadline, us) = (self.class.deadline.as_secs_f64(), self.work.as_micros() as u64);
         let body = us.to_string();
-        let text = job(self.class.name, &self.id, &self.tenant, key.as_deref(), deadline, Some(us), &body);
+        let text = request_with_fields(
+            self.class.name,
+            &self.id,
+            &self.tenant,
+            key.as_deref(),
+            deadline,
+            Some(us),
+            &body,
+        );
         let idle = lock(pool).get_mut(&node).and_then(Vec::pop);
         let exchange = async {
             if let Some(stream) = idle {
@@ -282,33 +290,33 @@
 
 impl Tally {
     fn count(&mut self, job: &Job, end: End) {
-        let worth = job.class.worth * job.work.as_secs_f64();
-        self.due_worth += worth;
+        let worth = job.class.priority_weight * job.work.as_secs_f64();
+        self.due_weight += worth;
         self.report.due += 1;
         match end {
             End::Answered { status: 200, .. } => self.count_served(job, worth),
-            End::Answered { status: 429 | 503, .. } => self.report.refused += 1,
+            End::Answered { status: 429 | 503, .. } => self.report.shed += 1,
             End::Answered { node, .. } => {
                 self.report.failed += 1;
-                *self.report.missed.entry(node).or_default() += 1;
+                *self.report.unserved_by_node.entry(node).or_default() += 1;
             }
             End::Lost { node } => {
                 self.report.lost += 1;
-                *self.report.missed.entry(node).or_default() += 1;
+                *self.report.unserved_by_node.entry(node).or_default() += 1;
             }
-            End::NoNode => self.report.nowhere += 1,
+            End::NoNode => self.report.without_node += 1,
         }
     }
 
     fn count_served(&mut self, job: &Job, worth: f64) {
         let (took, class) = (job.due.elapsed(), &job.class);
         if class.keyed {
-            *self.report.keys.entry(job.id.clone()).or_default() += 1;
+            *self.report.answers_by_key.entry(job.id.clone()).or_default() += 1;
         }
-        let _ = self.report.times.record(took.as_micros() as u64); // the histogram grows with what it is given
+        let _ = self.report.latencies.record(took.as_micros() as u64); // the histogram grows with what it is given
         if took <= class.latency_objective + job.work.mul_f64(class.stretch) {
             self.report.in_time += 1;
-            self.earned += worth;
+            self.served_weight += worth;
         } else {
             self.report.late += 1;
         }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use testbed::allocation::{counting, CountingAllocator};
-use testbed::plan::{carry_out, Outcome, Plan, PlanError};
+use testbed::plan::{execute, Outcome, Plan, PlanError};
 use testbed::{demo, measure, scale, soak};
 
 /// Counts what is allocated, for the measurements of state in bytes.
@@ -214,7 +214,7 @@
         let with_membership: &[bool] = if paired { &[true, false] } else { &[plan.fleet] };
         for fleet in with_membership {
             plan.fleet = *fleet;
-            let outcome = carry_out(&plan, &node, |line| println!("  {line}")).await?;
+            let outcome = execute(&plan, &node, |line| println!("  {line}")).await?;
             history += &history_lines(plan.seed, &outcome);
             let view = if *fleet { "with the view" } else { "without it" };
             println!("seed {} {view}: {}", plan.seed, summary(&outcome));
@@ -266,6 +266,6 @@
     };
     format!(
         "{}; {} cold workers fell, pressure {:.2}; {} keys done twice; {settled}",
-        outcome.report, outcome.fell, outcome.pressure, outcome.twice
+        outcome.report, outcome.failed_workers, outcome.peak_cold_load, outcome.repeated_keys
     )
 }
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -3,8 +3,8 @@
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
 use crate::emulated::{name, Spec, World};
+use crate::emulated_broadcast;
 use crate::fault_proxy::LinkRule;
-use crate::lists;
 use hdrhistogram::Histogram;
 use membership::{MemberStatus, MembershipEvent};
 use std::fmt;
@@ -126,7 +126,7 @@
     let fail = |wrong: Vec<crate::check::ViewFault>| io::Error::other(format!("not settled: {}", wrong[0]));
     let bound = Duration::from_secs(60);
     cluster.settled(&Cluster::expected_views(0..nodes), bound).await.map_err(fail)?;
-    let ticks = |cluster: &Cluster| cluster.nodes.iter().flatten().filter_map(|p| p.ticks()).sum::<u64>();
+    let ticks = |cluster: &Cluster| cluster.nodes.iter().flatten().filter_map(|p| p.cpu_ticks()).sum::<u64>();
     let (before, calm) = ((ticks(&cluster), cluster.proxies.counters()), Duration::from_secs(20));
     tokio::time::sleep(calm).await;
     let after = (ticks(&cluster), cluster.proxies.counters());
@@ -234,7 +234,13 @@
         let (mut calls, mut words, mut most) = (0, 0, 0.0_f64);
         let mut spans = histogram();
         for seed in 0..plays {
-            let outcome = lists::run(lists::Spec { nodes, shared, holder_killed: killed, loss, seed });
+            let outcome = emulated_broadcast::run(emulated_broadcast::Spec {
+                nodes,
+                shared,
+                holder_killed: killed,
+                loss,
+                seed,
+            });
             (calls, words) = (calls + outcome.calls, words + outcome.messages);
             most = most.max(outcome.most);
             for span in outcome.last_ms {
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::check::ViewFault;
 use crate::cluster::{Cluster, CoordinationSpec, Spec, NODES_MAX, TENANTS};
 use crate::fault_proxy::LinkRule;
-use crate::load::{play, Load, Report};
+use crate::load::{run_load, Load, Report};
 use membership::Status;
 use rustix::process::Signal;
 use serde::Deserialize;
@@ -179,18 +179,18 @@
     /// Status reports of the nodes each half second from the load's start on.
     pub history: History,
     /// Workers that failed under overload while they were warming up.
-    pub fell: usize,
+    pub failed_workers: usize,
     /// Largest load of a worker that was warming up, as a share of what makes it fail.
-    pub pressure: f64,
+    pub peak_cold_load: f64,
     /// Idempotency keys that were done more than once.
-    pub twice: usize,
+    pub repeated_keys: usize,
 }
 
 /// Carries a plan out with this program; `report_step` is called with a line for each step.
 ///
 /// # Errors
 /// Where the cluster can't be started, a process or worker can't be started, or the load fails.
-pub async fn carry_out(plan: &Plan, binary: &Path, report_step: impl Fn(&str)) -> io::Result<Outcome> {
+pub async fn execute(plan: &Plan, binary: &Path, report_step: impl Fn(&str)) -> io::Result<Outcome> {
     let mut cluster = Cluster::start(plan.cluster_spec(binary)).await?;
     let mut running = vec![true; plan.nodes];
     if plan.fleet {
@@ -203,13 +203,13 @@
         sleep(START_TIME).await;
     }
     let nodes = (0..plan.nodes).map(|i| cluster.listen(i)).collect();
-    let (start, load) = (Instant::now(), tokio::spawn(play(plan.load(), nodes)));
+    let (start, load) = (Instant::now(), tokio::spawn(run_load(plan.load(), nodes)));
     let mut steps: Vec<Step> = plan.fault.iter().map(|step| step.get_ref().clone()).collect();
     steps.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     let mut history = History::new();
     for step in steps {
         watch(&cluster, start, Duration::from_secs_f64(step.at_s), &mut history).await;
-        carry_out_step(&mut cluster, &mut running, &step).await?;
+        execute_step(&mut cluster, &mut running, &step).await?;
         report_step(&format!("{:5.1} s: {:?} {:?}", step.at_s, step.kind, step.nodes));
     }
     watch(&cluster, start, Duration::from_secs_f64(plan.length_s), &mut history).await;
@@ -229,16 +229,19 @@
     settled: Result<Duration, Vec<ViewFault>>,
     history: History,
 ) -> Outcome {
-    let seen: Vec<_> = cluster.workers.iter().flatten().map(|(worker, _)| worker.seen()).collect();
+    let records: Vec<_> = cluster.workers.iter().flatten().map(|(worker, _)| worker.record()).collect();
     let mut keys: BTreeMap<&String, u32> = BTreeMap::new();
-    seen.iter().flat_map(|seen| &seen.keys).for_each(|(key, n)| *keys.entry(key).or_default() += n);
+    records
+        .iter()
+        .flat_map(|record| &record.executions_by_key)
+        .for_each(|(key, n)| *keys.entry(key).or_default() += n);
     Outcome {
         report,
         settled,
         history,
-        fell: seen.iter().filter(|seen| seen.fell).count(),
-        pressure: seen.iter().map(|seen| seen.pressure).fold(0.0, f64::max),
-        twice: keys.values().filter(|n| **n > 1).count(),
+        failed_workers: records.iter().filter(|record| record.failed).count(),
+        peak_cold_load: records.iter().map(|record| record.peak_cold_load).fold(0.0, f64::max),
+        repeated_keys: keys.values().filter(|n| **n > 1).count(),
     }
 }
 
@@ -247,7 +250,7 @@
         let coordination = CoordinationSpec {
             voters: VOTERS,
             lease_ms: LEASE_MS,
-            lists: true,
+            list_broadcast: true,
             rolling_restart: false,
             scheduled_calls: Vec::new(),
         };
@@ -265,7 +268,7 @@
     fn load(&self) -> Load {
         Load {
             rate: self.rate,
-            length: Duration::from_secs_f64(self.length_s),
+            duration: Duration::from_secs_f64(self.length_s),
             seed: self.seed,
             tenants: TENANTS.map(String::from).to_vec(),
         }
@@ -281,7 +284,7 @@
     sleep_until(start + until).await;
 }
 
-async fn carry_out_step(cluster: &mut Cluster, running: &mut [bool], step: &Step) -> io::Result<()> {
+async fn execute_step(cluster: &mut Cluster, running: &mut [bool], step: &Step) -> io::Result<()> {
     for i in step.nodes.iter().copied() {
         match step.kind {
             FaultKind::Kill => cluster.kill(i),
@@ -321,7 +324,7 @@
             for _ in 0..step.count {
                 cluster.add_worker(true).await?;
             }
-            cluster.list();
+            cluster.publish_workers();
         }
         _ => {}
     }
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -110,7 +110,7 @@
     }
 
     /// Continues a stopped process, by SIGCONT.
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         self.signal(Signal::CONT);
     }
 
@@ -121,12 +121,12 @@
     }
 
     /// Exit status, if the process has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// Processor time used, in ticks of the kernel (of a hundredth second, mostly).
-    pub fn ticks(&self) -> Option<u64> {
+    pub fn cpu_ticks(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
         Some(fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?)
--- a/testbed/src/resource.rs
+++ b/testbed/src/resource.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a resource that only one node may act on at a time: it accepts calls with a fencing token, rejects a token
 //! lower than it has seen, and records all calls.
 
-use crate::history_check::Act;
+use crate::history_check::FencedOperation;
 use crate::wire::{field, head};
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 struct State {
-    acts: Vec<Act>,
+    operations: Vec<FencedOperation>,
     highest: u64,
 }
 
@@ -58,8 +58,8 @@
 
     /// Returns all calls in the order of their arrival. When each was started is not known here: an accepted one counts as
     /// started when it arrived, a rejected one as started long before.
-    pub fn acts(&self) -> Vec<Act> {
-        lock(&self.state).acts.clone()
+    pub fn operations(&self) -> Vec<FencedOperation> {
+        lock(&self.state).operations.clone()
     }
 }
 
@@ -74,7 +74,7 @@
             let accepted = token >= s.highest;
             s.highest = s.highest.max(token);
             let started_at = if accepted { arrived_at } else { Duration::ZERO };
-            s.acts.push(Act { started_at, arrived_at, process, token, accepted });
+            s.operations.push(FencedOperation { started_at, arrived_at, process, token, accepted });
             accepted
         };
         let status = if accepted { "204 No Content" } else { "409 Conflict" };
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -2,7 +2,7 @@
 
 use super::history::{Recorder, RequestEnd, RequestRecord};
 use super::settings::{Class, CLASSES, MEAN_WORK};
-use crate::wire::{head, job, length, status};
+use crate::wire::{head, length, request_with_fields, status};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -139,13 +139,24 @@
         let padding =
             if random.random_bool(LONG_BODY_SHARE) { random.random_range(20_000..60_000) } else { 0 };
         let body = format!("{us}{}", " ".repeat(padding));
-        let text = job(class.name, &id, "sava", key.as_deref(), deadline.as_secs_f64(), Some(us), &body);
+        let text = request_with_fields(
+            class.name,
+            &id,
+            "sava",
+            key.as_deref(),
+            deadline.as_secs_f64(),
+            Some(us),
+            &body,
+        );
         // Requests that share a subject are held back together where some of them fail.
         let text = text.replacen("user=00ff", &format!("user={:x}", random.random::<u32>()), 1);
         let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
-        let kept = stream.is_some();
+        let reused_connection = stream.is_some();
         let end = attempt.run(stream, &mut random).await;
-        if kept && end == RequestEnd::Crossed && self.targets[node].accepts.load(Ordering::Relaxed) {
+        if reused_connection
+            && end == RequestEnd::ClosedUnread
+            && self.targets[node].accepts.load(Ordering::Relaxed)
+        {
             attempt.run(None, &mut random).await;
         }
     }
@@ -154,7 +165,7 @@
 fn draw_class(random: &mut SmallRng) -> &'static Class {
     let mut part = random.random_range(0.0..1.0);
     for class in &CLASSES {
-        part -= class.part;
+        part -= class.share;
         if part <= 0.0 {
             return class;
         }
@@ -193,7 +204,7 @@
 impl Attempt<'_> {
     async fn run(&self, stream: Option<Stream>, random: &mut SmallRng) -> RequestEnd {
         let (recorder, target) = (&self.clients.recorder, &self.clients.targets[self.node]);
-        let kept = stream.is_some();
+        let reused_connection = stream.is_some();
         let stream = match stream {
             Some(stream) => Some(stream),
             None => timeout(Duration::from_secs(1), TcpStream::connect(target.address))
@@ -204,22 +215,22 @@
         };
         let Some(mut stream) = stream else { return RequestEnd::NotConnected };
         let _ = stream.get_ref().set_nodelay(true);
-        let place = recorder.request(RequestRecord {
+        let place = recorder.add_request(RequestRecord {
             id: self.id.to_string(),
             node: self.node,
-            effect: self.class.effect,
+            semantics: self.class.semantics,
             deadline: self.deadline,
-            begun: recorder.now(),
+            first_byte: recorder.now(),
             written: None,
-            kept,
-            left: None,
-            end: RequestEnd::Open,
+            reused_connection,
+            disconnected: None,
+            end: RequestEnd::Pending,
             ended: None,
         });
         let end = self.exchange(&mut stream, place, random).await;
         let (end, stays) = match end {
             Some((end, stays)) => (end, stays),
-            None => return RequestEnd::Open, // it left, or stopped halfway
+            None => return RequestEnd::Pending, // it left, or stopped halfway
         };
         {
             let now = recorder.now();
@@ -240,8 +251,8 @@
         random: &mut SmallRng,
     ) -> Option<(RequestEnd, bool)> {
         let recorder = &self.clients.recorder;
-        let kept = recorder.history().requests[place].kept;
-        let refused = if kept { RequestEnd::Crossed } else { RequestEnd::Broken };
+        let reused_connection = recorder.history().requests[place].reused_connection;
+        let refused = if reused_connection { RequestEnd::ClosedUnread } else { RequestEnd::Broken };
         if let ClientBehavior::Stalls { in_head } = self.behavior {
             self.stop_halfway(stream, in_head).await;
             return None;
@@ -251,7 +262,7 @@
         for piece in self.text.as_bytes().chunks(self.text.len().div_ceil(pieces)) {
             if stream.write_all(piece).await.is_err() {
                 // It was not written whole: the node has not taken it.
-                return Some((RequestEnd::Crossed, false));
+                return Some((RequestEnd::ClosedUnread, false));
             }
             if pieces > 1 {
                 sleep(Duration::from_millis(random.random_range(1..80))).await;
@@ -272,12 +283,12 @@
             }
             // Taken before the close, which the caller makes at once: no attempt can begin too early for it.
             let now = recorder.now();
-            recorder.history().requests[place].left = Some(now);
+            recorder.history().requests[place].disconnected = Some(now);
             return None;
         }
         match timeout(limit, self.answer(stream, refused)).await {
             Ok(end) => Some(end),
-            Err(_) => Some((RequestEnd::Open, false)),
+            Err(_) => Some((RequestEnd::Pending, false)),
         }
     }
 
@@ -295,9 +306,9 @@
         }
         let Some(status) = status(&head) else { return (RequestEnd::Unanswered, false) };
         let result = String::from_utf8_lossy(&body);
-        let genuine = status != 200 || self.clients.recorder.is_genuine(self.id, &result);
+        let is_valid = status != 200 || self.clients.recorder.is_valid_result(self.id, &result);
         let stays = !head.to_ascii_lowercase().contains("connection: close");
-        (RequestEnd::Answered { status, genuine }, stays)
+        (RequestEnd::Answered { status, is_valid }, stays)
     }
 
     /// Stalls in the middle and stays: an answer or a close is owed.
@@ -309,7 +320,7 @@
         }
         let (stopped, mut byte) = (Instant::now(), [0; 1]);
         if timeout(CLOSE_DUE + CLOSE_SLACK, stream.read(&mut byte)).await.is_err() {
-            self.clients.recorder.history().ignored.push((self.node, stopped.elapsed()));
+            self.clients.recorder.history().ignored_clients.push((self.node, stopped.elapsed()));
         }
     }
 }
--- a/testbed/src/soak/cold_load.rs
+++ b/testbed/src/soak/cold_load.rs
@@ -1,10 +1,10 @@
 //! Load of a worker while it warms up, and whether it is more than such a worker may be sent.
 
-use super::settings::{worker_capacity, COLD_SHARE, FALL_MULTIPLE, FALL_SPAN, WARM_UP};
+use super::settings::{worker_capacity, COLD_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Load of a cold worker within the last [`FALL_SPAN`].
+/// Load of a cold worker within the last [`OVERLOAD_WINDOW`].
 pub(super) struct ColdLoad {
     since: Instant,
     lately: VecDeque<(Instant, f64)>,
@@ -21,7 +21,7 @@
     pub(super) fn add(&mut self, work: f64) -> Option<(f64, f64)> {
         let now = Instant::now();
         self.lately.push_back((now, work));
-        while self.lately.front().is_some_and(|(at, _)| now - *at > FALL_SPAN) {
+        while self.lately.front().is_some_and(|(at, _)| now - *at > OVERLOAD_WINDOW) {
             self.lately.pop_front();
         }
         let grown = (now - self.since).as_secs_f64() / WARM_UP.as_secs_f64();
@@ -29,7 +29,7 @@
             return None;
         }
         let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * grown;
-        let n = FALL_MULTIPLE * worker_capacity() * warmth * FALL_SPAN.as_secs_f64();
+        let n = OVERLOAD_MULTIPLE * worker_capacity() * warmth * OVERLOAD_WINDOW.as_secs_f64();
         let allowed = if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 };
         let came: f64 = self.lately.iter().map(|(_, work)| work).sum();
         self.has_fallen = came > allowed;
--- a/testbed/src/soak/discovery.rs
+++ b/testbed/src/soak/discovery.rs
@@ -19,17 +19,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AgentMode {
     /// It answers at once.
-    Prompt,
+    Normal,
     /// Discovery is down: it answers nothing and learns nothing; calls that wait are answered at the return.
     Down,
     /// Calls that are open at this moment, or begin in it, are never answered.
-    Forgetful,
+    Silent,
     /// Each call ends in a reset.
     Resetting,
     /// Each call is turned away.
-    Busy,
+    Rejecting,
     /// Each answer comes this much later, possibly after its caller has given up.
-    Late(Duration),
+    Delayed(Duration),
 }
 
 /// A line of the list.
@@ -102,7 +102,7 @@
     /// # Errors
     /// Where an address can't be bound.
     pub async fn start(addresses: [SocketAddr; 2], list: Arc<List>) -> io::Result<Agent> {
-        let (list, mode) = (watch::Sender::new(list), watch::Sender::new(AgentMode::Prompt));
+        let (list, mode) = (watch::Sender::new(list), watch::Sender::new(AgentMode::Normal));
         let mut tasks = Vec::new();
         for address in addresses {
             let listener = TcpListener::bind(address).await?;
@@ -128,7 +128,7 @@
     }
 
     /// Gives it this list.
-    pub fn feed(&self, list: Arc<List>) {
+    pub fn set_list(&self, list: Arc<List>) {
         self.list.send_replace(list);
     }
 }
@@ -150,7 +150,7 @@
         if let (Some(known), Some(wait)) = (known, wait) {
             let wait = Duration::from_millis(wait).min(WAIT_MAX);
             let newer = list.wait_for(|list| list.revision != known);
-            let forgets = mode.wait_for(|mode| *mode == AgentMode::Forgetful);
+            let forgets = mode.wait_for(|mode| *mode == AgentMode::Silent);
             let is_forgotten = tokio::select! {
                 _ = timeout(wait, newer) => false,
                 _ = forgets => true,
@@ -162,18 +162,18 @@
         drop(mode.wait_for(|mode| *mode != AgentMode::Down).await);
         let now = *mode.borrow();
         match now {
-            AgentMode::Prompt | AgentMode::Down => {}
-            AgentMode::Forgetful => return std::future::pending().await,
+            AgentMode::Normal | AgentMode::Down => {}
+            AgentMode::Silent => return std::future::pending().await,
             AgentMode::Resetting => {
                 let _ = stream.get_ref().set_zero_linger();
                 return None;
             }
-            AgentMode::Busy => {
+            AgentMode::Rejecting => {
                 let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                 stream.write_all(busy.as_bytes()).await.ok()?;
                 continue;
             }
-            AgentMode::Late(span) => sleep(span).await,
+            AgentMode::Delayed(span) => sleep(span).await,
         }
         let body = list.borrow().answer(known).to_string();
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
--- a/testbed/src/soak/driver/endpoints.rs
+++ b/testbed/src/soak/driver/endpoints.rs
@@ -46,7 +46,7 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let since_ms = if cold { unix.as_millis() as u64 } else { 0 };
         let id = format!("w{number:03}");
-        self.list.set(&id, wire::line(&id, address, "in_service", since_ms), false);
+        self.list.set(&id, wire::endpoint_entry(&id, address, "in_service", since_ms), false);
         let stand_in = Some(stand_in);
         self.workers.push(Worker { id, number, address, stand_in, since_ms, in_service: true });
         Ok(())
@@ -55,7 +55,7 @@
     /// Sets a worker's phase in the list; the list is not published.
     pub(super) fn set_phase(&mut self, worker: usize, phase: &str) {
         let Worker { id, address, since_ms, .. } = &self.workers[worker];
-        let line = wire::line(id, *address, phase, *since_ms);
+        let line = wire::endpoint_entry(id, *address, phase, *since_ms);
         self.list.set(id, line, phase == "terminated");
     }
 
@@ -79,11 +79,11 @@
         for i in 0..self.nodes.len() {
             let mode = self.nodes[i].agent.mode();
             if mode != AgentMode::Down {
-                self.nodes[i].agent.feed(list.clone());
+                self.nodes[i].agent.set_list(list.clone());
             }
             let Some(worker) = withdrawn else { continue };
             match mode {
-                AgentMode::Prompt => self.record_withdrawal(i, worker, now),
+                AgentMode::Normal => self.record_withdrawal(i, worker, now),
                 _ => self.nodes[i].pending_withdrawals.push(worker),
             }
         }
@@ -99,8 +99,8 @@
             if !was_down {
                 node.discovery_unsure_until = now + KNOWN_AT_LATEST;
             }
-            node.agent.feed(list);
-            node.agent.set_mode(AgentMode::Prompt);
+            node.agent.set_list(list);
+            node.agent.set_mode(AgentMode::Normal);
             // What it gets at the return counts at once; behind failed calls, at the latest some seconds later.
             let known_at = if was_down { now } else { now + KNOWN_AT_LATEST };
             pending.into_iter().for_each(|worker| self.record_withdrawal(i, worker, known_at));
@@ -123,6 +123,6 @@
         let state = &self.nodes[node];
         let moved = state.discovery_moved_at.map_or(Time::ZERO, |moved| moved + KNOWN_AFTER_RELOAD);
         let told = at.max(moved).max(state.discovery_unsure_until);
-        self.recorder.history().withdrawals.push(Withdrawal { node, worker, told });
+        self.recorder.history().withdrawals.push(Withdrawal { node, worker, known_at: told });
     }
 }
--- a/testbed/src/soak/driver/mod.rs
+++ b/testbed/src/soak/driver/mod.rs
@@ -13,7 +13,7 @@
 use super::client::{Clients, Target};
 use super::discovery::{Agent, List};
 use super::history::{Recorder, Time};
-use super::schedule::{draw, Shape};
+use super::schedule::{draw, ScheduleSpec};
 use super::shim::{self, Control, Fault};
 use crate::cluster::{free_block, Block};
 use endpoints::Worker;
@@ -99,14 +99,14 @@
 /// Where the stand-ins or processes can't be started, or a file of the run can't be read or written. What the program does
 /// wrong is in the report.
 pub async fn run(options: Options) -> io::Result<Report> {
-    let shape = Shape {
+    let spec = ScheduleSpec {
         nodes: options.nodes,
         workers: options.workers,
         load_duration: options.load_duration,
         fault_free: options.fault_free.max(START_TIME),
-        per_second: options.faults_per_second,
+        faults_per_second: options.faults_per_second,
     };
-    let planned = draw(&shape, options.seed);
+    let planned = draw(&spec, options.seed);
     let mut driver = Driver::prepare(options).await?;
     if driver.options.verbose {
         planned.iter().for_each(|planned| println!("  {planned}"));
--- a/testbed/src/soak/driver/processes.rs
+++ b/testbed/src/soak/driver/processes.rs
@@ -137,7 +137,7 @@
     fn record_start(&self, node: usize) -> usize {
         let started = self.recorder.now();
         // What the agent has counts from a process's first moment on, if the agent can be asked.
-        let list_from = (self.nodes[node].agent.mode() == AgentMode::Prompt).then_some(started);
+        let list_from = (self.nodes[node].agent.mode() == AgentMode::Normal).then_some(started);
         let mut history = self.recorder.history();
         history.processes.push(ProcessRecord {
             node,
@@ -278,7 +278,7 @@
     kill_at: Option<Time>,
     now: Time,
 ) -> bool {
-    if let Some(status) = process.ended() {
+    if let Some(status) = process.exit_status() {
         let record = &mut recorder.history().processes[record];
         (record.ended, record.code) = (Some(now), status.code());
         return true;
--- a/testbed/src/soak/history.rs
+++ b/testbed/src/soak/history.rs
@@ -10,7 +10,7 @@
 
 /// What may be done with a request whose attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Semantics {
     /// It may run any number of times.
     Safe,
     /// Repeats are dropped by all workers for a while.
@@ -23,16 +23,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// Nothing so far.
-    Open,
+    Pending,
     /// A whole answer with this status; whether its body is what a worker made for this request.
     Answered {
         /// The status.
         status: u16,
         /// Whether a 200 carries this request's result.
-        genuine: bool,
+        is_valid: bool,
     },
     /// The node ended a kept connection that the request crossed, unread: the client sends it once more.
-    Crossed,
+    ClosedUnread,
     /// The node ended the connection with no answer, having read the request.
     Unanswered,
     /// The node broke the connection off; whether it had read the request can't be told.
@@ -49,17 +49,17 @@
     /// The node.
     pub node: usize,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub semantics: Semantics,
     /// The client's wait, from the last byte on.
     pub deadline: Duration,
     /// When its first byte was written.
-    pub begun: Time,
+    pub first_byte: Time,
     /// When its last byte was written; `None` where the client stopped before.
     pub written: Option<Time>,
     /// The connection had served before.
-    pub kept: bool,
+    pub reused_connection: bool,
     /// When the client closed its connection on purpose.
-    pub left: Option<Time>,
+    pub disconnected: Option<Time>,
     /// How it ended.
     pub end: RequestEnd,
     /// When it ended.
@@ -70,15 +70,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// Still out.
-    Open,
+    InFlight,
     /// The worker gave its last word: done, failed or lost. It may have run.
     Concluded,
     /// The worker said that it did not run.
-    NotRun,
+    NotExecuted,
     /// The worker broke it off. It may have run.
     Broken,
     /// The node closed the connection. It may have run.
-    GivenUp,
+    ClosedByNode,
 }
 
 /// One request at a worker.
@@ -91,9 +91,9 @@
     /// When its first byte came.
     pub first_byte: Time,
     /// When its last byte came.
-    pub whole: Option<Time>,
+    pub last_byte: Option<Time>,
     /// The deadline that it told, in seconds.
-    pub told_deadline: Option<f64>,
+    pub sent_deadline: Option<f64>,
     /// How it ended.
     pub end: AttemptEnd,
     /// When it ended.
@@ -131,7 +131,7 @@
     /// The worker.
     pub worker: usize,
     /// When it counts as told.
-    pub told: Time,
+    pub known_at: Time,
 }
 
 /// All records of a run.
@@ -148,7 +148,7 @@
     /// Cold workers that were sent too much: the worker, what came, and what was allowed.
     pub overloads: Vec<(usize, f64, f64)>,
     /// Unfinished requests whose client stayed, and had neither an answer nor a close in time: node and wait.
-    pub ignored: Vec<(usize, Duration)>,
+    pub ignored_clients: Vec<(usize, Duration)>,
     /// The longest that the stand-ins themselves were held up.
     pub stand_in_lag: Duration,
 }
@@ -179,14 +179,14 @@
     }
 
     /// Adds a request; returns its place.
-    pub fn request(&self, record: RequestRecord) -> usize {
+    pub fn add_request(&self, record: RequestRecord) -> usize {
         let mut history = self.history();
         history.requests.push(record);
         history.requests.len() - 1
     }
 
     /// Adds an attempt; returns its place.
-    pub fn attempt(&self, record: AttemptRecord) -> usize {
+    pub fn add_attempt(&self, record: AttemptRecord) -> usize {
         let mut history = self.history();
         history.attempts.push(record);
         history.attempts.len() - 1
@@ -202,13 +202,13 @@
     }
 
     /// A worker made this result for a request.
-    pub fn made(&self, id: &str, result: &str) {
+    pub fn record_result(&self, id: &str, result: &str) {
         let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
         results.entry(id.to_string()).or_default().push(result.to_string());
     }
 
     /// Whether a worker made this result for the request.
-    pub fn is_genuine(&self, id: &str, result: &str) -> bool {
+    pub fn is_valid_result(&self, id: &str, result: &str) -> bool {
         let results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
         results.get(id).is_some_and(|made| made.iter().any(|m| m == result))
     }
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -1,7 +1,7 @@
 //! Oracle of a soak run: judges a history by the protocol's rules. It does not depend on how a node works.
 
 use super::history::{
-    AttemptEnd, AttemptRecord, Effect, History, ProcessRecord, RequestEnd, RequestRecord, Time,
+    AttemptEnd, AttemptRecord, History, ProcessRecord, RequestEnd, RequestRecord, Semantics, Time,
 };
 use std::collections::HashMap;
 use std::fmt;
@@ -13,7 +13,7 @@
     /// After a request's own time, up to which an answer only earns nothing.
     pub late_answer: Duration,
     /// After a client's close, up to which an attempt may begin.
-    pub after_leaving: Duration,
+    pub after_disconnect: Duration,
     /// After a worker's withdrawal was told, up to which an attempt may begin.
     pub drain_grace: Duration,
     /// By how much the deadline told to a worker may exceed what the client has left.
@@ -23,7 +23,7 @@
     /// Within which a process is ready.
     pub ready: Duration,
     /// After SIGTERM, up to which a request may be cut by SIGKILL.
-    pub excused: Duration,
+    pub kill_excused: Duration,
     /// By how much the stand-ins' own clocks may err.
     pub tolerance: Duration,
 }
@@ -33,12 +33,12 @@
         let ms = Duration::from_millis;
         Limits {
             late_answer: ms(500),
-            after_leaving: ms(100),
+            after_disconnect: ms(100),
             drain_grace: ms(550),
             deadline_slack: ms(150),
             repeat_window: ms(6_000),
             ready: ms(10_000),
-            excused: ms(700),
+            kill_excused: ms(700),
             tolerance: ms(40),
         }
     }
@@ -57,7 +57,7 @@
         why: String,
     },
     /// A client was given what no worker made for its request.
-    Forged {
+    WrongResult {
         /// The request.
         id: String,
     },
@@ -76,13 +76,13 @@
     Repeated {
         /// The request.
         id: String,
-        /// The class's effect.
-        effect: Effect,
+        /// The class's semantics.
+        semantics: Semantics,
         /// How the first attempt ended.
         first: AttemptEnd,
     },
     /// An attempt began after its client had left.
-    AfterLeaving {
+    AfterDisconnect {
         /// The request.
         id: String,
         /// By how much.
@@ -149,7 +149,9 @@
     /// The rule's name in the operators' terms.
     pub fn rule(&self) -> &'static str {
         match self {
-            Violation::Lost { .. } | Violation::Forged { .. } | Violation::AfterLeaving { .. } => "lost",
+            Violation::Lost { .. } | Violation::WrongResult { .. } | Violation::AfterDisconnect { .. } => {
+                "lost"
+            }
             Violation::Overlap { .. } | Violation::Repeated { .. } => "duplicate",
             Violation::Drained { .. } => "drain",
             Violation::Deadline { .. } => "deadline",
@@ -194,26 +196,28 @@
         came,
         allowed,
     }));
-    violations.extend(history.ignored.iter().map(|&(node, wait)| Violation::Ignored { node, wait }));
+    violations.extend(history.ignored_clients.iter().map(|&(node, wait)| Violation::Ignored { node, wait }));
     violations.extend(history.processes.iter().filter_map(|process| judge_process(process, limits)));
     violations
 }
 
-/// A request has one genuine answer in time, unless the protocol excuses it.
+/// A request has one is_valid answer in time, unless the protocol excuses it.
 fn judge_answer(
     request: &RequestRecord,
     processes: &[ProcessRecord],
     limits: &Limits,
     tolerance: Duration,
 ) -> Option<Violation> {
-    let written = request.written.filter(|_| request.left.is_none())?;
+    let written = request.written.filter(|_| request.disconnected.is_none())?;
     let lost = |why: &str| {
-        let (id, node, kept) = (request.id.clone(), request.node, request.kept);
+        let (id, node, kept) = (request.id.clone(), request.node, request.reused_connection);
         let why = format!("{why}; written at {written:.3?}, kept: {kept}, ended {:?}", request.ended);
         Some(Violation::Lost { id, node, why })
     };
     match request.end {
-        RequestEnd::Answered { genuine: false, .. } => Some(Violation::Forged { id: request.id.clone() }),
+        RequestEnd::Answered { is_valid: false, .. } => {
+            Some(Violation::WrongResult { id: request.id.clone() })
+        }
         RequestEnd::Answered { .. } => {
             let by = written + request.deadline + limits.late_answer + tolerance;
             if request.ended.is_some_and(|at| at > by) {
@@ -222,9 +226,9 @@
                 None
             }
         }
-        RequestEnd::Crossed | RequestEnd::NotConnected => None,
+        RequestEnd::ClosedUnread | RequestEnd::NotConnected => None,
         _ if is_excused(request, written, processes, limits) => None,
-        RequestEnd::Open => lost("no answer"),
+        RequestEnd::Pending => lost("no answer"),
         RequestEnd::Unanswered => lost("read, and closed with no answer"),
         RequestEnd::Broken => lost("the connection broke with no answer"),
     }
@@ -236,8 +240,8 @@
     processes.iter().filter(|process| process.node == request.node && process.killed).any(|process| {
         let within = process
             .ended
-            .is_some_and(|at| at <= ended + limits.tolerance && request.begun <= at + limits.tolerance);
-        let early = process.terminated.is_none_or(|at| written <= at + limits.excused);
+            .is_some_and(|at| at <= ended + limits.tolerance && request.first_byte <= at + limits.tolerance);
+        let early = process.terminated.is_none_or(|at| written <= at + limits.kill_excused);
         // It may have been taken over, running, by a process that began after it.
         within && early && process.started <= ended
     })
@@ -262,7 +266,8 @@
             continue;
         }
         // A request that crossed a close is sent once more with the same id: the last one counts.
-        let request = requests.iter().rev().find(|r| r.begun <= attempt.first_byte).unwrap_or(&first_request);
+        let request =
+            requests.iter().rev().find(|r| r.first_byte <= attempt.first_byte).unwrap_or(&first_request);
         violations.extend(judge_disconnect(request, attempt, limits, tolerance));
         violations.extend(judge_deadline(request, attempt, limits, tolerance));
         violations.extend(judge_drain(request, attempt, history, limits, tolerance));
@@ -277,9 +282,9 @@
     limits: &Limits,
     tolerance: Duration,
 ) -> Option<Violation> {
-    let late = attempt.first_byte.saturating_sub(request.left?);
-    let is_late = late > limits.after_leaving + tolerance;
-    is_late.then(|| Violation::AfterLeaving { id: request.id.clone(), late })
+    let late = attempt.first_byte.saturating_sub(request.disconnected?);
+    let is_late = late > limits.after_disconnect + tolerance;
+    is_late.then(|| Violation::AfterDisconnect { id: request.id.clone(), late })
 }
 
 /// A worker must not be given more time than the client has left.
@@ -289,7 +294,7 @@
     limits: &Limits,
     tolerance: Duration,
 ) -> Option<Violation> {
-    let (told, written) = (attempt.told_deadline?, request.written?);
+    let (told, written) = (attempt.sent_deadline?, request.written?);
     let left = (written + request.deadline).saturating_sub(attempt.first_byte);
     let excess = Duration::from_secs_f64(told.max(0.0)).saturating_sub(left);
     let is_too_long = excess > limits.deadline_slack + tolerance;
@@ -306,7 +311,7 @@
 ) -> Option<Violation> {
     let withdrawals = history.withdrawals.iter();
     let of_worker = withdrawals.filter(|w| w.node == request.node && w.worker == attempt.worker);
-    let withdrawn = of_worker.map(|withdrawal| withdrawal.told).min()?;
+    let withdrawn = of_worker.map(|withdrawal| withdrawal.known_at).min()?;
     // A new process counts as told from its first moment on, and has its requests once it is ready.
     let mut processes = history.processes.iter();
     let process = processes.rfind(|p| p.node == request.node && p.started <= attempt.first_byte);
@@ -328,23 +333,23 @@
     tolerance: Duration,
 ) -> Option<Violation> {
     // An attempt counts once its last byte has come.
-    let whole = earlier.whole?;
+    let whole = earlier.last_byte?;
     let out = earlier.ended.is_none_or(|at| at > later.first_byte + tolerance);
     // What lay in a worker's backlog was written before the connection was given up, at a time that nobody saw.
     if out && whole < later.first_byte && !later.late_read && !earlier.late_read {
         let (id, node) = (request.id.clone(), request.node);
         return Some(Violation::Overlap { id, node, earlier: earlier.clone(), later: later.clone() });
     }
-    let may_have_run = earlier.end != AttemptEnd::NotRun;
+    let may_have_run = earlier.end != AttemptEnd::NotExecuted;
     let window_over = later.first_byte > whole + limits.repeat_window + tolerance;
-    let barred = match request.effect {
-        Effect::Safe => false,
-        Effect::Keyed => window_over,
-        Effect::Unsafe => true,
+    let barred = match request.semantics {
+        Semantics::Safe => false,
+        Semantics::Keyed => window_over,
+        Semantics::Unsafe => true,
     };
     (may_have_run && barred).then(|| Violation::Repeated {
         id: request.id.clone(),
-        effect: request.effect,
+        semantics: request.semantics,
         first: earlier.end,
     })
 }
--- a/testbed/src/soak/schedule.rs
+++ b/testbed/src/soak/schedule.rs
@@ -10,7 +10,7 @@
 
 /// The size of what a schedule is drawn for.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ScheduleSpec {
     /// Nodes.
     pub nodes: usize,
     /// Workers at the start.
@@ -20,7 +20,7 @@
     /// Time from the start on without faults.
     pub fault_free: Duration,
     /// Faults that begin in a second.
-    pub per_second: f64,
+    pub faults_per_second: f64,
 }
 
 /// A fault, or something that operators do.
@@ -124,25 +124,25 @@
 }
 
 /// Draws the faults of a seed, in order of time.
-pub fn draw(shape: &Shape, seed: u64) -> Vec<PlannedFault> {
+pub fn draw(spec: &ScheduleSpec, seed: u64) -> Vec<PlannedFault> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let disturbed = shape.load_duration.saturating_sub(shape.fault_free);
-    let count = (disturbed.as_secs_f64() * shape.per_second).round() as usize;
-    let mut all: Vec<PlannedFault> = (0..count).map(|_| draw_planned(shape, &mut random)).collect();
+    let disturbed = spec.load_duration.saturating_sub(spec.fault_free);
+    let count = (disturbed.as_secs_f64() * spec.faults_per_second).round() as usize;
+    let mut all: Vec<PlannedFault> = (0..count).map(|_| draw_planned(spec, &mut random)).collect();
     all.sort_by_key(|planned| planned.at);
     all
 }
 
-fn draw_planned(shape: &Shape, random: &mut SmallRng) -> PlannedFault {
+fn draw_planned(spec: &ScheduleSpec, random: &mut SmallRng) -> PlannedFault {
     let ms = Duration::from_millis;
-    let (first, last) = (shape.fault_free.as_millis() as u64, shape.load_duration.as_millis() as u64);
+    let (first, last) = (spec.fault_free.as_millis() as u64, spec.load_duration.as_millis() as u64);
     let at = ms(random.random_range(first..last.max(first + 1)));
     let span = ms(random.random_range(500..6_000));
-    PlannedFault { at, span, kind: draw_kind(shape, random) }
+    PlannedFault { at, span, kind: draw_kind(spec, random) }
 }
 
-fn draw_kind(shape: &Shape, random: &mut SmallRng) -> FaultKind {
-    let node = random.random_range(0..shape.nodes);
+fn draw_kind(spec: &ScheduleSpec, random: &mut SmallRng) -> FaultKind {
+    let node = random.random_range(0..spec.nodes);
     let ms = Duration::from_millis;
     match random.random_range(0..100) {
         0..30 => FaultKind::Calls { node, faults: draw_call_faults(random) },
@@ -160,10 +160,9 @@
         },
         66..72 => FaultKind::Replace { drains: ms(random.random_range(300..3_000)) },
         72..74 => FaultKind::Crash,
-        74..88 => FaultKind::Worker {
-            worker: random.random_range(0..shape.workers),
-            mode: draw_worker_mode(random),
-        },
+        74..88 => {
+            FaultKind::Worker { worker: random.random_range(0..spec.workers), mode: draw_worker_mode(random) }
+        }
         _ => FaultKind::Discovery {
             node: random.random_bool(0.8).then_some(node),
             mode: draw_agent_mode(random),
@@ -204,8 +203,8 @@
     let modes = [
         WorkerMode::Silent,
         WorkerMode::Resetting,
-        WorkerMode::Spoiling,
-        WorkerMode::Full,
+        WorkerMode::Malformed,
+        WorkerMode::Rejecting,
         WorkerMode::ClosingIdle,
         WorkerMode::NotAccepting,
     ];
@@ -214,7 +213,12 @@
 
 fn draw_agent_mode(random: &mut SmallRng) -> AgentMode {
     let late = Duration::from_millis(random.random_range(300..3_000));
-    let modes =
-        [AgentMode::Down, AgentMode::Forgetful, AgentMode::Resetting, AgentMode::Busy, AgentMode::Late(late)];
+    let modes = [
+        AgentMode::Down,
+        AgentMode::Silent,
+        AgentMode::Resetting,
+        AgentMode::Rejecting,
+        AgentMode::Delayed(late),
+    ];
     modes[random.random_range(0..modes.len())]
 }
--- a/testbed/src/soak/worker.rs
+++ b/testbed/src/soak/worker.rs
@@ -45,9 +45,9 @@
     /// It breaks connections under requests.
     Resetting,
     /// Its answers are malformed, doubled or endless.
-    Spoiling,
+    Malformed,
     /// It turns all jobs away.
-    Full,
+    Rejecting,
     /// It closes connections soon after their answer.
     ClosingIdle,
     /// New connections wait in its backlog and beyond.
@@ -181,13 +181,13 @@
         let mut body = vec![0; length(&head).min(64 * 1024)];
         reader.read_exact(&mut body).await.ok()?;
         let id = field(&head, "x-request-id")?;
-        let place = recorder.attempt(AttemptRecord {
+        let place = recorder.add_attempt(AttemptRecord {
             id: id.clone(),
             worker: shared.number,
             first_byte,
-            whole: Some(recorder.now()),
-            told_deadline: field(&head, "x-deadline").and_then(|text| text.parse().ok()),
-            end: AttemptEnd::Open,
+            last_byte: Some(recorder.now()),
+            sent_deadline: field(&head, "x-deadline").and_then(|text| text.parse().ok()),
+            end: AttemptEnd::InFlight,
             ended: None,
             late_read: first && held_back,
         });
@@ -199,7 +199,7 @@
         let next = tokio::select! {
             next = shared.answer(&open, &id, work, now, &mut writer) => next?,
             () = node_closes(&mut reader) => {
-                open.end(AttemptEnd::GivenUp);
+                open.end(AttemptEnd::ClosedByNode);
                 return None;
             }
         };
@@ -257,8 +257,8 @@
         writer: &mut OwnedWriteHalf,
     ) -> Option<Next> {
         let full = self.held.load(Ordering::Relaxed) >= (SLOTS + QUEUE) as u64;
-        if full || mode == WorkerMode::Full {
-            open.end(AttemptEnd::NotRun);
+        if full || mode == WorkerMode::Rejecting {
+            open.end(AttemptEnd::NotExecuted);
             writer.write_all(REJECTION).await.ok()?;
             return Some(Next::Keep);
         }
@@ -278,7 +278,7 @@
         }
         writer.write_all(STREAM_HEAD).await.ok()?;
         if chance < 4 {
-            open.end(AttemptEnd::NotRun);
+            open.end(AttemptEnd::NotExecuted);
             return self.last(writer, id, json!({"state": "returned"})).await;
         }
         self.run_job(open, id, work, mode, (stage, chance), writer).await
@@ -308,11 +308,11 @@
             open.end(AttemptEnd::Concluded);
             return self.last(writer, id, json!({"state": "failed"})).await;
         }
-        if mode == WorkerMode::Spoiling {
+        if mode == WorkerMode::Malformed {
             return self.spoil(open, id, chance % 5, writer).await;
         }
         let result = format!("{id}.{}", self.number);
-        self.recorder.made(id, &result);
+        self.recorder.record_result(id, &result);
         open.end(AttemptEnd::Concluded);
         self.last(writer, id, json!({"state": "done", "result": result, "load": {"x0": 2, "depth": 0}})).await
     }
@@ -336,7 +336,7 @@
                 self.say(writer, "somebody-else", done).await?;
             }
             2 => {
-                self.recorder.made(id, &result);
+                self.recorder.record_result(id, &result);
                 open.end(AttemptEnd::Concluded);
                 self.last(writer, id, done).await?;
                 sleep(Duration::from_millis(self.draw(0..12))).await;
--- a/testbed/src/wire.rs
+++ b/testbed/src/wire.rs
@@ -37,11 +37,11 @@
 /// A request of a client, with this body; `lodge` carries the key `k1`.
 pub fn request(class: &str, id: &str, deadline: f64, body: &str) -> String {
     let key = if class == "lodge" { Some("k1") } else { None };
-    job(class, id, "sava", key, deadline, None, body)
+    request_with_fields(class, id, "sava", key, deadline, None, body)
 }
 
 /// A request of a client, with all that it may tell.
-pub fn job(
+pub fn request_with_fields(
     class: &str,
     id: &str,
     tenant: &str,
@@ -61,7 +61,7 @@
 }
 
 /// A worker's line of the list.
-pub fn line(id: &str, address: SocketAddr, phase: &str, since_ms: u64) -> Value {
+pub fn endpoint_entry(id: &str, address: SocketAddr, phase: &str, since_ms: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "ljubljana", "flavor": "gen-a", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": since_ms})
 }
--- a/testbed/src/worker.rs
+++ b/testbed/src/worker.rs
@@ -35,33 +35,40 @@
     /// Time until it has its full capacity.
     pub warm_up: Duration,
     /// While warming up it fails when sent this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... within this time.
-    pub fall: Duration,
+    pub overload_window: Duration,
 }
 
 impl Default for WorkerProfile {
     fn default() -> Self {
-        let (warm_up, fall) = (Duration::from_secs(10), Duration::from_secs(3));
-        WorkerProfile { slots: 4, queue: 40, cold_share: 0.13, warm_up, fall_multiple: 3.0, fall }
+        let (warm_up, overload_window) = (Duration::from_secs(10), Duration::from_secs(3));
+        WorkerProfile {
+            slots: 4,
+            queue: 40,
+            cold_share: 0.13,
+            warm_up,
+            overload_multiple: 3.0,
+            overload_window,
+        }
     }
 }
 
 /// Record of a worker.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct WorkerRecord {
     /// Jobs that came, by the address that sent them.
-    pub sent: HashMap<IpAddr, u64>,
+    pub received: HashMap<IpAddr, u64>,
     /// Jobs done.
     pub done: u64,
     /// Jobs rejected.
-    pub full: u64,
+    pub rejected: u64,
     /// How often each idempotency key was done.
-    pub keys: HashMap<String, u32>,
+    pub executions_by_key: HashMap<String, u32>,
     /// Largest load while it was warming up, as a share of what makes it fail.
-    pub pressure: f64,
+    pub peak_cold_load: f64,
     /// Whether it has failed under overload.
-    pub fell: bool,
+    pub failed: bool,
 }
 
 struct State {
@@ -71,7 +78,7 @@
     /// Work that came lately, in seconds of a warm slot.
     lately: VecDeque<(Instant, f64)>,
     held: usize,
-    seen: Seen,
+    record: WorkerRecord,
     fallen: watch::Sender<bool>,
 }
 
@@ -105,18 +112,18 @@
     fn add_load(&mut self, now: Instant, work: f64) {
         let warmth = self.warmth(now);
         self.lately.push_back((now, work));
-        while self.lately.front().is_some_and(|(at, _)| now - *at > self.profile.fall) {
+        while self.lately.front().is_some_and(|(at, _)| now - *at > self.profile.overload_window) {
             self.lately.pop_front();
         }
         if warmth >= 1.0 {
             return;
         }
         let came: f64 = self.lately.iter().map(|(_, work)| work).sum();
-        let can = warmth * self.profile.slots as f64 * self.profile.fall.as_secs_f64();
-        let pressure = came / (self.profile.fall_multiple * can).max(1e-9);
-        self.seen.pressure = self.seen.pressure.max(pressure);
-        if pressure > 1.0 && !self.seen.fell {
-            self.seen.fell = true;
+        let can = warmth * self.profile.slots as f64 * self.profile.overload_window.as_secs_f64();
+        let cold_load = came / (self.profile.overload_multiple * can).max(1e-9);
+        self.record.peak_cold_load = self.record.peak_cold_load.max(cold_load);
+        if cold_load > 1.0 && !self.record.failed {
+            self.record.failed = true;
             let _ = self.fallen.send(true);
         }
     }
@@ -136,7 +143,7 @@
             cold_since: cold.then(Instant::now),
             lately: VecDeque::new(),
             held: 0,
-            seen: Seen::default(),
+            record: WorkerRecord::default(),
             fallen,
         };
         let state = Arc::new(Mutex::new(state));
@@ -146,8 +153,8 @@
     }
 
     /// Its record so far.
-    pub fn seen(&self) -> Seen {
-        lock(&self.state).seen.clone()
+    pub fn record(&self) -> WorkerRecord {
+        lock(&self.state).record.clone()
     }
 }
 
@@ -215,9 +222,9 @@
 fn hold_job(state: &Arc<Mutex<State>>, from: IpAddr, work: f64) -> Option<Held> {
     let mut s = lock(state);
     s.add_load(Instant::now(), work);
-    *s.seen.sent.entry(from).or_default() += 1;
+    *s.record.received.entry(from).or_default() += 1;
     if s.held >= s.profile.slots + s.profile.queue {
-        s.seen.full += 1;
+        s.record.rejected += 1;
         return None;
     }
     s.held += 1;
@@ -253,9 +260,9 @@
 /// Records a job that is done; returns the worker's load report.
 fn record_done(state: &Mutex<State>, key: Option<String>) -> serde_json::Value {
     let mut s = lock(state);
-    s.seen.done += 1;
+    s.record.done += 1;
     if let Some(key) = key {
-        *s.seen.keys.entry(key).or_default() += 1;
+        *s.record.executions_by_key.entry(key).or_default() += 1;
     }
     json!({"x0": s.profile.slots.saturating_sub(s.held), "depth": s.held.saturating_sub(s.profile.slots)})
 }
