--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -269,7 +269,7 @@
         }
         node.inject(fault, MOST);
         sleep(Duration::from_millis(400)).await;
-        node.process.go_on();
+        node.process.resume();
         for (n, stream) in streams.iter_mut().enumerate() {
             assert!(answer(stream).await.is_some(), "{fault:?}: request {n} had no answer");
         }
