--- a/testbed/src/coordination.rs
+++ b/testbed/src/coordination.rs
@@ -22,7 +22,7 @@
 /// Name of the lease that the emulated nodes request.
 pub const LEASE: &str = "errand";
 /// Step in which [`EmulatedCluster::run_until_held`] lets time pass.
-const HELD_STEP: Duration = Duration::from_millis(10);
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What an emulated cluster is made of.
 #[derive(Clone, Debug)]
@@ -74,8 +74,8 @@
 enum Event {
     Message { from: usize, process_id: u64, to: usize, message: Message },
     Persisted { node: usize, process_id: u64, number: u64, succeeded: bool },
-    StartAct { node: usize, process_id: u64 },
-    ActArrived { act: FencedOperation },
+    StartOperation { node: usize, process_id: u64 },
+    OperationArrived { operation: FencedOperation },
     Wake(usize),
 }
 
@@ -90,13 +90,13 @@
     /// Guard of the resource.
     guard: FencingGuard,
     /// Acts in the order of their arrival at the resource.
-    pub acts: Vec<FencedOperation>,
+    pub operations: Vec<FencedOperation>,
     /// Events of the voters: time, node and event.
     pub voter_events: Vec<(Duration, usize, VoterEvent)>,
     /// Leases acquired and lost.
     pub lease_events: Vec<LeaseEvent>,
     /// Acts that the resource rejected.
-    pub rejected_acts: u64,
+    pub rejected_operations: u64,
     /// Messages that were sent.
     pub messages_sent: u64,
 }
@@ -105,17 +105,17 @@
     /// Starts all nodes at once.
     pub fn started(spec: Spec) -> EmulatedCluster {
         let mut rng = SmallRng::seed_from_u64(spec.seed);
-        let nodes = (0..spec.nodes).map(|_| Node::drawn(spec.drift, &mut rng)).collect();
+        let nodes = (0..spec.nodes).map(|_| Node::with_random_clock(spec.drift, &mut rng)).collect();
         let mut cluster = EmulatedCluster {
             nodes,
             queue: EventQueue::default(),
             rules: LinkRules::default(),
             rng,
             guard: FencingGuard::default(),
-            acts: Vec::new(),
+            operations: Vec::new(),
             voter_events: Vec::new(),
             lease_events: Vec::new(),
-            rejected_acts: 0,
+            rejected_operations: 0,
             messages_sent: 0,
             spec,
         };
@@ -129,8 +129,8 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now() + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now() + duration;
         while let Some(event) = self.queue.next_until(end) {
             self.handle(event);
         }
@@ -144,7 +144,7 @@
             if self.now() - start >= limit {
                 return None;
             }
-            self.run(HELD_STEP);
+            self.run(HOLDER_POLL_INTERVAL);
         }
         Some(self.now() - start)
     }
@@ -208,7 +208,7 @@
         if let (Some(to), Some(process)) = (to, &mut self.nodes[through].process) {
             process.client.request(now, to, operation);
         }
-        self.carry_out(through);
+        self.execute_actions(through);
     }
 
     /// Lets a node request the lease from now on.
@@ -217,7 +217,7 @@
         if let Some(process) = &mut self.nodes[node].process {
             process.client.acquire(now, LEASE);
         }
-        self.carry_out(node);
+        self.execute_actions(node);
     }
 
     /// Lets a node release the lease and request it no longer.
@@ -226,7 +226,7 @@
         if let Some(process) = &mut self.nodes[node].process {
             process.client.release(now, LEASE);
         }
-        self.carry_out(node);
+        self.execute_actions(node);
     }
 
     fn process(&self, node: usize) -> Option<&Process> {
--- a/testbed/src/coordination/faults.rs
+++ b/testbed/src/coordination/faults.rs
@@ -1,7 +1,7 @@
 //! Starts, crashes and stalls of emulated processes.
 
 use super::node::{address, name, Process};
-use super::processing::{ACT_INTERVAL, NETWORK_DELAY};
+use super::processing::{NETWORK_DELAY, OPERATION_INTERVAL};
 use super::{EmulatedCluster, Event, LEASE};
 use crate::disk::MemDisk;
 use ::coordination::{Client, Holder, Store, Voter, VoterConfig, VoterMember};
@@ -45,11 +45,11 @@
             voter,
             is_stalled: false,
             inbox: Vec::new(),
-            stalled_act: None,
+            stalled_operation: None,
             wake_at: None,
         });
-        self.queue.schedule(ACT_INTERVAL, Event::StartAct { node, process_id });
-        self.carry_out(node);
+        self.queue.schedule(OPERATION_INTERVAL, Event::StartOperation { node, process_id });
+        self.execute_actions(node);
     }
 
     /// Opens the voter of a node that is one, or whose disk holds a store.
@@ -88,7 +88,7 @@
         let (now, local) = (self.now(), self.local_time(node));
         if let Some(process) = self.nodes[node].process.as_mut().filter(|process| !process.is_stalled) {
             process.is_stalled = true;
-            process.stalled_act = process.act(node, now, local);
+            process.stalled_operation = process.begin_operation(node, now, local);
         }
     }
 
@@ -98,13 +98,13 @@
         let Some(process) = process else { return };
         process.is_stalled = false;
         process.wake_at = None;
-        let (stalled_act, process_id) = (process.stalled_act.take(), process.process_id);
+        let (stalled_operation, process_id) = (process.stalled_operation.take(), process.process_id);
         let inbox = std::mem::take(&mut process.inbox);
-        if let Some(act) = stalled_act {
-            self.queue.schedule(NETWORK_DELAY, Event::ActArrived { act });
+        if let Some(operation) = stalled_operation {
+            self.queue.schedule(NETWORK_DELAY, Event::OperationArrived { operation });
         }
         inbox.into_iter().for_each(|(from, message)| self.deliver(from, node, message));
-        self.queue.schedule(ACT_INTERVAL, Event::StartAct { node, process_id });
+        self.queue.schedule(OPERATION_INTERVAL, Event::StartOperation { node, process_id });
         self.wake(node);
     }
 }
--- a/testbed/src/coordination/node.rs
+++ b/testbed/src/coordination/node.rs
@@ -31,7 +31,7 @@
     /// Messages that arrived while it was stalled.
     pub(super) inbox: Vec<(usize, Message)>,
     /// Operation that had passed its check and not left when the process was stalled.
-    pub(super) stalled_act: Option<FencedOperation>,
+    pub(super) stalled_operation: Option<FencedOperation>,
     pub(super) wake_at: Option<Duration>,
 }
 
@@ -47,7 +47,7 @@
 
 impl Node {
     /// Node without a process, whose clock drifts by a drawn fraction.
-    pub(super) fn drawn(drift: f64, rng: &mut SmallRng) -> Node {
+    pub(super) fn with_random_clock(drift: f64, rng: &mut SmallRng) -> Node {
         Node {
             process: None,
             clock_rate: 1.0 + drift * (2.0 * rng.random::<f64>() - 1.0),
@@ -67,7 +67,12 @@
 
 impl Process {
     /// Operation whose lease is valid now.
-    pub(super) fn act(&self, node: usize, now: Duration, local: Duration) -> Option<FencedOperation> {
+    pub(super) fn begin_operation(
+        &self,
+        node: usize,
+        now: Duration,
+        local: Duration,
+    ) -> Option<FencedOperation> {
         let token = self.client.valid_token(local, super::LEASE)?;
         let process = format!("{} {}", name(node), self.process_id);
         Some(FencedOperation { started_at: now, arrived_at: now, process, token, accepted: false })
--- a/testbed/src/coordination/processing.rs
+++ b/testbed/src/coordination/processing.rs
@@ -11,12 +11,12 @@
 /// Least time that a message is on its way.
 pub(super) const NETWORK_DELAY: Duration = Duration::from_micros(200);
 /// Interval between acts of the holder.
-pub(super) const ACT_INTERVAL: Duration = Duration::from_millis(40);
+pub(super) const OPERATION_INTERVAL: Duration = Duration::from_millis(40);
 /// Part of the acts that are long on their way, and the longest time in milliseconds.
-const SLOW_ACTS: f64 = 0.05;
-const SLOW_ACT_MS_MAX: u64 = 3000;
+const SLOW_OPERATION_RATIO: f64 = 0.05;
+const SLOW_OPERATION_MS_MAX: u64 = 3000;
 /// Time that other acts are on their way, in milliseconds.
-const FAST_ACT_MS: u64 = 1;
+const FAST_OPERATION_MS: u64 = 1;
 
 impl EmulatedCluster {
     pub(super) fn handle(&mut self, event: Event) {
@@ -30,8 +30,8 @@
             Event::Persisted { node, process_id, number, succeeded } => {
                 self.persisted(node, process_id, number, succeeded);
             }
-            Event::StartAct { node, process_id } => self.start_act(node, process_id),
-            Event::ActArrived { act } => self.act_arrived(act),
+            Event::StartOperation { node, process_id } => self.start_operation(node, process_id),
+            Event::OperationArrived { operation } => self.operation_arrived(operation),
             Event::Wake(node) => {
                 let now = self.now();
                 let is_due = |process: &Process| !process.is_stalled && process.wake_at == Some(now);
@@ -50,25 +50,26 @@
             let full = || StoreError::Disk("no space left on the disk".into());
             voter.persisted(now, number, succeeded.then_some(()).ok_or_else(full));
         }
-        self.carry_out(node);
+        self.execute_actions(node);
     }
 
-    fn start_act(&mut self, node: usize, process_id: u64) {
+    fn start_operation(&mut self, node: usize, process_id: u64) {
         let (now, local) = (self.now(), self.local_time(node));
         let is_running = |process: &&Process| process.process_id == process_id && !process.is_stalled;
         let Some(process) = self.process(node).filter(is_running) else { return };
-        if let Some(act) = process.act(node, now, local) {
-            let is_slow = self.rng.random_bool(SLOW_ACTS);
-            let ms = if is_slow { self.rng.random_range(0..SLOW_ACT_MS_MAX) } else { FAST_ACT_MS };
-            self.queue.schedule(Duration::from_millis(ms), Event::ActArrived { act });
+        if let Some(operation) = process.begin_operation(node, now, local) {
+            let is_slow = self.rng.random_bool(SLOW_OPERATION_RATIO);
+            let ms =
+                if is_slow { self.rng.random_range(0..SLOW_OPERATION_MS_MAX) } else { FAST_OPERATION_MS };
+            self.queue.schedule(Duration::from_millis(ms), Event::OperationArrived { operation });
         }
-        self.queue.schedule(ACT_INTERVAL, Event::StartAct { node, process_id });
+        self.queue.schedule(OPERATION_INTERVAL, Event::StartOperation { node, process_id });
     }
 
-    fn act_arrived(&mut self, act: FencedOperation) {
-        let accepted = self.guard.check(LEASE, act.token).is_ok();
-        self.rejected_acts += u64::from(!accepted);
-        self.acts.push(FencedOperation { arrived_at: self.now(), accepted, ..act });
+    fn operation_arrived(&mut self, operation: FencedOperation) {
+        let accepted = self.guard.check(LEASE, operation.token).is_ok();
+        self.rejected_operations += u64::from(!accepted);
+        self.operations.push(FencedOperation { arrived_at: self.now(), accepted, ..operation });
     }
 
     pub(super) fn deliver(&mut self, from: usize, to: usize, message: Message) {
@@ -86,7 +87,7 @@
                 }
             }
         }
-        self.carry_out(to);
+        self.execute_actions(to);
     }
 
     pub(super) fn wake(&mut self, node: usize) {
@@ -98,25 +99,25 @@
                 voter.tick(now);
             }
         }
-        self.carry_out(node);
+        self.execute_actions(node);
     }
 
     /// Carries out the actions of a node's client and voter, and schedules its next timer.
-    pub(super) fn carry_out(&mut self, node: usize) {
+    pub(super) fn execute_actions(&mut self, node: usize) {
         let Some(mut process) = self.nodes[node].process.take() else { return };
-        self.carry_out_client(node, &mut process);
+        self.execute_client_actions(node, &mut process);
         let process_id = process.process_id;
         if let Some((voter, store)) = &mut process.voter {
-            self.carry_out_voter(node, process_id, voter, store);
+            self.execute_voter_actions(node, process_id, voter, store);
         }
-        let wake_after = self.plan_wake(node, &mut process);
+        let wake_after = self.update_wake_time(node, &mut process);
         self.nodes[node].process = Some(process);
         if let Some(delay) = wake_after {
             self.queue.schedule(delay, Event::Wake(node));
         }
     }
 
-    fn carry_out_client(&mut self, node: usize, process: &mut Process) {
+    fn execute_client_actions(&mut self, node: usize, process: &mut Process) {
         let at = self.now();
         while let Some(action) = process.client.next_action() {
             match action {
@@ -131,7 +132,7 @@
         }
     }
 
-    fn carry_out_voter(&mut self, node: usize, process_id: u64, voter: &mut Voter, store: &Store) {
+    fn execute_voter_actions(&mut self, node: usize, process_id: u64, voter: &mut Voter, store: &Store) {
         while let Some(action) = voter.next_action() {
             match action {
                 VoterAction::Send { to, message } => self.send(node, to, message),
@@ -148,7 +149,7 @@
     }
 
     /// Time until the next timer of a process, unless an earlier one is scheduled.
-    fn plan_wake(&self, node: usize, process: &mut Process) -> Option<Duration> {
+    fn update_wake_time(&self, node: usize, process: &mut Process) -> Option<Duration> {
         let now = self.now();
         let voter_due = process.voter.as_ref().map_or(Duration::MAX, |(voter, _)| voter.next_tick());
         let due = self.nodes[node].global_time(process.client.next_tick().min(voter_due)).max(now);
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -11,15 +11,15 @@
     bytes: Vec<u8>,
     /// What was there at the last sync, where crashes are tried.
     synced: Option<Vec<u8>>,
-    /// What was written since: where, and what.
-    pending: Vec<(u64, Vec<u8>)>,
-    steps: u64,
-    /// After so many steps all fail.
-    fails_at: Option<u64>,
-    refuses: bool,
+    /// What was written since: where, and data.
+    unsynced_writes: Vec<(u64, Vec<u8>)>,
+    operations: u64,
+    /// After so many operations all fail.
+    fails_after: Option<u64>,
+    is_full: bool,
 }
 
-/// A disk; it stays what it is when its owner dies. Clones are the same disk.
+/// A disk; it stays data it is when its owner dies. Clones are the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct MemDisk(Arc<Mutex<Inner>>);
 
@@ -29,8 +29,8 @@
         MemDisk::default()
     }
 
-    /// One that remembers what was synced, so that a crash can be tried.
-    pub fn that_crashes() -> MemDisk {
+    /// One that remembers data was synced, so that a crash can be tried.
+    pub fn with_crash_tracking() -> MemDisk {
         let disk = MemDisk::default();
         disk.lock().synced = Some(Vec::new());
         disk
@@ -41,29 +41,29 @@
     }
 
     /// Writes, syncs and changes of length so far.
-    pub fn steps(&self) -> u64 {
-        self.lock().steps
+    pub fn operations(&self) -> u64 {
+        self.lock().operations
     }
 
     /// From this step on, all fail, as if the power had gone.
-    pub fn fail_at(&self, step: u64) {
-        self.lock().fails_at = Some(step);
+    pub fn fail_after(&self, operation: u64) {
+        self.lock().fails_after = Some(operation);
     }
 
-    /// Whether it refuses to be written, as a full or read-only one does.
-    pub fn refuse(&self, refuses: bool) {
-        self.lock().refuses = refuses;
+    /// Whether it is_full to be written, as a full or read-only one does.
+    pub fn set_full(&self, is_full: bool) {
+        self.lock().is_full = is_full;
     }
 
-    /// What is on it after a crash: what was synced, and of what was written since a drawn part, the last of it torn.
-    pub fn crashed(&self, rng: &mut SmallRng) -> MemDisk {
+    /// What is on it after a crash: data was synced, and of data was written since a drawn part, the last of it torn.
+    pub fn after_crash(&self, rng: &mut SmallRng) -> MemDisk {
         let inner = self.lock();
         let mut bytes = inner.synced.clone().unwrap_or_else(|| inner.bytes.clone());
-        for (at, what) in &inner.pending {
+        for (at, data) in &inner.unsynced_writes {
             if rng.random_bool(0.5) {
-                let whole = rng.random_bool(0.7);
-                let length = if whole { what.len() } else { rng.random_range(0..=what.len()) };
-                put(&mut bytes, *at, &what[..length]);
+                let is_complete = rng.random_bool(0.7);
+                let length = if is_complete { data.len() } else { rng.random_range(0..=data.len()) };
+                write_at(&mut bytes, *at, &data[..length]);
             }
         }
         let synced = inner.synced.is_some().then(|| bytes.clone());
@@ -82,7 +82,7 @@
     }
 
     /// Turns one bit.
-    pub fn flip(&self, bit: u64) {
+    pub fn flip_bit(&self, bit: u64) {
         let mut inner = self.lock();
         let length = inner.bytes.len() as u64 * 8;
         if length > 0 {
@@ -91,26 +91,26 @@
     }
 
     /// Cuts it off.
-    pub fn cut(&self, length: usize) {
+    pub fn truncate(&self, length: usize) {
         self.lock().bytes.truncate(length);
     }
 }
 
-fn put(bytes: &mut Vec<u8>, at: u64, what: &[u8]) {
-    let (from, to) = (at as usize, at as usize + what.len());
+fn write_at(bytes: &mut Vec<u8>, at: u64, data: &[u8]) {
+    let (from, to) = (at as usize, at as usize + data.len());
     if bytes.len() < to {
         bytes.resize(to, 0);
     }
-    bytes[from..to].copy_from_slice(what);
+    bytes[from..to].copy_from_slice(data);
 }
 
 impl Inner {
-    fn step(&mut self) -> Result<(), Error> {
-        self.steps += 1;
-        if self.fails_at.is_some_and(|at| self.steps > at) {
+    fn count_operation(&mut self) -> Result<(), Error> {
+        self.operations += 1;
+        if self.fails_after.is_some_and(|limit| self.operations > limit) {
             return Err(Error::other("the power is gone"));
         }
-        if self.refuses {
+        if self.is_full {
             return Err(Error::new(ErrorKind::StorageFull, "no space left on the disk"));
         }
         Ok(())
@@ -125,14 +125,14 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let inner = self.lock();
         let from = offset as usize;
-        let part = inner.bytes.get(from..from + out.len());
-        out.copy_from_slice(part.ok_or(Error::from(ErrorKind::UnexpectedEof))?);
+        let content = inner.bytes.get(from..from + out.len());
+        out.copy_from_slice(content.ok_or(Error::from(ErrorKind::UnexpectedEof))?);
         Ok(())
     }
 
     fn set_len(&self, length: u64) -> Result<(), Error> {
         let mut inner = self.lock();
-        inner.step()?;
+        inner.count_operation()?;
         inner.bytes.resize(length as usize, 0);
         if let Some(synced) = &mut inner.synced {
             synced.resize(length as usize, 0);
@@ -142,20 +142,20 @@
 
     fn sync_data(&self) -> Result<(), Error> {
         let mut inner = self.lock();
-        inner.step()?;
+        inner.count_operation()?;
         if inner.synced.is_some() {
             inner.synced = Some(inner.bytes.clone());
-            inner.pending.clear();
+            inner.unsynced_writes.clear();
         }
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         let mut inner = self.lock();
-        inner.step()?;
-        put(&mut inner.bytes, offset, data);
+        inner.count_operation()?;
+        write_at(&mut inner.bytes, offset, data);
         if inner.synced.is_some() {
-            inner.pending.push((offset, data.to_vec()));
+            inner.unsynced_writes.push((offset, data.to_vec()));
         }
         Ok(())
     }
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated_membership.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// What the kernel keeps for a process that reads nothing, in datagrams.
-const KERNEL: usize = 256;
+const RECEIVE_BUFFER_DATAGRAMS: usize = 256;
 /// On its way at least: a datagram is never there before it was sent.
-const WIRE: Duration = Duration::from_micros(200);
+const NETWORK_DELAY: Duration = Duration::from_micros(200);
 
 /// What a world is made of.
 #[derive(Clone)]
@@ -37,40 +37,40 @@
 
 enum Event {
     Datagram { to: usize, bytes: Vec<u8> },
-    SyncState { from: usize, boot: u64, to: SocketAddr },
+    SyncState { from: usize, process_id: u64, to: SocketAddr },
     Wake(usize),
 }
 
 struct Node {
     machine: Option<Machine>,
     started: Duration,
-    boot: u64,
-    stopped: bool,
+    process_id: u64,
+    is_paused: bool,
     inbox: VecDeque<Vec<u8>>,
-    wake: Option<Duration>,
+    wake_at: Option<Duration>,
     keys: Keys,
     /// The node's clock is ahead of the world's by so many milliseconds, or behind.
-    skew_ms: i64,
+    clock_skew_ms: i64,
 }
 
 /// Time, node and event.
 pub type RecordedEvent = (Duration, usize, MembershipEvent);
 
 /// Many machines and what lies between them.
-pub struct World {
+pub struct EmulatedFleet {
     spec: Spec,
     now: Duration,
     nodes: Vec<Node>,
-    at: HashMap<SocketAddr, usize>,
+    node_by_address: HashMap<SocketAddr, usize>,
     queue: BTreeMap<(Duration, u64), Event>,
-    order: u64,
+    scheduled: u64,
     /// What passes between them.
     pub rules: LinkRules,
     rng: SmallRng,
     /// Events of the nodes; cleared by the reader.
     pub events: Vec<RecordedEvent>,
     /// What was sent to whom, where it is kept, for those who play it back.
-    pub tape: Option<Vec<(usize, Vec<u8>)>>,
+    pub sent_datagrams: Option<Vec<(usize, Vec<u8>)>>,
 }
 
 /// The name of a node.
@@ -87,40 +87,40 @@
 ///
 /// # Panics
 /// Never: the text that it parses is well-formed.
-pub fn key(n: u8) -> Keys {
-    Keys::parse(&format!("current {}", format!("{n:02x}").repeat(16))).expect("it is well-formed")
+pub fn test_key(number: u8) -> Keys {
+    Keys::parse(&format!("current {}", format!("{number:02x}").repeat(16))).expect("it is well-formed")
 }
 
-impl World {
+impl EmulatedFleet {
     /// All nodes, none of them started.
-    pub fn new(spec: Spec) -> World {
+    pub fn new(spec: Spec) -> EmulatedFleet {
         let node = |_| Node {
             machine: None,
             started: Duration::ZERO,
-            boot: 0,
-            stopped: false,
+            process_id: 0,
+            is_paused: false,
             inbox: VecDeque::new(),
-            wake: None,
-            keys: key(1),
-            skew_ms: 0,
+            wake_at: None,
+            keys: test_key(1),
+            clock_skew_ms: 0,
         };
-        World {
+        EmulatedFleet {
             now: Duration::ZERO,
             nodes: (0..spec.nodes).map(node).collect(),
-            at: (0..spec.nodes).map(|i| (address(i), i)).collect(),
+            node_by_address: (0..spec.nodes).map(|i| (address(i), i)).collect(),
             queue: BTreeMap::new(),
-            order: 0,
+            scheduled: 0,
             rules: LinkRules::default(),
             rng: SmallRng::seed_from_u64(spec.seed),
             events: Vec::new(),
-            tape: None,
+            sent_datagrams: None,
             spec,
         }
     }
 
     /// All nodes, started at once.
-    pub fn started(spec: Spec) -> World {
-        let mut world = World::new(spec);
+    pub fn started(spec: Spec) -> EmulatedFleet {
+        let mut world = EmulatedFleet::new(spec);
         (0..world.nodes.len()).for_each(|i| world.start(i));
         world
     }
@@ -136,8 +136,8 @@
     }
 
     /// By how much a node's clock is off at its next start.
-    pub fn set_skew(&mut self, i: usize, ms: i64) {
-        self.nodes[i].skew_ms = ms;
+    pub fn set_clock_skew(&mut self, i: usize, ms: i64) {
+        self.nodes[i].clock_skew_ms = ms;
     }
 
     /// Starts a process, in place of one that may run there. It has the name of `i`.
@@ -148,7 +148,7 @@
     /// The same, under another name.
     pub fn start_as(&mut self, i: usize, name: &str) {
         let node = &mut self.nodes[i];
-        let unix_ms = 1_700_000_000_000 + self.now.as_millis() as i64 + node.skew_ms;
+        let unix_ms = 1_700_000_000_000 + self.now.as_millis() as i64 + node.clock_skew_ms;
         let start = ProcessStart {
             process_id: self.rng.random(),
             unix_time_ms: unix_ms as u64,
@@ -164,9 +164,10 @@
             timing: self.spec.timing.clone(),
         };
         node.machine = Some(Machine::new(config, start, Duration::ZERO));
-        (node.started, node.boot, node.stopped, node.wake) = (self.now, start.process_id, false, None);
+        (node.started, node.process_id, node.is_paused, node.wake_at) =
+            (self.now, start.process_id, false, None);
         node.inbox.clear();
-        self.after(i);
+        self.execute_actions(i);
     }
 
     /// Kills a process: nobody is told.
@@ -177,63 +178,67 @@
 
     /// Ends a process as SIGTERM does.
     pub fn leave(&mut self, i: usize) {
-        let now = self.local(i);
+        let now = self.local_time(i);
         if let Some(machine) = &mut self.nodes[i].machine {
             machine.leave(now);
         }
-        self.after(i);
+        self.execute_actions(i);
         self.kill(i);
     }
 
     /// Stops a process where it stands.
-    pub fn stop(&mut self, i: usize) {
-        self.nodes[i].stopped = true;
+    pub fn pause(&mut self, i: usize) {
+        self.nodes[i].is_paused = true;
     }
 
     /// Lets it go on: first it reads what the kernel kept.
-    pub fn go_on(&mut self, i: usize) {
-        self.nodes[i].stopped = false;
-        let now = self.local(i);
+    pub fn resume(&mut self, i: usize) {
+        self.nodes[i].is_paused = false;
+        let now = self.local_time(i);
         for bytes in std::mem::take(&mut self.nodes[i].inbox) {
             if let Some(machine) = &mut self.nodes[i].machine {
                 machine.handle_datagram(now, &bytes);
             }
         }
-        self.nodes[i].wake = None;
-        self.after(i);
+        self.nodes[i].wake_at = None;
+        self.execute_actions(i);
     }
 
-    /// Whether a process runs there and is not stopped.
-    pub fn runs(&self, i: usize) -> bool {
-        self.nodes[i].machine.is_some() && !self.nodes[i].stopped
+    /// Whether a process is_running there and is not is_paused.
+    pub fn is_running(&self, i: usize) -> bool {
+        self.nodes[i].machine.is_some() && !self.nodes[i].is_paused
     }
 
-    /// Whether a process is there, stopped or not.
-    pub fn is_there(&self, i: usize) -> bool {
+    /// Whether a process is there, is_paused or not.
+    pub fn has_process(&self, i: usize) -> bool {
         self.nodes[i].machine.is_some()
     }
 
     /// The machine of a node, to do something with; what it wants done then is carried out.
-    pub fn with<T>(&mut self, i: usize, what: impl FnOnce(&mut Machine, Duration) -> T) -> Option<T> {
-        let now = self.local(i);
-        let result = self.nodes[i].machine.as_mut().map(|m| what(m, now));
-        self.after(i);
+    pub fn with_machine<T>(
+        &mut self,
+        i: usize,
+        handle: impl FnOnce(&mut Machine, Duration) -> T,
+    ) -> Option<T> {
+        let now = self.local_time(i);
+        let result = self.nodes[i].machine.as_mut().map(|m| handle(m, now));
+        self.execute_actions(i);
         result
     }
 
     /// Brings bytes to a node, as somebody unknown might.
     pub fn inject(&mut self, to: usize, bytes: &[u8]) {
-        self.put(WIRE, Event::Datagram { to, bytes: bytes.to_vec() });
+        self.schedule(NETWORK_DELAY, Event::Datagram { to, bytes: bytes.to_vec() });
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
-                Event::Datagram { to, bytes } => self.arrive(to, bytes),
-                Event::SyncState { from, boot, to } => self.sync_state(from, boot, to),
+                Event::Datagram { to, bytes } => self.deliver(to, bytes),
+                Event::SyncState { from, process_id, to } => self.sync_state(from, process_id, to),
                 Event::Wake(i) => self.wake(i),
             }
         }
@@ -245,21 +250,26 @@
     ///
     /// # Errors
     /// What was wrong last, where it still was after `most`.
-    pub fn until(&mut self, most: Duration, expected: &ExpectedViews) -> Result<Duration, Vec<ViewFault>> {
+    pub fn run_until_converged(
+        &mut self,
+        limit: Duration,
+        expected: &ExpectedViews,
+    ) -> Result<Duration, Vec<ViewFault>> {
         let start = self.now;
-        let steady = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
-        let mut right_since = None;
+        let stable_time = self.spec.timing.probe_interval * 2 + self.spec.timing.suspicion_timeout;
+        let mut correct_since = None;
         loop {
-            let wrong = if self.differ(expected) { None } else { Some(self.faults_of_one(expected)) };
-            if wrong.as_ref().is_some_and(Vec::is_empty) {
-                let since = *right_since.get_or_insert(self.now);
-                if self.now - since >= steady {
+            let faults =
+                if self.views_differ(expected) { None } else { Some(self.faults_of_first_nodes(expected)) };
+            if faults.as_ref().is_some_and(Vec::is_empty) {
+                let since = *correct_since.get_or_insert(self.now);
+                if self.now - since >= stable_time {
                     return Ok(since - start);
                 }
             } else {
-                right_since = None;
+                correct_since = None;
             }
-            if right_since.is_none() && self.now - start >= most {
+            if correct_since.is_none() && self.now - start >= limit {
                 return Err(self.faults(expected));
             }
             self.run(Duration::from_millis(50));
@@ -268,7 +278,7 @@
 
     /// Whether any two that reach each other differ. Guards the emulator against views that are told in full, a thousand
     /// times a thousand lines, where a number does.
-    fn differ(&self, expected: &ExpectedViews) -> bool {
+    fn views_differ(&self, expected: &ExpectedViews) -> bool {
         let mut digests: HashMap<u32, Option<u64>> = HashMap::new();
         (0..self.nodes.len()).any(|i| {
             let Some(part) = expected.partitions.get(&name(i)) else { return false };
@@ -278,7 +288,7 @@
     }
 
     /// What is wrong with the view of the first node of each part: enough, where none differs from it.
-    fn faults_of_one(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
+    fn faults_of_first_nodes(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
         let mut firsts: BTreeMap<u32, usize> = BTreeMap::new();
         for i in 0..self.nodes.len() {
             if let Some(part) = expected.partitions.get(&name(i)) {
@@ -286,8 +296,8 @@
             }
         }
         let views = firsts.values().map(|i| (name(*i), self.view(*i)));
-        let lone = |f: &ViewFault| !matches!(f, ViewFault::NoView(_));
-        view_faults(expected, &views.collect()).into_iter().filter(lone).collect()
+        let is_comparable = |f: &ViewFault| !matches!(f, ViewFault::NoView(_));
+        view_faults(expected, &views.collect()).into_iter().filter(is_comparable).collect()
     }
 
     /// What is wrong with the views beside this.
@@ -298,13 +308,17 @@
 
     /// All that run, in one part.
     pub fn expected_views(&self) -> ExpectedViews {
-        let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.runs(*i)).map(name).collect();
+        let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.is_running(*i)).map(name).collect();
         ExpectedViews::whole(names.iter().map(String::as_str))
     }
 
     /// A node's view; `None` where it does not run.
     pub fn view(&self, i: usize) -> Option<View> {
-        self.nodes[i].machine.as_ref().filter(|_| !self.nodes[i].stopped).map(|m| m.view(self.local(i)))
+        self.nodes[i]
+            .machine
+            .as_ref()
+            .filter(|_| !self.nodes[i].is_paused)
+            .map(|m| m.view(self.local_time(i)))
     }
 
     /// A node's counters.
@@ -312,77 +326,77 @@
         self.nodes[i].machine.as_ref().map(Machine::counters).unwrap_or_default()
     }
 
-    fn local(&self, i: usize) -> Duration {
+    fn local_time(&self, i: usize) -> Duration {
         self.now - self.nodes[i].started
     }
 
-    fn put(&mut self, after: Duration, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.scheduled += 1;
+        self.queue.insert((self.now + delay, self.scheduled), event);
     }
 
-    fn arrive(&mut self, to: usize, bytes: Vec<u8>) {
-        let now = self.local(to);
+    fn deliver(&mut self, to: usize, bytes: Vec<u8>) {
+        let now = self.local_time(to);
         let node = &mut self.nodes[to];
         let Some(machine) = &mut node.machine else { return };
-        if node.stopped {
-            if node.inbox.len() < KERNEL {
+        if node.is_paused {
+            if node.inbox.len() < RECEIVE_BUFFER_DATAGRAMS {
                 node.inbox.push_back(bytes);
             }
             return;
         }
         machine.handle_datagram(now, &bytes);
-        self.after(to);
+        self.execute_actions(to);
     }
 
     fn wake(&mut self, i: usize) {
-        let now = self.local(i);
+        let now = self.local_time(i);
         let node = &mut self.nodes[i];
-        if node.stopped || node.wake != Some(self.now) {
+        if node.is_paused || node.wake_at != Some(self.now) {
             return;
         }
-        node.wake = None;
+        node.wake_at = None;
         if let Some(machine) = &mut node.machine {
             machine.handle_timeout(now);
         }
-        self.after(i);
+        self.execute_actions(i);
     }
 
-    fn sync_state(&mut self, from: usize, boot: u64, to: SocketAddr) {
-        let Some(&other) = self.at.get(&to) else { return };
-        let open = |a, b| !self.rules.between(a, b).cut;
-        let same = self.nodes[from].boot == boot;
+    fn sync_state(&mut self, from: usize, process_id: u64, to: SocketAddr) {
+        let Some(&other) = self.node_by_address.get(&to) else { return };
+        let is_open = |a, b| !self.rules.between(a, b).cut;
+        let is_same_process = self.nodes[from].process_id == process_id;
         if other == from
-            || !same
-            || !open(from, other)
-            || !open(other, from)
-            || !self.runs(from)
-            || !self.runs(other)
+            || !is_same_process
+            || !is_open(from, other)
+            || !is_open(other, from)
+            || !self.is_running(from)
+            || !self.is_running(other)
         {
             return;
         }
-        let (here, there) = (self.local(from), self.local(other));
+        let (here, there) = (self.local_time(from), self.local_time(other));
         let mut machine = |i: usize| self.nodes[i].machine.take();
-        let (Some(mut asks), Some(mut tells)) = (machine(from), machine(other)) else { return };
-        let challenge = tells.generate_nonce();
-        let (asked, state) = asks.request_sync(here, to, challenge);
-        if let Some(answer) = tells.respond_to_sync(there, challenge, &state) {
-            asks.complete_sync(here, asked, &answer);
+        let (Some(mut requester), Some(mut responder)) = (machine(from), machine(other)) else { return };
+        let challenge = responder.generate_nonce();
+        let (session, state) = requester.request_sync(here, to, challenge);
+        if let Some(answer) = responder.respond_to_sync(there, challenge, &state) {
+            requester.complete_sync(here, session, &answer);
         }
-        (self.nodes[from].machine, self.nodes[other].machine) = (Some(asks), Some(tells));
-        self.after(from);
-        self.after(other);
+        (self.nodes[from].machine, self.nodes[other].machine) = (Some(requester), Some(responder));
+        self.execute_actions(from);
+        self.execute_actions(other);
     }
 
     /// Carries out what a machine wants done, and notes when it is to be woken.
-    fn after(&mut self, i: usize) {
+    fn execute_actions(&mut self, i: usize) {
         let Some(mut machine) = self.nodes[i].machine.take() else { return };
         while let Some(action) = machine.next_action() {
             match action {
                 Action::Send { to, bytes } => self.send(i, to, bytes),
                 Action::SyncState { to } => {
-                    let boot = self.nodes[i].boot;
-                    self.put(WIRE * 4, Event::SyncState { from: i, boot, to });
+                    let process_id = self.nodes[i].process_id;
+                    self.schedule(NETWORK_DELAY * 4, Event::SyncState { from: i, process_id, to });
                 }
                 Action::Rates { .. } | Action::Message { .. } => {}
                 Action::Event(event) => self.events.push((self.now, i, event)),
@@ -391,17 +405,17 @@
         let due = self.nodes[i].started.saturating_add(machine.next_timeout()).max(self.now);
         let node = &mut self.nodes[i];
         node.machine = Some(machine);
-        if node.wake.is_none_or(|at| due < at || at < self.now) {
-            node.wake = Some(due);
-            let after = due - self.now;
-            self.put(after, Event::Wake(i));
+        if node.wake_at.is_none_or(|at| due < at || at < self.now) {
+            node.wake_at = Some(due);
+            let delay = due - self.now;
+            self.schedule(delay, Event::Wake(i));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, mut bytes: Vec<u8>) {
-        let Some(&to) = self.at.get(&to) else { return };
-        if let Some(tape) = &mut self.tape {
-            tape.push((to, bytes.clone()));
+        let Some(&to) = self.node_by_address.get(&to) else { return };
+        if let Some(sent_datagrams) = &mut self.sent_datagrams {
+            sent_datagrams.push((to, bytes.clone()));
         }
         let rule = self.rules.between(from, to);
         if rule.cut || self.rng.random_bool(rule.loss) {
@@ -413,8 +427,8 @@
         }
         for _ in 0..1 + usize::from(self.rng.random_bool(rule.twice)) {
             let ms = rule.delay_ms + self.rng.random_range(0..=rule.jitter_ms);
-            let after = WIRE + Duration::from_millis(ms);
-            self.put(after, Event::Datagram { to, bytes: bytes.clone() });
+            let delay = NETWORK_DELAY + Duration::from_millis(ms);
+            self.schedule(delay, Event::Datagram { to, bytes: bytes.clone() });
         }
     }
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] plays jobs; [`plan`] carries a
 //!   plan of faults out; [`soak`] draws overlapping faults and judges the protocol's rules.
-//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases, [`emulated_broadcast`] the list broadcast; [`scale`]
+//! - Emulated time: [`emulated_membership`] runs membership, [`mod@coordination`] voters and leases, [`emulated_broadcast`] the list broadcast; [`scale`]
 //!   measures all of them at growing sizes.
 //! - Judges: [`check`] compares the views of the nodes with what is true, [`history_check`] and [`resource`] the calls of lease
 //!   holders.
@@ -31,8 +31,8 @@
 pub mod demo;
 pub mod discovery;
 pub mod disk;
-pub mod emulated;
 pub mod emulated_broadcast;
+pub mod emulated_membership;
 pub mod emulated_network;
 pub mod fault_proxy;
 pub mod history_check;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
-use crate::emulated::{name, Spec, World};
 use crate::emulated_broadcast;
+use crate::emulated_membership::{name, EmulatedFleet, Spec};
 use crate::fault_proxy::LinkRule;
 use hdrhistogram::Histogram;
 use membership::{MemberStatus, MembershipEvent};
@@ -73,13 +73,14 @@
 /// Where the views do not become equal and true after a change.
 pub fn emulated_membership(nodes: usize, plays: u64) -> Figures {
     let mut figures = figures(nodes, plays, "emulated");
-    let mut world = World::started(Spec { nodes, ..Spec::default() });
+    let mut world = EmulatedFleet::started(Spec { nodes, ..Spec::default() });
     world.run(Duration::from_secs(60));
     let expected = world.expected_views();
-    let settled = world.until(Duration::from_secs(120), &expected);
+    let settled = world.run_until_converged(Duration::from_secs(120), &expected);
     assert!(settled.is_ok(), "the fleet does not settle: {settled:?}");
-    let total =
-        |w: &World| (0..nodes).map(|i| w.counters(i)).fold((0, 0), |t, f| (t.0 + f.sent, t.1 + f.sent_bytes));
+    let total = |w: &EmulatedFleet| {
+        (0..nodes).map(|i| w.counters(i)).fold((0, 0), |t, f| (t.0 + f.sent, t.1 + f.sent_bytes))
+    };
     let (before, real, calm) = (total(&world), Instant::now(), Duration::from_secs(30));
     world.run(calm);
     let after = total(&world);
@@ -94,7 +95,7 @@
         let killed = world.now();
         world.kill(victim);
         let expected = world.expected_views();
-        let all = world.until(Duration::from_secs(120), &expected);
+        let all = world.run_until_converged(Duration::from_secs(120), &expected);
         let Ok(all) = all else { panic!("the fleet does not settle: {all:?}") };
         let down = |n: &&(Duration, usize, MembershipEvent)| matches!(&n.2, MembershipEvent::Down(id) if id.name == name(victim));
         let first = world.events.iter().find(down).map_or(all, |n| n.0 - killed);
@@ -102,7 +103,7 @@
         record(&mut figures.all, all);
         world.start(victim);
         let expected = world.expected_views();
-        let joined = world.until(Duration::from_secs(120), &expected);
+        let joined = world.run_until_converged(Duration::from_secs(120), &expected);
         let Ok(joined) = joined else { panic!("the fleet does not settle: {joined:?}") };
         record(&mut figures.joined, joined);
         figures.false_deaths += world
--- a/testbed/src/scale/broadcast.rs
+++ b/testbed/src/scale/broadcast.rs
@@ -17,7 +17,7 @@
 /// Versions before traffic is counted: by then all nodes have the list.
 const WARM_UP_VERSIONS: u32 = 3;
 /// Versions that are counted; the state holds the last sixteen changes by then.
-const COUNTED_VERSIONS: u32 = 16;
+const MEASURED_VERSIONS: u32 = 16;
 /// Fencing token of the lease holder.
 const FENCING_TOKEN: u64 = 10;
 /// Number of the discovery that the list comes from.
@@ -50,7 +50,7 @@
 /// Traffic of discovery where one node of each zone polls it.
 fn discovery_traffic(spec: &Spec) -> Figures {
     let mut rng = SmallRng::seed_from_u64(spec.seed);
-    let list = ListBody::drawn(1, spec.workers, spec.zones, &mut rng).to_json().len();
+    let list = ListBody::random(1, spec.workers, spec.zones, &mut rng).to_json().len();
     let rate = (list * spec.zones) as f64 / VERSION_INTERVAL.as_secs_f64();
     Figures::from([(Quantity::BytesOut, Value::single(rate))])
 }
@@ -104,7 +104,7 @@
         };
         let holder = zone.lease_holder();
         zone.nodes[holder].broadcast.lease_acquired(Duration::ZERO, FENCING_TOKEN);
-        zone.carry_out_actions(holder);
+        zone.execute_actions(holder);
         zone.queue.schedule(VERSION_INTERVAL, Event::NewVersion);
         zone
     }
@@ -117,15 +117,15 @@
         self.run(VERSION_INTERVAL * (WARM_UP_VERSIONS + 1), limits)?;
         let before: Vec<TrafficCount> = self.nodes.iter().map(|node| node.traffic).collect();
         self.delays_ms.clear();
-        let (span, stopwatch) = (VERSION_INTERVAL * COUNTED_VERSIONS, Stopwatch::start());
+        let (span, stopwatch) = (VERSION_INTERVAL * MEASURED_VERSIONS, Stopwatch::start());
         self.run(span, limits)?;
         let processor = stopwatch.elapsed();
         let counted = self.nodes.iter().zip(&before).map(|(node, earlier)| node.traffic.since(earlier));
         let mut figures = traffic_rates(&counted.collect::<Vec<_>>(), span);
         let share = processor.as_secs_f64() / (self.spec.nodes as f64 * span.as_secs_f64());
         figures.insert(Quantity::ProcessorShare, Value::single(share));
-        let in_force = Value::of(std::mem::take(&mut self.delays_ms));
-        figures.extend(in_force.map(|value| (Quantity::InForceMs, value)));
+        let delays = Value::of(std::mem::take(&mut self.delays_ms));
+        figures.extend(delays.map(|value| (Quantity::InForceMs, value)));
         self.queue.clear();
         let state = self.nodes.into_iter().map(|node| limits.memory().freed_by(|| drop(node)) as f64);
         figures.extend(Value::of(state.collect()).map(|value| (Quantity::StateBytes, value)));
@@ -150,17 +150,17 @@
         self.queue.schedule(VERSION_INTERVAL, Event::NewVersion);
         self.published_at.push(now);
         let version = self.published_at.len() as u64;
-        let list = ListBody::drawn(version, self.spec.workers, self.spec.zones, &mut self.network.rng);
-        let delta = ListDelta { version, complete: version == 1, entries: list.lines() };
+        let list = ListBody::random(version, self.spec.workers, self.spec.zones, &mut self.network.rng);
+        let delta = ListDelta { version, complete: version == 1, entries: list.list_entries() };
         let holder = self.lease_holder();
         self.nodes[holder].broadcast.publish(now, &delta, true);
         self.nodes[holder].version = version;
-        self.carry_out_actions(holder);
+        self.execute_actions(holder);
     }
 
     fn receive(&mut self, from: usize, to: usize, message: BroadcastMessage) {
         self.nodes[to].broadcast.receive(self.queue.now(), address(from), message);
-        self.carry_out_actions(to);
+        self.execute_actions(to);
     }
 
     fn tick(&mut self, node: usize) {
@@ -168,12 +168,12 @@
         if self.nodes[node].next_tick == Some(now) {
             self.nodes[node].next_tick = None;
             self.nodes[node].broadcast.tick(now, holds_lease);
-            self.carry_out_actions(node);
+            self.execute_actions(node);
         }
     }
 
     /// Carries out a node's actions and schedules its next tick.
-    fn carry_out_actions(&mut self, node: usize) {
+    fn execute_actions(&mut self, node: usize) {
         while let Some(action) = self.nodes[node].broadcast.next_action() {
             match action {
                 BroadcastAction::Send { to, message } => self.send(node, to, message),
@@ -191,7 +191,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: BroadcastMessage) {
         let Some(to) = self.network.process_at(to) else { return };
-        let size = self.network.sealed_size(&message);
+        let size = self.network.wire_size(&message);
         self.nodes[from].traffic.record_sent(size);
         self.nodes[to].traffic.record_received(size);
         let delay = self.network.draw_delay();
@@ -200,8 +200,8 @@
 
     /// Notes for each version that a node has from now on how long it took.
     fn record_version(&mut self, node: usize, version: u64) {
-        for missed in self.nodes[node].version..version {
-            let published_at = self.published_at[missed as usize];
+        for received in self.nodes[node].version..version {
+            let published_at = self.published_at[received as usize];
             self.delays_ms.push((self.queue.now() - published_at).as_secs_f64() * 1e3);
         }
         self.nodes[node].version = version;
--- a/testbed/src/scale/chart.rs
+++ b/testbed/src/scale/chart.rs
@@ -17,7 +17,7 @@
 const LABEL_HEIGHT: i32 = 11;
 /// Labels of each axis, about.
 const LABELS: usize = 4;
-/// Room beside the least and the largest value, as a factor.
+/// Room beside the smallest and the largest value, as a factor.
 const MARGIN: f64 = 1.5;
 
 /// Error of the chart.
@@ -35,7 +35,7 @@
 }
 
 impl Series {
-    fn is_of(&self, row: &Requirement) -> bool {
+    fn matches(&self, row: &Requirement) -> bool {
         let Requirement { axis, role, condition, quantity, .. } = *row;
         *self == Series { axis, role, condition, quantity }
     }
@@ -57,28 +57,28 @@
     let rows = charts.len().div_ceil(COLUMNS).max(1);
     let size = (CHART_WIDTH * COLUMNS as u32, CHART_HEIGHT * rows as u32);
     let root = SVGBackend::new(path, size).into_drawing_area();
-    root.fill(&WHITE).map_err(error)?;
+    root.fill(&WHITE).map_err(chart_error)?;
     for (area, (series, samples)) in root.split_evenly((rows, COLUMNS)).iter().zip(&charts) {
         draw_series(area, series, samples)?;
     }
-    root.present().map_err(error)
+    root.present().map_err(chart_error)
 }
 
-fn error(e: impl std::fmt::Display) -> ChartError {
+fn chart_error(e: impl std::fmt::Display) -> ChartError {
     ChartError(e.to_string())
 }
 
 fn series(runs: &[Run]) -> BTreeMap<Series, Vec<Sample>> {
     let mut charts: BTreeMap<Series, Vec<Sample>> = BTreeMap::new();
     for measurement in runs.iter().flat_map(|run| &run.measurements) {
-        add(&mut charts, measurement);
+        add_measurement(&mut charts, measurement);
     }
     let rows = requirements();
-    charts.retain(|series, samples| samples.len() > 1 && rows.iter().any(|row| series.is_of(row)));
+    charts.retain(|series, samples| samples.len() > 1 && rows.iter().any(|row| series.matches(row)));
     charts
 }
 
-fn add(charts: &mut BTreeMap<Series, Vec<Sample>>, measurement: &Measurement) {
+fn add_measurement(charts: &mut BTreeMap<Series, Vec<Sample>>, measurement: &Measurement) {
     let Outcome::Measured(figures) = &measurement.outcome else { return };
     let Measurement { axis, role, condition, .. } = *measurement;
     for (quantity, value) in figures.iter().filter(|(_, value)| value.median > 0.0) {
@@ -102,7 +102,7 @@
         .x_label_area_size(30)
         .y_label_area_size(56)
         .build_cartesian_2d(sizes.log_scale(), values.log_scale())
-        .map_err(error)?;
+        .map_err(chart_error)?;
     chart
         .configure_mesh()
         .disable_mesh()
@@ -111,23 +111,23 @@
         .x_desc(axis_name(series.axis))
         .label_style(("sans-serif", LABEL_HEIGHT))
         .x_label_formatter(&|size| format!("{size:.0}"))
-        .y_label_formatter(&|value| short(*value))
+        .y_label_formatter(&|value| short_label(*value))
         .draw()
-        .map_err(error)?;
+        .map_err(chart_error)?;
     let median = samples.iter().map(|s| (s.size, s.value.median));
     let worst = samples.iter().map(|s| (s.size, s.value.worst));
-    chart.draw_series(LineSeries::new(median, &BLUE).point_size(2)).map_err(error)?;
-    chart.draw_series(LineSeries::new(worst, &RED).point_size(2)).map_err(error)?;
+    chart.draw_series(LineSeries::new(median, &BLUE).point_size(2)).map_err(chart_error)?;
+    chart.draw_series(LineSeries::new(worst, &RED).point_size(2)).map_err(chart_error)?;
     Ok(())
 }
 
 fn range(values: impl Iterator<Item = f64> + Clone) -> std::ops::Range<f64> {
-    let least = values.clone().fold(f64::INFINITY, f64::min);
+    let smallest = values.clone().fold(f64::INFINITY, f64::min);
     let largest = values.fold(0.0, f64::max);
-    least / MARGIN..largest * MARGIN
+    smallest / MARGIN..largest * MARGIN
 }
 
-fn short(value: f64) -> String {
+fn short_label(value: f64) -> String {
     match value {
         v if v >= 1e6 => format!("{:.1}M", v / 1e6),
         v if v >= 1e3 => format!("{:.0}k", v / 1e3),
--- a/testbed/src/scale/dispatcher.rs
+++ b/testbed/src/scale/dispatcher.rs
@@ -5,7 +5,7 @@
 use super::list::ListBody;
 use super::processor::timed;
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
-use super::sealer::Sealer;
+use super::wire_size::WireSizeMeter;
 use crate::allocation::Memory;
 use dispatch_policy::api::{
     Action, AttemptEnd, ClassSettings, Event, Idempotency, Micros, Outcome, Request, RequestId, Rules,
@@ -21,11 +21,11 @@
 /// Between a decision to send and the worker's word that the job has started.
 const START_DELAY: Micros = 5_000;
 /// Between two versions of the list.
-const LIST_PERIOD: Micros = SECOND;
+const LIST_CHANGE_INTERVAL: Micros = SECOND;
 /// Before the client of a job gives up, in mean run times.
-const DEADLINE_RUNS: f64 = 20.0;
+const DEADLINE_RUN_TIMES: f64 = 20.0;
 /// The price of telling a sibling, as a part of a job's priority_weight: so low that as many are told as the module ever tells.
-const PEER_PRICE: f64 = 1e-6;
+const PEER_MESSAGE_PRICE: f64 = 1e-6;
 /// Quotas are this multiple of what comes.
 const QUOTA_MARGIN: f64 = 1.25;
 
@@ -41,13 +41,13 @@
     /// Zones.
     pub zones: usize,
     /// Task starts a second, over all nodes.
-    pub starts: f64,
+    pub requests_per_s: f64,
     /// The mean run time of a job.
-    pub job: Duration,
+    pub run_time: Duration,
     /// Dispatchers that are measured.
     pub dispatchers: usize,
     /// For which each is measured.
-    pub length: Duration,
+    pub duration: Duration,
     /// The seed of all that is drawn.
     pub seed: u64,
 }
@@ -55,12 +55,12 @@
 /// Measures several dispatchers under this load; records the decision module and what it tells its siblings.
 pub fn measure(load: &Load, limits: &Limits, recorder: &mut Recorder) {
     let reports: Result<Vec<Report>, NotRun> =
-        (0..load.dispatchers).map(|ordinal| Dispatcher::new(load, ordinal).report(limits)).collect();
+        (0..load.dispatchers).map(|ordinal| Dispatcher::new(load, ordinal).run(limits)).collect();
     match reports {
         Ok(reports) => record(load, &reports, recorder),
         Err(reason) => {
             recorder.not_run(Role::Dispatcher, Condition::LiveWeights, &reason);
-            recorder.not_run(Role::RateTeller, Condition::Calm, &reason);
+            recorder.not_run(Role::RatePublisher, Condition::Steady, &reason);
             recorder.not_run(Role::Discovery, Condition::LiveWeights, &reason);
         }
     }
@@ -71,19 +71,19 @@
         let value = Value::of(reports.iter().map(of).collect());
         value.map(|value| (quantity, value))
     };
-    let seconds = load.length.as_secs_f64();
+    let seconds = load.duration.as_secs_f64();
     let dispatcher = [
         over(Quantity::StateBytes, &|r| r.state_bytes as f64),
         over(Quantity::ListStateBytes, &|r| r.list_state_bytes as f64),
         over(Quantity::ListBytes, &|r| r.list_bytes as f64 / seconds),
         over(Quantity::ListProcessorUs, &|r| micros(r.list_time) / r.lists.max(1) as f64),
-        over(Quantity::JobProcessorUs, &|r| micros(r.job_time) / r.sends.max(1) as f64),
-        over(Quantity::ProcessorShare, &|r| (r.list_time + r.job_time).as_secs_f64() / seconds),
+        over(Quantity::RequestProcessorUs, &|r| micros(r.request_time) / r.sends.max(1) as f64),
+        over(Quantity::ProcessorShare, &|r| (r.list_time + r.request_time).as_secs_f64() / seconds),
         over(Quantity::Sends, &|r| r.sends as f64 / seconds),
     ];
     let dispatcher = dispatcher.into_iter().flatten().collect();
     recorder.measured(Role::Dispatcher, Condition::LiveWeights, dispatcher);
-    let per_message = Sealer::new().rates(load.tenants).bytes as f64;
+    let per_message = WireSizeMeter::new().rates(load.tenants).bytes as f64;
     let publishers = [
         over(Quantity::MessagesOut, &|r| r.peer_messages as f64 / seconds),
         over(Quantity::BytesOut, &|r| r.peer_messages as f64 * per_message / seconds),
@@ -91,9 +91,9 @@
         over(Quantity::MessagesIn, &|r| r.peer_messages as f64 / seconds),
         over(Quantity::BytesIn, &|r| r.peer_messages as f64 * per_message / seconds),
     ];
-    recorder.measured(Role::RateTeller, Condition::Calm, publishers.into_iter().flatten().collect());
-    let to_all = over(Quantity::BytesOut, &|r| r.list_bytes as f64 / seconds * load.nodes as f64);
-    let discovery: Figures = to_all.into_iter().collect();
+    recorder.measured(Role::RatePublisher, Condition::Steady, publishers.into_iter().flatten().collect());
+    let to_all_nodes = over(Quantity::BytesOut, &|r| r.list_bytes as f64 / seconds * load.nodes as f64);
+    let discovery: Figures = to_all_nodes.into_iter().collect();
     recorder.measured(Role::Discovery, Condition::LiveWeights, discovery);
 }
 
@@ -109,7 +109,7 @@
     list_bytes: usize,
     lists: u64,
     list_time: Duration,
-    job_time: Duration,
+    request_time: Duration,
     sends: u64,
     peer_messages: u64,
 }
@@ -118,7 +118,7 @@
 #[derive(Clone, Copy, Debug)]
 enum DueEvent {
     RequestArrives,
-    ListRenewed,
+    ListChanged,
     TimerExpires,
     AttemptStarts(RequestId, u32),
     AttemptEnds(RequestId, u32),
@@ -145,7 +145,7 @@
         let mut rng = SmallRng::seed_from_u64(load.seed.wrapping_add(ordinal as u64));
         let settings = settings(load, ordinal);
         let policy = Policy::new(settings, rng.random(), 0).expect("the settings are well-formed");
-        let list = ListBody::drawn(1, load.workers, load.zones, &mut rng);
+        let list = ListBody::random(1, load.workers, load.zones, &mut rng);
         let mut dispatcher = Dispatcher {
             load,
             policy,
@@ -158,24 +158,24 @@
             list,
             report: Report::default(),
         };
-        dispatcher.schedule(0, DueEvent::ListRenewed);
+        dispatcher.schedule(0, DueEvent::ListChanged);
         dispatcher.schedule(SECOND, DueEvent::RequestArrives);
         dispatcher
     }
 
     /// Runs to the end of the load, and measures the state by dropping it.
-    fn report(mut self, limits: &Limits) -> Result<Report, NotRun> {
-        let end = self.load.length.as_micros() as Micros;
+    fn run(mut self, limits: &Limits) -> Result<Report, NotRun> {
+        let end = self.load.duration.as_micros() as Micros;
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= end) {
             self.now = entry.key().0;
             let event = entry.remove();
             self.handle_due(event);
             limits.check()?;
         }
-        Ok(self.measured_state(limits.memory()))
+        Ok(self.measure_state(limits.memory()))
     }
 
-    fn measured_state(self, memory: Memory) -> Report {
+    fn measure_state(self, memory: Memory) -> Report {
         let Dispatcher { policy, list, mut report, .. } = self;
         report.state_bytes = memory.freed_by(|| drop(policy));
         report.list_state_bytes = memory.freed_by(|| drop(list));
@@ -190,7 +190,7 @@
     fn handle_due(&mut self, event: DueEvent) {
         match event {
             DueEvent::RequestArrives => self.request_arrives(),
-            DueEvent::ListRenewed => self.renew_list(),
+            DueEvent::ListChanged => self.change_list(),
             DueEvent::TimerExpires => self.handle(&Event::TimerExpired),
             DueEvent::AttemptStarts(id, attempt) => self.attempt_starts(id, attempt),
             DueEvent::AttemptEnds(id, attempt) => self.attempt_ends(id, attempt, Outcome::Success),
@@ -198,33 +198,33 @@
     }
 
     fn request_arrives(&mut self) {
-        let rate = self.load.starts / self.load.nodes as f64;
+        let rate = self.load.requests_per_s / self.load.nodes as f64;
         let uniform: f64 = self.rng.random();
         let gap = -(1.0 - uniform).ln() / rate;
         self.schedule((gap * SECOND as f64) as Micros + 1, DueEvent::RequestArrives);
         self.next_request += 1;
-        let job = self.load.job.as_micros() as f64;
+        let run_time = self.load.run_time.as_micros() as f64;
         let request = Request {
             id: self.next_request,
             tenant: self.rng.random_range(0..self.load.tenants),
-            time_left_us: (DEADLINE_RUNS * job) as Micros,
+            time_left_us: (DEADLINE_RUN_TIMES * run_time) as Micros,
             slots: 1.0,
             ..Request::default()
         };
         self.handle(&Event::RequestReceived(request));
     }
 
-    fn renew_list(&mut self) {
-        self.schedule(LIST_PERIOD, DueEvent::ListRenewed);
+    fn change_list(&mut self) {
+        self.schedule(LIST_CHANGE_INTERVAL, DueEvent::ListChanged);
         let revision = self.report.lists + 1;
-        let drawn = ListBody::drawn(revision, self.load.workers, self.load.zones, &mut self.rng);
+        let drawn = ListBody::random(revision, self.load.workers, self.load.zones, &mut self.rng);
         let body = drawn.to_json();
         drop(drawn);
         let mut actions = Vec::new();
         let (now, policy) = (self.now, &mut self.policy);
         let (list, time) = timed(|| {
             let list = ListBody::from_json(&body).expect("it was written just now");
-            let entries = list.entries();
+            let entries = list.endpoints();
             let event =
                 if list.complete { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) };
             policy.handle(now, &event, &mut actions);
@@ -234,7 +234,7 @@
         self.report.lists += 1;
         self.report.list_bytes += body.len();
         self.report.list_time += time;
-        self.carry_out(actions);
+        self.execute_actions(actions);
     }
 
     fn attempt_starts(&mut self, id: RequestId, attempt: u32) {
@@ -248,24 +248,30 @@
         if self.attempts.get(&id) != Some(&attempt) {
             return;
         }
-        let last = outcome == Outcome::Success;
-        if last {
+        let is_final = outcome == Outcome::Success;
+        if is_final {
             self.attempts.remove(&id);
         }
-        let ending =
-            AttemptEnd { id, attempt, outcome, request_done: last, not_attributable: false, report: None };
-        self.handle(&Event::AttemptEnded(ending));
+        let end = AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            request_done: is_final,
+            not_attributable: false,
+            report: None,
+        };
+        self.handle(&Event::AttemptEnded(end));
     }
 
     fn handle(&mut self, event: &Event) {
         let mut actions = Vec::new();
         let (now, policy) = (self.now, &mut self.policy);
         let ((), time) = timed(|| policy.handle(now, event, &mut actions));
-        self.report.job_time += time;
-        self.carry_out(actions);
+        self.report.request_time += time;
+        self.execute_actions(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, .. } => self.send(id),
@@ -287,9 +293,9 @@
         self.report.sends += 1;
         let attempt = self.attempts.get(&id).map_or(0, |last| last + 1);
         self.attempts.insert(id, attempt);
-        let job = self.load.job.as_micros() as f64 * self.rng.random_range(0.5..1.5);
+        let run_time = self.load.run_time.as_micros() as f64 * self.rng.random_range(0.5..1.5);
         self.schedule(START_DELAY, DueEvent::AttemptStarts(id, attempt));
-        self.schedule(START_DELAY + job as Micros, DueEvent::AttemptEnds(id, attempt));
+        self.schedule(START_DELAY + run_time as Micros, DueEvent::AttemptEnds(id, attempt));
     }
 
     /// All nodes publish to as many others as this one does, so as many messages come in.
@@ -301,18 +307,18 @@
 }
 
 fn settings(load: &Load, ordinal: usize) -> Settings {
-    let job = load.job.as_micros() as Micros;
+    let run_time = load.run_time.as_micros() as Micros;
     let class = ClassSettings {
-        objective_us: job,
+        objective_us: run_time,
         objective_per_work: 2.0,
-        deadline_us: (DEADLINE_RUNS * job as f64) as Micros,
+        deadline_us: (DEADLINE_RUN_TIMES * run_time as f64) as Micros,
         priority_weight: 1.0,
         late_weight: 0.5,
         idempotency: Idempotency::Idempotent,
         deduplication_window_us: 0,
         required_kind: None,
     };
-    let quota_per_s = QUOTA_MARGIN * load.starts / load.tenants as f64;
+    let quota_per_s = QUOTA_MARGIN * load.requests_per_s / load.tenants as f64;
     let tenant = TenantSettings { quota_per_s, share: 1.0 / load.tenants as f64 };
     Settings {
         classes: vec![class],
@@ -323,7 +329,7 @@
         max_attempts: 3,
         can_cancel: true,
         peer_messages: true,
-        peer_message_price: PEER_PRICE,
+        peer_message_price: PEER_MESSAGE_PRICE,
         live_weights: true,
         acknowledges: true,
         reports_start: true,
--- a/testbed/src/scale/estimate.rs
+++ b/testbed/src/scale/estimate.rs
@@ -1,7 +1,7 @@
 //! Requirements at their planned sizes: measured there, or extrapolated.
 
 use super::fit::{Estimate, Fit, Model, Point};
-use super::requirement::{planned, Requirement};
+use super::requirement::{planned_size, Requirement};
 use super::result::{Outcome, Run};
 use super::table::number;
 
@@ -11,7 +11,7 @@
     /// The requirement.
     pub requirement: Requirement,
     /// The size that is planned for.
-    pub planned: f64,
+    pub planned_size: f64,
     /// The sizes at which it was measured.
     pub sizes: Vec<f64>,
     /// The figure at the planned size; `None` where there are too few measurements.
@@ -24,20 +24,20 @@
 
 impl Row {
     /// The figure as a multiple of its budget; `None` where there is no bound or no figure.
-    pub fn times_budget(&self) -> Option<f64> {
+    pub fn budget_ratio(&self) -> Option<f64> {
         Some(self.estimate?.value / self.requirement.budget.bound()?)
     }
 
     /// Whether the figure is above its bound.
     pub fn is_over_budget(&self) -> bool {
-        self.times_budget().is_some_and(|times| times > 1.0)
+        self.budget_ratio().is_some_and(|ratio| ratio > 1.0)
     }
 
     /// How far the planned size lies beyond the largest measured one, as a factor; 1 where it does not.
-    pub fn beyond(&self) -> f64 {
+    pub fn extrapolation_factor(&self) -> f64 {
         let largest = self.sizes.iter().copied().fold(0.0, f64::max);
         if largest > 0.0 {
-            (self.planned / largest).max(1.0)
+            (self.planned_size / largest).max(1.0)
         } else {
             1.0
         }
@@ -58,23 +58,23 @@
 
 /// All requirements, furthest over their budgets first.
 pub fn estimates(requirements: &[Requirement], runs: &[Run]) -> Vec<Row> {
-    let mut rows: Vec<Row> = requirements.iter().map(|requirement| row(requirement, runs)).collect();
-    let times = |row: &Row| row.times_budget().unwrap_or(f64::NEG_INFINITY);
-    rows.sort_by(|a, b| times(b).total_cmp(&times(a)));
+    let mut rows: Vec<Row> = requirements.iter().map(|requirement| estimate_row(requirement, runs)).collect();
+    let ratio = |row: &Row| row.budget_ratio().unwrap_or(f64::NEG_INFINITY);
+    rows.sort_by(|a, b| ratio(b).total_cmp(&ratio(a)));
     rows
 }
 
-fn row(requirement: &Requirement, runs: &[Run]) -> Row {
+fn estimate_row(requirement: &Requirement, runs: &[Run]) -> Row {
     let points = points(requirement, runs);
-    let planned = planned(requirement.axis) as f64;
-    let measured = points.iter().find(|point| point.size == planned);
+    let planned_size = planned_size(requirement.axis) as f64;
+    let measured = points.iter().find(|point| point.size == planned_size);
     let fit = Fit::of(&points);
     let exact = measured.map(|point| Estimate { value: point.value, low: point.value, high: point.value });
     Row {
         requirement: *requirement,
-        planned,
+        planned_size,
         sizes: points.iter().map(|point| point.size).collect(),
-        estimate: exact.or_else(|| fit.map(|fit| fit.estimate(planned))),
+        estimate: exact.or_else(|| fit.map(|fit| fit.estimate(planned_size))),
         is_measured: measured.is_some(),
         fit,
     }
--- a/testbed/src/scale/fit.rs
+++ b/testbed/src/scale/fit.rs
@@ -37,7 +37,7 @@
     points: f64,
     mean: f64,
     /// The sum of squares of the sizes about their mean.
-    spread: f64,
+    sum_of_squares: f64,
     /// The standard deviation of the residuals.
     deviation: f64,
     /// Squared relative errors at the points, summed.
@@ -73,17 +73,18 @@
         let count = scaled.len() as f64;
         let mean = scaled.iter().map(|p| p.size).sum::<f64>() / count;
         let mean_value = scaled.iter().map(|p| p.value).sum::<f64>() / count;
-        let spread = scaled.iter().map(|p| (p.size - mean).powi(2)).sum::<f64>();
-        if spread <= 0.0 {
+        let sum_of_squares = scaled.iter().map(|p| (p.size - mean).powi(2)).sum::<f64>();
+        if sum_of_squares <= 0.0 {
             return None;
         }
         let product = scaled.iter().map(|p| (p.size - mean) * (p.value - mean_value)).sum::<f64>();
-        let slope = product / spread;
+        let slope = product / sum_of_squares;
         let intercept = mean_value - slope * mean;
         let residual = |p: &Point| p.value - intercept - slope * p.size;
         let residuals = scaled.iter().map(|p| residual(p).powi(2)).sum::<f64>();
         let deviation = (residuals / (count - 2.0)).sqrt();
-        let mut fit = Fit { model, intercept, slope, points: count, mean, spread, deviation, error: 0.0 };
+        let mut fit =
+            Fit { model, intercept, slope, points: count, mean, sum_of_squares, deviation, error: 0.0 };
         fit.error = points.iter().map(|p| fit.relative_error(p).powi(2)).sum();
         Some(fit)
     }
@@ -91,12 +92,12 @@
     /// The figure at a size, with its prediction interval.
     pub fn estimate(&self, size: f64) -> Estimate {
         let scaled = self.model.scale(Point { size, value: 1.0 }).size;
-        let middle = self.intercept + self.slope * scaled;
-        let distance = (scaled - self.mean).powi(2) / self.spread;
+        let center = self.intercept + self.slope * scaled;
+        let distance = (scaled - self.mean).powi(2) / self.sum_of_squares;
         let error = self.deviation * (1.0 + 1.0 / self.points + distance).sqrt();
-        let reach = student_quantile(self.points - 2.0) * error;
+        let half_width = student_quantile(self.points - 2.0) * error;
         let value = |at: f64| self.model.unscale(at);
-        Estimate { value: value(middle), low: value(middle - reach), high: value(middle + reach) }
+        Estimate { value: value(center), low: value(center - half_width), high: value(center + half_width) }
     }
 
     fn relative_error(&self, point: &Point) -> f64 {
@@ -122,7 +123,7 @@
 }
 
 /// How many standard errors a prediction interval reaches to each side.
-fn student_quantile(degrees: f64) -> f64 {
-    let distribution = StudentsT::new(0.0, 1.0, degrees).expect("there is a degree of freedom");
+fn student_quantile(degrees_of_freedom: f64) -> f64 {
+    let distribution = StudentsT::new(0.0, 1.0, degrees_of_freedom).expect("there is a degree of freedom");
     distribution.inverse_cdf(1.0 - (1.0 - CONFIDENCE) / 2.0)
 }
--- a/testbed/src/scale/limits.rs
+++ b/testbed/src/scale/limits.rs
@@ -22,17 +22,17 @@
     },
     /// The nodes did not reach equal views.
     #[error("the views of the nodes were not equal after {after_s} s of emulated time")]
-    NotSettled {
+    NotConverged {
         /// Emulated time waited, in seconds.
         after_s: u64,
     },
     /// Some nodes never learned of a change.
-    #[error("a change was in force at {reached} of {of} nodes after {after_s} s of emulated time")]
+    #[error("a change was in force at {reached} of {expected} nodes after {after_s} s of emulated time")]
     NotInForce {
         /// Reports of the change, over all nodes.
         reached: usize,
         /// Reports expected.
-        of: usize,
+        expected: usize,
         /// Emulated time waited, in seconds.
         after_s: u64,
     },
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -10,9 +10,9 @@
 /// The cores of each worker, and its weight while it holds nothing.
 const CORES: f64 = 4.0;
 /// Requests that a worker holds at most when its weight is drawn.
-const HELD_MAX: u32 = 8;
+const HELD_REQUESTS_MAX: u32 = 8;
 /// Workers that share the memory of repeated keys.
-const CELL: usize = 8;
+const WORKERS_PER_CELL: usize = 8;
 
 /// A version of the list, as a node reads it: the same fields as `molevale::list::ListBody`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -40,8 +40,8 @@
 
 impl ListBody {
     /// All workers, spread over the zones in turn.
-    pub fn drawn(revision: u64, workers: usize, zones: usize, rng: &mut SmallRng) -> ListBody {
-        let members = (0..workers).map(|i| Member::drawn(i, zones, rng)).collect();
+    pub fn random(revision: u64, workers: usize, zones: usize, rng: &mut SmallRng) -> ListBody {
+        let members = (0..workers).map(|i| Member::random(i, zones, rng)).collect();
         ListBody { revision, complete: revision == 1, members }
     }
 
@@ -59,38 +59,38 @@
     }
 
     /// The lines as the nodes of a zone pass them on to each other.
-    pub fn lines(&self) -> Vec<ListEntry> {
-        self.members.iter().map(Member::line).collect()
+    pub fn list_entries(&self) -> Vec<ListEntry> {
+        self.members.iter().map(Member::list_entry).collect()
     }
 
     /// The lines as the decision module takes them.
-    pub fn entries(&self) -> Vec<Endpoint> {
-        self.members.iter().map(Member::entry).collect()
+    pub fn endpoints(&self) -> Vec<Endpoint> {
+        self.members.iter().map(Member::endpoint).collect()
     }
 }
 
 impl Member {
-    fn drawn(i: usize, zones: usize, rng: &mut SmallRng) -> Member {
-        let held = f64::from(rng.random_range(0..=HELD_MAX));
-        let weight = CORES / (1.0 + held / CORES);
+    fn random(i: usize, zones: usize, rng: &mut SmallRng) -> Member {
+        let held_requests = f64::from(rng.random_range(0..=HELD_REQUESTS_MAX));
+        let weight = CORES / (1.0 + held_requests / CORES);
         Member {
             id: format!("worker-{i:04}"),
             host_port: SocketAddr::from((Ipv4Addr::new(10, 0, (i / 250) as u8, (i % 250 + 1) as u8), 8443)),
             locality: zone_name(i % zones),
             flavor: "standard".to_string(),
-            cell: (i / CELL) as u32,
+            cell: (i / WORKERS_PER_CELL) as u32,
             phase: "in_service".to_string(),
             size: (weight * 100.0).round() / 100.0,
             up_since_ms: 0,
         }
     }
 
-    fn line(&self) -> ListEntry {
+    fn list_entry(&self) -> ListEntry {
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         ListEntry { key: self.id.clone(), removed: false, bytes }
     }
 
-    fn entry(&self) -> Endpoint {
+    fn endpoint(&self) -> Endpoint {
         Endpoint {
             worker: WorkerId(membership::name_hash(&self.id)),
             kind: 0,
--- a/testbed/src/scale/membership.rs
+++ b/testbed/src/scale/membership.rs
@@ -4,26 +4,26 @@
 use super::limits::{Limits, NotRun};
 use super::processor::Stopwatch;
 use super::result::{Condition, Figures, Quantity, Recorder, Role, Value};
-use super::traffic::Traffic;
-use crate::emulated::{address, name, Spec as WorldSpec, World};
+use super::traffic::TrafficSnapshot;
+use crate::emulated_membership::{address, name, EmulatedFleet, Spec as FleetSpec};
 use membership::{MembershipEvent, Phase};
 use std::collections::HashSet;
 use std::time::Duration;
 
 /// Emulated time between two checks of the limits.
-const SLICE: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Emulated time that the nodes have to reach equal views.
-const SETTLE_MAX: Duration = Duration::from_secs(300);
+const CONVERGENCE_TIME_MAX: Duration = Duration::from_secs(300);
 /// Emulated time that a change has until it is in force everywhere.
 const IN_FORCE_MAX: Duration = Duration::from_secs(60);
 /// Emulated time for which traffic is counted from a change on, at least.
 const CHANGE_WINDOW: Duration = Duration::from_secs(10);
 /// Emulated time for which the news of one change are spread before the next one is made.
-const PAUSE: Duration = Duration::from_secs(10);
+const DISSEMINATION_TIME: Duration = Duration::from_secs(10);
 
 /// The conditions that [`measure`] records, in this order.
 pub const CONDITIONS: [Condition; 5] = [
-    Condition::Calm,
+    Condition::Steady,
     Condition::PhaseChange,
     Condition::Crashes,
     Condition::ZoneLost,
@@ -39,8 +39,8 @@
     pub seed: u64,
     /// From equal views to the start of the measurement.
     pub warm_up: Duration,
-    /// For which the calm fleet is measured.
-    pub calm: Duration,
+    /// For which the steady fleet is measured.
+    pub steady_time: Duration,
     /// Nodes that are killed at once.
     pub crashes: usize,
     /// Zones, of which one is lost.
@@ -55,30 +55,30 @@
 }
 
 fn measure_all(spec: &Spec, limits: &Limits, recorder: &mut Recorder) -> Result<(), NotRun> {
-    let mut fleet = Fleet::settled(spec, limits)?;
-    fleet.run(spec.warm_up)?;
-    let calm = fleet.calm(spec.calm)?;
-    let phase = fleet.phase_change(spec.nodes / 2)?;
-    fleet.run(PAUSE)?;
-    let crashes = fleet.crashes(&spread_out(spec.nodes, spec.crashes))?;
-    let calm = with_state(calm, &crashes.state);
-    recorder.measured(Role::Member, Condition::Calm, calm);
+    let mut measured = MeasuredFleet::converged(spec, limits)?;
+    measured.run(spec.warm_up)?;
+    let steady = measured.measure_steady(spec.steady_time)?;
+    let phase = measured.measure_phase_change(spec.nodes / 2)?;
+    measured.run(DISSEMINATION_TIME)?;
+    let crashes = measured.measure_crashes(&spread_out(spec.nodes, spec.crashes))?;
+    let steady = with_state(steady, &crashes.state);
+    recorder.measured(Role::Member, Condition::Steady, steady);
     recorder.measured(Role::Member, Condition::PhaseChange, phase);
     recorder.measured(Role::Member, Condition::Crashes, crashes.figures);
-    fleet.run(PAUSE)?;
+    measured.run(DISSEMINATION_TIME)?;
     let zone: Vec<usize> = (0..spec.nodes).filter(|i| i % spec.zones == 1 % spec.zones).collect();
-    let zone: Vec<usize> = zone.into_iter().filter(|i| fleet.world.runs(*i)).collect();
-    let lost = fleet.crashes(&zone)?;
+    let zone: Vec<usize> = zone.into_iter().filter(|i| measured.fleet.is_running(*i)).collect();
+    let lost = measured.measure_crashes(&zone)?;
     recorder.measured(Role::Member, Condition::ZoneLost, lost.figures);
-    fleet.run(PAUSE)?;
-    let returns = fleet.zone_returns(&zone)?;
+    measured.run(DISSEMINATION_TIME)?;
+    let returns = measured.measure_zone_return(&zone)?;
     recorder.measured(Role::Member, Condition::ZoneReturns, returns);
     Ok(())
 }
 
 /// So many nodes that lie apart, none of them a seed or the one that changes its phase.
 fn spread_out(nodes: usize, count: usize) -> Vec<usize> {
-    let seeds = WorldSpec::default().seeds;
+    let seeds = FleetSpec::default().seeds;
     let free: Vec<usize> = (seeds..nodes).filter(|i| *i != nodes / 2).collect();
     let count = count.min(free.len());
     (0..count).map(|i| free[i * free.len() / count]).collect()
@@ -99,41 +99,41 @@
 }
 
 /// A fleet whose views were equal once.
-struct Fleet<'a> {
-    world: World,
+struct MeasuredFleet<'a> {
+    fleet: EmulatedFleet,
     limits: &'a Limits,
     nodes: usize,
 }
 
-impl<'a> Fleet<'a> {
-    fn settled(spec: &Spec, limits: &'a Limits) -> Result<Fleet<'a>, NotRun> {
-        let world_spec = WorldSpec { nodes: spec.nodes, seed: spec.seed, ..WorldSpec::default() };
-        let world = World::started(world_spec);
-        let mut fleet = Fleet { world, limits, nodes: spec.nodes };
+impl<'a> MeasuredFleet<'a> {
+    fn converged(spec: &Spec, limits: &'a Limits) -> Result<MeasuredFleet<'a>, NotRun> {
+        let fleet_spec = FleetSpec { nodes: spec.nodes, seed: spec.seed, ..FleetSpec::default() };
+        let emulated = EmulatedFleet::started(fleet_spec);
+        let mut fleet = MeasuredFleet { fleet: emulated, limits, nodes: spec.nodes };
         fleet.run_until_equal()?;
         Ok(fleet)
     }
 
     /// Lets emulated time pass, within the limits.
     fn run(&mut self, span: Duration) -> Result<(), NotRun> {
-        let end = self.world.now() + span;
-        while self.world.now() < end {
-            let left = end - self.world.now();
-            self.world.run(SLICE.min(left));
+        let end = self.fleet.now() + span;
+        while self.fleet.now() < end {
+            let remaining = end - self.fleet.now();
+            self.fleet.run(CHECK_INTERVAL.min(remaining));
             self.limits.check()?;
         }
-        self.world.events.clear();
+        self.fleet.events.clear();
         Ok(())
     }
 
     /// Lets emulated time pass until all running nodes have equal views of all of them.
     fn run_until_equal(&mut self) -> Result<(), NotRun> {
-        let end = self.world.now() + SETTLE_MAX;
+        let end = self.fleet.now() + CONVERGENCE_TIME_MAX;
         while !self.views_are_equal() {
-            if self.world.now() >= end {
-                return Err(NotRun::NotSettled { after_s: SETTLE_MAX.as_secs() });
+            if self.fleet.now() >= end {
+                return Err(NotRun::NotConverged { after_s: CONVERGENCE_TIME_MAX.as_secs() });
             }
-            self.run(SLICE)?;
+            self.run(CHECK_INTERVAL)?;
         }
         Ok(())
     }
@@ -145,36 +145,36 @@
     }
 
     fn digest(&mut self, node: usize) -> Option<u64> {
-        self.world.with(node, |machine, _| machine.digest()).flatten()
+        self.fleet.with_machine(node, |machine, _| machine.digest()).flatten()
     }
 
     /// Whether so many members, itself included, are present in a node's view.
     fn has_present(&self, node: usize, running: usize) -> bool {
-        let view = self.world.view(node);
+        let view = self.fleet.view(node);
         let present = |view: &membership::View| view.members.iter().filter(|m| m.status.is_present()).count();
         view.is_some_and(|view| present(&view) == running)
     }
 
     fn running(&self) -> Vec<usize> {
-        (0..self.nodes).filter(|i| self.world.runs(*i)).collect()
+        (0..self.nodes).filter(|i| self.fleet.is_running(*i)).collect()
     }
 
     /// Counters of the running nodes now.
-    fn traffic(&self) -> Traffic {
-        Traffic::of(self.running().into_iter().map(|i| (i, self.world.counters(i))))
+    fn traffic(&self) -> TrafficSnapshot {
+        TrafficSnapshot::of(self.running().into_iter().map(|i| (i, self.fleet.counters(i))))
     }
 
-    fn calm(&mut self, length: Duration) -> Result<Figures, NotRun> {
+    fn measure_steady(&mut self, duration: Duration) -> Result<Figures, NotRun> {
         let before = self.traffic();
         let stopwatch = Stopwatch::start();
-        self.run(length)?;
-        let mut figures = self.figures_since(&before, length, &stopwatch);
-        figures.insert(Quantity::ExchangeBytes, Value::single(self.full_state_bytes() as f64));
+        self.run(duration)?;
+        let mut figures = self.figures_since(&before, duration, &stopwatch);
+        figures.insert(Quantity::FullStateBytes, Value::single(self.full_state_bytes() as f64));
         Ok(figures)
     }
 
-    /// Traffic and processor time since `before`. The emulator's own work is in the processor time: it is an upper bound.
-    fn figures_since(&self, before: &Traffic, span: Duration, stopwatch: &Stopwatch) -> Figures {
+    /// TrafficSnapshot and processor time since `before`. The emulator's own work is in the processor time: it is an upper bound.
+    fn figures_since(&self, before: &TrafficSnapshot, span: Duration, stopwatch: &Stopwatch) -> Figures {
         let processor = stopwatch.elapsed().as_secs_f64();
         let node_seconds = self.running().len() as f64 * span.as_secs_f64();
         let mut figures = self.traffic().since(before, span);
@@ -185,24 +185,24 @@
     fn full_state_bytes(&mut self) -> usize {
         let length =
             |machine: &mut membership::Machine, now| machine.request_sync(now, address(1), 1).1.len();
-        self.world.with(0, length).unwrap_or(0)
+        self.fleet.with_machine(0, length).unwrap_or(0)
     }
 
-    fn phase_change(&mut self, node: usize) -> Result<Figures, NotRun> {
+    fn measure_phase_change(&mut self, node: usize) -> Result<Figures, NotRun> {
         let others = self.running().len() - 1;
         let draining =
             |event: &MembershipEvent| matches!(event, MembershipEvent::Up(id) if id.phase == Phase::Draining);
-        self.world.events.clear();
-        let (before, changed_at) = (self.traffic(), self.world.now());
-        self.world.with(node, |machine, now| machine.set_draining(now, true));
+        self.fleet.events.clear();
+        let (before, changed_at) = (self.traffic(), self.fleet.now());
+        self.fleet.with_machine(node, |machine, now| machine.set_draining(now, true));
         self.run_until_reported(changed_at, others, draining, &before)
     }
 
-    fn crashes(&mut self, killed: &[usize]) -> Result<Crashes, NotRun> {
-        self.world.events.clear();
-        let (changed_at, memory) = (self.world.now(), self.limits.memory());
+    fn measure_crashes(&mut self, killed: &[usize]) -> Result<Crashes, NotRun> {
+        self.fleet.events.clear();
+        let (changed_at, memory) = (self.fleet.now(), self.limits.memory());
         let state: Vec<f64> =
-            killed.iter().map(|node| memory.freed_by(|| self.world.kill(*node)) as f64).collect();
+            killed.iter().map(|node| memory.freed_by(|| self.fleet.kill(*node)) as f64).collect();
         let names: HashSet<String> = killed.iter().map(|node| name(*node)).collect();
         let before = self.traffic();
         let reports = before.nodes() * killed.len();
@@ -219,27 +219,27 @@
         changed_at: Duration,
         expected: usize,
         wanted: impl Fn(&MembershipEvent) -> bool,
-        before: &Traffic,
+        before: &TrafficSnapshot,
     ) -> Result<Figures, NotRun> {
         let mut delays = Vec::with_capacity(expected);
         let mut figures = Figures::new();
         let stopwatch = Stopwatch::start();
         loop {
-            self.world.run(SLICE);
+            self.fleet.run(CHECK_INTERVAL);
             self.limits.check()?;
-            let events = std::mem::take(&mut self.world.events);
+            let events = std::mem::take(&mut self.fleet.events);
             let wanted = events.iter().filter(|(_, _, event)| wanted(event));
             delays.extend(wanted.map(|(at, _, _)| (*at - changed_at).as_secs_f64() * 1e3));
-            let passed = self.world.now() - changed_at;
-            if passed >= CHANGE_WINDOW && figures.is_empty() {
-                figures = self.figures_since(before, passed, &stopwatch);
+            let elapsed = self.fleet.now() - changed_at;
+            if elapsed >= CHANGE_WINDOW && figures.is_empty() {
+                figures = self.figures_since(before, elapsed, &stopwatch);
             }
             if delays.len() >= expected && !figures.is_empty() {
                 break;
             }
-            if passed >= IN_FORCE_MAX {
+            if elapsed >= IN_FORCE_MAX {
                 let after_s = IN_FORCE_MAX.as_secs();
-                return Err(NotRun::NotInForce { reached: delays.len(), of: expected, after_s });
+                return Err(NotRun::NotInForce { reached: delays.len(), expected, after_s });
             }
         }
         if let Some(in_force) = Value::of(delays) {
@@ -248,21 +248,21 @@
         Ok(figures)
     }
 
-    fn zone_returns(&mut self, zone: &[usize]) -> Result<Figures, NotRun> {
-        zone.iter().for_each(|node| self.world.start(*node));
-        let (before, started) = (self.traffic(), self.world.now());
+    fn measure_zone_return(&mut self, zone: &[usize]) -> Result<Figures, NotRun> {
+        zone.iter().for_each(|node| self.fleet.start(*node));
+        let (before, started) = (self.traffic(), self.fleet.now());
         let stopwatch = Stopwatch::start();
         self.run_until_equal()?;
-        let took = self.world.now() - started;
-        self.run(CHANGE_WINDOW.saturating_sub(took))?;
-        let window = self.world.now() - started;
+        let elapsed = self.fleet.now() - started;
+        self.run(CHANGE_WINDOW.saturating_sub(elapsed))?;
+        let window = self.fleet.now() - started;
         let mut figures = self.figures_since(&before, window, &stopwatch);
         let state_rate = self.full_state_bytes() as f64 / window.as_secs_f64();
-        if let Some(exchanges) = figures.get(&Quantity::Exchanges).copied() {
-            let (median, worst) = (exchanges.median * state_rate, exchanges.worst * state_rate);
-            figures.insert(Quantity::ExchangeBytesIn, Value { median, worst });
+        if let Some(full_states) = figures.get(&Quantity::FullStatesIn).copied() {
+            let (median, worst) = (full_states.median * state_rate, full_states.worst * state_rate);
+            figures.insert(Quantity::FullStateBytesIn, Value { median, worst });
         }
-        figures.insert(Quantity::InForceMs, Value::single(took.as_secs_f64() * 1e3));
+        figures.insert(Quantity::InForceMs, Value::single(elapsed.as_secs_f64() * 1e3));
         Ok(figures)
     }
 }
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -20,11 +20,11 @@
 pub mod requirement;
 pub mod result;
 mod run;
-mod sealer;
 pub mod store;
 mod table;
 mod traffic;
 pub mod voting;
+mod wire_size;
 
 pub use arguments::Arguments;
 pub use run::{measure, run, ScaleError};
--- a/testbed/src/scale/network.rs
+++ b/testbed/src/scale/network.rs
@@ -1,7 +1,7 @@
 //! Emulated network between the processes of a scale run: size and delay of each message, traffic of each process.
 
 use super::result::{Figures, Quantity, Value};
-use super::sealer::{Sealed, Sealer};
+use super::wire_size::{WireSize, WireSizeMeter};
 use rand::rngs::SmallRng;
 use rand::RngExt;
 use serde::Serialize;
@@ -19,7 +19,7 @@
 pub struct EmulatedNetwork {
     /// Source of all random draws of the run.
     pub rng: SmallRng,
-    sealer: Sealer,
+    wire_sizes: WireSizeMeter,
     processes: HashMap<SocketAddr, usize>,
 }
 
@@ -27,7 +27,7 @@
     /// Network of processes at these addresses; a process is known by the place of its address.
     pub fn new(addresses: impl Iterator<Item = SocketAddr>, rng: SmallRng) -> EmulatedNetwork {
         let processes = addresses.enumerate().map(|(process, address)| (address, process)).collect();
-        EmulatedNetwork { rng, sealer: Sealer::new(), processes }
+        EmulatedNetwork { rng, wire_sizes: WireSizeMeter::new(), processes }
     }
 
     /// The process at an address.
@@ -36,9 +36,9 @@
     }
 
     /// Size of a message as it is sent.
-    pub fn sealed_size(&mut self, message: &impl Serialize) -> Sealed {
+    pub fn wire_size(&mut self, message: &impl Serialize) -> WireSize {
         let length = postcard::to_stdvec(message).map_or(0, |bytes| bytes.len()) + SUBSYSTEM_TAG_BYTES;
-        self.sealer.message(length)
+        self.wire_sizes.message(length)
     }
 
     /// Draws the delay of one message.
@@ -58,13 +58,13 @@
 
 impl TrafficCount {
     /// Counts a message that the process has sent.
-    pub fn record_sent(&mut self, size: Sealed) {
+    pub fn record_sent(&mut self, size: WireSize) {
         self.messages_out += size.datagrams;
         self.bytes_out += size.bytes;
     }
 
     /// Counts a message that is sent to the process.
-    pub fn record_received(&mut self, size: Sealed) {
+    pub fn record_received(&mut self, size: WireSize) {
         self.messages_in += size.datagrams;
         self.bytes_in += size.bytes;
     }
--- a/testbed/src/scale/page.rs
+++ b/testbed/src/scale/page.rs
@@ -58,12 +58,12 @@
 /// Where they differ, the page can't be read, or lacks the markers.
 pub fn check(path: &Path, runs: &[Run]) -> Result<(), PageError> {
     let page = Page::read(path)?;
-    let right = generated(runs);
-    if page.generated == right {
+    let expected = generated(runs);
+    if page.generated == expected {
         return Ok(());
     }
-    let same = page.generated.lines().zip(right.lines()).take_while(|(a, b)| a == b).count();
-    let line = page.before.lines().count() + same + 1;
+    let equal_lines = page.generated.lines().zip(expected.lines()).take_while(|(a, b)| a == b).count();
+    let line = page.before.lines().count() + equal_lines + 1;
     Err(PageError::Differs { path: path.to_path_buf(), line })
 }
 
@@ -110,26 +110,26 @@
     let head = "| role, while | figure of the worst process | measured at | law | at the planned size | 95% interval | \
                 beyond measured | times its budget | carried by |\n";
     let rule = "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let lines: String = rows.iter().map(line).collect();
+    let lines: String = rows.iter().map(table_row).collect();
     format!("{head}{rule}{lines}")
 }
 
-fn line(row: &Row) -> String {
+fn table_row(row: &Row) -> String {
     let requirement = &row.requirement;
     let Some(estimate) = row.estimate else { return String::new() };
-    let write = |value: f64| figure(requirement.quantity, value);
+    let with_unit = |value: f64| figure(requirement.quantity, value);
     let cells = [
         format!("{}, {}", role_name(requirement.role), condition_name(requirement.condition)),
         quantity_name(requirement.quantity).to_string(),
         format!("{} {}", join(&row.sizes), axis_name(requirement.axis)),
         row.model(),
-        format!("{} at {}", write(estimate.value), size(requirement.axis, row.planned)),
+        format!("{} at {}", with_unit(estimate.value), size(requirement.axis, row.planned_size)),
         match row.is_measured {
             true => "measured".to_string(),
-            false => format!("{} to {}", write(estimate.low.max(0.0)), write(estimate.high)),
+            false => format!("{} to {}", with_unit(estimate.low.max(0.0)), with_unit(estimate.high)),
         },
-        format!("{} times", number(row.beyond())),
-        row.times_budget().map_or("no bound".to_string(), number),
+        format!("{} times", number(row.extrapolation_factor())),
+        row.budget_ratio().map_or("no bound".to_string(), number),
         requirement.mechanism.to_string(),
     ];
     format!("| {} |\n", cells.join(" | "))
--- a/testbed/src/scale/plan.rs
+++ b/testbed/src/scale/plan.rs
@@ -77,7 +77,8 @@
     /// From equal views to the start of the measurement, in seconds.
     pub warm_up_s: u64,
     /// For which the calm fleet is measured, in seconds.
-    pub calm_s: Spanned<u64>,
+    #[serde(rename = "calm_s")]
+    pub steady_s: Spanned<u64>,
     /// Nodes that are killed at once.
     pub crashes: Spanned<u64>,
     /// Zones of the membership machine's fleet, of which one is lost.
@@ -87,19 +88,20 @@
     /// For which each dispatcher is measured, in seconds.
     pub dispatch_s: Spanned<u64>,
     /// The mean run time of a job, in seconds.
-    pub job_s: Spanned<f64>,
+    #[serde(rename = "job_s")]
+    pub run_time_s: Spanned<f64>,
     /// Nodes of all zones together, of which those of one zone pass the worker list on.
     pub list_nodes: Spanned<u64>,
 }
 
 /// Error in a plan, by its line.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {message}")]
 pub struct PlanError {
     /// The line, from 1 on.
     pub line: usize,
     /// What is wrong there.
-    pub what: String,
+    pub message: String,
 }
 
 impl Plan {
@@ -110,9 +112,10 @@
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = toml::from_str(text).map_err(|e| PlanError {
             line: e.span().map_or(1, |span| line_of(text, span.start)),
-            what: e.message().trim().replace('\n', " "),
+            message: e.message().trim().replace('\n', " "),
         })?;
-        plan.check().map_err(|invalid| PlanError { line: line_of(text, invalid.at), what: invalid.what })?;
+        plan.check()
+            .map_err(|invalid| PlanError { line: line_of(text, invalid.offset), message: invalid.message })?;
         Ok(plan)
     }
 
@@ -144,7 +147,7 @@
             ("workers", &self.base.workers),
             ("tenants", &self.base.tenants),
             ("zones", &self.base.zones),
-            ("calm_s", &self.emulation.calm_s),
+            ("calm_s", &self.emulation.steady_s),
             ("crashes", &self.emulation.crashes),
             ("member_zones", &self.emulation.member_zones),
             ("dispatchers", &self.emulation.dispatchers),
@@ -152,16 +155,16 @@
             ("list_nodes", &self.emulation.list_nodes),
         ];
         for (name, value) in positive {
-            check_that(*value.get_ref() > 0, value.span().start, || format!("{name} must be above zero"))?;
+            ensure(*value.get_ref() > 0, value.span().start, || format!("{name} must be above zero"))?;
         }
-        for (name, value) in [("starts", &self.base.starts), ("job_s", &self.emulation.job_s)] {
+        for (name, value) in [("starts", &self.base.starts), ("job_s", &self.emulation.run_time_s)] {
             let number = *value.get_ref();
-            let right = number.is_finite() && number > 0.0;
-            check_that(right, value.span().start, || format!("{name} must be above zero"))?;
+            let is_valid = number.is_finite() && number > 0.0;
+            ensure(is_valid, value.span().start, || format!("{name} must be above zero"))?;
         }
         for axis in AXES {
-            let least = if axis == Axis::Together { 1 } else { SIZES_MIN };
-            self.sizes.of(axis).map_or(Ok(()), |sizes| check_sizes(sizes, least))?;
+            let min_count = if axis == Axis::Together { 1 } else { SIZES_MIN };
+            self.sizes.of(axis).map_or(Ok(()), |sizes| check_sizes(sizes, min_count))?;
         }
         self.check_nodes()
     }
@@ -169,11 +172,14 @@
     fn check_nodes(&self) -> Result<(), Invalid> {
         let Some(sizes) = &self.sizes.nodes else { return Ok(()) };
         let largest = sizes.get_ref().last().copied().unwrap_or(0);
-        let least = sizes.get_ref().first().copied().unwrap_or(0);
-        let at = sizes.span().start;
-        check_that(largest <= NODES_MAX, at, || format!("{NODES_MAX} nodes are allowed at most"))?;
-        let lost = *self.emulation.crashes.get_ref() + least.div_ceil(*self.emulation.member_zones.get_ref());
-        check_that(lost < least, at, || format!("of {least} nodes none would be left after the crashes"))
+        let smallest = sizes.get_ref().first().copied().unwrap_or(0);
+        let offset = sizes.span().start;
+        ensure(largest <= NODES_MAX, offset, || format!("{NODES_MAX} nodes are allowed at most"))?;
+        let lost =
+            *self.emulation.crashes.get_ref() + smallest.div_ceil(*self.emulation.member_zones.get_ref());
+        ensure(lost < smallest, offset, || {
+            format!("of {smallest} nodes none would be left after the crashes")
+        })
     }
 }
 
@@ -196,26 +202,26 @@
 
 /// An invalid value, by its place in the text.
 struct Invalid {
-    at: usize,
-    what: String,
+    offset: usize,
+    message: String,
 }
 
-fn check_that(right: bool, at: usize, what: impl FnOnce() -> String) -> Result<(), Invalid> {
-    if right {
+fn ensure(is_valid: bool, offset: usize, message: impl FnOnce() -> String) -> Result<(), Invalid> {
+    if is_valid {
         Ok(())
     } else {
-        Err(Invalid { at, what: what() })
+        Err(Invalid { offset, message: message() })
     }
 }
 
-fn check_sizes(sizes: &Spanned<Vec<u64>>, least: usize) -> Result<(), Invalid> {
-    let (at, sizes) = (sizes.span().start, sizes.get_ref());
-    check_that(sizes.len() >= least, at, || format!("{least} sizes at least are needed"))?;
-    check_that(sizes[0] > 0, at, || "sizes must be above zero".to_string())?;
-    let ascending = sizes.windows(2).all(|pair| pair[0] < pair[1]);
-    check_that(ascending, at, || "sizes must ascend".to_string())
+fn check_sizes(sizes: &Spanned<Vec<u64>>, min_count: usize) -> Result<(), Invalid> {
+    let (offset, sizes) = (sizes.span().start, sizes.get_ref());
+    ensure(sizes.len() >= min_count, offset, || format!("{min_count} sizes at least are needed"))?;
+    ensure(sizes[0] > 0, offset, || "sizes must be above zero".to_string())?;
+    let is_ascending = sizes.windows(2).all(|pair| pair[0] < pair[1]);
+    ensure(is_ascending, offset, || "sizes must ascend".to_string())
 }
 
-fn line_of(text: &str, at: usize) -> usize {
-    text[..at.min(text.len())].matches('\n').count() + 1
+fn line_of(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
 }
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -33,7 +33,7 @@
 }
 
 /// The size of an axis that the operators plan for.
-pub fn planned(axis: Axis) -> u64 {
+pub fn planned_size(axis: Axis) -> u64 {
     match axis {
         Axis::Nodes | Axis::Workers | Axis::Together => 3600,
         Axis::Tenants => 650,
@@ -101,7 +101,7 @@
         Quantity::StateBytes | Quantity::ListStateBytes => Budget::Memory,
         Quantity::ProcessorShare => Budget::Processor,
         Quantity::BytesOut => Budget::TrafficOut,
-        Quantity::BytesIn | Quantity::ExchangeBytesIn | Quantity::ListBytes => Budget::TrafficIn,
+        Quantity::BytesIn | Quantity::FullStateBytesIn | Quantity::ListBytes => Budget::TrafficIn,
         Quantity::InForceMs => Budget::InForce,
         _ => Budget::None,
     }
@@ -127,11 +127,11 @@
     use Quantity::*;
     let member = Series { axis: Axis::Nodes, role: Role::Member, mechanism: VIEW };
     [
-        in_node_sum(member.rows(Calm, &[StateBytes, ProcessorShare, BytesOut, BytesIn])),
+        in_node_sum(member.rows(Steady, &[StateBytes, ProcessorShare, BytesOut, BytesIn])),
         member.rows(PhaseChange, &[BytesOut, InForceMs]),
         member.rows(Crashes, &[BytesOut, InForceMs]),
         member.rows(ZoneLost, &[BytesOut, InForceMs]),
-        member.rows(ZoneReturns, &[BytesOut, InForceMs, ExchangeBytesIn]),
+        member.rows(ZoneReturns, &[BytesOut, InForceMs, FullStateBytesIn]),
         member.rows(ZoneLost, &[ProcessorShare]),
         member.rows(ZoneReturns, &[ProcessorShare]),
     ]
@@ -139,16 +139,16 @@
 }
 
 fn dispatcher() -> Vec<Requirement> {
-    use Condition::{Calm, LiveWeights};
+    use Condition::{LiveWeights, Steady};
     use Quantity::*;
     let dispatcher = |axis| Series { axis, role: Role::Dispatcher, mechanism: DECISION };
-    let rates = Series { axis: Axis::Tenants, role: Role::RateTeller, mechanism: RATES };
+    let rates = Series { axis: Axis::Tenants, role: Role::RatePublisher, mechanism: RATES };
     [
-        dispatcher(Axis::Workers).rows(LiveWeights, &[StateBytes, ProcessorShare, JobProcessorUs]),
+        dispatcher(Axis::Workers).rows(LiveWeights, &[StateBytes, ProcessorShare, RequestProcessorUs]),
         dispatcher(Axis::Tenants).rows(LiveWeights, &[StateBytes]),
         dispatcher(Axis::Starts).rows(LiveWeights, &[StateBytes, ProcessorShare]),
         in_node_sum(dispatcher(Axis::Together).rows(LiveWeights, &[StateBytes, ProcessorShare])),
-        in_node_sum(rates.rows(Calm, &[BytesOut, BytesIn])),
+        in_node_sum(rates.rows(Steady, &[BytesOut, BytesIn])),
     ]
     .concat()
 }
@@ -172,11 +172,11 @@
 }
 
 fn voters() -> Vec<Requirement> {
-    use Condition::{Calm, Crashes};
+    use Condition::{Crashes, Steady};
     use Quantity::*;
     let voter = Series { axis: Axis::Zones, role: Role::Voter, mechanism: VOTES };
     [
-        voter.rows(Calm, &[StateBytes, ProcessorShare, BytesOut, BytesIn]),
+        voter.rows(Steady, &[StateBytes, ProcessorShare, BytesOut, BytesIn]),
         voter.rows(Crashes, &[BytesOut]),
         without_bound(voter.rows(Crashes, &[InForceMs])),
     ]
--- a/testbed/src/scale/result.rs
+++ b/testbed/src/scale/result.rs
@@ -34,7 +34,8 @@
     /// Decides on jobs: every dispatching node.
     Dispatcher,
     /// Tells other nodes the rates of its tenants: every dispatching node.
-    RateTeller,
+    #[serde(rename = "rate_teller")]
+    RatePublisher,
     /// Takes the worker list from another node of its zone, or passes it on.
     ListRelay,
     /// Votes on duties, one for each zone.
@@ -50,7 +51,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
     /// No process starts or ends, and no phase changes.
-    Calm,
+    #[serde(rename = "calm")]
+    Steady,
     /// One node changes its phase.
     PhaseChange,
     /// Several nodes are killed at once.
@@ -82,11 +84,14 @@
     /// From a change until it is in force at a node, in milliseconds.
     InForceMs,
     /// The state that is exchanged over a stream where two views differ, in bytes.
-    ExchangeBytes,
+    #[serde(rename = "exchange_bytes")]
+    FullStateBytes,
     /// Exchanges of whole states that were taken in.
-    Exchanges,
+    #[serde(rename = "exchanges")]
+    FullStatesIn,
     /// Whole states that were taken in, in bytes a second.
-    ExchangeBytesIn,
+    #[serde(rename = "exchange_bytes_in")]
+    FullStateBytesIn,
     /// The worker list as discovery sends it, in bytes a second.
     ListBytes,
     /// Memory that the list takes where it is kept as it was read, in bytes.
@@ -95,7 +100,8 @@
     ListProcessorUs,
     /// Processor time of the decision module apart from lists, for each job sent, in microseconds. What it does each
     /// second whatever comes is in it, so it falls as jobs become more frequent.
-    JobProcessorUs,
+    #[serde(rename = "job_processor_us")]
+    RequestProcessorUs,
     /// Jobs sent a second.
     Sends,
 }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -59,10 +59,10 @@
     if let Some(path) = &arguments.check {
         return Ok(page::check(path, &store::read_all(&arguments.results)?)?);
     }
-    measure_and_keep(arguments, Memory::new(allocator))
+    measure_and_save(arguments, Memory::new(allocator))
 }
 
-fn measure_and_keep(arguments: &Arguments, memory: Memory) -> Result<(), ScaleError> {
+fn measure_and_save(arguments: &Arguments, memory: Memory) -> Result<(), ScaleError> {
     let plan = read_plan(&arguments.plan)?;
     let wanted = |axis: &Axis| arguments.axis.is_empty() || arguments.axis.contains(axis);
     let axes: Vec<Axis> =
@@ -109,9 +109,9 @@
             took_s: started.elapsed().as_secs(),
             commit: commit.clone(),
             measurements: measurements.clone(),
-            ..describe(plan, axis, &arguments.plan)
+            ..empty_run(plan, axis, &arguments.plan)
         };
-        store::keep(&arguments.results, axis, &run)?;
+        store::save(&arguments.results, axis, &run)?;
         progress.inc(1);
     }
     Ok(())
@@ -145,7 +145,7 @@
         nodes: nodes as usize,
         seed: plan.seed,
         warm_up: Duration::from_secs(emulation.warm_up_s),
-        calm: Duration::from_secs(*emulation.calm_s.get_ref()),
+        steady_time: Duration::from_secs(*emulation.steady_s.get_ref()),
         crashes: *emulation.crashes.get_ref() as usize,
         zones: *emulation.member_zones.get_ref() as usize,
     }
@@ -171,7 +171,7 @@
         _ if together => plan.largest(of, base),
         _ => base,
     };
-    let starts = match axis {
+    let requests_per_s = match axis {
         Axis::Starts => size as f64,
         _ if together => plan.largest(Axis::Starts, *base.starts.get_ref() as u64) as f64,
         _ => *base.starts.get_ref(),
@@ -181,16 +181,16 @@
         workers: size_of(Axis::Workers, *base.workers.get_ref()) as usize,
         tenants: size_of(Axis::Tenants, *base.tenants.get_ref()) as usize,
         zones: size_of(Axis::Zones, *base.zones.get_ref()) as usize,
-        starts,
-        job: Duration::from_secs_f64(*emulation.job_s.get_ref()),
+        requests_per_s,
+        run_time: Duration::from_secs_f64(*emulation.run_time_s.get_ref()),
         dispatchers: *emulation.dispatchers.get_ref() as usize,
-        length: Duration::from_secs(*emulation.dispatch_s.get_ref()),
+        duration: Duration::from_secs(*emulation.dispatch_s.get_ref()),
         seed: plan.seed,
     }
 }
 
 /// A run without measurements yet.
-fn describe(plan: &Plan, axis: Axis, path: &Path) -> Run {
+fn empty_run(plan: &Plan, axis: Axis, path: &Path) -> Run {
     let axis_name = format!("{axis:?}").to_lowercase();
     Run {
         format: FORMAT,
@@ -213,6 +213,7 @@
     let Some(head) = head.and_then(|output| String::from_utf8(output.stdout).ok()) else {
         return "unknown".to_string();
     };
-    let same = git(&["diff", "--quiet", "HEAD", "--", ".", ":!docs"]).is_some_and(|o| o.status.success());
-    format!("{}{}", head.trim(), if same { "" } else { "+" })
+    let is_unmodified =
+        git(&["diff", "--quiet", "HEAD", "--", ".", ":!docs"]).is_some_and(|o| o.status.success());
+    format!("{}{}", head.trim(), if is_unmodified { "" } else { "+" })
 }
--- a/testbed/src/scale/store.rs
+++ b/testbed/src/scale/store.rs
@@ -17,12 +17,12 @@
         source: io::Error,
     },
     /// The file holds no results of this version.
-    #[error("{}: {what}", path.display())]
+    #[error("{}: {message}", path.display())]
     Content {
         /// The file.
         path: PathBuf,
         /// What is wrong.
-        what: String,
+        message: String,
     },
 }
 
@@ -43,10 +43,10 @@
 ///
 /// # Errors
 /// Where the file can't be written.
-pub fn keep(folder: &Path, axis: Axis, run: &Run) -> Result<(), StoreError> {
+pub fn save(folder: &Path, axis: Axis, run: &Run) -> Result<(), StoreError> {
     let path = file(folder, axis);
     let text = serde_json::to_string_pretty(run)
-        .map_err(|e| StoreError::Content { path: path.clone(), what: e.to_string() })?;
+        .map_err(|e| StoreError::Content { path: path.clone(), message: e.to_string() })?;
     let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, text + "\n"));
     written.map_err(|source| StoreError::File { path, source })
 }
@@ -63,7 +63,7 @@
 fn read(path: &Path) -> Result<Run, StoreError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| StoreError::File { path: path.to_path_buf(), source })?;
-    let content = |what: String| StoreError::Content { path: path.to_path_buf(), what };
+    let content = |message: String| StoreError::Content { path: path.to_path_buf(), message };
     let run: Run = serde_json::from_str(&text).map_err(|e| content(e.to_string()))?;
     if run.format != FORMAT {
         return Err(content(format!("format {} in place of {FORMAT}", run.format)));
--- a/testbed/src/scale/table.rs
+++ b/testbed/src/scale/table.rs
@@ -11,7 +11,7 @@
     match role {
         Role::Member => "member of the view",
         Role::Dispatcher => "dispatching node",
-        Role::RateTeller => "teller of rates",
+        Role::RatePublisher => "teller of rates",
         Role::ListRelay => "list holder and relay",
         Role::Voter => "voter, a duty for each zone",
         Role::Discovery => "discovery, asked by all nodes",
@@ -22,7 +22,7 @@
 /// What happens while it is measured.
 pub fn condition_name(condition: Condition) -> &'static str {
     match condition {
-        Condition::Calm => "calm",
+        Condition::Steady => "calm",
         Condition::PhaseChange => "a node begins to drain",
         Condition::Crashes => "nodes crash",
         Condition::ZoneLost => "a zone is lost",
@@ -41,13 +41,13 @@
         Quantity::BytesIn => "bytes in",
         Quantity::ProcessorShare => "processor time",
         Quantity::InForceMs => "until in force everywhere",
-        Quantity::ExchangeBytes => "a whole state",
-        Quantity::Exchanges => "whole states taken in",
-        Quantity::ExchangeBytesIn => "whole states in",
+        Quantity::FullStateBytes => "a whole state",
+        Quantity::FullStatesIn => "whole states taken in",
+        Quantity::FullStateBytesIn => "whole states in",
         Quantity::ListBytes => "list in",
         Quantity::ListStateBytes => "the list as read",
         Quantity::ListProcessorUs => "processor time of a list",
-        Quantity::JobProcessorUs => "processor time of a job",
+        Quantity::RequestProcessorUs => "processor time of a job",
         Quantity::Sends => "jobs sent",
     }
 }
@@ -55,15 +55,15 @@
 /// A figure with its unit.
 pub fn figure(quantity: Quantity, value: f64) -> String {
     match quantity {
-        Quantity::StateBytes | Quantity::ListStateBytes | Quantity::ExchangeBytes => bytes(value),
-        Quantity::BytesOut | Quantity::BytesIn | Quantity::ListBytes | Quantity::ExchangeBytesIn => {
+        Quantity::StateBytes | Quantity::ListStateBytes | Quantity::FullStateBytes => bytes(value),
+        Quantity::BytesOut | Quantity::BytesIn | Quantity::ListBytes | Quantity::FullStateBytesIn => {
             format!("{}/s", bytes(value))
         }
         Quantity::MessagesOut | Quantity::MessagesIn | Quantity::Sends => format!("{}/s", number(value)),
         Quantity::ProcessorShare => format!("{}%", number(value * 100.0)),
         Quantity::InForceMs => format!("{} s", number(value / 1e3)),
-        Quantity::ListProcessorUs | Quantity::JobProcessorUs => format!("{} µs", number(value)),
-        Quantity::Exchanges => number(value),
+        Quantity::ListProcessorUs | Quantity::RequestProcessorUs => format!("{} µs", number(value)),
+        Quantity::FullStatesIn => number(value),
     }
 }
 
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,19 +1,19 @@
 //! Messages and bytes of each node between two moments.
 
-use super::result::{Figures as Measured, Quantity, Value};
+use super::result::{Figures, Quantity, Value};
 use membership::Counters;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The counters of nodes at one moment.
-pub struct Traffic {
+pub struct TrafficSnapshot {
     counters: BTreeMap<usize, Counters>,
 }
 
-impl Traffic {
+impl TrafficSnapshot {
     /// Of nodes by number.
-    pub fn of(counters: impl Iterator<Item = (usize, Counters)>) -> Traffic {
-        Traffic { counters: counters.collect() }
+    pub fn of(counters: impl Iterator<Item = (usize, Counters)>) -> TrafficSnapshot {
+        TrafficSnapshot { counters: counters.collect() }
     }
 
     /// How many nodes these are.
@@ -22,25 +22,27 @@
     }
 
     /// What nodes that are in both sent and received a second since `before`.
-    pub fn since(&self, before: &Traffic, span: Duration) -> Measured {
+    pub fn since(&self, before: &TrafficSnapshot, span: Duration) -> Figures {
         let rate = |count: fn(&Counters) -> u64| {
             let both = self.counters.iter().filter_map(|(i, now)| Some((now, before.counters.get(i)?)));
-            let each = both.map(|(now, then)| count(now).saturating_sub(count(then)) as f64);
+            let each = both.map(|(now, earlier)| count(now).saturating_sub(count(earlier)) as f64);
             Value::of(each.map(|count| count / span.as_secs_f64()).collect())
         };
-        let exchanges = self.exchanges_since(before);
+        let full_states = self.full_states_since(before);
         let rates = [
-            (Quantity::MessagesOut, rate(|f| f.sent)),
-            (Quantity::MessagesIn, rate(|f| f.received)),
-            (Quantity::BytesOut, rate(|f| f.sent_bytes)),
-            (Quantity::BytesIn, rate(|f| f.received_bytes)),
-            (Quantity::Exchanges, exchanges),
+            (Quantity::MessagesOut, rate(|c| c.sent)),
+            (Quantity::MessagesIn, rate(|c| c.received)),
+            (Quantity::BytesOut, rate(|c| c.sent_bytes)),
+            (Quantity::BytesIn, rate(|c| c.received_bytes)),
+            (Quantity::FullStatesIn, full_states),
         ];
         rates.into_iter().filter_map(|(quantity, value)| Some((quantity, value?))).collect()
     }
 
-    fn exchanges_since(&self, before: &Traffic) -> Option<Value> {
+    fn full_states_since(&self, before: &TrafficSnapshot) -> Option<Value> {
         let both = self.counters.iter().filter_map(|(i, now)| Some((now, before.counters.get(i)?)));
-        Value::of(both.map(|(now, then)| now.full_states.saturating_sub(then.full_states) as f64).collect())
+        Value::of(
+            both.map(|(now, earlier)| now.full_states.saturating_sub(earlier.full_states) as f64).collect(),
+        )
     }
 }
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -27,7 +27,7 @@
 /// Emulated time before traffic is counted.
 const WARM_UP: Duration = Duration::from_secs(30);
 /// Emulated time for which traffic is counted.
-const COUNTED: Duration = Duration::from_secs(60);
+const MEASURED_TIME: Duration = Duration::from_secs(60);
 /// Interval between two looks at who holds which lease.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Wall clock at the start, in Unix milliseconds.
@@ -36,7 +36,7 @@
 const NETWORK: u8 = 5;
 
 /// The conditions that [`measure`] records.
-pub const CONDITIONS: [Condition; 2] = [Condition::Calm, Condition::Crashes];
+pub const CONDITIONS: [Condition; 2] = [Condition::Steady, Condition::Crashes];
 
 /// Parameters of a measurement.
 #[derive(Clone, Debug)]
@@ -59,12 +59,12 @@
     group.run_until_all_held(limits)?;
     group.run(WARM_UP, limits)?;
     group.reset_counts();
-    group.run(COUNTED, limits)?;
-    let mut calm = group.figures(COUNTED);
+    group.run(MEASURED_TIME, limits)?;
+    let mut steady = group.figures(MEASURED_TIME);
     let crash = group.crash(limits)?;
     let state = group.voter_state(limits);
-    calm.extend(state.map(|state| (Quantity::StateBytes, state)));
-    recorder.measured(Role::Voter, Condition::Calm, calm);
+    steady.extend(state.map(|state| (Quantity::StateBytes, state)));
+    recorder.measured(Role::Voter, Condition::Steady, steady);
     recorder.measured(Role::Voter, Condition::Crashes, crash);
     Ok(())
 }
@@ -160,7 +160,7 @@
             network: EmulatedNetwork::new((0..total).map(address), rng),
             processes,
         };
-        (0..total).for_each(|i| group.carry_out_actions(i));
+        (0..total).for_each(|i| group.execute_actions(i));
         group
     }
 
@@ -184,7 +184,7 @@
         let Some(machine) = &mut process.machine else { return };
         let ((), time) = timed(|| handle(machine, now));
         process.processor += time;
-        self.carry_out_actions(i);
+        self.execute_actions(i);
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
@@ -216,11 +216,11 @@
         });
     }
 
-    fn carry_out_actions(&mut self, i: usize) {
+    fn execute_actions(&mut self, i: usize) {
         let Some(mut machine) = self.processes[i].machine.take() else { return };
         let due = match &mut machine {
             Machine::Voter(voter, store) => {
-                self.carry_out_voter_actions(i, voter, store);
+                self.execute_voter_actions(i, voter, store);
                 voter.next_tick()
             }
             Machine::Client(client) => {
@@ -236,7 +236,7 @@
         self.schedule_tick(i, due);
     }
 
-    fn carry_out_voter_actions(&mut self, i: usize, voter: &mut Voter, store: &Store) {
+    fn execute_voter_actions(&mut self, i: usize, voter: &mut Voter, store: &Store) {
         while let Some(action) = voter.next_action() {
             match action {
                 VoterAction::Send { to, message } => self.send(i, to, message),
@@ -262,7 +262,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let Some(to) = self.network.process_at(to) else { return };
-        let size = self.network.sealed_size(&message);
+        let size = self.network.wire_size(&message);
         self.processes[from].traffic.record_sent(size);
         self.processes[to].traffic.record_received(size);
         let delay = self.network.draw_delay();
@@ -296,12 +296,16 @@
         while held_at.iter().any(Option::is_none) {
             if self.queue.now() - start > ALL_HELD_MAX {
                 let reached = held_at.iter().flatten().count();
-                return Err(NotRun::NotInForce { reached, of: self.zones, after_s: ALL_HELD_MAX.as_secs() });
+                return Err(NotRun::NotInForce {
+                    reached,
+                    expected: self.zones,
+                    after_s: ALL_HELD_MAX.as_secs(),
+                });
             }
             self.run(POLL_INTERVAL, limits)?;
-            let passed = (self.queue.now() - start).as_secs_f64() * 1e3;
+            let elapsed = (self.queue.now() - start).as_secs_f64() * 1e3;
             for (zone, held_at) in held_at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
-                *held_at = self.lease_holder(zone).map(|_| passed);
+                *held_at = self.lease_holder(zone).map(|_| elapsed);
             }
         }
         Ok(held_at.into_iter().flatten().collect())
--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -13,29 +13,29 @@
 
 const S: Duration = Duration::from_secs(1);
 /// After the last fault: a lease, elections, and what clients wait between two asks.
-const BOUND: Duration = Duration::from_secs(15);
+const HELD_WITHIN: Duration = Duration::from_secs(15);
 
 fn cluster(seed: u64) -> EmulatedCluster {
     let mut cluster = EmulatedCluster::started(Spec::new(seed));
-    held(&mut cluster);
+    wait_until_held(&mut cluster);
     cluster
 }
 
-fn held(cluster: &mut EmulatedCluster) -> (usize, u64) {
-    let took = cluster.run_until_held(BOUND);
+fn wait_until_held(cluster: &mut EmulatedCluster) -> (usize, u64) {
+    let took = cluster.run_until_held(HELD_WITHIN);
     assert!(
         took.is_some(),
-        "nobody holds it after {BOUND:?}: {:?}",
+        "nobody holds it after {HELD_WITHIN:?}: {:?}",
         (0..3).map(|i| cluster.voter_state(i)).collect::<Vec<_>>()
     );
     cluster.holder().unwrap()
 }
 
-fn right(cluster: &EmulatedCluster) {
-    assert_eq!(violations(&cluster.acts), []);
+fn assert_no_violations(cluster: &EmulatedCluster) {
+    assert_eq!(violations(&cluster.operations), []);
 }
 
-fn other(holder: usize) -> usize {
+fn other_candidate(holder: usize) -> usize {
     if holder == 3 {
         4
     } else {
@@ -49,8 +49,8 @@
     let first = cluster.holder().unwrap();
     cluster.run(60 * S);
     assert_eq!(cluster.holder(), Some(first), "it holds on to it");
-    assert!(cluster.acts.len() > 1000 && cluster.rejected_acts == 0);
-    right(&cluster);
+    assert!(cluster.operations.len() > 1000 && cluster.rejected_operations == 0);
+    assert_no_violations(&cluster);
     // Renewals cost no write: they are a majority's word.
     let writes: u64 = (0..3).map(|i| cluster.voter_metrics(i).writes).sum();
     assert!(writes < 60, "{writes}");
@@ -63,17 +63,17 @@
     cluster.run(3 * S);
     let before = cluster.now();
     cluster.release_lease(holder);
-    let (next, newer) = held(&mut cluster);
-    assert!(next == other(holder) && newer > token);
+    let (next, newer) = wait_until_held(&mut cluster);
+    assert!(next == other_candidate(holder) && newer > token);
     assert!(cluster.now() - before < S / 2, "{:?}", cluster.now() - before);
     cluster.request_lease(holder);
     cluster.run(3 * S);
     let before = cluster.now();
     cluster.crash(next);
-    assert_eq!(held(&mut cluster).0, holder);
+    assert_eq!(wait_until_held(&mut cluster).0, holder);
     let took = cluster.now() - before;
     assert!(took > 3 * S && took < 8 * S, "{took:?}");
-    right(&cluster);
+    assert_no_violations(&cluster);
 }
 
 /// The message of a release, or the response to a renewal, may arrive late, when another process holds the lease.
@@ -92,15 +92,15 @@
         cluster.run(S / 50);
         cluster.request_lease(holder);
         cluster.run(20 * S);
-        assert!(cluster.acts.iter().all(|a| a.token != token || a.started_at <= since), "seed {seed}");
-        right(&cluster);
+        assert!(cluster.operations.iter().all(|a| a.token != token || a.started_at <= since), "seed {seed}");
+        assert_no_violations(&cluster);
     }
 }
 
-/// Seed 11322 of the drawn faults found it: a leader that was stalled responds, when it goes on, to requests from long ago.
+/// Seed 11322 of the drawn faults detected it: a leader that was stalled responds, when it goes on, to requests from long ago.
 #[test]
 fn a_late_response_gives_the_next_process_no_lease() {
-    walk(11322);
+    run_random_faults(11322);
     for seed in 90..110 {
         let mut cluster = cluster(seed);
         let (holder, token) = cluster.holder().unwrap();
@@ -109,7 +109,7 @@
         cluster.crash(holder);
         cluster.start(holder);
         cluster.run(20 * S);
-        right(&cluster);
+        assert_no_violations(&cluster);
         assert!(cluster.holder().is_none_or(|(_, t)| t > token));
     }
 }
@@ -121,20 +121,20 @@
     let (holder, token) = cluster.holder().unwrap();
     cluster.run(S);
     cluster.stall(holder);
-    let (next, newer) = held(&mut cluster);
+    let (next, newer) = wait_until_held(&mut cluster);
     assert!(next != holder && newer > token);
     cluster.run(S);
-    let refused = cluster.rejected_acts;
+    let rejected_before = cluster.rejected_operations;
     cluster.resume(holder);
     cluster.run(S);
-    assert_eq!(cluster.rejected_acts, refused + 1);
+    assert_eq!(cluster.rejected_operations, rejected_before + 1);
     let lost = cluster
         .lease_events
         .iter()
         .find(|e| (e.node, e.token) == (holder, token) && e.lost.is_some())
         .unwrap();
     assert!(matches!(lost.lost, Some(LeaseLost::Expired | LeaseLost::TakenOver)));
-    right(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -143,17 +143,17 @@
         // The holder may be a voter itself, and hears that one.
         let candidates = if seed % 2 == 0 { vec![3, 4] } else { vec![0, 1, 2] };
         let mut cluster = EmulatedCluster::started(Spec { candidates, ..Spec::new(seed) });
-        held(&mut cluster);
+        wait_until_held(&mut cluster);
         let (holder, _) = cluster.holder().unwrap();
         // Both ways, then each way alone.
-        for way in 0..3 {
-            let (holder, token) = if way == 0 { (holder, 0) } else { held(&mut cluster) };
+        for direction in 0..3 {
+            let (holder, token) = if direction == 0 { (holder, 0) } else { wait_until_held(&mut cluster) };
             for voter in 0..3 {
                 let cut = LinkRule { cut: true, ..LinkRule::default() };
-                if way != 1 {
+                if direction != 1 {
                     cluster.rules.set_rule(holder, voter, cut);
                 }
-                if way != 2 {
+                if direction != 2 {
                     cluster.rules.set_rule(voter, holder, cut);
                 }
             }
@@ -162,14 +162,14 @@
             cluster.rules.heal();
             cluster.run(2 * S);
         }
-        right(&cluster);
+        assert_no_violations(&cluster);
     }
 }
 
 #[test]
 fn a_lease_survives_crashes_of_holder_and_leader_and_waits_for_a_majority() {
     let mut cluster = EmulatedCluster::started(Spec { candidates: vec![0, 1, 2], ..Spec::new(20) });
-    held(&mut cluster);
+    wait_until_held(&mut cluster);
     let leader = cluster.leader().unwrap();
     // The leader holds it.
     for i in (0..3).filter(|i| *i != leader) {
@@ -180,7 +180,7 @@
     assert_eq!(cluster.holder().map(|h| h.0), Some(leader));
     (0..3).for_each(|i| cluster.request_lease(i));
     cluster.crash(leader);
-    let (next, _) = held(&mut cluster);
+    let (next, _) = wait_until_held(&mut cluster);
     // Another dies: no majority, and so nobody holds it beyond its lease.
     let last = (0..3).find(|i| *i != leader && *i != next).unwrap();
     cluster.crash(last);
@@ -188,8 +188,8 @@
     assert_eq!(cluster.holder(), None);
     cluster.start(leader);
     cluster.start(last);
-    held(&mut cluster);
-    right(&cluster);
+    wait_until_held(&mut cluster);
+    assert_no_violations(&cluster);
 }
 
 /// A voter that lost its disk, or whose disk was replaced by an older copy, does not vote.
@@ -215,33 +215,33 @@
         cluster.run(2 * S);
     }
     assert_eq!(cluster.voter_state(2), Some(VoterState::StaleCopy));
-    // An empty one is another voter, and has no seat.
+    // An empty one is another voter, and has no member.
     cluster.crash(2);
     cluster.set_disk(2, MemDisk::new());
     cluster.start(2);
     cluster.run(3 * S);
     assert_eq!(cluster.voter_state(2), Some(VoterState::NotMember));
     // Without it a majority needs both others, and has them.
-    held(&mut cluster);
+    wait_until_held(&mut cluster);
     // Its place is given up, and it gets it anew.
     let voted = |cluster: &EmulatedCluster| {
         matches!(cluster.voter_state(2), Some(VoterState::Follower | VoterState::Leader))
     };
-    let seat = VoterMember { name: name(2), address: address(2) };
+    let member = VoterMember { name: name(2), address: address(2) };
     for _ in 0..20 {
         cluster.request(4, Operation::RemoveVoter(name(2)));
         cluster.run(S / 2);
-        cluster.request(4, Operation::AddVoter(seat.clone()));
+        cluster.request(4, Operation::AddVoter(member.clone()));
         cluster.run(S / 2);
     }
     assert!(voted(&cluster), "{:?}", cluster.voter_state(2));
     assert_eq!(cluster.voter_names(cluster.leader().unwrap()).len(), 3);
     // And counts: with another one dead there still is a majority.
-    let dead = (0..2).find(|i| Some(*i) != cluster.leader()).unwrap();
-    cluster.crash(dead);
+    let crashed = (0..2).find(|i| Some(*i) != cluster.leader()).unwrap();
+    cluster.crash(crashed);
     cluster.run(10 * S);
-    held(&mut cluster);
-    right(&cluster);
+    wait_until_held(&mut cluster);
+    assert_no_violations(&cluster);
 }
 
 /// The answer 'there was a later start' may be for the process before: the later start is then this one.
@@ -277,7 +277,7 @@
         cluster.run(20 * S);
         cluster.crash(cluster.leader().unwrap_or(0));
         cluster.run(20 * S);
-        (cluster.messages_sent, cluster.acts)
+        (cluster.messages_sent, cluster.operations)
     };
     assert_eq!(run(), run());
 }
@@ -286,13 +286,13 @@
 fn a_voter_whose_disk_fails_grants_nothing() {
     let mut cluster = cluster(40);
     let leader = cluster.leader().unwrap();
-    cluster.disk(leader).refuse(true);
+    cluster.disk(leader).set_full(true);
     let (holder, _) = cluster.holder().unwrap();
     cluster.release_lease(holder);
-    held(&mut cluster);
+    wait_until_held(&mut cluster);
     assert!(matches!(cluster.voter_state(leader), Some(VoterState::StorageFailed(_))));
     assert!(cluster.leader().is_some_and(|l| l != leader));
-    right(&cluster);
+    assert_no_violations(&cluster);
 }
 
 /// A voter is replaced while another is cut off, one step at a time.
@@ -310,13 +310,18 @@
         cluster.request(3, Operation::RemoveVoter(name(cut)));
         cluster.run(S / 2);
     }
-    let seats = cluster.voter_names(cluster.leader().unwrap());
-    assert!(seats.len() == 3 && !seats.contains(&name(cut)) && seats.contains(&name(4)), "{seats:?}");
+    let voters_of_leader = cluster.voter_names(cluster.leader().unwrap());
+    assert!(
+        voters_of_leader.len() == 3
+            && !voters_of_leader.contains(&name(cut))
+            && voters_of_leader.contains(&name(4)),
+        "{voters_of_leader:?}"
+    );
     cluster.rules.heal();
     cluster.run(5 * S);
     assert_eq!(cluster.voter_state(cut), Some(VoterState::NotMember), "it hears that it has no seat");
-    held(&mut cluster);
-    right(&cluster);
+    wait_until_held(&mut cluster);
+    assert_no_violations(&cluster);
 }
 
 /// Injects a drawn fault at a drawn node.
@@ -360,7 +365,7 @@
 }
 
 /// A run with faults drawn by seed.
-fn walk(seed: u64) {
+fn run_random_faults(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let voters = [3, 5][rng.random_range(0..2)];
     let nodes = voters + rng.random_range(0..4);
@@ -380,18 +385,18 @@
         }
     }
     cluster.run(6 * S);
-    let took = cluster.run_until_held(BOUND);
-    let stand: Vec<_> = (0..voters).map(|i| cluster.voter_state(i)).collect();
-    assert!(took.is_some(), "seed {seed}: nobody holds it: {stand:?}");
-    let wrong = violations(&cluster.acts);
-    assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
+    let took = cluster.run_until_held(HELD_WITHIN);
+    let states: Vec<_> = (0..voters).map(|i| cluster.voter_state(i)).collect();
+    assert!(took.is_some(), "seed {seed}: nobody holds it: {states:?}");
+    let violations_found = violations(&cluster.operations);
+    assert!(violations_found.is_empty(), "seed {seed}: {violations_found:?}");
 }
 
 #[test]
 fn drawn_faults_never_give_two_holders_and_end_with_one() {
-    (0..40).for_each(walk);
+    (0..40).for_each(run_random_faults);
     if std::env::var_os("TESTBED_LONG").is_some() {
-        (40..20_000).for_each(walk);
+        (40..20_000).for_each(run_random_faults);
     }
 }
 
@@ -399,74 +404,74 @@
 #[test]
 fn a_store_that_crashes_at_any_step_of_a_write_keeps_what_it_acknowledged() {
     let mut rng = SmallRng::seed_from_u64(60);
-    let whole = history(&MemDisk::that_crashes(), u64::MAX);
-    let mut deaths = 0;
-    for step in 0..whole.1 {
-        let disk = MemDisk::that_crashes();
-        let (acknowledged, _) = history(&disk, step);
+    let complete_run = open_repeatedly(&MemDisk::with_crash_tracking(), u64::MAX);
+    let mut crashes = 0;
+    for step in 0..complete_run.1 {
+        let disk = MemDisk::with_crash_tracking();
+        let (acknowledged, _) = open_repeatedly(&disk, step);
         for _ in 0..3 {
-            let after = disk.crashed(&mut rng);
-            let back = Store::open(after, "f", "v", 9, 1);
-            match (back, acknowledged) {
-                (Ok((_, back)), at_least) => assert!(back.identity.starts > at_least, "step {step}"),
-                // Nothing was acknowledged yet: the folder was never whole.
+            let after = disk.after_crash(&mut rng);
+            let contents = Store::open(after, "f", "v", 9, 1);
+            match (contents, acknowledged) {
+                (Ok((_, contents)), at_least) => assert!(contents.identity.starts > at_least, "step {step}"),
+                // Nothing was acknowledged yet: the folder was never complete_run.
                 (Err(_), 0) => {}
                 (Err(e), n) => panic!("step {step}: {e}, after {n} that were acknowledged"),
             }
-            deaths += 1;
+            crashes += 1;
         }
     }
-    assert!(deaths > 100, "{deaths}");
+    assert!(crashes > 100, "{crashes}");
 }
 
 /// Opens a store again and again; how many of these starts were acknowledged before the power went at this step, and the
 /// steps in all.
-fn history(disk: &MemDisk, step: u64) -> (u64, u64) {
-    disk.fail_at(step);
+fn open_repeatedly(disk: &MemDisk, step: u64) -> (u64, u64) {
+    disk.fail_after(step);
     let mut acknowledged = 0;
     for _ in 0..4 {
         match Store::open(disk.clone(), "f", "v", 9, 1) {
-            Ok((_, back)) => acknowledged = back.identity.starts,
+            Ok((_, contents)) => acknowledged = contents.identity.starts,
             Err(_) => break,
         }
     }
-    (acknowledged, disk.steps())
+    (acknowledged, disk.operations())
 }
 
-/// Whatever is wrong with the disk, it is reported in one line, and no voter uses it.
+/// Whatever is violations_found with the disk, it is reported in one line, and no voter uses it.
 #[test]
 fn a_corrupt_or_foreign_store_is_reported() {
     let disk = MemDisk::new();
     drop(Store::open(disk.clone(), "f", "v", 9, 1).unwrap());
-    let told = |disk: MemDisk, fleet: &str, name: &str| match Store::open(disk, fleet, name, 8, 1) {
+    let open_error = |disk: MemDisk, fleet: &str, name: &str| match Store::open(disk, fleet, name, 8, 1) {
         Ok(_) => String::new(),
         Err(e) => e.to_string(),
     };
-    assert!(told(disk.copy(), "other", "v").contains("belongs to"));
-    assert!(told(disk.copy(), "f", "w").contains("belongs to"));
+    assert!(open_error(disk.copy(), "other", "v").contains("belongs to"));
+    assert!(open_error(disk.copy(), "f", "w").contains("belongs to"));
     let full = disk.copy();
-    full.refuse(true);
-    assert!(told(full, "f", "v").contains("storage failed"));
-    let (mut found, mut same, mut rng) = (0, 0, SmallRng::seed_from_u64(61));
+    full.set_full(true);
+    assert!(open_error(full, "f", "v").contains("storage failed"));
+    let (mut detected, mut harmless, mut rng) = (0, 0, SmallRng::seed_from_u64(61));
     std::panic::set_hook(Box::new(|_| {})); // the library's, on a structure that was changed
     for _ in 0..400 {
-        let bad = disk.copy();
-        bad.flip(rng.random());
-        match Store::open(bad, "f", "v", 8, 1) {
+        let corrupted = disk.copy();
+        corrupted.flip_bit(rng.random());
+        match Store::open(corrupted, "f", "v", 8, 1) {
             Err(e) => {
                 assert!(!e.to_string().contains('\n'));
-                found += 1;
+                detected += 1;
             }
             // It hit what nobody reads, or what was mended from its copy: all that was written is there.
-            Ok((_, back)) => {
-                assert_eq!((back.identity.disk_id, back.identity.starts), (9, 2));
-                same += 1;
+            Ok((_, contents)) => {
+                assert_eq!((contents.identity.disk_id, contents.identity.starts), (9, 2));
+                harmless += 1;
             }
         }
     }
     drop(std::panic::take_hook());
-    assert!(found > 0 && same > 0, "{found} found, {same} harmless");
+    assert!(detected > 0 && harmless > 0, "{detected} detected, {harmless} harmless");
     let torn = disk.copy();
-    torn.cut(torn.bytes().len() / 2);
-    assert!(!told(torn, "f", "v").is_empty());
+    torn.truncate(torn.bytes().len() / 2);
+    assert!(!open_error(torn, "f", "v").is_empty());
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -17,20 +17,20 @@
 static ALLOCATOR: CountingAllocator = counting();
 
 /// One measurement of memory at a time: the allocator counts for all threads.
-static ALONE: Mutex<()> = Mutex::new(());
+static MEASUREMENT_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_measurement() -> MutexGuard<'static, ()> {
+    MEASUREMENT_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 const PLAN: &str = include_str!("../plans/scale-ci.toml");
 
-fn plan() -> Plan {
+fn ci_plan() -> Plan {
     Plan::parse(PLAN).expect("the plan of CI is a good one")
 }
 
 fn measured(axis: Axis) -> Vec<Measurement> {
-    measured_by(&plan(), axis)
+    measured_by(&ci_plan(), axis)
 }
 
 fn measured_by(plan: &Plan, axis: Axis) -> Vec<Measurement> {
@@ -49,16 +49,16 @@
 }
 
 /// Each figure lies within its bound.
-fn within(what: &str, figures: &[f64], bounds: [f64; 3]) {
-    assert_eq!(figures.len(), bounds.len(), "{what}: {figures:?}");
-    let right = figures.iter().zip(bounds).all(|(figure, bound)| *figure <= bound);
-    assert!(right, "{what}: {figures:?} within {bounds:?}");
+fn assert_within(name: &str, figures: &[f64], bounds: [f64; 3]) {
+    assert_eq!(figures.len(), bounds.len(), "{name}: {figures:?}");
+    let is_expected = figures.iter().zip(bounds).all(|(figure, bound)| *figure <= bound);
+    assert!(is_expected, "{name}: {figures:?} within {bounds:?}");
 }
 
 /// Nine tenths of the bounds were measured; the rest is room for allocators and libraries that differ a little.
 mod bounds {
-    pub const MEMBER_CALM_MESSAGES: [f64; 3] = [2.7, 3.3, 5.5];
-    pub const MEMBER_CALM_BYTES: [f64; 3] = [341.0, 436.0, 644.0];
+    pub const MEMBER_STEADY_MESSAGES: [f64; 3] = [2.7, 3.3, 5.5];
+    pub const MEMBER_STEADY_BYTES: [f64; 3] = [341.0, 436.0, 644.0];
     pub const MEMBER_STATE: [f64; 3] = [32_710.0, 59_640.0, 97_380.0];
     pub const MEMBER_CHANGE_MESSAGES: [f64; 3] = [4.6, 5.2, 8.3];
     pub const MEMBER_ZONE_LOST_BYTES: [f64; 3] = [2_721.0, 3_868.0, 6_000.0];
@@ -77,49 +77,57 @@
 
 #[test]
 fn membership_of_a_small_fleet_stays_within_its_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Nodes);
     let member = |condition, quantity| worst(&found, Role::Member, condition, quantity);
-    within("messages", &member(Condition::Calm, Quantity::MessagesOut), bounds::MEMBER_CALM_MESSAGES);
-    within("bytes", &member(Condition::Calm, Quantity::BytesOut), bounds::MEMBER_CALM_BYTES);
-    within("state", &member(Condition::Calm, Quantity::StateBytes), bounds::MEMBER_STATE);
-    within("zone lost", &member(Condition::ZoneLost, Quantity::BytesOut), bounds::MEMBER_ZONE_LOST_BYTES);
-    let news = member(Condition::PhaseChange, Quantity::MessagesOut);
-    within("messages of one change", &news, bounds::MEMBER_CHANGE_MESSAGES);
-    within("phase", &member(Condition::PhaseChange, Quantity::InForceMs), bounds::IN_FORCE_MS);
+    assert_within(
+        "messages",
+        &member(Condition::Steady, Quantity::MessagesOut),
+        bounds::MEMBER_STEADY_MESSAGES,
+    );
+    assert_within("bytes", &member(Condition::Steady, Quantity::BytesOut), bounds::MEMBER_STEADY_BYTES);
+    assert_within("state", &member(Condition::Steady, Quantity::StateBytes), bounds::MEMBER_STATE);
+    assert_within(
+        "zone lost",
+        &member(Condition::ZoneLost, Quantity::BytesOut),
+        bounds::MEMBER_ZONE_LOST_BYTES,
+    );
+    let phase_change = member(Condition::PhaseChange, Quantity::MessagesOut);
+    assert_within("messages of one change", &phase_change, bounds::MEMBER_CHANGE_MESSAGES);
+    assert_within("phase", &member(Condition::PhaseChange, Quantity::InForceMs), bounds::IN_FORCE_MS);
 }
 
 #[test]
 fn decision_module_and_endpoint_list_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Workers);
     let dispatcher = |quantity| worst(&found, Role::Dispatcher, Condition::LiveWeights, quantity);
-    within("state", &dispatcher(Quantity::StateBytes), bounds::DISPATCHER_STATE);
-    within("list", &dispatcher(Quantity::ListBytes), bounds::LIST_BYTES);
-    within("sends", &dispatcher(Quantity::Sends), bounds::SENDS);
+    assert_within("state", &dispatcher(Quantity::StateBytes), bounds::DISPATCHER_STATE);
+    assert_within("list", &dispatcher(Quantity::ListBytes), bounds::LIST_BYTES);
+    assert_within("sends", &dispatcher(Quantity::Sends), bounds::SENDS);
 }
 
 #[test]
 fn published_rates_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Tenants);
-    let teller = |quantity| worst(&found, Role::RateTeller, Condition::Calm, quantity);
-    within("messages", &teller(Quantity::MessagesOut), bounds::RATES_MESSAGES);
-    within("bytes", &teller(Quantity::BytesOut), bounds::RATES_BYTES);
+    let publisher = |quantity| worst(&found, Role::RatePublisher, Condition::Steady, quantity);
+    assert_within("messages", &publisher(Quantity::MessagesOut), bounds::RATES_MESSAGES);
+    assert_within("bytes", &publisher(Quantity::BytesOut), bounds::RATES_BYTES);
 }
 
 #[test]
 fn list_broadcast_and_voters_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Zones);
     let relay = |quantity| worst(&found, Role::ListRelay, Condition::LiveWeights, quantity);
-    within("state", &relay(Quantity::StateBytes), bounds::RELAY_STATE);
-    within("messages", &relay(Quantity::MessagesOut), bounds::RELAY_MESSAGES);
-    within("bytes", &relay(Quantity::BytesOut), bounds::RELAY_BYTES);
-    within("in force", &relay(Quantity::InForceMs), bounds::IN_FORCE_MS);
-    let voter = |quantity| worst(&found, Role::Voter, Condition::Calm, quantity);
-    within("state of a voter", &voter(Quantity::StateBytes), bounds::VOTER_STATE);
-    within("messages of a voter", &voter(Quantity::MessagesOut), bounds::VOTER_MESSAGES);
+    assert_within("state", &relay(Quantity::StateBytes), bounds::RELAY_STATE);
+    assert_within("messages", &relay(Quantity::MessagesOut), bounds::RELAY_MESSAGES);
+    assert_within("bytes", &relay(Quantity::BytesOut), bounds::RELAY_BYTES);
+    assert_within("in force", &relay(Quantity::InForceMs), bounds::IN_FORCE_MS);
+    let voter = |quantity| worst(&found, Role::Voter, Condition::Steady, quantity);
+    assert_within("state of a voter", &voter(Quantity::StateBytes), bounds::VOTER_STATE);
+    assert_within("messages of a voter", &voter(Quantity::MessagesOut), bounds::VOTER_MESSAGES);
 }
 
 /// All counts of some measurements, without processor time and allocated bytes.
@@ -129,7 +137,7 @@
         Quantity::ListStateBytes,
         Quantity::ProcessorShare,
         Quantity::ListProcessorUs,
-        Quantity::JobProcessorUs,
+        Quantity::RequestProcessorUs,
     ];
     for measurement in &mut measurements {
         if let Outcome::Measured(figures) = &mut measurement.outcome {
@@ -141,7 +149,7 @@
 
 #[test]
 fn same_seed_gives_same_counts() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let small = PLAN.replace("nodes = [20, 40, 80]", "nodes = [10, 15, 20]");
     let small = Plan::parse(&small).expect("its sizes ascend");
     for axis in [Axis::Nodes, Axis::Workers, Axis::Zones] {
@@ -152,12 +160,12 @@
 
 #[test]
 fn measurement_beyond_a_limit_is_recorded_as_not_run() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let spec = membership::Spec {
         nodes: 20,
         seed: 1,
         warm_up: Duration::from_secs(1),
-        calm: Duration::from_secs(1),
+        steady_time: Duration::from_secs(1),
         crashes: 1,
         zones: 4,
     };
@@ -167,9 +175,10 @@
         let mut recorder = Recorder::new(Axis::Nodes, 20);
         membership::measure(&spec, &limits, &mut recorder);
         let found = recorder.finish();
-        let right = |m: &Measurement| matches!(&m.outcome, Outcome::NotRun(why) if why.starts_with(reason));
+        let is_expected =
+            |m: &Measurement| matches!(&m.outcome, Outcome::NotRun(why) if why.starts_with(reason));
         assert_eq!(found.len(), membership::CONDITIONS.len());
-        assert!(found.iter().all(right), "{found:?}");
+        assert!(found.iter().all(is_expected), "{found:?}");
     }
 }
 
@@ -190,8 +199,8 @@
         ("calm_s = 10", "calm_s = 0"),
         ("job_s = 2.0", "job_s = \"long\""),
     ] {
-        let bad = Plan::parse(&PLAN.replace(from, to)).expect_err(to);
-        assert_eq!(bad.line, line_of(from), "{to}: {bad}");
+        let error = Plan::parse(&PLAN.replace(from, to)).expect_err(to);
+        assert_eq!(error.line, line_of(from), "{to}: {error}");
     }
     assert!(Plan::parse(include_str!("../plans/scale.toml")).is_ok());
 }
@@ -200,7 +209,7 @@
     values.iter().map(|(size, value)| Point { size: *size, value: *value }).collect()
 }
 
-fn close(a: f64, b: f64) -> bool {
+fn is_close(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-6 * b.abs().max(1.0)
 }
 
@@ -209,10 +218,10 @@
 fn line_is_fitted_with_its_prediction_interval() {
     let measured = points(&[(1.0, 2.0), (2.0, 4.1), (3.0, 5.9), (4.0, 8.2)]);
     let fit = Fit::with(Model::Linear, &measured).expect("four sizes are enough");
-    assert!(close(fit.intercept, -0.05) && close(fit.slope, 2.04), "{fit:?}");
+    assert!(is_close(fit.intercept, -0.05) && is_close(fit.slope, 2.04), "{fit:?}");
     let estimate = fit.estimate(10.0);
-    assert!(close(estimate.value, 20.35), "{estimate:?}");
-    assert!(close(estimate.low, 18.145546) && close(estimate.high, 22.554453), "{estimate:?}");
+    assert!(is_close(estimate.value, 20.35), "{estimate:?}");
+    assert!(is_close(estimate.low, 18.145546) && is_close(estimate.high, 22.554453), "{estimate:?}");
 }
 
 #[test]
@@ -221,18 +230,18 @@
         [10.0, 100.0, 1000.0].map(|size: f64| Point { size, value: 3.0 * size.powf(0.5) }).to_vec();
     let fit = Fit::of(&power).expect("three sizes are enough");
     assert_eq!(fit.model, Model::Power);
-    assert!(close(fit.slope, 0.5) && close(fit.estimate(10_000.0).value, 300.0), "{fit:?}");
+    assert!(is_close(fit.slope, 0.5) && is_close(fit.estimate(10_000.0).value, 300.0), "{fit:?}");
     let line = Fit::of(&points(&[(10.0, 120.0), (100.0, 300.0), (1000.0, 2100.0)])).expect("three sizes");
     assert_eq!(line.model, Model::Linear);
-    assert!(close(line.estimate(0.0).value, 100.0), "{line:?}");
+    assert!(is_close(line.estimate(0.0).value, 100.0), "{line:?}");
     assert_eq!(Fit::of(&points(&[(1.0, 1.0), (2.0, 2.0)])), None, "two sizes have no interval");
 }
 
 /// Results in which a member's state grows with the number of nodes.
-fn kept(per_node: f64) -> Vec<Run> {
+fn saved_results(per_node: f64) -> Vec<Run> {
     let measurement = |size: u64| {
         let figures = Figures::from([(Quantity::StateBytes, Value::single(per_node * size as f64))]);
-        let (role, condition) = (Role::Member, Condition::Calm);
+        let (role, condition) = (Role::Member, Condition::Steady);
         Measurement { axis: Axis::Nodes, size, role, condition, outcome: Outcome::Measured(figures) }
     };
     let run = Run {
@@ -253,28 +262,29 @@
 fn page_that_differs_from_its_results_is_reported_by_its_line() {
     let path = std::env::temp_dir().join(format!("capacity-{}.md", std::process::id()));
     std::fs::write(&path, format!("# Page\n{BEGIN}\nold\n{END}\nmore\n")).expect("a temporary file");
-    assert!(matches!(page::check(&path, &kept(1000.0)), Err(PageError::Differs { .. })));
-    page::write(&path, &kept(1000.0)).expect("it has both markers");
-    page::check(&path, &kept(1000.0)).expect("it was written just now");
+    assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::Differs { .. })));
+    page::write(&path, &saved_results(1000.0)).expect("it has both markers");
+    page::check(&path, &saved_results(1000.0)).expect("it was written just now");
     let text = std::fs::read_to_string(&path).expect("it was written just now");
     let at = text.lines().position(|line| line.contains("3.6 MB at 3,600 nodes")).expect("the extrapolation");
     assert!(text.ends_with(&format!("{END}\nmore\n")), "what follows stays");
-    assert!(matches!(page::check(&path, &kept(1001.0)), Ok(())), "three digits are shown");
-    for (results, page) in
-        [(kept(1100.0), text.clone()), (kept(1000.0), text.replace("3.6 MB at", "3.5 MB at"))]
-    {
+    assert!(matches!(page::check(&path, &saved_results(1001.0)), Ok(())), "three digits are shown");
+    for (results, page) in [
+        (saved_results(1100.0), text.clone()),
+        (saved_results(1000.0), text.replace("3.6 MB at", "3.5 MB at")),
+    ] {
         std::fs::write(&path, page).expect("a temporary file");
         let found = page::check(&path, &results);
         assert!(matches!(found, Err(PageError::Differs { line, .. }) if line == at + 1), "{found:?}");
     }
     std::fs::write(&path, "no markers").expect("a temporary file");
-    assert!(matches!(page::check(&path, &kept(1000.0)), Err(PageError::NoMarkers { .. })));
+    assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::NoMarkers { .. })));
     std::fs::remove_file(&path).expect("it is there");
 }
 
 /// The page of this version is what its kept results give.
 #[test]
-fn capacity_page_agrees_with_the_kept_results() {
+fn capacity_page_agrees_with_the_saved_results() {
     let docs = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
     let runs = testbed::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
     page::check(&docs.join("CAPACITY.md"), &runs)
