--- a/testbed/src/scale/arguments.rs
+++ b/testbed/src/scale/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `testbed scale`.
+//! Command line of `testbed scale`.
 
 use super::result::Axis;
 use std::path::PathBuf;
@@ -6,19 +6,19 @@
 /// Arguments of `testbed scale`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Arguments {
-    /// The plan: sizes, seed and limits.
+    /// Plan with sizes, seed and limits.
     #[arg(default_value = "testbed/plans/scale.toml")]
     pub plan: PathBuf,
-    /// Only these axes; all of the plan's where none is named.
+    /// Axes to measure; all axes of the plan by default.
     #[arg(long, value_enum)]
     pub axis: Vec<Axis>,
-    /// Where results are kept: a JSON file for each axis, and one chart of all.
+    /// Directory of the results: a JSON file for each axis, and one chart of all.
     #[arg(long, default_value = "docs/capacity")]
     pub results: PathBuf,
-    /// Measures nothing, and writes the generated part of this page, and the chart, from the kept results.
+    /// Write the generated part of this page, and the chart, from the saved results, without measuring.
     #[arg(long, conflicts_with_all = ["check", "axis"])]
     pub page: Option<PathBuf>,
-    /// Measures nothing, and fails where the generated part of this page differs from the kept results.
+    /// Check that the generated part of this page agrees with the saved results, without measuring.
     #[arg(long, conflicts_with = "axis")]
     pub check: Option<PathBuf>,
 }
--- a/testbed/src/scale/broadcast.rs
+++ b/testbed/src/scale/broadcast.rs
@@ -1,4 +1,5 @@
-//! List broadcast of one zone in emulated time: the lease holder passes the endpoint list on to all other nodes.
+//! List broadcast of one zone in emulated time: the lease holder passes the endpoint list on to all other
+//! nodes.
 
 use super::limits::{Limits, NotRun};
 use super::list::ListBody;
@@ -12,15 +13,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Interval between two versions of the list: live weights are renewed each second.
+/// Interval between two versions of the list; each has new live weights.
 const VERSION_INTERVAL: Duration = Duration::from_secs(1);
-/// Versions before traffic is counted: by then all nodes have the list.
+/// Versions before traffic is counted; by then all nodes have the list.
 const WARM_UP_VERSIONS: u32 = 3;
-/// Versions that are counted; the state holds the last sixteen changes by then.
+/// Versions during which traffic is counted; the state then holds the last sixteen changes.
 const MEASURED_VERSIONS: u32 = 16;
 /// Fencing token of the lease holder.
 const FENCING_TOKEN: u64 = 10;
-/// Number of the discovery that the list comes from.
+/// Identifier of the discovery that the list comes from.
 const DISCOVERY_ID: u64 = 1;
 /// Second byte of the nodes' addresses.
 const NETWORK: u8 = 6;
@@ -28,17 +29,17 @@
 /// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Nodes of the zone.
+    /// Number of nodes in the zone.
     pub nodes: usize,
-    /// Workers on the list.
+    /// Number of workers in the list.
     pub workers: usize,
-    /// Zones that the workers are spread over.
+    /// Number of zones that the workers are distributed over.
     pub zones: usize,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// Measures one zone whose list is renewed whole each second.
+/// Measures one zone whose list changes as a whole each second.
 pub fn measure(spec: &Spec, limits: &Limits, recorder: &mut Recorder) {
     match Zone::new(spec).measure(limits) {
         Ok(figures) => recorder.measured(Role::ListRelay, Condition::LiveWeights, figures),
@@ -47,7 +48,7 @@
     recorder.measured(Role::SharedDiscovery, Condition::LiveWeights, discovery_traffic(spec));
 }
 
-/// Traffic of discovery where one node of each zone polls it.
+/// Returns the traffic of discovery if one node of each zone polls it.
 fn discovery_traffic(spec: &Spec) -> Figures {
     let mut rng = SmallRng::seed_from_u64(spec.seed);
     let list = ListBody::random(1, spec.workers, spec.zones, &mut rng).to_json().len();
@@ -68,15 +69,15 @@
     traffic: TrafficCount,
 }
 
-/// All nodes of a zone, with the network between them.
+/// All nodes of a zone and the network between them.
 struct Zone<'a> {
     spec: &'a Spec,
     queue: EventQueue<Event>,
     network: EmulatedNetwork,
     nodes: Vec<Node>,
-    /// When the lease holder received each version, by version from 1 on.
+    /// Times at which the lease holder received each version, from version 1 on.
     published_at: Vec<Duration>,
-    /// From the publication of a version until a node had it, in milliseconds.
+    /// Delays from the publication of a version to its arrival at a node, in milliseconds.
     delays_ms: Vec<f64>,
 }
 
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Carries out a node's actions and schedules its next tick.
+    /// Executes a node's actions and schedules its next tick.
     fn execute_actions(&mut self, node: usize) {
         while let Some(action) = self.nodes[node].broadcast.next_action() {
             match action {
@@ -198,7 +199,7 @@
         self.queue.schedule(delay, Event::Message { from, to, message });
     }
 
-    /// Notes for each version that a node has from now on how long it took.
+    /// Records the delays of all versions that a node has received with this one.
     fn record_version(&mut self, node: usize, version: u64) {
         for received in self.nodes[node].version..version {
             let published_at = self.published_at[received as usize];
--- a/testbed/src/scale/chart.rs
+++ b/testbed/src/scale/chart.rs
@@ -1,4 +1,4 @@
-//! One SVG page of figures against sizes.
+//! SVG charts of the measured figures over size.
 
 use super::requirement::{requirements, Requirement};
 use super::result::{Axis, Condition, Measurement, Outcome, Quantity, Role, Run, Value};
@@ -8,24 +8,24 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Charts side by side.
+/// Number of charts in a row.
 const COLUMNS: usize = 3;
 /// Size of a chart and of its texts, in pixels.
 const CHART_WIDTH: u32 = 440;
 const CHART_HEIGHT: u32 = 240;
 const TITLE_HEIGHT: i32 = 11;
 const LABEL_HEIGHT: i32 = 11;
-/// Labels of each axis, about.
+/// Approximate number of labels on each axis.
 const LABELS: usize = 4;
-/// Room beside the smallest and the largest value, as a factor.
+/// Margin below the smallest and above the largest value, as a factor.
 const MARGIN: f64 = 1.5;
 
-/// Error of the chart.
+/// Error while drawing the charts.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot draw the chart: {0}")]
 pub struct ChartError(String);
 
-/// What one chart shows.
+/// Subject of a chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Series {
     axis: Axis,
@@ -41,17 +41,18 @@
     }
 }
 
-/// A size and the figures there.
+/// Figure at a size.
 #[derive(Clone, Copy)]
 struct Sample {
     size: f64,
     value: Value,
 }
 
-/// Draws all rows of the capacity page that were measured at more than one size, on logarithmic scales: the median process and the worst.
+/// Draws each row of the capacity page that was measured at more than one size, on logarithmic scales: the
+/// median process and the worst.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// [`ChartError`] if the file cannot be written.
 pub fn draw(path: &Path, runs: &[Run]) -> Result<(), ChartError> {
     let charts = series(runs);
     let rows = charts.len().div_ceil(COLUMNS).max(1);
--- a/testbed/src/scale/dispatcher.rs
+++ b/testbed/src/scale/dispatcher.rs
@@ -1,5 +1,6 @@
-//! The decision module of a dispatching node in emulated time, with hollow workers and clients: jobs come as a Poisson
-//! process, run for about a mean time and succeed, and the live weights of all workers are renewed each second.
+//! The decision module of a dispatching node in emulated time, with simulated workers and clients: requests
+//! arrive as a Poisson process, run for about a mean time and succeed, and the live weights of all workers
+//! change each second.
 
 use super::limits::{Limits, NotRun};
 use super::list::ListBody;
@@ -18,41 +19,42 @@
 use std::time::Duration;
 
 const SECOND: Micros = 1_000_000;
-/// Between a decision to send and the worker's word that the job has started.
+/// Delay from the decision to send to the worker's report that the request has started.
 const START_DELAY: Micros = 5_000;
-/// Between two versions of the list.
+/// Interval between two versions of the list.
 const LIST_CHANGE_INTERVAL: Micros = SECOND;
-/// Before the client of a job gives up, in mean run times.
+/// Deadline of a request, as a multiple of the mean run time.
 const DEADLINE_RUN_TIMES: f64 = 20.0;
-/// The price of telling a sibling, as a part of a job's priority_weight: so low that as many are told as the module ever tells.
+/// Price of a peer message, relative to a request's priority weight; low enough that the module sends to the
+/// maximum number of siblings.
 const PEER_MESSAGE_PRICE: f64 = 1e-6;
-/// Quotas are this multiple of what comes.
+/// Quota of a tenant, as a multiple of its request rate.
 const QUOTA_MARGIN: f64 = 1.25;
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Dispatching nodes in the fleet.
+    /// Number of dispatching nodes in the fleet.
     pub nodes: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Task starts a second, over all nodes.
+    /// Requests started per second, over all nodes.
     pub requests_per_s: f64,
-    /// The mean run time of a job.
+    /// Mean run time of a request.
     pub run_time: Duration,
-    /// Dispatchers that are measured.
+    /// Number of dispatchers that are measured.
     pub dispatchers: usize,
-    /// For which each is measured.
+    /// Duration of the measurement of each dispatcher.
     pub duration: Duration,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// Measures several dispatchers under this load; records the decision module and what it tells its siblings.
+/// Measures several dispatchers under this load; records the decision module and its messages to siblings.
 pub fn measure(load: &Load, limits: &Limits, recorder: &mut Recorder) {
     let reports: Result<Vec<Report>, NotRun> =
         (0..load.dispatchers).map(|ordinal| Dispatcher::new(load, ordinal).run(limits)).collect();
@@ -87,7 +89,7 @@
     let publishers = [
         over(Quantity::MessagesOut, &|r| r.peer_messages as f64 / seconds),
         over(Quantity::BytesOut, &|r| r.peer_messages as f64 * per_message / seconds),
-        // All nodes publish as many: as much comes in.
+        // All nodes publish the same number of messages, so each receives as many as it sends.
         over(Quantity::MessagesIn, &|r| r.peer_messages as f64 / seconds),
         over(Quantity::BytesIn, &|r| r.peer_messages as f64 * per_message / seconds),
     ];
@@ -114,7 +116,7 @@
     peer_messages: u64,
 }
 
-/// Event of the emulation that is due at a time.
+/// Event of the emulation, scheduled for a time.
 #[derive(Clone, Copy, Debug)]
 enum DueEvent {
     RequestArrives,
@@ -124,17 +126,17 @@
     AttemptEnds(RequestId, u32),
 }
 
-/// A decision module with an emulated clock, requests, workers and peers.
+/// Decision module with an emulated clock, requests, workers and peers.
 struct Dispatcher<'a> {
     load: &'a Load,
     policy: Policy,
     rng: SmallRng,
     now: Micros,
     due: BTreeMap<(Micros, u64), DueEvent>,
-    /// Events that were scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
     next_request: RequestId,
-    /// The number of the last attempt of each open request.
+    /// Number of the last attempt of each open request.
     attempts: HashMap<RequestId, u32>,
     list: ListBody,
     report: Report,
@@ -144,7 +146,7 @@
     fn new(load: &'a Load, ordinal: usize) -> Dispatcher<'a> {
         let mut rng = SmallRng::seed_from_u64(load.seed.wrapping_add(ordinal as u64));
         let settings = settings(load, ordinal);
-        let policy = Policy::new(settings, rng.random(), 0).expect("the settings are well-formed");
+        let policy = Policy::new(settings, rng.random(), 0).expect("the settings are valid");
         let list = ListBody::random(1, load.workers, load.zones, &mut rng);
         let mut dispatcher = Dispatcher {
             load,
@@ -163,7 +165,7 @@
         dispatcher
     }
 
-    /// Runs to the end of the load, and measures the state by dropping it.
+    /// Runs for the duration of the load, then measures the state by dropping it.
     fn run(mut self, limits: &Limits) -> Result<Report, NotRun> {
         let end = self.load.duration.as_micros() as Micros;
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= end) {
@@ -217,16 +219,19 @@
     fn change_list(&mut self) {
         self.schedule(LIST_CHANGE_INTERVAL, DueEvent::ListChanged);
         let revision = self.report.lists + 1;
-        let drawn = ListBody::random(revision, self.load.workers, self.load.zones, &mut self.rng);
-        let body = drawn.to_json();
-        drop(drawn);
+        let new_list = ListBody::random(revision, self.load.workers, self.load.zones, &mut self.rng);
+        let body = new_list.to_json();
+        drop(new_list);
         let mut actions = Vec::new();
         let (now, policy) = (self.now, &mut self.policy);
         let (list, time) = timed(|| {
-            let list = ListBody::from_json(&body).expect("it was written just now");
-            let entries = list.endpoints();
-            let event =
-                if list.complete { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) };
+            let list = ListBody::from_json(&body).expect("the body was serialized above");
+            let endpoints = list.endpoints();
+            let event = if list.complete {
+                Event::EndpointList(endpoints)
+            } else {
+                Event::EndpointChanges(endpoints)
+            };
             policy.handle(now, &event, &mut actions);
             list
         });
@@ -298,7 +303,7 @@
         self.schedule(START_DELAY + run_time as Micros, DueEvent::AttemptEnds(id, attempt));
     }
 
-    /// All nodes publish to as many others as this one does, so as many messages come in.
+    /// All nodes publish to as many others as this one does, so each message sent implies one received.
     fn exchange_peer_message(&mut self, bytes: Vec<u8>) {
         self.report.peer_messages += 1;
         let from = self.rng.random_range(0..self.load.nodes) as u32;
--- a/testbed/src/scale/estimate.rs
+++ b/testbed/src/scale/estimate.rs
@@ -1,39 +1,39 @@
-//! Requirements at their planned sizes: measured there, or extrapolated.
+//! Requirements at their planned sizes: measured or extrapolated.
 
 use super::fit::{Estimate, Fit, Model, Point};
 use super::requirement::{planned_size, Requirement};
 use super::result::{Outcome, Run};
 use super::table::number;
 
-/// A requirement and what the results say of it.
+/// Requirement with its estimate from the results.
 #[derive(Clone, Debug)]
 pub struct Row {
     /// The requirement.
     pub requirement: Requirement,
-    /// The size that is planned for.
+    /// Size that the operators plan for.
     pub planned_size: f64,
-    /// The sizes at which it was measured.
+    /// Sizes at which it was measured.
     pub sizes: Vec<f64>,
-    /// The figure at the planned size; `None` where there are too few measurements.
+    /// Figure at the planned size, or `None` if there are too few measurements.
     pub estimate: Option<Estimate>,
     /// Whether the planned size itself was measured.
     pub is_measured: bool,
-    /// The model fitted to the measurements.
+    /// Model fitted to the measurements.
     pub fit: Option<Fit>,
 }
 
 impl Row {
-    /// The figure as a multiple of its budget; `None` where there is no bound or no figure.
+    /// Returns the figure as a multiple of its budget, or `None` without a bound or a figure.
     pub fn budget_ratio(&self) -> Option<f64> {
         Some(self.estimate?.value / self.requirement.budget.bound()?)
     }
 
-    /// Whether the figure is above its bound.
+    /// Returns whether the figure exceeds its bound.
     pub fn is_over_budget(&self) -> bool {
         self.budget_ratio().is_some_and(|ratio| ratio > 1.0)
     }
 
-    /// How far the planned size lies beyond the largest measured one, as a factor; 1 where it does not.
+    /// Returns the ratio of the planned size to the largest measured one, at least 1.
     pub fn extrapolation_factor(&self) -> f64 {
         let largest = self.sizes.iter().copied().fold(0.0, f64::max);
         if largest > 0.0 {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The fitted model, in short.
+    /// Returns a short form of the fitted model.
     pub fn model(&self) -> String {
         match self.fit {
             Some(Fit { model: Model::Power, slope, .. }) => format!("size^{slope:.2}"),
@@ -56,7 +56,7 @@
     }
 }
 
-/// All requirements, furthest over their budgets first.
+/// Returns all requirements, furthest over their budgets first.
 pub fn estimates(requirements: &[Requirement], runs: &[Run]) -> Vec<Row> {
     let mut rows: Vec<Row> = requirements.iter().map(|requirement| estimate_row(requirement, runs)).collect();
     let ratio = |row: &Row| row.budget_ratio().unwrap_or(f64::NEG_INFINITY);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The worst process' figure at each size that was measured.
+/// Returns the worst process' figure at each measured size.
 fn points(requirement: &Requirement, runs: &[Run]) -> Vec<Point> {
     let measurements = runs.iter().flat_map(|run| &run.measurements);
     let wanted = measurements.filter(|m| {
--- a/testbed/src/scale/fit.rs
+++ b/testbed/src/scale/fit.rs
@@ -1,13 +1,13 @@
-//! Least-squares fits of a figure against a size, and estimates with a prediction interval.
+//! Least-squares fits of a figure over size, and estimates with a prediction interval.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The part of new values that lies within an estimate's interval, if the model holds.
+/// Probability that a new value lies within the prediction interval, if the model holds.
 const CONFIDENCE: f64 = 0.95;
-/// Points that a fit with an interval needs at least: two parameters and one degree of freedom.
+/// Minimum number of points for a fit with an interval: two parameters and one degree of freedom.
 pub const POINTS_MIN: usize = 3;
 
-/// A figure that was measured at a size.
+/// Figure measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// The size.
@@ -16,7 +16,7 @@
     pub value: f64,
 }
 
-/// Regression model: how a figure grows with a size.
+/// Regression model of a figure over size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
     /// `intercept + slope * size`.
@@ -25,45 +25,45 @@
     Power,
 }
 
-/// A model fitted to points.
+/// Model fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// The model.
     pub model: Model,
-    /// Its intercept, on the model's own scale.
+    /// Intercept on the model's own scale.
     pub intercept: f64,
-    /// Its slope; for a power law the exponent.
+    /// Slope, or the exponent of a power law.
     pub slope: f64,
     points: f64,
     mean: f64,
-    /// The sum of squares of the sizes about their mean.
+    /// Sum of squared deviations of the sizes from their mean.
     sum_of_squares: f64,
-    /// The standard deviation of the residuals.
+    /// Standard deviation of the residuals.
     deviation: f64,
-    /// Squared relative errors at the points, summed.
+    /// Sum of squared relative errors at the points.
     error: f64,
 }
 
-/// A figure at a size that may not have been measured.
+/// Estimated figure at a size that may not have been measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The most likely value.
+    /// Most likely value.
     pub value: f64,
-    /// The lower end of the interval.
+    /// Lower end of the interval.
     pub low: f64,
-    /// The upper end of the interval.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
 impl Fit {
-    /// Fits the model that is closer to these points; `None` of fewer than [`POINTS_MIN`] sizes.
+    /// Fits the model that is closer to these points; `None` for fewer than [`POINTS_MIN`] sizes.
     pub fn of(points: &[Point]) -> Option<Fit> {
         let linear = Fit::with(Model::Linear, points)?;
         let power = Fit::with(Model::Power, points);
         Some(power.filter(|power| power.error < linear.error).unwrap_or(linear))
     }
 
-    /// Fits one model; `None` of too few sizes, and of a power law where a figure is not above zero.
+    /// Fits one model; `None` for too few sizes, and for a power law if a figure is not positive.
     pub fn with(model: Model, points: &[Point]) -> Option<Fit> {
         let positive = points.iter().all(|p| p.size > 0.0 && p.value > 0.0);
         if points.len() < POINTS_MIN || (model == Model::Power && !positive) {
@@ -89,7 +89,7 @@
         Some(fit)
     }
 
-    /// The figure at a size, with its prediction interval.
+    /// Returns the figure at a size with its prediction interval.
     pub fn estimate(&self, size: f64) -> Estimate {
         let scaled = self.model.scale(Point { size, value: 1.0 }).size;
         let center = self.intercept + self.slope * scaled;
@@ -122,7 +122,7 @@
     }
 }
 
-/// How many standard errors a prediction interval reaches to each side.
+/// Returns the half-width of a prediction interval, in standard errors.
 fn student_quantile(degrees_of_freedom: f64) -> f64 {
     let distribution = StudentsT::new(0.0, 1.0, degrees_of_freedom).expect("there is a degree of freedom");
     distribution.inverse_cdf(1.0 - (1.0 - CONFIDENCE) / 2.0)
--- a/testbed/src/scale/limits.rs
+++ b/testbed/src/scale/limits.rs
@@ -3,42 +3,42 @@
 use crate::allocation::Memory;
 use std::time::{Duration, Instant};
 
-/// Reason why a measurement was not made, or not made to its end.
+/// Reason why a measurement was not started or not completed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRun {
-    /// More memory than the plan allows.
+    /// The plan allows less memory.
     #[error("memory: {used_mb} MB were allocated, {limit_mb} MB are allowed")]
     Memory {
-        /// Allocated when the limit was seen to be exceeded, in 10^6 bytes.
+        /// Memory allocated when the check failed, in 10^6 bytes.
         used_mb: usize,
         /// The plan's limit, in 10^6 bytes.
         limit_mb: usize,
     },
-    /// More wall-clock time than the plan allows.
+    /// The plan allows less wall-clock time.
     #[error("time: {limit_s} s of wall-clock time were over")]
     Time {
         /// The plan's limit, in seconds.
         limit_s: u64,
     },
-    /// The nodes did not reach equal views.
+    /// The views of the nodes did not converge.
     #[error("the views of the nodes were not equal after {after_s} s of emulated time")]
     NotConverged {
         /// Emulated time waited, in seconds.
         after_s: u64,
     },
-    /// Some nodes never learned of a change.
+    /// A change did not reach all nodes.
     #[error("a change was in force at {reached} of {expected} nodes after {after_s} s of emulated time")]
     NotInForce {
-        /// Reports of the change, over all nodes.
+        /// Number of reports of the change, over all nodes.
         reached: usize,
-        /// Reports expected.
+        /// Number of reports expected.
         expected: usize,
         /// Emulated time waited, in seconds.
         after_s: u64,
     },
 }
 
-/// Limits on one measurement, from the moment of [`Limits::start`] on.
+/// Limits on one measurement, counted from [`Limits::start`] on.
 pub struct Limits {
     memory: Memory,
     memory_limit: usize,
@@ -55,7 +55,7 @@
         Limits { memory, memory_limit: memory_mb * MEGABYTE, time_limit, started: Instant::now() }
     }
 
-    /// The memory that is measured.
+    /// Returns the memory that is measured.
     pub fn memory(&self) -> Memory {
         self.memory
     }
@@ -63,7 +63,7 @@
     /// Compares memory and time with the limits.
     ///
     /// # Errors
-    /// Where a limit is exceeded.
+    /// [`NotRun`] if a limit is exceeded.
     pub fn check(&self) -> Result<(), NotRun> {
         let used = self.memory.allocated();
         if used > self.memory_limit {
--- a/testbed/src/scale/list.rs
+++ b/testbed/src/scale/list.rs
@@ -1,4 +1,4 @@
-//! The worker list in the form in which discovery sends it, with live weights that are drawn anew for each version.
+//! The endpoint list as discovery sends it, with random live weights in each version.
 
 use ::coordination::ListEntry;
 use dispatch_policy::api::{Availability, Endpoint, WorkerId};
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The cores of each worker, and its weight while it holds nothing.
+/// Number of cores of each worker, which is also its weight without requests.
 const CORES: f64 = 4.0;
-/// Requests that a worker holds at most when its weight is drawn.
+/// Maximum number of requests that a worker holds when its weight is drawn.
 const HELD_REQUESTS_MAX: u32 = 8;
-/// Workers that share the memory of repeated keys.
+/// Number of workers in a cell, which share the memory of idempotency keys.
 const WORKERS_PER_CELL: usize = 8;
 
-/// A version of the list, as a node reads it: the same fields as `molevale::list::ListBody`.
+/// Version of the list with the fields that a node parses.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListBody {
-    /// The version.
+    /// Number of the version.
     pub revision: u64,
-    /// Whether these are all workers, or the changed ones.
+    /// Whether these are all workers, or the changed ones only.
     pub complete: bool,
     /// The workers.
     pub members: Vec<Member>,
 }
 
-/// A worker's line.
+/// Entry of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Member {
     id: String,
@@ -39,13 +39,13 @@
 }
 
 impl ListBody {
-    /// All workers, spread over the zones in turn.
+    /// Draws a version with all workers, assigned to the zones in turn.
     pub fn random(revision: u64, workers: usize, zones: usize, rng: &mut SmallRng) -> ListBody {
         let members = (0..workers).map(|i| Member::random(i, zones, rng)).collect();
         ListBody { revision, complete: revision == 1, members }
     }
 
-    /// The body of discovery's answer.
+    /// Returns the body of discovery's answer.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -53,17 +53,17 @@
     /// Parses the body of an answer.
     ///
     /// # Errors
-    /// Where the body is not a version of the list.
+    /// An error if the body is not a version of the list.
     pub fn from_json(body: &[u8]) -> serde_json::Result<ListBody> {
         serde_json::from_slice(body)
     }
 
-    /// The lines as the nodes of a zone pass them on to each other.
+    /// Returns the entries as the list broadcast passes them on.
     pub fn list_entries(&self) -> Vec<ListEntry> {
         self.members.iter().map(Member::list_entry).collect()
     }
 
-    /// The lines as the decision module takes them.
+    /// Returns the entries as input of the decision module.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.members.iter().map(Member::endpoint).collect()
     }
--- a/testbed/src/scale/membership.rs
+++ b/testbed/src/scale/membership.rs
@@ -1,5 +1,5 @@
-//! The membership machine of every node, in emulated time: state, traffic and processor time while nothing happens, and the
-//! time until a change is in force at all nodes.
+//! The membership machines of a fleet in emulated time: state, traffic and processor time without changes,
+//! and the time until a change is in force at all nodes.
 
 use super::limits::{Limits, NotRun};
 use super::processor::Stopwatch;
@@ -12,16 +12,16 @@
 
 /// Emulated time between two checks of the limits.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Emulated time that the nodes have to reach equal views.
+/// Emulated time within which the views must become equal.
 const CONVERGENCE_TIME_MAX: Duration = Duration::from_secs(300);
-/// Emulated time that a change has until it is in force everywhere.
+/// Emulated time within which a change must be in force at all nodes.
 const IN_FORCE_MAX: Duration = Duration::from_secs(60);
-/// Emulated time for which traffic is counted from a change on, at least.
+/// Minimum emulated time for which traffic is counted after a change.
 const CHANGE_WINDOW: Duration = Duration::from_secs(10);
-/// Emulated time for which the news of one change are spread before the next one is made.
+/// Emulated time for the dissemination of one change before the next one is made.
 const DISSEMINATION_TIME: Duration = Duration::from_secs(10);
 
-/// The conditions that [`measure`] records, in this order.
+/// Conditions that [`measure`] records, in this order.
 pub const CONDITIONS: [Condition; 5] = [
     Condition::Steady,
     Condition::PhaseChange,
@@ -33,21 +33,21 @@
 /// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// From equal views to the start of the measurement.
+    /// Time from equal views to the start of the measurement.
     pub warm_up: Duration,
-    /// For which the steady fleet is measured.
+    /// Duration of the measurement without changes.
     pub steady_time: Duration,
-    /// Nodes that are killed at once.
+    /// Number of nodes that are killed at once.
     pub crashes: usize,
-    /// Zones, of which one is lost.
+    /// Number of zones, of which one is lost.
     pub zones: usize,
 }
 
-/// Measures a fleet under each of [`CONDITIONS`]; those that a limit cuts off are recorded as not run.
+/// Measures a fleet under each of [`CONDITIONS`]; those that a limit prevents are recorded as not run.
 pub fn measure(spec: &Spec, limits: &Limits, recorder: &mut Recorder) {
     if let Err(reason) = measure_all(spec, limits, recorder) {
         recorder.rest_not_run(Role::Member, &CONDITIONS, &reason);
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// So many nodes that lie apart, none of them a seed or the one that changes its phase.
+/// Returns `count` nodes at equal distances, without seeds and without the node that changes its phase.
 fn spread_out(nodes: usize, count: usize) -> Vec<usize> {
     let seeds = FleetSpec::default().seeds;
     let free: Vec<usize> = (seeds..nodes).filter(|i| *i != nodes / 2).collect();
@@ -91,14 +91,14 @@
     figures
 }
 
-/// What a crash of several nodes showed.
+/// Results of a crash of several nodes.
 struct Crashes {
     figures: Figures,
-    /// The state that each of the killed nodes held, in bytes.
+    /// State of each killed node, in bytes.
     state: Vec<f64>,
 }
 
-/// A fleet whose views were equal once.
+/// Emulated fleet under measurement.
 struct MeasuredFleet<'a> {
     fleet: EmulatedFleet,
     limits: &'a Limits,
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Lets emulated time pass until all running nodes have equal views of all of them.
+    /// Lets emulated time pass until all running nodes have equal views that contain all of them.
     fn run_until_equal(&mut self) -> Result<(), NotRun> {
         let end = self.fleet.now() + CONVERGENCE_TIME_MAX;
         while !self.views_are_equal() {
@@ -148,7 +148,7 @@
         self.fleet.with_machine(node, |machine, _| machine.digest()).flatten()
     }
 
-    /// Whether so many members, itself included, are present in a node's view.
+    /// Returns whether this number of members, including the node itself, is present in a node's view.
     fn has_present(&self, node: usize, running: usize) -> bool {
         let view = self.fleet.view(node);
         let present = |view: &membership::View| view.members.iter().filter(|m| m.status.is_present()).count();
@@ -159,7 +159,7 @@
         (0..self.nodes).filter(|i| self.fleet.is_running(*i)).collect()
     }
 
-    /// Counters of the running nodes now.
+    /// Returns the counters of the running nodes.
     fn traffic(&self) -> TrafficSnapshot {
         TrafficSnapshot::of(self.running().into_iter().map(|i| (i, self.fleet.counters(i))))
     }
@@ -173,7 +173,8 @@
         Ok(figures)
     }
 
-    /// TrafficSnapshot and processor time since `before`. The emulator's own work is in the processor time: it is an upper bound.
+    /// Traffic and processor time since `before`. The processor time includes the emulator's own work: it is
+    /// an upper bound.
     fn figures_since(&self, before: &TrafficSnapshot, span: Duration, stopwatch: &Stopwatch) -> Figures {
         let processor = stopwatch.elapsed().as_secs_f64();
         let node_seconds = self.running().len() as f64 * span.as_secs_f64();
@@ -212,8 +213,8 @@
         Ok(Crashes { figures, state })
     }
 
-    /// Runs until so many events of this kind have come, and through the window in which traffic is counted. Returns the
-    /// figures of the window and the delays of the events.
+    /// Runs until the expected number of events has arrived, and to the end of the window in which traffic is
+    /// counted. Returns the figures of the window and the delays of the events.
     fn run_until_reported(
         &mut self,
         changed_at: Duration,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,8 +1,8 @@
-//! Scale runs: the state machines of many processes at growing sizes, in emulated time, and the capacity page that is
-//! computed from their results.
+//! Scale runs: measurements of the state machines of many processes at growing sizes, in emulated time, and
+//! the capacity page computed from the results.
 //!
-//! `testbed scale` measures by a plan and keeps each axis' results as JSON; `--page` writes the generated part of the page,
-//! and `--check` fails where page and results differ.
+//! `testbed scale` measures by a plan and saves each axis' results as JSON; `--page` writes the generated
+//! part of the page, and `--check` fails if the page disagrees with the results.
 
 mod arguments;
 pub mod broadcast;
--- a/testbed/src/scale/network.rs
+++ b/testbed/src/scale/network.rs
@@ -1,4 +1,5 @@
-//! Emulated network between the processes of a scale run: size and delay of each message, traffic of each process.
+//! Emulated network between the processes of a scale run: size and delay of each message, traffic of each
+//! process.
 
 use super::result::{Figures, Quantity, Value};
 use super::wire_size::{WireSize, WireSizeMeter};
@@ -15,7 +16,7 @@
 /// Length of the tag that names a message's subsystem, in bytes.
 const SUBSYSTEM_TAG_BYTES: usize = 1;
 
-/// Processes by address, with the size and the delay of what they send to each other.
+/// Processes by address, with size and delay of the messages between them.
 pub struct EmulatedNetwork {
     /// Source of all random draws of the run.
     pub rng: SmallRng,
@@ -24,18 +25,19 @@
 }
 
 impl EmulatedNetwork {
-    /// Network of processes at these addresses; a process is known by the place of its address.
+    /// Creates a network of processes at these addresses; a process is identified by the index of its
+    /// address.
     pub fn new(addresses: impl Iterator<Item = SocketAddr>, rng: SmallRng) -> EmulatedNetwork {
         let processes = addresses.enumerate().map(|(process, address)| (address, process)).collect();
         EmulatedNetwork { rng, wire_sizes: WireSizeMeter::new(), processes }
     }
 
-    /// The process at an address.
+    /// Returns the process at an address.
     pub fn process_at(&self, address: SocketAddr) -> Option<usize> {
         self.processes.get(&address).copied()
     }
 
-    /// Size of a message as it is sent.
+    /// Returns the size of a message on the network.
     pub fn wire_size(&mut self, message: &impl Serialize) -> WireSize {
         let length = postcard::to_stdvec(message).map_or(0, |bytes| bytes.len()) + SUBSYSTEM_TAG_BYTES;
         self.wire_sizes.message(length)
@@ -47,7 +49,7 @@
     }
 }
 
-/// What one process has sent and received.
+/// Messages and bytes that one process has sent and received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficCount {
     messages_out: u64,
@@ -57,19 +59,19 @@
 }
 
 impl TrafficCount {
-    /// Counts a message that the process has sent.
+    /// Counts a message sent by the process.
     pub fn record_sent(&mut self, size: WireSize) {
         self.messages_out += size.datagrams;
         self.bytes_out += size.bytes;
     }
 
-    /// Counts a message that is sent to the process.
+    /// Counts a message sent to the process.
     pub fn record_received(&mut self, size: WireSize) {
         self.messages_in += size.datagrams;
         self.bytes_in += size.bytes;
     }
 
-    /// What was counted after `earlier`.
+    /// Returns what was counted after `earlier`.
     pub fn since(&self, earlier: &TrafficCount) -> TrafficCount {
         TrafficCount {
             messages_out: self.messages_out - earlier.messages_out,
@@ -80,7 +82,7 @@
     }
 }
 
-/// Messages and bytes a second of some processes, each counted over `span`.
+/// Returns messages and bytes per second of these processes, each counted over `span`.
 pub fn traffic_rates(counts: &[TrafficCount], span: Duration) -> Figures {
     let rate = |count: fn(&TrafficCount) -> u64| {
         Value::of(counts.iter().map(|counted| count(counted) as f64 / span.as_secs_f64()).collect())
--- a/testbed/src/scale/plan.rs
+++ b/testbed/src/scale/plan.rs
@@ -1,28 +1,28 @@
-//! The plan of a scale run: sizes, lengths, limits and the seed, from a TOML file.
+//! Plan of a scale run, from a TOML file: sizes, durations, limits and the seed.
 
 use super::result::Axis;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
-/// Nodes that the emulator has addresses for.
+/// Number of nodes that the emulator has addresses for.
 const NODES_MAX: u64 = 50_000;
-/// Sizes of an axis at least: a fit needs them.
+/// Minimum number of sizes of an axis; a fit needs them.
 const SIZES_MIN: usize = 3;
 
-/// A plan.
+/// Plan of a scale run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Limits of each measurement.
     pub limits: PlanLimits,
-    /// What stays where it is not the axis.
+    /// Values of the parameters that are not the measured axis.
     pub base: Base,
-    /// The sizes of each axis.
+    /// Sizes of each axis.
     pub sizes: Sizes,
-    /// Lengths and numbers of what is emulated.
+    /// Durations and counts of the emulation.
     pub emulation: Emulation,
 }
 
@@ -36,71 +36,71 @@
     pub time_s: Spanned<u64>,
 }
 
-/// The size of everything that does not grow on an axis.
+/// Values of the parameters that are not the measured axis.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Base {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: Spanned<u64>,
-    /// Workers.
+    /// Number of workers.
     pub workers: Spanned<u64>,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: Spanned<u64>,
-    /// Zones.
+    /// Number of zones.
     pub zones: Spanned<u64>,
-    /// Task starts a second, over all nodes.
+    /// Requests started per second, over all nodes.
     pub starts: Spanned<f64>,
 }
 
-/// The sizes of each axis, in ascending order. An axis that is left out is not measured.
+/// Sizes of each axis, in ascending order. An axis without sizes is not measured.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sizes {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: Option<Spanned<Vec<u64>>>,
-    /// Workers.
+    /// Number of workers.
     pub workers: Option<Spanned<Vec<u64>>>,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: Option<Spanned<Vec<u64>>>,
-    /// Zones.
+    /// Number of zones.
     pub zones: Option<Spanned<Vec<u64>>>,
-    /// Task starts a second, over all nodes.
+    /// Requests started per second, over all nodes.
     pub starts: Option<Spanned<Vec<u64>>>,
-    /// Nodes, with workers, tenants and zones of the largest size of their axes.
+    /// Number of nodes, with the largest size of all other axes.
     pub together: Option<Spanned<Vec<u64>>>,
 }
 
-/// Lengths and numbers of what is emulated.
+/// Durations and counts of the emulation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Emulation {
-    /// From equal views to the start of the measurement, in seconds.
+    /// Time from equal views to the start of the measurement, in seconds.
     pub warm_up_s: u64,
-    /// For which the calm fleet is measured, in seconds.
+    /// Duration of the measurement without changes, in seconds.
     #[serde(rename = "calm_s")]
     pub steady_s: Spanned<u64>,
-    /// Nodes that are killed at once.
+    /// Number of nodes that are killed at once.
     pub crashes: Spanned<u64>,
-    /// Zones of the membership machine's fleet, of which one is lost.
+    /// Number of zones of the membership machines' fleet, of which one is lost.
     pub member_zones: Spanned<u64>,
-    /// Dispatchers that are measured side by side.
+    /// Number of dispatchers that are measured.
     pub dispatchers: Spanned<u64>,
-    /// For which each dispatcher is measured, in seconds.
+    /// Duration of the measurement of each dispatcher, in seconds.
     pub dispatch_s: Spanned<u64>,
-    /// The mean run time of a job, in seconds.
+    /// Mean run time of a request, in seconds.
     #[serde(rename = "job_s")]
     pub run_time_s: Spanned<f64>,
-    /// Nodes of all zones together, of which those of one zone pass the worker list on.
+    /// Number of nodes over all zones; those of one zone run the list broadcast.
     pub list_nodes: Spanned<u64>,
 }
 
-/// Error in a plan, by its line.
+/// Error in a plan, with its line.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {message}")]
 pub struct PlanError {
-    /// The line, from 1 on.
+    /// Number of the line, from 1 on.
     pub line: usize,
-    /// What is wrong there.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -108,7 +108,7 @@
     /// Parses and validates a plan.
     ///
     /// # Errors
-    /// The first part that is wrong, by its line.
+    /// [`PlanError`] for the first invalid part, with its line.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = toml::from_str(text).map_err(|e| PlanError {
             line: e.span().map_or(1, |span| line_of(text, span.start)),
@@ -119,22 +119,22 @@
         Ok(plan)
     }
 
-    /// The sizes of an axis; empty where the plan leaves it out.
+    /// Returns the sizes of an axis, which are empty if the plan has none.
     pub fn sizes(&self, axis: Axis) -> &[u64] {
         self.sizes.of(axis).map_or(&[], |sizes| sizes.get_ref())
     }
 
-    /// The largest size of an axis; `base` where the plan leaves it out.
+    /// Returns the largest size of an axis, or `base` if the plan has none.
     pub fn largest(&self, axis: Axis, base: u64) -> u64 {
         self.sizes(axis).last().copied().unwrap_or(base)
     }
 
-    /// Wall-clock time that one measurement may take.
+    /// Returns the wall-clock time limit of one measurement.
     pub fn time_limit(&self) -> Duration {
         Duration::from_secs(*self.limits.time_s.get_ref())
     }
 
-    /// Memory that one measurement may take, in 10^6 bytes.
+    /// Returns the memory limit of one measurement, in 10^6 bytes.
     pub fn memory_mb(&self) -> usize {
         *self.limits.memory_mb.get_ref() as usize
     }
@@ -155,12 +155,12 @@
             ("list_nodes", &self.emulation.list_nodes),
         ];
         for (name, value) in positive {
-            ensure(*value.get_ref() > 0, value.span().start, || format!("{name} must be above zero"))?;
+            ensure(*value.get_ref() > 0, value.span().start, || format!("{name} must be greater than zero"))?;
         }
         for (name, value) in [("starts", &self.base.starts), ("job_s", &self.emulation.run_time_s)] {
             let number = *value.get_ref();
             let is_valid = number.is_finite() && number > 0.0;
-            ensure(is_valid, value.span().start, || format!("{name} must be above zero"))?;
+            ensure(is_valid, value.span().start, || format!("{name} must be greater than zero"))?;
         }
         for axis in AXES {
             let min_count = if axis == Axis::Together { 1 } else { SIZES_MIN };
@@ -174,11 +174,11 @@
         let largest = sizes.get_ref().last().copied().unwrap_or(0);
         let smallest = sizes.get_ref().first().copied().unwrap_or(0);
         let offset = sizes.span().start;
-        ensure(largest <= NODES_MAX, offset, || format!("{NODES_MAX} nodes are allowed at most"))?;
+        ensure(largest <= NODES_MAX, offset, || format!("at most {NODES_MAX} nodes are allowed"))?;
         let lost =
             *self.emulation.crashes.get_ref() + smallest.div_ceil(*self.emulation.member_zones.get_ref());
         ensure(lost < smallest, offset, || {
-            format!("of {smallest} nodes none would be left after the crashes")
+            format!("none of {smallest} nodes would be left after the crashes")
         })
     }
 }
@@ -200,7 +200,7 @@
     }
 }
 
-/// An invalid value, by its place in the text.
+/// Invalid value, with its offset in the text.
 struct Invalid {
     offset: usize,
     message: String,
@@ -216,10 +216,10 @@
 
 fn check_sizes(sizes: &Spanned<Vec<u64>>, min_count: usize) -> Result<(), Invalid> {
     let (offset, sizes) = (sizes.span().start, sizes.get_ref());
-    ensure(sizes.len() >= min_count, offset, || format!("{min_count} sizes at least are needed"))?;
-    ensure(sizes[0] > 0, offset, || "sizes must be above zero".to_string())?;
+    ensure(sizes.len() >= min_count, offset, || format!("at least {min_count} sizes are required"))?;
+    ensure(sizes[0] > 0, offset, || "sizes must be greater than zero".to_string())?;
     let is_ascending = sizes.windows(2).all(|pair| pair[0] < pair[1]);
-    ensure(is_ascending, offset, || "sizes must ascend".to_string())
+    ensure(is_ascending, offset, || "sizes must be in ascending order".to_string())
 }
 
 fn line_of(text: &str, offset: usize) -> usize {
--- a/testbed/src/scale/processor.rs
+++ b/testbed/src/scale/processor.rs
@@ -3,13 +3,13 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// Processor time that this thread has used since it started.
+/// Processor time that this thread has used since its start.
 fn used() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Measures the processor time of this thread from its creation on.
+/// Measures the processor time of this thread.
 pub struct Stopwatch {
     started: Duration,
 }
@@ -20,13 +20,13 @@
         Stopwatch { started: used() }
     }
 
-    /// Processor time since the start.
+    /// Returns the processor time since the start.
     pub fn elapsed(&self) -> Duration {
         used().saturating_sub(self.started)
     }
 }
 
-/// The result of `work`, and the processor time that it took.
+/// Runs `work` and returns its result and its processor time.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
     let stopwatch = Stopwatch::start();
     let result = work();
--- a/testbed/src/scale/requirement.rs
+++ b/testbed/src/scale/requirement.rs
@@ -5,22 +5,22 @@
 /// Budget that a figure is compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
-    /// A node's processor time for control.
+    /// Processor time of a node for coordination with others.
     Processor,
-    /// A node's memory for control.
+    /// Memory of a node for coordination with others.
     Memory,
-    /// Bytes a second that a node sends for control.
+    /// Bytes per second that a node sends for coordination with others.
     TrafficOut,
-    /// Bytes a second that a node receives for control.
+    /// Bytes per second that a node receives for coordination with others.
     TrafficIn,
-    /// Until a change is in force everywhere.
+    /// Time until a change is in force at all nodes.
     InForce,
-    /// The operators gave no bound.
+    /// The operators set no bound.
     None,
 }
 
 impl Budget {
-    /// The bound, in the unit of the figures: part of a core, bytes, bytes a second, milliseconds.
+    /// Returns the bound in the unit of the figures: share of a core, bytes, bytes per second, milliseconds.
     pub fn bound(self) -> Option<f64> {
         match self {
             Budget::Processor => Some(0.042),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The size of an axis that the operators plan for.
+/// Returns the size of an axis that the operators plan for.
 pub fn planned_size(axis: Axis) -> u64 {
     match axis {
         Axis::Nodes | Axis::Workers | Axis::Together => 3600,
@@ -42,22 +42,22 @@
     }
 }
 
-/// A row of the capacity page: one figure of one role.
+/// Row of the capacity page: one figure of one role.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirement {
-    /// What grows.
+    /// Axis of the sizes.
     pub axis: Axis,
-    /// Whose figure.
+    /// Role of the measured process.
     pub role: Role,
-    /// Meanwhile.
+    /// Condition of the measurement.
     pub condition: Condition,
-    /// Which figure, of the worst process.
+    /// Measured quantity; the value of the worst process counts.
     pub quantity: Quantity,
     /// Its budget.
     pub budget: Budget,
-    /// Whether it counts in the sum of what a dispatching node spends.
+    /// Whether it is part of a dispatching node's total.
     pub in_node_sum: bool,
-    /// What carries it.
+    /// Mechanism behind the figure.
     pub mechanism: &'static str,
 }
 
@@ -70,7 +70,7 @@
 const SHARED: &str = "a watch of one node of each zone, `lists = true`";
 const WATCHES: &str = "a watch of each node, without `lists`";
 
-/// The figures of one role on one axis.
+/// Figures of one role on one axis.
 #[derive(Clone, Copy)]
 struct Series {
     axis: Axis,
@@ -79,7 +79,7 @@
 }
 
 impl Series {
-    /// Rows of these figures, each held against the usual budget of its quantity.
+    /// Returns rows for these quantities, each with the usual budget of its quantity.
     fn rows(self, condition: Condition, quantities: &[Quantity]) -> Vec<Requirement> {
         let Series { axis, role, mechanism } = self;
         let row = |quantity: &Quantity| Requirement {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Budget of a quantity, where the operators gave a bound for it.
+/// Returns the budget of a quantity for which the operators set a bound.
 fn usual_budget(quantity: Quantity) -> Budget {
     match quantity {
         Quantity::StateBytes | Quantity::ListStateBytes => Budget::Memory,
@@ -107,17 +107,17 @@
     }
 }
 
-/// The same rows, as parts of what each dispatching node spends.
+/// Marks rows as parts of a dispatching node's total.
 fn in_node_sum(rows: Vec<Requirement>) -> Vec<Requirement> {
     rows.into_iter().map(|row| Requirement { in_node_sum: true, ..row }).collect()
 }
 
-/// The same rows, for which the operators gave no bound.
+/// Removes the bounds of rows for which the operators set none.
 fn without_bound(rows: Vec<Requirement>) -> Vec<Requirement> {
     rows.into_iter().map(|row| Requirement { budget: Budget::None, ..row }).collect()
 }
 
-/// All rows.
+/// Returns all rows.
 pub fn requirements() -> Vec<Requirement> {
     [member(), dispatcher(), lists(), voters()].concat()
 }
--- a/testbed/src/scale/result.rs
+++ b/testbed/src/scale/result.rs
@@ -1,52 +1,52 @@
-//! What a run measured, as it is kept in JSON.
+//! Results of a run, in the form that is saved as JSON.
 
 use super::limits::NotRun;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the result format.
+/// Version of the result format.
 pub const FORMAT: u32 = 1;
 
-/// What grows in a series of measurements while all else stays.
+/// Parameter that grows in a series of measurements while the others stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
-    /// Nodes in the membership machine.
+    /// Nodes with a membership machine.
     Nodes,
-    /// Workers on the list.
+    /// Workers in the list.
     Workers,
     /// Tenants with quotas.
     Tenants,
-    /// Zones that the nodes are spread over.
+    /// Zones that the nodes are distributed over.
     Zones,
-    /// Task starts a second, over all nodes.
+    /// Requests started per second, over all nodes.
     Starts,
     /// All of these together.
     Together,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Keeps the view of the fleet: every node.
+    /// Keeps a view of the fleet: each node.
     Member,
-    /// Decides on jobs: every dispatching node.
+    /// Decides on requests: each dispatching node.
     Dispatcher,
-    /// Tells other nodes the rates of its tenants: every dispatching node.
+    /// Publishes the rates of its tenants to other nodes: each dispatching node.
     #[serde(rename = "rate_teller")]
     RatePublisher,
-    /// Takes the worker list from another node of its zone, or passes it on.
+    /// Receives the endpoint list from another node of its zone, or passes it on.
     ListRelay,
-    /// Votes on duties, one for each zone.
+    /// Votes on leases, one for each zone.
     Voter,
-    /// The service that has the worker list, where all nodes ask it.
+    /// Discovery service that all nodes poll.
     Discovery,
-    /// The same, where one node of each zone asks it.
+    /// Discovery service that one node of each zone polls.
     SharedDiscovery,
 }
 
-/// What happens while it is measured.
+/// Condition during a measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
@@ -59,69 +59,69 @@
     Crashes,
     /// All nodes of a zone are killed at once.
     ZoneLost,
-    /// All nodes of the lost zone start again at once.
+    /// All nodes of the lost zone restart at once.
     ZoneReturns,
-    /// Live weights of all workers are renewed each second.
+    /// Live weights of all workers change each second.
     LiveWeights,
 }
 
-/// A figure of one process.
+/// Measured quantity of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Memory that the state machine holds, in bytes.
+    /// Memory of the state machine, in bytes.
     StateBytes,
-    /// Messages sent a second.
+    /// Messages sent per second.
     MessagesOut,
-    /// Messages received a second.
+    /// Messages received per second.
     MessagesIn,
-    /// Bytes sent a second, without IP and UDP headers.
+    /// Bytes sent per second, without IP and UDP headers.
     BytesOut,
-    /// Bytes received a second, without IP and UDP headers.
+    /// Bytes received per second, without IP and UDP headers.
     BytesIn,
-    /// Processor time, as a part of a core.
+    /// Processor time, as a share of a core.
     ProcessorShare,
-    /// From a change until it is in force at a node, in milliseconds.
+    /// Time from a change until it is in force at a node, in milliseconds.
     InForceMs,
-    /// The state that is exchanged over a stream where two views differ, in bytes.
+    /// Full state that is exchanged over a stream if two views differ, in bytes.
     #[serde(rename = "exchange_bytes")]
     FullStateBytes,
-    /// Exchanges of whole states that were taken in.
+    /// Number of full states received and applied.
     #[serde(rename = "exchanges")]
     FullStatesIn,
-    /// Whole states that were taken in, in bytes a second.
+    /// Full states received and applied, in bytes per second.
     #[serde(rename = "exchange_bytes_in")]
     FullStateBytesIn,
-    /// The worker list as discovery sends it, in bytes a second.
+    /// Endpoint list as discovery sends it, in bytes per second.
     ListBytes,
-    /// Memory that the list takes where it is kept as it was read, in bytes.
+    /// Memory of the list as it was parsed, in bytes.
     ListStateBytes,
-    /// Processor time of reading one list and handing it to the decision module, in microseconds.
+    /// Processor time to parse one list and pass it to the decision module, in microseconds.
     ListProcessorUs,
-    /// Processor time of the decision module apart from lists, for each job sent, in microseconds. What it does each
-    /// second whatever comes is in it, so it falls as jobs become more frequent.
+    /// Processor time of the decision module except for lists, per request sent, in microseconds. It includes
+    /// periodic work that does not depend on load, so it falls as the request rate grows.
     #[serde(rename = "job_processor_us")]
     RequestProcessorUs,
-    /// Jobs sent a second.
+    /// Requests sent per second.
     Sends,
 }
 
-/// A figure over the processes of one measurement.
+/// Value of a quantity over the processes of one measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Value {
-    /// Of the median process.
+    /// Value of the median process.
     pub median: f64,
-    /// Of the worst process.
+    /// Value of the worst process.
     pub worst: f64,
 }
 
 impl Value {
-    /// One value where processes are not told apart.
+    /// Returns a value without distinction between processes.
     pub fn single(value: f64) -> Value {
         Value { median: value, worst: value }
     }
 
-    /// Median and maximum; `None` of no values.
+    /// Returns median and maximum, or `None` without values.
     pub fn of(mut values: Vec<f64>) -> Option<Value> {
         values.sort_by(f64::total_cmp);
         let worst = *values.last()?;
@@ -133,51 +133,51 @@
 /// Figures by quantity.
 pub type Figures = BTreeMap<Quantity, Value>;
 
-/// What came of one measurement.
+/// Outcome of one measurement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Its figures.
+    /// Figures of a completed measurement.
     Measured(Figures),
-    /// It was not made, for this reason.
+    /// Reason why it was not run or not completed.
     NotRun(String),
 }
 
-/// One role at one size.
+/// Measurement of one role at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
-    /// What grows.
+    /// Axis of the size.
     pub axis: Axis,
-    /// Its size.
+    /// Size on the axis.
     pub size: u64,
-    /// Whose figures these are.
+    /// Role of the measured processes.
     pub role: Role,
-    /// What happened meanwhile.
+    /// Condition during the measurement.
     pub condition: Condition,
-    /// The figures.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// One run of one axis.
+/// Run of one axis.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The version of this format.
+    /// Version of the format.
     pub format: u32,
-    /// The command that made it.
+    /// Command of the run.
     pub command: String,
-    /// The seed of all that was drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// When it ended, as RFC 3339.
+    /// End of the run, as RFC 3339.
     pub date: String,
-    /// The commit of the source, with `+` where files differed from it.
+    /// Commit of the source, with `+` if files differed from it.
     pub commit: String,
-    /// The version of the crate.
+    /// Version of the crate.
     pub version: String,
-    /// Logical processors of the machine.
+    /// Number of logical processors of the machine.
     pub processors: usize,
     /// Wall-clock time of the run, in seconds.
     pub took_s: u64,
-    /// The measurements, by size.
+    /// Measurements by size.
     pub measurements: Vec<Measurement>,
 }
 
@@ -189,7 +189,7 @@
 }
 
 impl Recorder {
-    /// For this size of this axis.
+    /// Creates a recorder for a size of an axis.
     pub fn new(axis: Axis, size: u64) -> Recorder {
         Recorder { axis, size, measurements: Vec::new() }
     }
@@ -199,7 +199,7 @@
         self.record(role, condition, Outcome::Measured(figures));
     }
 
-    /// Records that a measurement was not made.
+    /// Records that a measurement was not run.
     pub fn not_run(&mut self, role: Role, condition: Condition, reason: &NotRun) {
         self.record(role, condition, Outcome::NotRun(reason.to_string()));
     }
@@ -214,7 +214,7 @@
         }
     }
 
-    /// All that was recorded.
+    /// Returns all records.
     pub fn finish(self) -> Vec<Measurement> {
         self.measurements
     }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! Run of a scale plan, axis by axis, and the modes of the command line.
+//! Execution of a scale plan, axis by axis, and the modes of the command line.
 
 use super::arguments::Arguments;
 use super::limits::Limits;
@@ -13,43 +13,44 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The chart's file in the folder of results.
+/// File name of the chart in the results directory.
 const CHART: &str = "scale.svg";
 
 /// Error of `testbed scale`.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The plan can't be read.
+    /// The plan cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     PlanFile {
-        /// The plan.
+        /// Path of the plan.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The plan is not a good one.
+    /// The plan is invalid.
     #[error("{}: {source}", path.display())]
     Plan {
-        /// The plan.
+        /// Path of the plan.
         path: PathBuf,
-        /// Where and why.
+        /// Line and description.
         source: PlanError,
     },
-    /// Results can't be kept or read.
+    /// Results cannot be saved or read.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The chart can't be drawn.
+    /// The chart cannot be drawn.
     #[error(transparent)]
     Chart(#[from] chart::ChartError),
-    /// The page can't be written, or differs from the results.
+    /// The page cannot be written, or differs from the results.
     #[error(transparent)]
     Page(#[from] PageError),
 }
 
-/// Runs `testbed scale`: measures, writes the page, or compares it with the kept results.
+/// Runs `testbed scale`: measures, writes the page, or compares it with the saved results.
 ///
 /// # Errors
-/// Where the plan is invalid, a file can't be read or written, or the page differs from the results.
+/// [`ScaleError`] if the plan is invalid, a file cannot be read or written, or the page differs from the
+/// results.
 pub fn run(arguments: &Arguments, allocator: &'static CountingAllocator) -> Result<(), ScaleError> {
     if let Some(path) = &arguments.page {
         let runs = store::read_all(&arguments.results)?;
@@ -92,7 +93,8 @@
     progress
 }
 
-/// Measures an axis at each of its sizes, and keeps the results after each, so that a run that is ended early has some.
+/// Measures an axis at each of its sizes. Saves the results after each size, so that an aborted run keeps
+/// some.
 fn measure_axis(
     plan: &Plan,
     axis: Axis,
@@ -151,7 +153,7 @@
     }
 }
 
-/// One zone of the nodes that share lists, with the workers of all zones.
+/// Returns the parameters of one zone of the nodes with list broadcast, and the workers of all zones.
 fn zone_spec(plan: &Plan, axis: Axis, size: u64) -> broadcast::Spec {
     let load = load(plan, axis, size);
     let nodes = *plan.emulation.list_nodes.get_ref() as usize;
@@ -189,7 +191,7 @@
     }
 }
 
-/// A run without measurements yet.
+/// Returns a run without measurements.
 fn empty_run(plan: &Plan, axis: Axis, path: &Path) -> Run {
     let axis_name = format!("{axis:?}").to_lowercase();
     Run {
@@ -205,8 +207,8 @@
     }
 }
 
-/// The commit of the working folder, with `+` where files other than documents differ from it; `unknown` outside of a
-/// repository.
+/// Returns the commit of the working directory, with `+` if files other than documents differ from it, or
+/// `unknown` outside of a repository.
 fn commit() -> String {
     let git = |arguments: &[&str]| Command::new("git").args(arguments).output().ok();
     let head = git(&["rev-parse", "--short=7", "HEAD"]).filter(|output| output.status.success());
--- a/testbed/src/scale/store.rs
+++ b/testbed/src/scale/store.rs
@@ -1,4 +1,4 @@
-//! Store of results: a JSON file for each axis in one folder.
+//! Storage of results: a JSON file for each axis in one directory.
 
 use super::plan::AXES;
 use super::result::{Axis, Run, FORMAT};
@@ -8,25 +8,25 @@
 /// Error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The file can't be read or written.
+    /// The file cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the system.
         source: io::Error,
     },
-    /// The file holds no results of this version.
+    /// The file does not contain results of this format version.
     #[error("{}: {message}", path.display())]
     Content {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// The file of an axis.
+/// Returns the path of an axis.
 pub fn file(folder: &Path, axis: Axis) -> PathBuf {
     let name = match axis {
         Axis::Nodes => "nodes.json",
@@ -42,7 +42,7 @@
 /// Writes the results of one axis.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// [`StoreError`] if the file cannot be written.
 pub fn save(folder: &Path, axis: Axis, run: &Run) -> Result<(), StoreError> {
     let path = file(folder, axis);
     let text = serde_json::to_string_pretty(run)
@@ -54,7 +54,7 @@
 /// Reads the results of all axes that have a file, in the order of the axes.
 ///
 /// # Errors
-/// Where a file can't be read, or holds no results of this version.
+/// [`StoreError`] if a file cannot be read or does not contain results of this format version.
 pub fn read_all(folder: &Path) -> Result<Vec<Run>, StoreError> {
     let files = AXES.iter().map(|axis| file(folder, *axis)).filter(|path| path.exists());
     files.map(|path| read(&path)).collect()
@@ -66,7 +66,7 @@
     let content = |message: String| StoreError::Content { path: path.to_path_buf(), message };
     let run: Run = serde_json::from_str(&text).map_err(|e| content(e.to_string()))?;
     if run.format != FORMAT {
-        return Err(content(format!("format {} in place of {FORMAT}", run.format)));
+        return Err(content(format!("result format {} is not supported; expected {FORMAT}", run.format)));
     }
     Ok(run)
 }
--- a/testbed/src/scale/table.rs
+++ b/testbed/src/scale/table.rs
@@ -1,12 +1,12 @@
-//! How figures and sizes are written on the page.
+//! Names and number formats of the capacity page.
 
 use super::requirement::Budget;
 use super::result::{Axis, Condition, Quantity, Role};
 
-/// Digits that count.
+/// Number of significant digits.
 const DIGITS: i32 = 3;
 
-/// What a process does.
+/// Returns the name of a role.
 pub fn role_name(role: Role) -> &'static str {
     match role {
         Role::Member => "member of the view",
@@ -19,7 +19,7 @@
     }
 }
 
-/// What happens while it is measured.
+/// Returns the name of a condition.
 pub fn condition_name(condition: Condition) -> &'static str {
     match condition {
         Condition::Steady => "calm",
@@ -31,7 +31,7 @@
     }
 }
 
-/// What is measured.
+/// Returns the name of a quantity.
 pub fn quantity_name(quantity: Quantity) -> &'static str {
     match quantity {
         Quantity::StateBytes => "state",
@@ -52,7 +52,7 @@
     }
 }
 
-/// A figure with its unit.
+/// Formats a figure with its unit.
 pub fn figure(quantity: Quantity, value: f64) -> String {
     match quantity {
         Quantity::StateBytes | Quantity::ListStateBytes | Quantity::FullStateBytes => bytes(value),
@@ -67,7 +67,7 @@
     }
 }
 
-/// What a budget is of.
+/// Returns the name of a budget.
 pub fn budget_name(budget: Budget) -> &'static str {
     match budget {
         Budget::Processor => "processor time",
@@ -79,7 +79,7 @@
     }
 }
 
-/// A sum that is held against a budget, with its unit.
+/// Formats a sum that is compared with a budget, with its unit.
 pub fn budget_value(budget: Budget, value: f64) -> String {
     match budget {
         Budget::Processor => format!("{}% of a core", number(value * 100.0)),
@@ -90,7 +90,7 @@
     }
 }
 
-/// What an axis counts.
+/// Returns the name of an axis.
 pub fn axis_name(axis: Axis) -> &'static str {
     match axis {
         Axis::Nodes => "nodes",
@@ -102,12 +102,12 @@
     }
 }
 
-/// A size with what it counts.
+/// Formats a size with the name of its axis.
 pub fn size(axis: Axis, size: f64) -> String {
     format!("{} {}", number(size), axis_name(axis))
 }
 
-/// A number to three digits, with separators from thousands on.
+/// Formats a number with three significant digits, and with separators from thousands on.
 pub fn number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value:.0}");
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,27 +1,27 @@
-//! Messages and bytes of each node between two moments.
+//! Messages and bytes of each node between two points in time.
 
 use super::result::{Figures, Quantity, Value};
 use membership::Counters;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The counters of nodes at one moment.
+/// Counters of nodes at one point in time.
 pub struct TrafficSnapshot {
     counters: BTreeMap<usize, Counters>,
 }
 
 impl TrafficSnapshot {
-    /// Of nodes by number.
+    /// Creates a snapshot from the counters of numbered nodes.
     pub fn of(counters: impl Iterator<Item = (usize, Counters)>) -> TrafficSnapshot {
         TrafficSnapshot { counters: counters.collect() }
     }
 
-    /// How many nodes these are.
+    /// Returns the number of nodes.
     pub fn nodes(&self) -> usize {
         self.counters.len()
     }
 
-    /// What nodes that are in both sent and received a second since `before`.
+    /// Returns messages and bytes per second since `before`, of the nodes that are in both snapshots.
     pub fn since(&self, before: &TrafficSnapshot, span: Duration) -> Figures {
         let rate = |count: fn(&Counters) -> u64| {
             let both = self.counters.iter().filter_map(|(i, now)| Some((now, before.counters.get(i)?)));
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -1,5 +1,5 @@
-//! Voters and their lease clients in emulated time: each zone has one lease, as the one to follow discovery is, and some
-//! nodes that seek it.
+//! Voters and lease clients in emulated time: each zone has one lease, like that of the list broadcast, and
+//! some nodes that request it.
 
 use super::limits::{Limits, NotRun};
 use super::network::{traffic_rates, EmulatedNetwork, TrafficCount};
@@ -16,9 +16,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Voters, of which a majority grants leases.
+/// Number of voters, a majority of which grants leases.
 const VOTERS: usize = 5;
-/// Nodes of each zone that seek its lease.
+/// Number of nodes in each zone that request its lease.
 const CLIENTS_PER_ZONE: usize = 3;
 /// Duration of one write of a voter's store.
 const STORE_WRITE: Duration = Duration::from_millis(3);
@@ -28,22 +28,22 @@
 const WARM_UP: Duration = Duration::from_secs(30);
 /// Emulated time for which traffic is counted.
 const MEASURED_TIME: Duration = Duration::from_secs(60);
-/// Interval between two looks at who holds which lease.
+/// Interval between two checks of the lease holders.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Wall clock at the start, in Unix milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
 /// Second byte of the processes' addresses.
 const NETWORK: u8 = 5;
 
-/// The conditions that [`measure`] records.
+/// Conditions that [`measure`] records.
 pub const CONDITIONS: [Condition; 2] = [Condition::Steady, Condition::Crashes];
 
 /// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Zones, each with a lease.
+    /// Number of zones, each with a lease.
     pub zones: usize,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -82,14 +82,14 @@
 }
 
 struct Process {
-    /// `None` once it has crashed.
+    /// `None` after a crash.
     machine: Option<Machine>,
     next_tick: Option<Duration>,
     traffic: TrafficCount,
     processor: Duration,
 }
 
-/// All voters, then the clients of each zone, with the network between them.
+/// All voters, then the clients of each zone, and the network between them.
 struct VotingGroup {
     zones: usize,
     queue: EventQueue<Event>,
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    /// Lets a process handle one input, counts its processor time and carries out its actions.
+    /// Lets a process handle one input, counts its processor time and executes its actions.
     fn with_machine(&mut self, i: usize, handle: impl FnOnce(&mut Machine, Duration)) {
         let now = self.queue.now();
         let process = &mut self.processes[i];
@@ -241,7 +241,7 @@
             match action {
                 VoterAction::Send { to, message } => self.send(i, to, message),
                 VoterAction::Write(batch) => {
-                    store.write(&batch).expect("a disk in memory takes every write");
+                    store.write(&batch).expect("a disk in memory accepts every write");
                     let done = Event::WriteDone { voter: i, number: batch.number };
                     self.queue.schedule(STORE_WRITE, done);
                 }
@@ -269,7 +269,7 @@
         self.queue.schedule(delay, Event::Message { from, to, message });
     }
 
-    /// The process that holds a zone's lease now.
+    /// Returns the process that holds a zone's lease.
     fn lease_holder(&self, zone: usize) -> Option<usize> {
         let first = VOTERS + zone * CLIENTS_PER_ZONE;
         let holds = |i: &usize| match &self.processes[*i].machine {
@@ -289,7 +289,7 @@
         (0..VOTERS).find(leads)
     }
 
-    /// Runs until all leases are held; returns when each was held first, from now on, in milliseconds.
+    /// Runs until all leases are held; returns the delay until each was first held, in milliseconds.
     fn run_until_all_held(&mut self, limits: &Limits) -> Result<Vec<f64>, NotRun> {
         let start = self.queue.now();
         let mut held_at: Vec<Option<f64>> = vec![None; self.zones];
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Traffic and processor time of the voters that run.
+    /// Returns traffic and processor time of the running voters.
     fn figures(&self, span: Duration) -> Figures {
         let running = || self.processes.iter().take(VOTERS).filter(|process| process.machine.is_some());
         let traffic: Vec<TrafficCount> = running().map(|process| process.traffic).collect();
@@ -341,7 +341,7 @@
         figures
     }
 
-    /// Heap memory of each voter that runs, without its store.
+    /// Returns the heap memory of each running voter, without its store.
     fn voter_state(mut self, limits: &Limits) -> Option<Value> {
         let memory = limits.memory();
         let mut freed = Vec::new();
--- a/testbed/src/scale/wire_size.rs
+++ b/testbed/src/scale/wire_size.rs
@@ -1,4 +1,5 @@
-//! Size of messages between nodes once the membership machine has wire_size them, measured by sending one.
+//! Size of messages between nodes after encoding and authentication, measured by sending one through
+//! membership machines.
 
 use crate::emulated_membership::{address, name, EmulatedFleet, Spec};
 use membership::Machine;
@@ -7,19 +8,19 @@
 
 /// Emulated time in which two nodes join each other.
 const JOIN_TIME: Duration = Duration::from_secs(10);
-/// Rate of a tenant, in 64ths of a job a second.
+/// Rate of a tenant, in 64ths of a request per second.
 const RATE: u16 = 64;
 
-/// The size of a message as it is sent.
+/// Size of a message on the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WireSize {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes in all.
+    /// Total bytes of the datagrams.
     pub bytes: u64,
 }
 
-/// Two nodes that have joined each other.
+/// Measures sizes with two nodes that have joined each other.
 pub struct WireSizeMeter {
     fleet: EmulatedFleet,
     message_sizes: HashMap<usize, WireSize>,
@@ -33,13 +34,14 @@
         WireSizeMeter { fleet, message_sizes: HashMap::new() }
     }
 
-    /// A message with the rates of so many tenants. The membership machine leaves out those beyond `membership::RATES_MAX`.
+    /// Returns the size of a rates message for this number of tenants. The membership machine omits those
+    /// beyond `membership::RATES_MAX`.
     pub fn rates(&mut self, tenants: usize) -> WireSize {
         let rates = (0..tenants).map(|i| (membership::name_hash(&format!("tenant-{i}")), RATE)).collect();
         self.sent_by(|machine, now| machine.send_rates(now, &name(1), rates))
     }
 
-    /// A message of another subsystem of so many bytes.
+    /// Returns the size of another subsystem's message with this length.
     pub fn message(&mut self, length: usize) -> WireSize {
         if let Some(wire_size) = self.message_sizes.get(&length) {
             return *wire_size;
@@ -54,7 +56,7 @@
         let before = self.fleet.counters(0);
         self.fleet.with_machine(0, send);
         let after = self.fleet.counters(0);
-        // What is on its way arrives before the next message is sent.
+        // Datagrams in flight arrive before the next message is sent.
         self.fleet.run(Duration::from_millis(1));
         WireSize { datagrams: after.sent - before.sent, bytes: after.sent_bytes - before.sent_bytes }
     }
