--- a/testbed/src/allocation.rs
+++ b/testbed/src/allocation.rs
@@ -1,35 +1,35 @@
-//! Memory that this process has allocated, counted by its global allocator.
+//! Memory allocated by this process, as counted by its global allocator.
 //!
 //! Only a binary may install the allocator; the library takes a reference to it.
 
 use std::alloc::System;
 
-/// The system's allocator, which also counts the bytes that are allocated.
+/// The system's allocator with a count of the allocated bytes.
 pub type CountingAllocator = cap::Cap<System>;
 
-/// A counting allocator without a limit, for a `#[global_allocator]`.
+/// Returns a counting allocator without a limit, for a `#[global_allocator]`.
 pub const fn counting() -> CountingAllocator {
     cap::Cap::new(System, usize::MAX)
 }
 
-/// Reads the count of an allocator that is installed.
+/// Reads the count of an installed allocator.
 #[derive(Clone, Copy)]
 pub struct Memory {
     allocator: &'static CountingAllocator,
 }
 
 impl Memory {
-    /// The memory that this allocator counts.
+    /// Returns a reader of this allocator.
     pub fn new(allocator: &'static CountingAllocator) -> Memory {
         Memory { allocator }
     }
 
-    /// Bytes that are allocated now, by all threads.
+    /// Returns the bytes that all threads have allocated now.
     pub fn allocated(&self) -> usize {
         self.allocator.allocated()
     }
 
-    /// Bytes by which `release` lowers what is allocated; 0 where it does not.
+    /// Returns the number of bytes by which `release` reduces the allocated memory, or 0 if it does not.
     pub fn freed_by(&self, release: impl FnOnce()) -> usize {
         let before = self.allocated();
         release();
--- a/testbed/src/coordination.rs
+++ b/testbed/src/coordination.rs
@@ -1,5 +1,6 @@
-//! Emulated cluster of voters and clients in one thread: the same seed gives the same run. The clock of each node may run
-//! fast or slow, the disks of voters survive crashes, and a stand-in resource records every act with its fencing token.
+//! Emulated cluster of voters and lease clients in one thread: the same seed gives the same run. The clock of
+//! each node may drift, the disks of voters survive crashes, and a stand-in resource records each fenced
+//! operation.
 
 mod faults;
 mod node;
@@ -21,21 +22,21 @@
 
 /// Name of the lease that the emulated nodes request.
 pub const LEASE: &str = "errand";
-/// Step in which [`EmulatedCluster::run_until_held`] lets time pass.
+/// Interval at which [`EmulatedCluster::run_until_held`] checks for a holder.
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What an emulated cluster is made of.
+/// Parameters of an emulated cluster.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Number of nodes; the first `voters` of them are voters.
     pub nodes: usize,
     /// Number of voters.
     pub voters: usize,
-    /// Seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Duration of leases and elections.
+    /// Durations of leases and elections.
     pub timing: Timing,
-    /// Greatest clock drift, as a fraction.
+    /// Maximum clock drift, as a ratio.
     pub drift: f64,
     /// Mean duration of a write.
     pub write_time: Duration,
@@ -44,7 +45,7 @@
 }
 
 impl Spec {
-    /// A small cluster of three voters and two other nodes, which request the lease.
+    /// Returns a small cluster: three voters, and two other nodes that request the lease.
     pub fn new(seed: u64) -> Spec {
         Spec {
             nodes: 5,
@@ -63,11 +64,11 @@
 pub struct LeaseEvent {
     /// Time by the global clock.
     pub at: Duration,
-    /// The node.
+    /// Node that acquired or lost it.
     pub node: usize,
     /// Fencing token.
     pub token: u64,
-    /// Why it was lost; `None` if it was acquired.
+    /// Why it was lost, or `None` if it was acquired.
     pub lost: Option<LeaseLost>,
 }
 
@@ -87,22 +88,22 @@
     /// Faults of the links between nodes.
     pub rules: LinkRules,
     rng: SmallRng,
-    /// Guard of the resource.
+    /// Fencing guard of the resource.
     guard: FencingGuard,
-    /// Acts in the order of their arrival at the resource.
+    /// Operations in the order of their arrival at the resource.
     pub operations: Vec<FencedOperation>,
     /// Events of the voters: time, node and event.
     pub voter_events: Vec<(Duration, usize, VoterEvent)>,
     /// Leases acquired and lost.
     pub lease_events: Vec<LeaseEvent>,
-    /// Acts that the resource rejected.
+    /// Number of operations that the resource rejected.
     pub rejected_operations: u64,
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub messages_sent: u64,
 }
 
 impl EmulatedCluster {
-    /// Starts all nodes at once.
+    /// Creates all nodes and starts them at once.
     pub fn started(spec: Spec) -> EmulatedCluster {
         let mut rng = SmallRng::seed_from_u64(spec.seed);
         let nodes = (0..spec.nodes).map(|_| Node::with_random_clock(spec.drift, &mut rng)).collect();
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Lets time pass until a running node holds the lease, for `limit` at most; returns how long it took, or `None` if no
-    /// node holds it.
+    /// Lets time pass, `limit` at most, until a running node holds the lease; returns how long it took, or
+    /// `None` if no node holds it.
     pub fn run_until_held(&mut self, limit: Duration) -> Option<Duration> {
         let start = self.now();
         while self.holder().is_none() {
@@ -178,7 +179,7 @@
         (0..self.nodes.len()).find_map(token)
     }
 
-    /// Returns the voter that leads, if one does.
+    /// Returns the leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
         let leads = |node: usize| self.voter_state(node) == Some(VoterState::Leader);
         (0..self.nodes.len()).find(|node| self.is_running(*node) && leads(*node))
@@ -195,14 +196,15 @@
         voter.map(|(voter, _)| voter.metrics()).unwrap_or_default()
     }
 
-    /// Returns the names of all voters, as one of them knows them.
+    /// Returns the names of all voters as this node's voter knows them.
     pub fn voter_names(&self, node: usize) -> Vec<String> {
         let voter = self.process(node).and_then(|process| process.voter.as_ref());
         let names = voter.map(|(voter, _)| voter.table().voters.values().map(|m| m.name.clone()).collect());
         names.unwrap_or_default()
     }
 
-    /// Sends an operator's request to the leader through a node. It may have to be repeated.
+    /// Sends an operator request to the leader through a node. The request may be lost, so the caller may
+    /// have to repeat it.
     pub fn request(&mut self, through: usize, operation: Operation) {
         let (to, now) = (self.leader().map(address), self.local_time(through));
         if let (Some(to), Some(process)) = (to, &mut self.nodes[through].process) {
@@ -220,7 +222,7 @@
         self.execute_actions(node);
     }
 
-    /// Lets a node release the lease and request it no longer.
+    /// Lets a node release the lease and stop requesting it.
     pub fn release_lease(&mut self, node: usize) {
         let now = self.local_time(node);
         if let Some(process) = &mut self.nodes[node].process {
@@ -233,7 +235,7 @@
         self.nodes[node].process.as_ref()
     }
 
-    /// Time on the clock of a node.
+    /// Returns the time on the clock of a node.
     fn local_time(&self, node: usize) -> Duration {
         self.now().mul_f64(self.nodes[node].clock_rate)
     }
--- a/testbed/src/coordination/faults.rs
+++ b/testbed/src/coordination/faults.rs
@@ -10,7 +10,7 @@
 
 /// Name of the emulated fleet.
 const FLEET: &str = "emulated";
-/// Unix time at the start of each process.
+/// Unix time at the start of each process, in milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
 /// Time from the release of the lease to the end of a process that is shut down.
 const SHUTDOWN_TIME: Duration = Duration::from_secs(1);
@@ -18,7 +18,8 @@
 impl EmulatedCluster {
     /// Starts a process, in place of one that may run at the node.
     pub fn start(&mut self, node: usize) {
-        // The store of the process before writes when it is closed: another opens the disk after that.
+        // The store of the previous process writes when it is closed, so it must be closed before the disk is
+        // opened again.
         self.nodes[node].process = None;
         let (process_id, seed, now) = (self.rng.random(), self.rng.random(), self.local_time(node));
         let member = |voter| VoterMember { name: name(voter), address: address(voter) };
@@ -52,7 +53,7 @@
         self.execute_actions(node);
     }
 
-    /// Opens the voter of a node that is one, or whose disk holds a store.
+    /// Opens the voter of a node that is a voter or whose disk holds a store.
     fn open_voter(&mut self, node: usize, config: VoterConfig, now: Duration) -> Option<(Voter, Store)> {
         let (disk, location) = (self.nodes[node].disk.clone(), self.nodes[node].location);
         if node >= self.spec.voters && disk.bytes().is_empty() {
@@ -62,7 +63,7 @@
         opened.ok().map(|(store, contents)| (Voter::new(config, contents, now), store))
     }
 
-    /// Starts a node that is no voter with an empty store, so that it can be added as one.
+    /// Starts a node that is not a voter with an empty store, so that it can be added as one.
     pub fn start_with_disk(&mut self, node: usize) {
         let disk = MemDisk::new();
         let location = self.nodes[node].location;
@@ -71,19 +72,19 @@
         self.start(node);
     }
 
-    /// Crashes a process. What it was writing may be on the disk or not.
+    /// Crashes a process. A write in progress may have reached the disk or not.
     pub fn crash(&mut self, node: usize) {
         self.nodes[node].process = None;
     }
 
-    /// Shuts a process down as SIGTERM does: it releases the lease first, and ends a second later.
+    /// Shuts a process down as SIGTERM does: it releases the lease first and ends one second later.
     pub fn shut_down(&mut self, node: usize) {
         self.release_lease(node);
         self.run(SHUTDOWN_TIME);
         self.crash(node);
     }
 
-    /// Stalls a process; if it holds the lease, in the middle of an act.
+    /// Stalls a process; if it holds the lease, between the lease check and the sending of an operation.
     pub fn stall(&mut self, node: usize) {
         let (now, local) = (self.now(), self.local_time(node));
         if let Some(process) = self.nodes[node].process.as_mut().filter(|process| !process.is_stalled) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Lets a stalled process go on: the act leaves first.
+    /// Resumes a stalled process, which sends its pending operation first.
     pub fn resume(&mut self, node: usize) {
         let process = self.nodes[node].process.as_mut().filter(|process| process.is_stalled);
         let Some(process) = process else { return };
--- a/testbed/src/coordination/node.rs
+++ b/testbed/src/coordination/node.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Emulated network of the cluster.
+/// Second byte of the addresses of the cluster.
 const NETWORK: u8 = 8;
 
 /// Returns the address of a node.
@@ -28,9 +28,9 @@
     pub(super) client: Client,
     pub(super) voter: Option<(Voter, Store)>,
     pub(super) is_stalled: bool,
-    /// Messages that arrived while it was stalled.
+    /// Messages that arrived while the process was stalled.
     pub(super) inbox: Vec<(usize, Message)>,
-    /// Operation that had passed its check and not left when the process was stalled.
+    /// Operation that had passed its lease check but was not yet sent when the process was stalled.
     pub(super) stalled_operation: Option<FencedOperation>,
     pub(super) wake_at: Option<Duration>,
 }
@@ -38,15 +38,15 @@
 /// Node of an emulated cluster.
 pub(super) struct Node {
     pub(super) process: Option<Process>,
-    /// Speed of its clock, which survives restarts.
+    /// Rate of the node's clock, which survives restarts.
     pub(super) clock_rate: f64,
     pub(super) disk: MemDisk,
-    /// What tells its disk from a copy.
+    /// Identifies the location of the disk, and thus tells it from a copy.
     pub(super) location: u64,
 }
 
 impl Node {
-    /// Node without a process, whose clock drifts by a drawn fraction.
+    /// Creates a node without a process, whose clock has a random drift.
     pub(super) fn with_random_clock(drift: f64, rng: &mut SmallRng) -> Node {
         Node {
             process: None,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Global time at which the node's clock shows this time.
+    /// Returns the global time at which the node's clock shows this time.
     pub(super) fn global_time(&self, local: Duration) -> Duration {
         if local == Duration::MAX {
             return Duration::MAX;
@@ -66,7 +66,7 @@
 }
 
 impl Process {
-    /// Operation whose lease is valid now.
+    /// Returns an operation under the lease that is valid now, if there is one.
     pub(super) fn begin_operation(
         &self,
         node: usize,
--- a/testbed/src/coordination/processing.rs
+++ b/testbed/src/coordination/processing.rs
@@ -1,4 +1,4 @@
-//! Events of an emulated cluster: messages, writes, timers and acts.
+//! Events of an emulated cluster: messages, writes, timers and fenced operations.
 
 use super::node::{address, Process};
 use super::{EmulatedCluster, Event, LeaseEvent, LEASE};
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Least time that a message is on its way.
+/// Minimum network delay.
 pub(super) const NETWORK_DELAY: Duration = Duration::from_micros(200);
-/// Interval between acts of the holder.
+/// Interval between two operations of the lease holder.
 pub(super) const OPERATION_INTERVAL: Duration = Duration::from_millis(40);
-/// Part of the acts that are long on their way, and the longest time in milliseconds.
+/// Ratio of slow operations, and their maximum delay in milliseconds.
 const SLOW_OPERATION_RATIO: f64 = 0.05;
 const SLOW_OPERATION_MS_MAX: u64 = 3000;
-/// Time that other acts are on their way, in milliseconds.
+/// Delay of other operations, in milliseconds.
 const FAST_OPERATION_MS: u64 = 1;
 
 impl EmulatedCluster {
@@ -102,7 +102,7 @@
         self.execute_actions(node);
     }
 
-    /// Carries out the actions of a node's client and voter, and schedules its next timer.
+    /// Executes the actions of a node's client and voter, and schedules its next timer.
     pub(super) fn execute_actions(&mut self, node: usize) {
         let Some(mut process) = self.nodes[node].process.take() else { return };
         self.execute_client_actions(node, &mut process);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Time until the next timer of a process, unless an earlier one is scheduled.
+    /// Returns the time until the next timer of a process, or `None` if an earlier one is scheduled.
     fn update_wake_time(&self, node: usize, process: &mut Process) -> Option<Duration> {
         let now = self.now();
         let voter_due = process.voter.as_ref().map_or(Duration::MAX, |(voter, _)| voter.next_tick());
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can be full, read-only, torn by a crash, or changed behind its owner's back.
+//! Disk in memory that simulates a full or read-only disk, crashes with torn writes, and corruption.
 
 use rand::rngs::SmallRng;
 use rand::RngExt;
@@ -9,27 +9,27 @@
 #[derive(Debug, Default)]
 struct Inner {
     bytes: Vec<u8>,
-    /// What was there at the last sync, where crashes are tried.
+    /// Content at the last sync, if crashes are simulated.
     synced: Option<Vec<u8>>,
-    /// What was written since: where, and data.
+    /// Writes since the last sync: offset and data.
     unsynced_writes: Vec<(u64, Vec<u8>)>,
     operations: u64,
-    /// After so many operations all fail.
+    /// Number of operations after which all fail.
     fails_after: Option<u64>,
     is_full: bool,
 }
 
-/// A disk; it stays data it is when its owner dies. Clones are the same disk.
+/// Disk in memory. It outlives its owner; clones share the same content.
 #[derive(Clone, Debug, Default)]
 pub struct MemDisk(Arc<Mutex<Inner>>);
 
 impl MemDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new() -> MemDisk {
         MemDisk::default()
     }
 
-    /// One that remembers data was synced, so that a crash can be tried.
+    /// Creates an empty disk that tracks syncs, so that crashes can be simulated.
     pub fn with_crash_tracking() -> MemDisk {
         let disk = MemDisk::default();
         disk.lock().synced = Some(Vec::new());
@@ -40,22 +40,23 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes, syncs and changes of length so far.
+    /// Returns the number of writes, syncs and changes of length so far.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// From this step on, all fail, as if the power had gone.
+    /// Lets all operations after this one fail, as after a power loss.
     pub fn fail_after(&self, operation: u64) {
         self.lock().fails_after = Some(operation);
     }
 
-    /// Whether it is_full to be written, as a full or read-only one does.
+    /// Sets whether writes fail, as on a full or read-only disk.
     pub fn set_full(&self, is_full: bool) {
         self.lock().is_full = is_full;
     }
 
-    /// What is on it after a crash: data was synced, and of data was written since a drawn part, the last of it torn.
+    /// Returns the disk after a crash: what was synced, with a random subset of later writes, some of them
+    /// torn.
     pub fn after_crash(&self, rng: &mut SmallRng) -> MemDisk {
         let inner = self.lock();
         let mut bytes = inner.synced.clone().unwrap_or_else(|| inner.bytes.clone());
@@ -70,18 +71,18 @@
         MemDisk(Arc::new(Mutex::new(Inner { bytes, synced, ..Inner::default() })))
     }
 
-    /// A copy as it is now: an older folder, later.
+    /// Returns an independent copy of the current content, to be used as a stale copy later.
     pub fn copy(&self) -> MemDisk {
         let inner = self.lock();
         MemDisk(Arc::new(Mutex::new(Inner { bytes: inner.bytes.clone(), ..Inner::default() })))
     }
 
-    /// Its bytes.
+    /// Returns the content.
     pub fn bytes(&self) -> Vec<u8> {
         self.lock().bytes.clone()
     }
 
-    /// Turns one bit.
+    /// Inverts one bit.
     pub fn flip_bit(&self, bit: u64) {
         let mut inner = self.lock();
         let length = inner.bytes.len() as u64 * 8;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Cuts it off.
+    /// Truncates the content.
     pub fn truncate(&self, length: usize) {
         self.lock().bytes.truncate(length);
     }
@@ -108,7 +109,7 @@
     fn count_operation(&mut self) -> Result<(), Error> {
         self.operations += 1;
         if self.fails_after.is_some_and(|limit| self.operations > limit) {
-            return Err(Error::other("the power is gone"));
+            return Err(Error::other("simulated power loss"));
         }
         if self.is_full {
             return Err(Error::new(ErrorKind::StorageFull, "no space left on the disk"));
--- a/testbed/src/emulated_membership.rs
+++ b/testbed/src/emulated_membership.rs
@@ -1,5 +1,5 @@
-//! Fleet of machines in emulated time, in one thread: the same seed gives the same run to the last byte. What
-//! passes between them goes by the rules that the fault proxies of real processes have, too.
+//! Membership machines of a fleet in emulated time, in one thread: the same seed gives the same run, byte for
+//! byte. The links between nodes follow the same rules as the fault proxies of real processes.
 
 use crate::check::{view_faults, ExpectedViews, ViewFault};
 use crate::fault_proxy::LinkRules;
@@ -11,21 +11,21 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// What the kernel keeps for a process that reads nothing, in datagrams.
+/// Datagrams that the kernel's receive buffer holds for a process that does not read them.
 const RECEIVE_BUFFER_DATAGRAMS: usize = 256;
-/// On its way at least: a datagram is never there before it was sent.
+/// Minimum network delay: no datagram arrives before it was sent.
 const NETWORK_DELAY: Duration = Duration::from_micros(200);
 
-/// What a world is made of.
+/// Parameters of an emulated fleet.
 #[derive(Clone)]
 pub struct Spec {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// For all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How often and for how long.
+    /// Intervals and timeouts of the membership protocol.
     pub timing: Timing,
-    /// How many of the first nodes are everybody's seeds.
+    /// Number of nodes that are seeds; they are the first ones.
     pub seeds: usize,
 }
 
@@ -49,14 +49,14 @@
     inbox: VecDeque<Vec<u8>>,
     wake_at: Option<Duration>,
     keys: Keys,
-    /// The node's clock is ahead of the world's by so many milliseconds, or behind.
+    /// Offset of the node's wall clock from emulated time; negative if it is behind.
     clock_skew_ms: i64,
 }
 
 /// Time, node and event.
 pub type RecordedEvent = (Duration, usize, MembershipEvent);
 
-/// Many machines and what lies between them.
+/// Emulated nodes and the network between them.
 pub struct EmulatedFleet {
     spec: Spec,
     now: Duration,
@@ -64,35 +64,36 @@
     node_by_address: HashMap<SocketAddr, usize>,
     queue: BTreeMap<(Duration, u64), Event>,
     scheduled: u64,
-    /// What passes between them.
+    /// Faults of the links between nodes.
     pub rules: LinkRules,
     rng: SmallRng,
-    /// Events of the nodes; cleared by the reader.
+    /// Events of the nodes; the reader clears them.
     pub events: Vec<RecordedEvent>,
-    /// What was sent to whom, where it is kept, for those who play it back.
+    /// Datagrams sent, with their receivers, if they are recorded for a replay.
     pub sent_datagrams: Option<Vec<(usize, Vec<u8>)>>,
 }
 
-/// The name of a node.
+/// Returns the name of a node.
 pub fn name(i: usize) -> String {
     format!("n{i:04}")
 }
 
-/// Where a node is reached.
+/// Returns the address of a node.
 pub fn address(i: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 9, (i / 250) as u8, (i % 250 + 1) as u8), 7946))
 }
 
-/// A key for tests, one for each number.
+/// Returns a key for tests; each number gives another one.
 ///
 /// # Panics
 /// Never: the text that it parses is well-formed.
 pub fn test_key(number: u8) -> Keys {
-    Keys::parse(&format!("current {}", format!("{number:02x}").repeat(16))).expect("it is well-formed")
+    Keys::parse(&format!("current {}", format!("{number:02x}").repeat(16)))
+        .expect("the key text is well-formed")
 }
 
 impl EmulatedFleet {
-    /// All nodes, none of them started.
+    /// Creates all nodes and starts none.
     pub fn new(spec: Spec) -> EmulatedFleet {
         let node = |_| Node {
             machine: None,
@@ -118,34 +119,34 @@
         }
     }
 
-    /// All nodes, started at once.
+    /// Creates all nodes and starts them at once.
     pub fn started(spec: Spec) -> EmulatedFleet {
-        let mut world = EmulatedFleet::new(spec);
-        (0..world.nodes.len()).for_each(|i| world.start(i));
-        world
+        let mut fleet = EmulatedFleet::new(spec);
+        (0..fleet.nodes.len()).for_each(|i| fleet.start(i));
+        fleet
     }
 
-    /// The world's time.
+    /// Returns the emulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// The key that a node has at its next start.
+    /// Sets the key that a node has from its next start on.
     pub fn set_key(&mut self, i: usize, keys: Keys) {
         self.nodes[i].keys = keys;
     }
 
-    /// By how much a node's clock is off at its next start.
+    /// Sets the offset of a node's wall clock from its next start on.
     pub fn set_clock_skew(&mut self, i: usize, ms: i64) {
         self.nodes[i].clock_skew_ms = ms;
     }
 
-    /// Starts a process, in place of one that may run there. It has the name of `i`.
+    /// Starts a process under the node's own name, in place of one that may run there.
     pub fn start(&mut self, i: usize) {
         self.start_as(i, &name(i));
     }
 
-    /// The same, under another name.
+    /// Starts a process under another name.
     pub fn start_as(&mut self, i: usize, name: &str) {
         let node = &mut self.nodes[i];
         let unix_ms = 1_700_000_000_000 + self.now.as_millis() as i64 + node.clock_skew_ms;
@@ -170,13 +171,13 @@
         self.execute_actions(i);
     }
 
-    /// Kills a process: nobody is told.
+    /// Kills a process without notice to the others.
     pub fn kill(&mut self, i: usize) {
         self.nodes[i].machine = None;
         self.nodes[i].inbox.clear();
     }
 
-    /// Ends a process as SIGTERM does.
+    /// Shuts a process down as SIGTERM does.
     pub fn leave(&mut self, i: usize) {
         let now = self.local_time(i);
         if let Some(machine) = &mut self.nodes[i].machine {
@@ -186,12 +187,12 @@
         self.kill(i);
     }
 
-    /// Stops a process where it stands.
+    /// Pauses a process, as SIGSTOP does.
     pub fn pause(&mut self, i: usize) {
         self.nodes[i].is_paused = true;
     }
 
-    /// Lets it go on: first it reads what the kernel kept.
+    /// Resumes a paused process, which first reads the datagrams in its receive buffer.
     pub fn resume(&mut self, i: usize) {
         self.nodes[i].is_paused = false;
         let now = self.local_time(i);
@@ -204,17 +205,17 @@
         self.execute_actions(i);
     }
 
-    /// Whether a process is_running there and is not is_paused.
+    /// Returns whether a process runs at this node and is not paused.
     pub fn is_running(&self, i: usize) -> bool {
         self.nodes[i].machine.is_some() && !self.nodes[i].is_paused
     }
 
-    /// Whether a process is there, is_paused or not.
+    /// Returns whether a process exists at this node, paused or not.
     pub fn has_process(&self, i: usize) -> bool {
         self.nodes[i].machine.is_some()
     }
 
-    /// The machine of a node, to do something with; what it wants done then is carried out.
+    /// Calls a function with a node's machine, and executes the actions that result.
     pub fn with_machine<T>(
         &mut self,
         i: usize,
@@ -226,7 +227,7 @@
         result
     }
 
-    /// Brings bytes to a node, as somebody unknown might.
+    /// Delivers bytes to a node as an unknown sender could.
     pub fn inject(&mut self, to: usize, bytes: &[u8]) {
         self.schedule(NETWORK_DELAY, Event::Datagram { to, bytes: bytes.to_vec() });
     }
@@ -245,11 +246,11 @@
         self.now = end;
     }
 
-    /// Lets time pass until nothing is wrong and nothing was for as long as a suspicion that is under way may take; how
-    /// long it took until then, or what was wrong last after `most`. Looked at each 50 ms.
+    /// Lets time pass until all views are as expected and stay so for as long as a pending suspicion may
+    /// take; returns the time until they first were so. Checks every 50 ms.
     ///
     /// # Errors
-    /// What was wrong last, where it still was after `most`.
+    /// The faults of the views, if there still are any after `limit`.
     pub fn run_until_converged(
         &mut self,
         limit: Duration,
@@ -276,8 +277,8 @@
         }
     }
 
-    /// Whether any two that reach each other differ. Guards the emulator against views that are told in full, a thousand
-    /// times a thousand lines, where a number does.
+    /// Returns whether the digests of two nodes that reach each other differ. Comparing digests avoids the
+    /// cost of building all views in full: 1000 views of 1000 members each.
     fn views_differ(&self, expected: &ExpectedViews) -> bool {
         let mut digests: HashMap<u32, Option<u64>> = HashMap::new();
         (0..self.nodes.len()).any(|i| {
@@ -287,7 +288,8 @@
         })
     }
 
-    /// What is wrong with the view of the first node of each part: enough, where none differs from it.
+    /// Faults in the view of the first node of each partition; sufficient if all digests in a partition are
+    /// equal.
     fn faults_of_first_nodes(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
         let mut firsts: BTreeMap<u32, usize> = BTreeMap::new();
         for i in 0..self.nodes.len() {
@@ -300,19 +302,19 @@
         view_faults(expected, &views.collect()).into_iter().filter(is_comparable).collect()
     }
 
-    /// What is wrong with the views beside this.
+    /// Returns how the views differ from the expected ones.
     pub fn faults(&self, expected: &ExpectedViews) -> Vec<ViewFault> {
         let views = (0..self.nodes.len()).filter_map(|i| Some((i, self.view(i)?)));
         view_faults(expected, &views.map(|(_, v)| (v.node.clone(), Some(v))).collect())
     }
 
-    /// All that run, in one part.
+    /// Returns the expected views: all running nodes, in one partition.
     pub fn expected_views(&self) -> ExpectedViews {
         let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.is_running(*i)).map(name).collect();
         ExpectedViews::whole(names.iter().map(String::as_str))
     }
 
-    /// A node's view; `None` where it does not run.
+    /// Returns a node's view, or `None` if it does not run.
     pub fn view(&self, i: usize) -> Option<View> {
         self.nodes[i]
             .machine
@@ -321,7 +323,7 @@
             .map(|m| m.view(self.local_time(i)))
     }
 
-    /// A node's counters.
+    /// Returns a node's counters.
     pub fn counters(&self, i: usize) -> Counters {
         self.nodes[i].machine.as_ref().map(Machine::counters).unwrap_or_default()
     }
@@ -388,7 +390,7 @@
         self.execute_actions(other);
     }
 
-    /// Carries out what a machine wants done, and notes when it is to be woken.
+    /// Executes the actions of a node's machine and schedules its next timeout.
     fn execute_actions(&mut self, i: usize) {
         let Some(mut machine) = self.nodes[i].machine.take() else { return };
         while let Some(action) = machine.next_action() {
--- a/testbed/src/emulated_network.rs
+++ b/testbed/src/emulated_network.rs
@@ -15,8 +15,8 @@
     SocketAddr::from((Ipv4Addr::new(127, network, subnet, host), NODE_PORT))
 }
 
-/// Emulated clock with the events that are due, in order of time; events due at once come in the order in which they were
-/// scheduled.
+/// Emulated clock with a queue of scheduled events, in order of time; events with equal times come in the
+/// order in which they were scheduled.
 ///
 /// ```
 /// use std::time::Duration;
@@ -43,12 +43,12 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Emulated time since the start.
+    /// Returns the emulated time since the start.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Number of events that were scheduled so far.
+    /// Returns the number of events scheduled so far.
     pub fn scheduled(&self) -> u64 {
         self.scheduled
     }
@@ -59,7 +59,8 @@
         self.events.insert((self.now + delay, self.scheduled), event);
     }
 
-    /// Takes the next event that is due by `end` and sets the clock to its time; without one, sets the clock to `end`.
+    /// Takes the next event due by `end` and sets the clock to its time; without one, sets the clock to
+    /// `end`.
     pub fn next_until(&mut self, end: Duration) -> Option<E> {
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) else {
             self.now = end;
@@ -69,7 +70,7 @@
         Some(entry.remove())
     }
 
-    /// Drops all events that are due; the clock stays.
+    /// Drops all scheduled events; the clock stays.
     pub fn clear(&mut self) {
         self.events.clear();
     }
