--- a/testbed/tests/coordination.rs
+++ b/testbed/tests/coordination.rs
@@ -1,4 +1,5 @@
-//! Leases in emulated time: hard cases one by one, then drawn schedules. What counts is what a resource saw.
+//! Leases in emulated time: fixed scenarios, then random faults. The operations recorded by a resource are
+//! checked.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
@@ -12,7 +13,7 @@
 use testbed::history_check::violations;
 
 const S: Duration = Duration::from_secs(1);
-/// After the last fault: a lease, elections, and what clients wait between two asks.
+/// Bound after the last fault: a lease, elections, and the interval between two requests of a client.
 const HELD_WITHIN: Duration = Duration::from_secs(15);
 
 fn cluster(seed: u64) -> EmulatedCluster {
@@ -25,7 +26,7 @@
     let took = cluster.run_until_held(HELD_WITHIN);
     assert!(
         took.is_some(),
-        "nobody holds it after {HELD_WITHIN:?}: {:?}",
+        "no node holds the lease after {HELD_WITHIN:?}: {:?}",
         (0..3).map(|i| cluster.voter_state(i)).collect::<Vec<_>>()
     );
     cluster.holder().unwrap()
@@ -48,16 +49,16 @@
     let mut cluster = cluster(1);
     let first = cluster.holder().unwrap();
     cluster.run(60 * S);
-    assert_eq!(cluster.holder(), Some(first), "it holds on to it");
+    assert_eq!(cluster.holder(), Some(first), "the holder renews its lease");
     assert!(cluster.operations.len() > 1000 && cluster.rejected_operations == 0);
     assert_no_violations(&cluster);
-    // Renewals cost no write: they are a majority's word.
+    // Renewals cost no write: a majority of the voters confirms them.
     let writes: u64 = (0..3).map(|i| cluster.voter_metrics(i).writes).sum();
     assert!(writes < 60, "{writes}");
 }
 
 #[test]
-fn a_release_hands_over_at_once_and_a_crash_costs_a_lease() {
+fn a_release_hands_over_at_once_and_a_crash_after_the_lease_expires() {
     let mut cluster = cluster(2);
     let (holder, token) = cluster.holder().unwrap();
     cluster.run(3 * S);
@@ -76,7 +77,8 @@
     assert_no_violations(&cluster);
 }
 
-/// The message of a release, or the response to a renewal, may arrive late, when another process holds the lease.
+/// Guards against the use of a token after its release, when the release message, or the response to an
+/// earlier renewal, arrives late and another process holds the lease.
 #[test]
 fn a_released_token_is_never_used_again() {
     for seed in 70..90 {
@@ -92,12 +94,13 @@
         cluster.run(S / 50);
         cluster.request_lease(holder);
         cluster.run(20 * S);
-        assert!(cluster.operations.iter().all(|a| a.token != token || a.started_at <= since), "seed {seed}");
+        assert!(cluster.operations.iter().all(|o| o.token != token || o.started_at <= since), "seed {seed}");
         assert_no_violations(&cluster);
     }
 }
 
-/// Seed 11322 of the drawn faults detected it: a leader that was stalled responds, when it goes on, to requests from long ago.
+/// Guards against a lease from the late response of a stalled leader, which responds to old requests when it
+/// resumes. Found by seed 11322 of the random faults.
 #[test]
 fn a_late_response_gives_the_next_process_no_lease() {
     run_random_faults(11322);
@@ -114,9 +117,10 @@
     }
 }
 
-/// The holder is stalled in the middle of an act, past its lease, and goes on: the resource rejects that act.
+/// The holder is stalled after its lease check until the lease has expired: the resource rejects its
+/// operation.
 #[test]
-fn an_act_of_a_stalled_holder_is_rejected() {
+fn an_operation_of_a_stalled_holder_is_rejected() {
     let mut cluster = cluster(3);
     let (holder, token) = cluster.holder().unwrap();
     cluster.run(S);
@@ -138,14 +142,14 @@
 }
 
 #[test]
-fn a_partitioned_holder_stops_before_the_next_one_acts() {
+fn a_partitioned_holder_stops_before_the_next_one_starts() {
     for seed in 10..16 {
-        // The holder may be a voter itself, and hears that one.
+        // The holder may be a voter itself, and still reaches that voter.
         let candidates = if seed % 2 == 0 { vec![3, 4] } else { vec![0, 1, 2] };
         let mut cluster = EmulatedCluster::started(Spec { candidates, ..Spec::new(seed) });
         wait_until_held(&mut cluster);
         let (holder, _) = cluster.holder().unwrap();
-        // Both ways, then each way alone.
+        // Cuts both directions, then each direction alone.
         for direction in 0..3 {
             let (holder, token) = if direction == 0 { (holder, 0) } else { wait_until_held(&mut cluster) };
             for voter in 0..3 {
@@ -171,7 +175,7 @@
     let mut cluster = EmulatedCluster::started(Spec { candidates: vec![0, 1, 2], ..Spec::new(20) });
     wait_until_held(&mut cluster);
     let leader = cluster.leader().unwrap();
-    // The leader holds it.
+    // Lets the leader hold the lease.
     for i in (0..3).filter(|i| *i != leader) {
         cluster.release_lease(i);
     }
@@ -181,7 +185,7 @@
     (0..3).for_each(|i| cluster.request_lease(i));
     cluster.crash(leader);
     let (next, _) = wait_until_held(&mut cluster);
-    // Another dies: no majority, and so nobody holds it beyond its lease.
+    // After a further crash there is no majority, so nobody holds the lease once it expires.
     let last = (0..3).find(|i| *i != leader && *i != next).unwrap();
     cluster.crash(last);
     cluster.run(8 * S);
@@ -192,12 +196,12 @@
     assert_no_violations(&cluster);
 }
 
-/// A voter that lost its disk, or whose disk was replaced by an older copy, does not vote.
+/// A voter with an empty disk, or with an older copy of its disk, does not vote.
 #[test]
 fn an_empty_or_stale_store_does_not_vote() {
     let mut cluster = cluster(30);
     let old = cluster.disk(2).copy();
-    // It was started since.
+    // The voter starts once more, so the copy is older than the disk.
     cluster.crash(2);
     cluster.start(2);
     cluster.run(3 * S);
@@ -207,23 +211,23 @@
     cluster.start(2);
     cluster.run(3 * S);
     assert_eq!(cluster.voter_state(2), Some(VoterState::StaleCopy));
-    assert!(cluster.voter_events.iter().any(|(_, i, n)| *i == 2 && *n == VoterEvent::StaleCopy));
-    // Nor after more starts, when its count is no longer behind.
+    assert!(cluster.voter_events.iter().any(|(_, i, event)| *i == 2 && *event == VoterEvent::StaleCopy));
+    // It does not vote after further starts either, when its start count is no longer behind.
     for _ in 0..4 {
         cluster.crash(2);
         cluster.start(2);
         cluster.run(2 * S);
     }
     assert_eq!(cluster.voter_state(2), Some(VoterState::StaleCopy));
-    // An empty one is another voter, and has no member.
+    // A voter with an empty store has another identity, which is not a member.
     cluster.crash(2);
     cluster.set_disk(2, MemDisk::new());
     cluster.start(2);
     cluster.run(3 * S);
     assert_eq!(cluster.voter_state(2), Some(VoterState::NotMember));
-    // Without it a majority needs both others, and has them.
+    // Without it, the majority consists of both other voters.
     wait_until_held(&mut cluster);
-    // Its place is given up, and it gets it anew.
+    // An operator removes the member and adds it again.
     let voted = |cluster: &EmulatedCluster| {
         matches!(cluster.voter_state(2), Some(VoterState::Follower | VoterState::Leader))
     };
@@ -236,7 +240,7 @@
     }
     assert!(voted(&cluster), "{:?}", cluster.voter_state(2));
     assert_eq!(cluster.voter_names(cluster.leader().unwrap()).len(), 3);
-    // And counts: with another one dead there still is a majority.
+    // Its vote counts: with another voter crashed, there still is a majority.
     let crashed = (0..2).find(|i| Some(*i) != cluster.leader()).unwrap();
     cluster.crash(crashed);
     cluster.run(10 * S);
@@ -244,7 +248,8 @@
     assert_no_violations(&cluster);
 }
 
-/// The answer 'there was a later start' may be for the process before: the later start is then this one.
+/// Guards against a late answer 'there was a later start' to the previous process: the later start is then
+/// that of the process that receives it.
 #[test]
 fn a_late_handshake_answer_does_not_disqualify_the_next_process() {
     let mut cluster = cluster(31);
@@ -295,7 +300,7 @@
     assert_no_violations(&cluster);
 }
 
-/// A voter is replaced while another is cut off, one step at a time.
+/// A voter is replaced in single steps while another one is isolated.
 #[test]
 fn a_voter_is_replaced_during_a_partition() {
     let mut cluster = cluster(50);
@@ -310,24 +315,23 @@
         cluster.request(3, Operation::RemoveVoter(name(cut)));
         cluster.run(S / 2);
     }
-    let voters_of_leader = cluster.voter_names(cluster.leader().unwrap());
-    assert!(
-        voters_of_leader.len() == 3
-            && !voters_of_leader.contains(&name(cut))
-            && voters_of_leader.contains(&name(4)),
-        "{voters_of_leader:?}"
-    );
+    let voters = cluster.voter_names(cluster.leader().unwrap());
+    assert!(voters.len() == 3 && !voters.contains(&name(cut)) && voters.contains(&name(4)), "{voters:?}");
     cluster.rules.heal();
     cluster.run(5 * S);
-    assert_eq!(cluster.voter_state(cut), Some(VoterState::NotMember), "it hears that it has no seat");
+    assert_eq!(
+        cluster.voter_state(cut),
+        Some(VoterState::NotMember),
+        "the removed voter learns that it is not a member"
+    );
     wait_until_held(&mut cluster);
     assert_no_violations(&cluster);
 }
 
-/// Injects a drawn fault at a drawn node.
+/// Injects a random fault at a random node.
 fn inject_fault(cluster: &mut EmulatedCluster, nodes: usize, rng: &mut SmallRng) {
     let i = rng.random_range(0..nodes);
-    // Those that have something to lose are hit more often.
+    // Lease holder and leader are hit more often.
     let i = match rng.random_range(0..4) {
         0 => cluster.holder().map_or(i, |h| h.0),
         1 => cluster.leader().unwrap_or(i),
@@ -364,7 +368,7 @@
     }
 }
 
-/// A run with faults drawn by seed.
+/// Runs a cluster with random faults from a seed.
 fn run_random_faults(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let voters = [3, 5][rng.random_range(0..2)];
@@ -387,20 +391,20 @@
     cluster.run(6 * S);
     let took = cluster.run_until_held(HELD_WITHIN);
     let states: Vec<_> = (0..voters).map(|i| cluster.voter_state(i)).collect();
-    assert!(took.is_some(), "seed {seed}: nobody holds it: {states:?}");
+    assert!(took.is_some(), "seed {seed}: no node holds the lease: {states:?}");
     let violations_found = violations(&cluster.operations);
     assert!(violations_found.is_empty(), "seed {seed}: {violations_found:?}");
 }
 
 #[test]
-fn drawn_faults_never_give_two_holders_and_end_with_one() {
+fn random_faults_never_give_two_holders_and_end_with_one() {
     (0..40).for_each(run_random_faults);
     if std::env::var_os("TESTBED_LONG").is_some() {
         (40..20_000).for_each(run_random_faults);
     }
 }
 
-/// A store crashes at every step of its writing: it opens with all that it had acknowledged, or more.
+/// A store that crashes after any write operation opens with all that it had acknowledged, or more.
 #[test]
 fn a_store_that_crashes_at_any_step_of_a_write_keeps_what_it_acknowledged() {
     let mut rng = SmallRng::seed_from_u64(60);
@@ -414,9 +418,9 @@
             let contents = Store::open(after, "f", "v", 9, 1);
             match (contents, acknowledged) {
                 (Ok((_, contents)), at_least) => assert!(contents.identity.starts > at_least, "step {step}"),
-                // Nothing was acknowledged yet: the folder was never complete_run.
+                // Nothing was acknowledged yet: the store was never complete.
                 (Err(_), 0) => {}
-                (Err(e), n) => panic!("step {step}: {e}, after {n} that were acknowledged"),
+                (Err(e), n) => panic!("step {step}: {e}, after {n} acknowledged starts"),
             }
             crashes += 1;
         }
@@ -424,8 +428,8 @@
     assert!(crashes > 100, "{crashes}");
 }
 
-/// Opens a store again and again; how many of these starts were acknowledged before the power went at this step, and the
-/// steps in all.
+/// Opens a store repeatedly; returns the number of starts acknowledged before the simulated power loss at
+/// this step, and the total number of steps.
 fn open_repeatedly(disk: &MemDisk, step: u64) -> (u64, u64) {
     disk.fail_after(step);
     let mut acknowledged = 0;
@@ -438,7 +442,7 @@
     (acknowledged, disk.operations())
 }
 
-/// Whatever is violations_found with the disk, it is reported in one line, and no voter uses it.
+/// Each fault of the disk is reported in one line, and no voter uses the store.
 #[test]
 fn a_corrupt_or_foreign_store_is_reported() {
     let disk = MemDisk::new();
@@ -453,7 +457,7 @@
     full.set_full(true);
     assert!(open_error(full, "f", "v").contains("storage failed"));
     let (mut detected, mut harmless, mut rng) = (0, 0, SmallRng::seed_from_u64(61));
-    std::panic::set_hook(Box::new(|_| {})); // the library's, on a structure that was changed
+    std::panic::set_hook(Box::new(|_| {})); // redb may panic on a damaged structure
     for _ in 0..400 {
         let corrupted = disk.copy();
         corrupted.flip_bit(rng.random());
@@ -462,7 +466,7 @@
                 assert!(!e.to_string().contains('\n'));
                 detected += 1;
             }
-            // It hit what nobody reads, or what was mended from its copy: all that was written is there.
+            // The bit is unused, or was repaired from its copy: all written data is there.
             Ok((_, contents)) => {
                 assert_eq!((contents.identity.disk_id, contents.identity.starts), (9, 2));
                 harmless += 1;
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -1,4 +1,4 @@
-//! The fleet's machines in emulated time: hard cases one by one, then random schedules against a plain model.
+//! Membership machines in emulated time: fixed scenarios, then random schedules against a simple model.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::{MemberStatus, MembershipEvent, Timing};
@@ -11,14 +11,14 @@
 
 const S: Duration = Duration::from_secs(1);
 
-/// A fleet that has settled.
+/// Returns a fleet with converged views.
 fn converged_fleet(nodes: usize, seed: u64) -> EmulatedFleet {
     let mut fleet = EmulatedFleet::started(Spec { nodes, seed, ..Spec::default() });
     converges(&mut fleet, 20 * S);
     fleet
 }
 
-/// All that run come to equal and true views within this time, and keep them.
+/// Waits until all running nodes have equal and correct views, and checks that they keep them.
 fn converges(fleet: &mut EmulatedFleet, bound: Duration) -> Duration {
     let expected = fleet.expected_views();
     let took = fleet
@@ -31,7 +31,7 @@
 fn remains_converged(fleet: &mut EmulatedFleet, expected: &ExpectedViews) {
     for _ in 0..20 {
         fleet.run(S / 2);
-        assert_eq!(fleet.faults(expected), [], "it settled and did not stay so");
+        assert_eq!(fleet.faults(expected), [], "the views converged and then diverged");
     }
 }
 
@@ -43,7 +43,7 @@
 fn restart_before_detection_takes_a_higher_incarnation() {
     let mut fleet = converged_fleet(10, 1);
     let before = fleet.view(3).unwrap().incarnation;
-    // Restarted before anybody noticed that it died.
+    // Restarts the process before its death is detected.
     fleet.kill(3);
     fleet.run(S / 10);
     fleet.start(3);
@@ -51,14 +51,14 @@
     assert!(fleet.view(3).unwrap().incarnation > before);
     assert!(
         fleet.events.iter().all(|(_, _, event)| !matches!(event, MembershipEvent::Down(_))),
-        "nobody held it dead"
+        "no member declared it dead"
     );
 }
 
 #[test]
 fn views_converge_after_a_third_is_killed_and_after_all_restart() {
     let mut fleet = converged_fleet(12, 2);
-    (0..4).for_each(|i| fleet.kill(i)); // all seeds are among them
+    (0..4).for_each(|i| fleet.kill(i)); // including all seeds
     converges(&mut fleet, 40 * S);
     assert_eq!(status(&fleet, 9, 0), Some(MemberStatus::Dead));
     (0..12).for_each(|i| fleet.kill(i));
@@ -80,7 +80,7 @@
     converges(&mut fleet, 20 * S);
 }
 
-/// Both in one cut: one direction only, and a node that reaches half of the others.
+/// Two cuts, one after the other: a node that reaches half of the others, and a cut in one direction only.
 #[test]
 fn partially_reachable_member_stays_and_one_way_partition_heals() {
     let mut fleet = converged_fleet(9, 4);
@@ -89,7 +89,7 @@
         fleet.rules.set_rule(0, to, LinkRule { cut: half, ..LinkRule::default() });
         fleet.rules.set_rule(to, 0, LinkRule { cut: half, ..LinkRule::default() });
     }
-    // Others reach it for those that can't: nobody drops it.
+    // Members that reach it probe it for those that cannot: none declares it dead.
     for _ in 0..30 {
         fleet.run(S);
         assert!((1..9).all(|i| status(&fleet, i, 0).is_some_and(MemberStatus::is_present)));
@@ -109,10 +109,10 @@
     fleet.rules.set_default_rule(LinkRule { loss: 0.2, twice: 0.1, jitter_ms: 50, ..LinkRule::default() });
     fleet.run(60 * S);
     let deaths = fleet.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Down(_))).count();
-    assert!(deaths <= 9, "{deaths} times somebody was held dead: more than one wrong death, told to all");
-    // Guards those that refuted a suspicion against being told that they are dead all the same.
+    assert!(deaths <= 9, "{deaths} reports of a death: more than one false death that all members report");
+    // Guards members that have refuted a suspicion against being declared dead nevertheless.
     let returns = fleet.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Rejoined(_))).count();
-    assert!(returns <= deaths, "{returns} came back, of {deaths} told deaths");
+    assert!(returns <= deaths, "{returns} rejoined, after {deaths} reports of a death");
     fleet.rules.heal();
     converges(&mut fleet, 20 * S);
 }
@@ -129,7 +129,7 @@
     fleet.resume(5);
     converges(&mut fleet, 20 * S);
     assert!(fleet.events.iter().any(|(_, i, n)| *i == 5 && matches!(n, MembershipEvent::Rejoined(_))));
-    // What others did not answer while it stood still is not held against them.
+    // Probes that others did not answer during the pause do not count as failures.
     assert!(
         fleet.events.iter().all(|(_, _, n)| !matches!(n, MembershipEvent::Down(_))),
         "{:?}",
@@ -137,10 +137,12 @@
     );
 }
 
-/// Guards the living against a process that stood still while it suspected one of them, and had no ear for its answer.
+/// Guards members against a process that is paused while it suspects one of them, and so cannot receive the
+/// refutation.
 #[test]
 fn paused_process_declares_no_suspect_dead_when_it_resumes() {
-    // Whether it goes on before the others hold it dead, and would have to be wrong, depends on who probed when.
+    // Whether it resumes before the others declare it dead, and would be wrong to declare a death, depends on
+    // the order of probes.
     for seed in 100..130 {
         let mut fleet = converged_fleet(4, seed);
         fleet.rules.partition(&[0, 0, 0, 1]);
@@ -163,7 +165,7 @@
     fleet.view(i).unwrap().members.iter().any(|m| m.status == MemberStatus::Suspect)
 }
 
-/// Guards the halves of a partition where no seed is there to bring them together.
+/// Guards against partitioned halves that stay apart because no seed is running.
 #[test]
 fn partitioned_halves_merge_without_seeds() {
     let mut fleet = EmulatedFleet::started(Spec { nodes: 9, seed: 17, seeds: 1, ..Spec::default() });
@@ -178,14 +180,15 @@
     converges(&mut fleet, 40 * S);
 }
 
-/// Guards against a dead name that newcomers hand on to each other, each counting its death from when it heard of it.
+/// Guards against a dead member that newcomers pass on to each other, each counting its age from the time it
+/// heard of the death.
 #[test]
 fn age_of_a_death_is_passed_to_new_members() {
     let timing = Timing { remove_after: 60 * S, ..Timing::default() };
     let mut fleet = EmulatedFleet::started(Spec { nodes: 8, seed: 18, timing, seeds: 2 });
     converges(&mut fleet, 20 * S);
     fleet.kill(7);
-    // Each of the two seeds in turn begins anew, and hears of the dead from the other.
+    // The two seeds restart in turn, each learning of the dead member from the other.
     for round in 0..6 {
         fleet.run(40 * S);
         fleet.kill(round % 2);
@@ -195,8 +198,8 @@
     assert!((0..7).all(|i| status(&fleet, i, 7).is_none()));
 }
 
-/// Guards against a second process that is started under a name by mistake: the newer one counts, the older one says so
-/// and keeps out, and comes back when the newer one has gone.
+/// Guards against a second process that is started by mistake under the same name: the newer one counts; the
+/// older one reports the conflict, yields, and returns when the newer one has ended.
 #[test]
 fn older_of_two_processes_with_one_name_yields_without_flapping() {
     let mut fleet = EmulatedFleet::new(Spec { nodes: 8, seed: 7, ..Spec::default() });
@@ -222,7 +225,10 @@
     assert_eq!((first.0, first.2), (address(7), MemberStatus::Alive));
     for _ in 0..60 {
         fleet.run(S);
-        assert!((0..7).filter(|i| *i != 4).all(|i| observed(&fleet, i) == first), "a view flaps");
+        assert!(
+            (0..7).filter(|i| *i != 4).all(|i| observed(&fleet, i) == first),
+            "a view changes back and forth"
+        );
     }
     fleet.kill(7);
     converges(&mut fleet, 60 * S);
@@ -258,7 +264,7 @@
     assert!((0..8).filter(|i| *i != 3).all(|i| status(&fleet, i, 3) == Some(MemberStatus::Left)));
     assert!(fleet.events.iter().all(|(_, _, n)| !matches!(n, MembershipEvent::Down(_))));
     let senders = fleet.with_machine(0, |m, now| m.fleet_size(now, 1).senders).unwrap();
-    assert_eq!(senders, 7, "who left sends no more");
+    assert_eq!(senders, 7, "a member that left is no sender");
 }
 
 #[test]
@@ -274,7 +280,7 @@
             _ => fleet.kill(7),
         }
         fleet.run(5 * S);
-        // Newcomers are told of the dead by those that know them: that must not keep a name for ever.
+        // Newcomers learn of dead members from others, which must not keep a name forever.
         fleet.kill(6);
         fleet.start(6);
         let max_names = (0..7).filter_map(|i| fleet.view(i)).map(|v| v.members.len()).max().unwrap();
@@ -284,11 +290,11 @@
     assert!((0..7).all(|i| fleet.view(i).unwrap().members.len() == 7));
 }
 
-/// A datagram that is not what it seems changes nothing, whatever is wrong with it.
+/// Guards against effects of datagrams that are forged, foreign or damaged.
 #[test]
 fn forged_foreign_and_mutated_datagrams_are_rejected() {
     let mut fleet = EmulatedFleet::new(Spec { nodes: 7, seed: 11, ..Spec::default() });
-    fleet.set_key(6, test_key(2)); // the wrong one
+    fleet.set_key(6, test_key(2)); // wrong key
     (0..7).for_each(|i| fleet.start(i));
     fleet.run(10 * S);
     let names: Vec<String> = (0..6).map(name).collect();
@@ -296,7 +302,7 @@
     fleet.run_until_converged(10 * S, &expected).unwrap();
     let rejected =
         |fleet: &EmulatedFleet| (0..6).map(|i| fleet.counters(i).rejected.unauthenticated).sum::<u64>();
-    assert!(rejected(&fleet) > 0, "what the one with the wrong key sends");
+    assert!(rejected(&fleet) > 0, "datagrams of the node with the wrong key");
     fleet.rules.set_default_rule(LinkRule { mutated: 0.1, ..LinkRule::default() });
     let mut rng = SmallRng::seed_from_u64(11);
     for _ in 0..200 {
@@ -310,9 +316,10 @@
     assert!(rejected.oversized > 0 && rejected.malformed > 0, "{rejected:?}");
 }
 
-/// All that a fleet ever reporters, reporters again after some have died and some were restarted: nothing comes of it.
+/// Replays all datagrams of a fleet after some members have died and some were restarted: the views do not
+/// change.
 #[test]
-fn replay_of_a_whole_day_revives_and_kills_nobody() {
+fn replay_of_all_datagrams_changes_no_view() {
     let mut fleet = EmulatedFleet::new(Spec { nodes: 8, seed: 12, ..Spec::default() });
     fleet.sent_datagrams = Some(Vec::new());
     (0..8).for_each(|i| fleet.start(i));
@@ -328,7 +335,7 @@
     let (expected, before) = (fleet.expected_views(), incarnations(&fleet));
     for (n, (to, bytes)) in sent_datagrams.iter().enumerate().filter(|(_, (to, _))| *to != 7) {
         fleet.inject(*to, bytes);
-        fleet.inject((*to + 1) % 7, bytes); // and to somebody that it was not for
+        fleet.inject((*to + 1) % 7, bytes); // and to another receiver
         if n % 20 == 0 {
             fleet.run(S / 20);
             assert_eq!(fleet.faults(&expected), []);
@@ -339,19 +346,19 @@
     assert!(fleet.counters(0).rejected.replayed > 100);
 }
 
-/// The drawn faults of one schedule, and a plain model of them: who runs, and who can talk to whom.
+/// Runs a schedule of random faults against a simple model: which nodes run, and which reach each other.
 #[allow(
     clippy::too_many_lines,
-    reason = "one drawn run: a match over the kinds of faults, and what must hold after it"
+    reason = "one random run: a match over the kinds of faults, and the checks after each"
 )]
 fn run_random_faults(seed: u64, max_nodes: usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let n = rng.random_range(3..=max_nodes);
     let mut fleet = EmulatedFleet::started(Spec { nodes: n, seed, ..Spec::default() });
     fleet.run(Duration::from_millis(rng.random_range(0..15_000)));
-    // Those that died and were not started again since: in whose view a life of theirs is over, it stays so.
+    // Killed and not restarted since: an incarnation that has ended in a view must not return there.
     let mut killed: Vec<bool> = vec![false; n];
-    let mut ended_incarnations: Vec<Vec<u64>> = vec![vec![0; n]; n]; // which life, in whose view
+    let mut ended_incarnations: Vec<Vec<u64>> = vec![vec![0; n]; n]; // by viewer and member
     for _ in 0..rng.random_range(3..12) {
         let i = rng.random_range(0..n);
         match rng.random_range(0..10) {
@@ -394,10 +401,13 @@
                 let view = fleet.view(viewer).unwrap();
                 for dead in (0..n).filter(|d| killed[*d]) {
                     let Some(member) = view.members.iter().find(|m| m.name == name(dead)) else { continue };
-                    // A later life may be news here where it was led, and ended, behind a cut.
+                    // A later incarnation may be new here if it started and ended behind a cut.
                     let is_revived =
                         member.status.is_present() && member.incarnation <= ended_incarnations[viewer][dead];
-                    assert!(!is_revived, "seed {seed}: {dead} rose from the dead at {viewer}");
+                    assert!(
+                        !is_revived,
+                        "seed {seed}: {dead} returned after its death in the view of {viewer}"
+                    );
                     if !member.status.is_present() {
                         ended_incarnations[viewer][dead] = member.incarnation;
                     }
@@ -421,7 +431,7 @@
 fn views_converge_after_random_faults() {
     (0..60).for_each(|seed| run_random_faults(seed, 12));
     (1000..1004).for_each(|seed| run_random_faults(seed, 60));
-    // The long set.
+    // Extended set of seeds.
     if std::env::var_os("TESTBED_LONG").is_some() {
         (60..1000).for_each(|seed| run_random_faults(seed, 12));
         (1004..1040).for_each(|seed| run_random_faults(seed, 60));
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: the plan's checks, the fit, the page against its results, and a small fixed run whose counts stay within
-//! bounds. Times are not judged.
+//! Scale runs: validation of the plan, the fit, the page against its results, and a small fixed run whose
+//! counts stay within bounds. Times are not checked.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = counting();
 
-/// One measurement of memory at a time: the allocator counts for all threads.
+/// Allows one measurement of memory at a time: the allocator counts for all threads.
 static MEASUREMENT_LOCK: Mutex<()> = Mutex::new(());
 
 fn lock_measurement() -> MutexGuard<'static, ()> {
@@ -26,7 +26,7 @@
 const PLAN: &str = include_str!("../plans/scale-ci.toml");
 
 fn ci_plan() -> Plan {
-    Plan::parse(PLAN).expect("the plan of CI is a good one")
+    Plan::parse(PLAN).expect("the plan of CI is valid")
 }
 
 fn measured(axis: Axis) -> Vec<Measurement> {
@@ -38,7 +38,7 @@
     plan.sizes(axis).iter().flat_map(measure).collect()
 }
 
-/// The worst process' figure at each size, in the order of the sizes.
+/// Returns the worst process' figure at each size, in the order of the sizes.
 fn worst(measurements: &[Measurement], role: Role, condition: Condition, quantity: Quantity) -> Vec<f64> {
     let wanted = measurements.iter().filter(|m| m.role == role && m.condition == condition);
     let figure = |m: &Measurement| match &m.outcome {
@@ -48,14 +48,15 @@
     wanted.map(figure).collect()
 }
 
-/// Each figure lies within its bound.
+/// Checks that each figure lies within its bound.
 fn assert_within(name: &str, figures: &[f64], bounds: [f64; 3]) {
     assert_eq!(figures.len(), bounds.len(), "{name}: {figures:?}");
     let is_expected = figures.iter().zip(bounds).all(|(figure, bound)| *figure <= bound);
     assert!(is_expected, "{name}: {figures:?} within {bounds:?}");
 }
 
-/// Nine tenths of the bounds were measured; the rest is room for allocators and libraries that differ a little.
+/// Measured values are nine tenths of the bounds; the margin allows for small differences of allocators and
+/// libraries.
 mod bounds {
     pub const MEMBER_STEADY_MESSAGES: [f64; 3] = [2.7, 3.3, 5.5];
     pub const MEMBER_STEADY_BYTES: [f64; 3] = [341.0, 436.0, 644.0];
@@ -130,7 +131,7 @@
     assert_within("messages of a voter", &voter(Quantity::MessagesOut), bounds::VOTER_MESSAGES);
 }
 
-/// All counts of some measurements, without processor time and allocated bytes.
+/// Removes processor times and allocated bytes, so that only counts remain.
 fn counts(mut measurements: Vec<Measurement>) -> Vec<Measurement> {
     let measured = [
         Quantity::StateBytes,
@@ -151,7 +152,7 @@
 fn same_seed_gives_same_counts() {
     let _lock = lock_measurement();
     let small = PLAN.replace("nodes = [20, 40, 80]", "nodes = [10, 15, 20]");
-    let small = Plan::parse(&small).expect("its sizes ascend");
+    let small = Plan::parse(&small).expect("its sizes are in ascending order");
     for axis in [Axis::Nodes, Axis::Workers, Axis::Zones] {
         let (once, again) = (measured_by(&small, axis), measured_by(&small, axis));
         assert_eq!(counts(once), counts(again), "{axis:?}");
@@ -184,8 +185,9 @@
 
 #[test]
 fn invalid_plan_is_reported_by_its_line() {
-    let line_of =
-        |start: &str| 1 + PLAN.lines().position(|line| line.starts_with(start)).expect("it is there");
+    let line_of = |start: &str| {
+        1 + PLAN.lines().position(|line| line.starts_with(start)).expect("the plan has this line")
+    };
     for (from, to) in [
         ("memory_mb = 2000", "memory_mb = 0"),
         ("starts = 40.0", "starts = -1.0"),
@@ -213,7 +215,7 @@
     (a - b).abs() < 1e-6 * b.abs().max(1.0)
 }
 
-/// The interval was worked out by hand with the quantile 4.302653 of two degrees of freedom.
+/// The interval was calculated by hand with the quantile 4.302653 of two degrees of freedom.
 #[test]
 fn line_is_fitted_with_its_prediction_interval() {
     let measured = points(&[(1.0, 2.0), (2.0, 4.1), (3.0, 5.9), (4.0, 8.2)]);
@@ -237,7 +239,7 @@
     assert_eq!(Fit::of(&points(&[(1.0, 1.0), (2.0, 2.0)])), None, "two sizes have no interval");
 }
 
-/// Results in which a member's state grows with the number of nodes.
+/// Returns results in which a member's state grows with the number of nodes.
 fn saved_results(per_node: f64) -> Vec<Run> {
     let measurement = |size: u64| {
         let figures = Figures::from([(Quantity::StateBytes, Value::single(per_node * size as f64))]);
@@ -263,11 +265,11 @@
     let path = std::env::temp_dir().join(format!("capacity-{}.md", std::process::id()));
     std::fs::write(&path, format!("# Page\n{BEGIN}\nold\n{END}\nmore\n")).expect("a temporary file");
     assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::Differs { .. })));
-    page::write(&path, &saved_results(1000.0)).expect("it has both markers");
-    page::check(&path, &saved_results(1000.0)).expect("it was written just now");
-    let text = std::fs::read_to_string(&path).expect("it was written just now");
+    page::write(&path, &saved_results(1000.0)).expect("the page has both markers");
+    page::check(&path, &saved_results(1000.0)).expect("the page was written before");
+    let text = std::fs::read_to_string(&path).expect("the page was written before");
     let at = text.lines().position(|line| line.contains("3.6 MB at 3,600 nodes")).expect("the extrapolation");
-    assert!(text.ends_with(&format!("{END}\nmore\n")), "what follows stays");
+    assert!(text.ends_with(&format!("{END}\nmore\n")), "text after the markers stays");
     assert!(matches!(page::check(&path, &saved_results(1001.0)), Ok(())), "three digits are shown");
     for (results, page) in [
         (saved_results(1100.0), text.clone()),
@@ -279,14 +281,15 @@
     }
     std::fs::write(&path, "no markers").expect("a temporary file");
     assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::NoMarkers { .. })));
-    std::fs::remove_file(&path).expect("it is there");
+    std::fs::remove_file(&path).expect("the file exists");
 }
 
-/// The page of this version is what its kept results give.
+/// Checks the page of this version against its saved results.
 #[test]
 fn capacity_page_agrees_with_the_saved_results() {
     let docs = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
-    let runs = testbed::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
+    let runs =
+        testbed::scale::store::read_all(&docs.join("capacity")).expect("the saved results can be read");
     page::check(&docs.join("CAPACITY.md"), &runs)
-        .expect("`testbed scale --page docs/CAPACITY.md` writes it anew");
+        .expect("`testbed scale --page docs/CAPACITY.md` updates the page");
 }
