--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -14,21 +14,21 @@
 /// Returns a fleet with converged views.
 fn converged_fleet(nodes: usize, seed: u64) -> EmulatedFleet {
     let mut fleet = EmulatedFleet::started(Spec { nodes, seed, ..Spec::default() });
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     fleet
 }
 
 /// Waits until all running nodes have equal and correct views, and checks that they keep them.
-fn converges(fleet: &mut EmulatedFleet, bound: Duration) -> Duration {
+fn wait_until_converged(fleet: &mut EmulatedFleet, bound: Duration) -> Duration {
     let expected = fleet.expected_views();
     let took = fleet
         .run_until_converged(bound, &expected)
         .unwrap_or_else(|faults| panic!("after {bound:?}: {faults:?}"));
-    remains_converged(fleet, &expected);
+    assert_stays_converged(fleet, &expected);
     took
 }
 
-fn remains_converged(fleet: &mut EmulatedFleet, expected: &ExpectedViews) {
+fn assert_stays_converged(fleet: &mut EmulatedFleet, expected: &ExpectedViews) {
     for _ in 0..20 {
         fleet.run(S / 2);
         assert_eq!(fleet.faults(expected), [], "the views converged and then diverged");
@@ -47,7 +47,7 @@
     fleet.kill(3);
     fleet.run(S / 10);
     fleet.start(3);
-    converges(&mut fleet, 10 * S);
+    wait_until_converged(&mut fleet, 10 * S);
     assert!(fleet.view(3).unwrap().incarnation > before);
     assert!(
         fleet.events.iter().all(|(_, _, event)| !matches!(event, MembershipEvent::Down(_))),
@@ -59,12 +59,12 @@
 fn views_converge_after_a_third_is_killed_and_after_all_restart() {
     let mut fleet = converged_fleet(12, 2);
     (0..4).for_each(|i| fleet.kill(i)); // including all seeds
-    converges(&mut fleet, 40 * S);
+    wait_until_converged(&mut fleet, 40 * S);
     assert_eq!(status(&fleet, 9, 0), Some(MemberStatus::Dead));
     (0..12).for_each(|i| fleet.kill(i));
     fleet.run(S);
     (0..12).for_each(|i| fleet.start(i));
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
 }
 
 #[test]
@@ -75,9 +75,9 @@
     let mut expected = fleet.expected_views();
     expected.partitions.values_mut().enumerate().for_each(|(i, part)| *part = i as u32 % 2);
     fleet.run_until_converged(60 * S, &expected).unwrap();
-    remains_converged(&mut fleet, &expected);
+    assert_stays_converged(&mut fleet, &expected);
     fleet.rules.heal();
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
 }
 
 /// Two cuts, one after the other: a node that reaches half of the others, and a cut in one direction only.
@@ -100,7 +100,7 @@
     }
     fleet.run(30 * S);
     fleet.rules.heal();
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let returns = fleet.events.iter().filter(|(_, _, n)| matches!(n, MembershipEvent::Rejoined(_))).count();
     assert!(returns <= deaths, "{returns} rejoined, after {deaths} reports of a death");
     fleet.rules.heal();
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     fleet.run(30 * S);
     fleet.events.clear();
     fleet.resume(5);
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     assert!(fleet.events.iter().any(|(_, i, n)| *i == 5 && matches!(n, MembershipEvent::Rejoined(_))));
     // Probes that others did not answer during the pause do not count as failures.
     assert!(
@@ -169,15 +169,15 @@
 #[test]
 fn partitioned_halves_merge_without_seeds() {
     let mut fleet = EmulatedFleet::started(Spec { nodes: 9, seed: 17, seeds: 1, ..Spec::default() });
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     fleet.kill(0);
-    converges(&mut fleet, 40 * S);
+    wait_until_converged(&mut fleet, 40 * S);
     let parts: Vec<u32> = (0..9).map(|i| i % 2).collect();
     fleet.rules.partition(&parts);
     fleet.run(40 * S);
     assert_eq!(status(&fleet, 1, 2), Some(MemberStatus::Dead));
     fleet.rules.heal();
-    converges(&mut fleet, 40 * S);
+    wait_until_converged(&mut fleet, 40 * S);
 }
 
 /// Guards against a dead member that newcomers pass on to each other, each counting its age from the time it
@@ -186,7 +186,7 @@
 fn age_of_a_death_is_passed_to_new_members() {
     let timing = Timing { remove_after: 60 * S, ..Timing::default() };
     let mut fleet = EmulatedFleet::started(Spec { nodes: 8, seed: 18, timing, seeds: 2 });
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     fleet.kill(7);
     // The two seeds restart in turn, each learning of the dead member from the other.
     for round in 0..6 {
@@ -231,7 +231,7 @@
         );
     }
     fleet.kill(7);
-    converges(&mut fleet, 60 * S);
+    wait_until_converged(&mut fleet, 60 * S);
     assert_eq!(observed(&fleet, 0).0, address(4));
 }
 
@@ -241,16 +241,16 @@
     fleet.kill(2);
     fleet.set_clock_skew(2, -86_400_000);
     fleet.start(2);
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     fleet.kill(2);
     fleet.set_clock_skew(2, 86_400_000);
     fleet.start(2);
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     fleet.kill(2);
     fleet.set_clock_skew(2, 0);
     fleet.run(60 * S);
     fleet.start(2);
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
 }
 
 #[test]
@@ -260,7 +260,7 @@
     fleet.run(5 * S);
     assert!((0..8).all(|i| status(&fleet, i, 3) == Some(MemberStatus::Draining)));
     fleet.leave(3);
-    converges(&mut fleet, 10 * S);
+    wait_until_converged(&mut fleet, 10 * S);
     assert!((0..8).filter(|i| *i != 3).all(|i| status(&fleet, i, 3) == Some(MemberStatus::Left)));
     assert!(fleet.events.iter().all(|(_, _, n)| !matches!(n, MembershipEvent::Down(_))));
     let senders = fleet.with_machine(0, |m, now| m.fleet_size(now, 1).senders).unwrap();
@@ -328,7 +328,7 @@
     fleet.run(15 * S);
     fleet.kill(2);
     fleet.start(2);
-    converges(&mut fleet, 20 * S);
+    wait_until_converged(&mut fleet, 20 * S);
     let sent_datagrams = fleet.sent_datagrams.take().unwrap();
     let incarnations =
         |fleet: &EmulatedFleet| (0..7).map(|i| fleet.view(i).unwrap().incarnation).collect::<Vec<_>>();
@@ -424,7 +424,7 @@
     let expected = fleet.expected_views();
     let took = fleet.run_until_converged(60 * S, &expected);
     assert!(took.is_ok(), "seed {seed}, {n} nodes: {:?}", took.unwrap_err());
-    remains_converged(&mut fleet, &expected);
+    assert_stays_converged(&mut fleet, &expected);
 }
 
 #[test]
