--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -94,7 +94,7 @@
     Membership(#[from] membership::ShowError),
     /// The coordination status could not be shown, or the command was rejected.
     #[error(transparent)]
-    Coordination(#[from] coordination::PrintError),
+    Coordination(#[from] coordination::OperatorCommandError),
 }
 
 impl FleetCommand {
@@ -106,7 +106,7 @@
         let (address, path) = match self {
             FleetCommand::Show { address, json } => return Ok(membership::show(address, json).await?),
             FleetCommand::Duties { address, json } => {
-                return Ok(coordination::print_status(address, json).await?);
+                return Ok(coordination::fetch_status(address, json).await?);
             }
             FleetCommand::Roll { address, stop: true, .. } => (address, "/fleet/roll/stop".to_string()),
             FleetCommand::Roll { address, away, .. } => (address, format!("/fleet/roll?away={away}")),
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -11,7 +11,7 @@
 //! | `store_folder` | the voter's store on the disk |
 //! | `list_delivery` | lists between the zone's broadcast and the watch of discovery |
 //! | `rolling_restart`, `scheduled_call` | what the holders of these leases do |
-//! | `status`, `print` | the status, and how commands print it |
+//! | `status`, `operator_commands` | the status, and how commands print it |
 
 mod candidacy;
 mod client_host;
@@ -19,8 +19,8 @@
 mod handle;
 mod list_delivery;
 mod message;
+mod operator_commands;
 mod operator_requests;
-mod print;
 mod rolling_restart;
 mod scheduled_call;
 mod status;
@@ -31,7 +31,7 @@
 pub use handle::{Handle, RestartRequestError};
 pub use list_delivery::ListDelivery;
 pub use message::{NodeMessage, RestartMessage, RestartRequest};
-pub use print::{print_status, send_command, PrintError};
+pub use operator_commands::{fetch_status, send_command, OperatorCommandError};
 pub use status::{ListBroadcastStatus, Status};
 
 use crate::counters::Counters;
@@ -66,9 +66,9 @@
     /// Section on coordination in the operators' file.
     pub settings: CoordinationSection,
     /// Folder of the voter's store; `None` if this node is no voter.
-    pub folder: Option<PathBuf>,
+    pub state_directory: Option<PathBuf>,
     /// Messages between nodes, and the view of the fleet.
-    pub fleet: membership::Handle,
+    pub membership: membership::Handle,
     /// Phase of this process.
     pub phase: watch::Receiver<Phase>,
     /// Delivery of lists, if one node of each zone follows discovery.
@@ -86,7 +86,8 @@
     let settings = &dependencies.settings;
     let timing = Timing { lease: settings.lease_duration, election: settings.election_timeout };
     let voters = settings.voters.iter().map(|(_, address)| *address).collect();
-    let process = Holder { name: dependencies.name.clone(), process_id: dependencies.fleet.process_id() };
+    let process =
+        Holder { name: dependencies.name.clone(), process_id: dependencies.membership.process_id() };
     let phase = *dependencies.phase.borrow();
     if let Some(list_delivery) = &mut dependencies.list_delivery {
         list_delivery.set_name(&dependencies.name);
@@ -98,7 +99,7 @@
         completions,
         operator_requests: BTreeMap::new(),
         calls: BTreeMap::new(),
-        rejected_acts: 0,
+        rejected_calls: 0,
         phase,
         restart: RestartDriver::default(),
         dependencies,
--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -26,7 +26,7 @@
     /// Requests the leases that this node is a candidate for, and releases the others.
     pub(super) fn update_candidacy(&mut self, peers: &[Peer]) {
         let now = boottime();
-        let process_id = self.dependencies.fleet.process_id();
+        let process_id = self.dependencies.membership.process_id();
         let is_own = |peer: &Peer| peer.name == self.dependencies.name && peer.process_id == process_id;
         let is_serving = self.phase.is_serving() && peers.iter().any(is_own);
         let all: Vec<&Peer> = peers.iter().collect();
--- a/node/src/coordination/client_host.rs
+++ b/node/src/coordination/client_host.rs
@@ -53,7 +53,7 @@
 
     pub(super) fn send(&self, to: SocketAddr, message: &NodeMessage) {
         match postcard::to_stdvec(message) {
-            Ok(bytes) => self.dependencies.fleet.send_message(to, bytes),
+            Ok(bytes) => self.dependencies.membership.send_message(to, bytes),
             Err(error) => {
                 log::error!(event = "message_not_encoded", to:% = to, error:% = error;
                     "message can't be encoded");
--- a/node/src/coordination/message.rs
+++ b/node/src/coordination/message.rs
@@ -47,11 +47,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RestartRequest {
     /// Start a rolling restart.
-    Begin {
+    Start {
         /// Id: Unix time of the request in milliseconds.
         id: u64,
         /// Most nodes of one zone that may be unavailable at once.
-        away: u8,
+        max_unavailable: u8,
     },
     /// Stop the rolling restart.
     Stop,
--- a/node/src/coordination/print.rs
+++ b/node/src/coordination/operator_commands.rs
@@ -15,7 +15,7 @@
 
 /// Why a command failed.
 #[derive(Debug, Error)]
-pub enum PrintError {
+pub enum OperatorCommandError {
     /// The node does not answer.
     #[error(transparent)]
     Unreachable(#[from] CallError),
@@ -42,19 +42,19 @@
 ///
 /// # Errors
 ///
-/// [`PrintError`] if the node does not answer, or not with a status.
-pub async fn print_status(address: SocketAddr, json: bool) -> Result<String, PrintError> {
+/// [`OperatorCommandError`] if the node does not answer, or not with a status.
+pub async fn fetch_status(address: SocketAddr, json: bool) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::GET, "/fleet/duties").await;
     let (status, body) = call?;
     if status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
-        return Err(PrintError::Rejected { address, reason });
+        return Err(OperatorCommandError::Rejected { address, reason });
     }
     if json {
         return Ok(String::from_utf8_lossy(&body).into_owned());
     }
-    let status: Status =
-        serde_json::from_slice(&body).map_err(|source| PrintError::Malformed { address, source })?;
+    let status: Status = serde_json::from_slice(&body)
+        .map_err(|source| OperatorCommandError::Malformed { address, source })?;
     Ok(format_status(&status))
 }
 
@@ -62,14 +62,14 @@
 ///
 /// # Errors
 ///
-/// [`PrintError`] if the node does not answer or rejects the command.
-pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, PrintError> {
+/// [`OperatorCommandError`] if the node does not answer or rejects the command.
+pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::POST, path).await;
     let (status, body) = call?;
     let answer = String::from_utf8_lossy(&body).trim().to_string();
     match status {
         StatusCode::OK => Ok(format!("{answer}\n")),
-        _ => Err(PrintError::Rejected { address, reason: answer }),
+        _ => Err(OperatorCommandError::Rejected { address, reason: answer }),
     }
 }
 
--- a/node/src/coordination/operator_requests.rs
+++ b/node/src/coordination/operator_requests.rs
@@ -60,7 +60,7 @@
 
     /// Handles a voter's response to this process.
     pub(super) fn receive_response(&mut self, now: Duration, from: SocketAddr, response: Response) {
-        if response.process_id != self.dependencies.fleet.process_id() {
+        if response.process_id != self.dependencies.membership.process_id() {
             return;
         }
         if let Outcome::Status(status) = &response.outcome {
--- a/node/src/coordination/rolling_restart.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -94,13 +94,13 @@
     fn request(&mut self, own_name: &str, request: RestartRequest, peers: &[Peer]) {
         let in_progress = self.restart.as_ref().is_some_and(|r| r.progress().outcome.is_none());
         match request {
-            RestartRequest::Begin { id, away } if !in_progress => {
-                log::info!(event = "rolling_restart_started", id = id, max_unavailable = away, nodes = peers.len();
+            RestartRequest::Start { id, max_unavailable } if !in_progress => {
+                log::info!(event = "rolling_restart_started", id = id, max_unavailable = max_unavailable, nodes = peers.len();
                     "rolling restart started");
                 self.reports.clear();
-                self.restart = Some(RollingRestart::start(own_name, id, away, &members(peers)));
+                self.restart = Some(RollingRestart::start(own_name, id, max_unavailable, &members(peers)));
             }
-            RestartRequest::Begin { .. } => log::warn!(event = "rolling_restart_in_progress";
+            RestartRequest::Start { .. } => log::warn!(event = "rolling_restart_in_progress";
                 "rolling restart requested while one is in progress: it goes on"),
             RestartRequest::Stop => {
                 if let Some(restart) = &mut self.restart {
@@ -203,7 +203,7 @@
 impl Task {
     /// Continues the rolling restart.
     pub(super) fn drive_restart(&mut self, now: Duration) {
-        let peers = self.dependencies.fleet.peers().borrow().clone();
+        let peers = self.dependencies.membership.peers().borrow().clone();
         let is_valid = self.client.valid_token(now, LEASE).is_some();
         self.restart.advance(now, &peers, is_valid && !self.client.is_saving_state(LEASE));
         if let Some(progress) = self.restart.take_unsaved() {
@@ -228,7 +228,7 @@
         match message {
             RestartMessage::Requested(request) => {
                 if self.client.valid_token(boottime(), LEASE).is_some() {
-                    let peers = self.dependencies.fleet.peers().borrow().clone();
+                    let peers = self.dependencies.membership.peers().borrow().clone();
                     self.restart.request(&self.dependencies.name, request, &peers);
                 }
             }
@@ -247,7 +247,7 @@
 
     fn receive_restart(&mut self, token: u64, process_id: u64) {
         match self.restart.guard.check(LEASE, token) {
-            Ok(()) if process_id == self.dependencies.fleet.process_id() => {
+            Ok(()) if process_id == self.dependencies.membership.process_id() => {
                 self.restart.end_process(&self.dependencies.phases);
             }
             Ok(()) => {}
@@ -260,6 +260,6 @@
         let counters = &self.dependencies.counters;
         let failed = counters.failed.get();
         let ended = counters.served.get() + counters.shed.get() + failed;
-        RestartMessage::HealthReport { process_id: self.dependencies.fleet.process_id(), failed, ended }
+        RestartMessage::HealthReport { process_id: self.dependencies.membership.process_id(), failed, ended }
     }
 }
--- a/node/src/coordination/scheduled_call.rs
+++ b/node/src/coordination/scheduled_call.rs
@@ -115,7 +115,7 @@
         match outcome {
             CallOutcome::Done => {}
             CallOutcome::Rejected => {
-                self.rejected_acts += 1;
+                self.rejected_calls += 1;
                 log::warn!(event = "act_rejected", lease = lease, token = token;
                     "scheduled call rejected: a later holder has been seen");
             }
--- a/node/src/coordination/status.rs
+++ b/node/src/coordination/status.rs
@@ -22,7 +22,8 @@
     /// State of the list broadcast, if one node of each zone follows discovery.
     pub lists: Option<ListBroadcastStatus>,
     /// Acts that were rejected because a later holder had been seen.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected_calls: u64,
     /// Status of the voters; `None` if no leader responds.
     #[serde(rename = "told")]
     pub cluster: Option<ClusterStatus>,
@@ -52,7 +53,7 @@
             metrics: voter.map(|voter| voter.metrics()).unwrap_or_default(),
             held: held.map(|(lease, token, left)| (lease.into(), token, left.as_millis() as u64)).collect(),
             lists: self.dependencies.list_delivery.as_ref().map(ListDelivery::status),
-            refused: self.rejected_acts,
+            rejected_calls: self.rejected_calls,
             cluster: None,
         }
     }
--- a/node/src/coordination/task.rs
+++ b/node/src/coordination/task.rs
@@ -48,7 +48,7 @@
     pub(super) operator_requests: BTreeMap<u64, OperatorRequest>,
     /// Scheduled calls by the name of their lease, while it is held here.
     pub(super) calls: BTreeMap<String, CallState>,
-    pub(super) rejected_acts: u64,
+    pub(super) rejected_calls: u64,
     pub(super) phase: Phase,
     pub(super) restart: RestartDriver,
 }
@@ -59,10 +59,10 @@
         mut commands: mpsc::Receiver<Command>,
         mut completions: mpsc::Receiver<Completion>,
     ) {
-        let Some(mut messages) = self.dependencies.fleet.take_messages() else { return };
+        let Some(mut messages) = self.dependencies.membership.take_messages() else { return };
         let lists = self.dependencies.list_delivery.as_mut();
         let mut published = lists.and_then(ListDelivery::take_published);
-        let mut peers = self.dependencies.fleet.peers();
+        let mut peers = self.dependencies.membership.peers();
         let mut phase = self.dependencies.phase.clone();
         let mut candidacy = interval(CANDIDACY_INTERVAL);
         candidacy.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/node/src/coordination/voter_host.rs
+++ b/node/src/coordination/voter_host.rs
@@ -71,7 +71,7 @@
 
     /// Opens the store on a thread of its own, if this node has a folder for it.
     pub(super) fn open_store(&mut self) {
-        let folder = self.dependencies.folder.clone().filter(|_| !self.voter.is_opening);
+        let folder = self.dependencies.state_directory.clone().filter(|_| !self.voter.is_opening);
         let Some(folder) = folder else { return };
         let (fleet, node) = (self.dependencies.fleet_name.clone(), self.dependencies.name.clone());
         let completions = self.completions.clone();
@@ -120,7 +120,7 @@
             member: VoterMember { name: dependencies.name.clone(), address: dependencies.address },
             initial_voters: dependencies.settings.voters.iter().map(member).collect(),
             timing: self.timing,
-            process_id: dependencies.fleet.process_id(),
+            process_id: dependencies.membership.process_id(),
             seed: fastrand::u64(..),
             clock_origin_unix_ms: unix.saturating_sub(now).as_millis() as u64,
         };
--- a/node/src/faktory/authentication.rs
+++ b/node/src/faktory/authentication.rs
@@ -23,14 +23,14 @@
 
 impl Challenge {
     /// Draws a new challenge.
-    pub fn draw() -> Challenge {
+    pub fn generate() -> Challenge {
         // The standard library's hasher has a new random key each time.
         let salt = format!("{:016x}", RandomState::new().build_hasher().finish());
         Challenge { salt, iterations: HASH_ITERATIONS }
     }
 
     /// Hash of the password that answers the challenge.
-    pub fn answer(&self, password: &str) -> String {
+    pub fn expected_hash(&self, password: &str) -> String {
         password_hash(password, &self.salt, self.iterations)
     }
 }
@@ -73,7 +73,7 @@
     }
     if let (Some(challenge), Some(password)) = (challenge, password) {
         let received = hello.password_hash.as_deref().unwrap_or_default();
-        if !equal_in_constant_time(&challenge.answer(password), received) {
+        if !equal_in_constant_time(&challenge.expected_hash(password), received) {
             return Err(HandshakeError::Password);
         }
     }
--- a/node/src/faktory/leases/assignment.rs
+++ b/node/src/faktory/leases/assignment.rs
@@ -93,7 +93,7 @@
     }
 
     /// Ends a lease whose job could not be delivered: `unsent` if no byte of it went out, otherwise the worker may run it.
-    pub fn undelivered(&mut self, delivery: &Delivery, unsent: bool) {
+    pub fn delivery_failed(&mut self, delivery: &Delivery, unsent: bool) {
         let Some(job) = self.jobs.get_mut(&delivery.job) else { return };
         if job.is_leased(delivery.attempt) {
             job.may_have_run &= !unsent || delivery.attempt.attempt > 0;
--- a/node/src/faktory/leases/mod.rs
+++ b/node/src/faktory/leases/mod.rs
@@ -30,7 +30,7 @@
     /// Time in which a job is to be answered.
     pub deadline: Duration,
     /// Time after a job's end in which a job with the same key is a duplicate of it.
-    pub duplicate_window: Duration,
+    pub deduplication_window: Duration,
 }
 
 /// All workers and jobs of the front.
@@ -71,22 +71,22 @@
     }
 
     /// Number of jobs that have not ended.
-    pub fn open_jobs(&self) -> usize {
+    pub fn open_job_count(&self) -> usize {
         self.jobs.values().filter(|job| !job.has_ended()).count()
     }
 
     /// Number of workers.
-    pub fn workers(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
     /// Number of jobs, ended ones included.
-    pub fn jobs(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
     /// State of the job that was pushed under this id; `None` if there is none.
-    pub fn state(&mut self, jid: &str) -> Option<JobState> {
+    pub fn job_state(&mut self, jid: &str) -> Option<JobState> {
         self.remove_expired();
         self.by_jid.get(jid).and_then(|number| self.jobs.get(number)).map(Job::state)
     }
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -195,7 +195,7 @@
     }
 
     /// Records that the dispatcher has admitted a job.
-    pub fn admitted(&mut self, number: JobNumber) {
+    pub fn job_admitted(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         if let Progress::Submitted(senders) = &mut job.progress {
             let senders = std::mem::take(senders);
@@ -206,7 +206,7 @@
 
     /// Records the dispatcher's final answer to a job. A rejection of a job that was not admitted before is the answer to
     /// the push itself, and the job is not kept.
-    pub fn answered(&mut self, number: JobNumber, answer: Answer) {
+    pub fn job_answered(&mut self, number: JobNumber, answer: Answer) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         self.payload_bytes -= job.payload.len();
         job.payload = Bytes::new();
@@ -216,7 +216,7 @@
             return notify(senders, &outcome);
         }
         let before = std::mem::replace(&mut job.progress, Progress::Ended(answer));
-        let window = self.limits[job.key.class].duplicate_window;
+        let window = self.limits[job.key.class].deduplication_window;
         self.expiry.insert((Instant::now() + window.max(STATE_RETENTION), number));
         if let Progress::Submitted(senders) = before {
             notify(senders, &PushOutcome::Accepted);
--- a/node/src/faktory/mod.rs
+++ b/node/src/faktory/mod.rs
@@ -6,6 +6,7 @@
 //! the job to that worker's next `FETCH`.
 
 pub mod authentication;
+mod codec;
 pub mod command;
 mod config;
 pub mod leases;
@@ -13,7 +14,6 @@
 mod server;
 mod session;
 mod transport;
-mod wire;
 
 pub use config::{ConfigError, FaktoryConfig};
 pub use server::{listen, serve, Error, Server};
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -88,14 +88,14 @@
 
     /// Draws the challenge of one session, if there is a password.
     pub fn challenge(&self) -> Option<Challenge> {
-        self.password.as_ref().map(|_| Challenge::draw())
+        self.password.as_ref().map(|_| Challenge::generate())
     }
 
     /// JSON text of the server's information.
     pub fn info(&self) -> String {
         let (workers, jobs) = {
             let leases = self.leases();
-            (leases.workers(), leases.jobs())
+            (leases.worker_count(), leases.job_count())
         };
         let counters = &self.counters;
         json!({
@@ -155,7 +155,7 @@
     }
 
     /// Serves one connection to its end.
-    pub async fn session<S: AsyncRead + AsyncWrite + Unpin>(&self, socket: S) {
+    pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(&self, socket: S) {
         session::serve(self.shared.clone(), socket).await;
     }
 
@@ -184,7 +184,7 @@
             let server = self.clone();
             tokio::spawn(async move {
                 if socket.set_nodelay(true).is_ok() {
-                    server.session(Socket::new(socket)).await;
+                    server.serve_connection(Socket::new(socket)).await;
                 }
                 drop(slot);
             });
@@ -195,7 +195,7 @@
     async fn drain(&self) {
         let end = Instant::now() + self.longest_deadline;
         let mut check = interval(DRAIN_CHECK_INTERVAL);
-        while self.shared.leases().open_jobs() > 0 && Instant::now() < end {
+        while self.shared.leases().open_job_count() > 0 && Instant::now() < end {
             check.tick().await;
         }
     }
@@ -213,7 +213,7 @@
 fn class_limits(settings: &Settings) -> Vec<ClassLimits> {
     let limits = settings.classes.iter().map(|class| ClassLimits {
         deadline: Duration::from_micros(class.deadline_us),
-        duplicate_window: Duration::from_micros(class.deduplication_window_us),
+        deduplication_window: Duration::from_micros(class.deduplication_window_us),
     });
     limits.collect()
 }
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -1,11 +1,11 @@
 //! Session of one connection: the greeting, then commands in order, each with its reply.
 
 use super::authentication::{check_handshake, greeting, Challenge, HandshakeError};
+use super::codec::{Line, SessionCodec};
 use super::command::{Beat, Command, Hello, Push, WorkerCommand};
 use super::leases::{Delivery, JobState, PushOutcome, HEARTBEAT_TIMEOUT};
 use super::reply::Reply;
 use super::server::Shared;
-use super::wire::{Line, SessionCodec};
 use crate::dispatcher::Answer;
 use bytes::Bytes;
 use dispatch_policy::api::Outcome;
@@ -77,7 +77,7 @@
             }
             Command::Worker(command) => self.run_worker_command(command),
             Command::Push(job, payload) => self.push(job, payload).await?,
-            Command::TrackGet(jid) => match self.shared.leases().state(&jid) {
+            Command::TrackGet(jid) => match self.shared.leases().job_state(&jid) {
                 Some(state) => Reply::Bulk(Bytes::from(encode_state(&jid, &state))),
                 None => Reply::error("this job is unknown"),
             },
@@ -230,7 +230,7 @@
         let sent = self.send(Reply::Bulk(delivery.payload.clone())).await;
         if sent.is_err() {
             // Part of it may have gone out: the worker may run it.
-            self.shared.leases().undelivered(&delivery, false);
+            self.shared.leases().delivery_failed(&delivery, false);
         }
         sent
     }
@@ -251,7 +251,7 @@
         let mut leases = self.shared.leases();
         leases.cancel_fetch(worker_id, number);
         if let Ok(delivery) = receiver.try_recv() {
-            leases.undelivered(&delivery, true);
+            leases.delivery_failed(&delivery, true);
         }
     }
 }
--- a/node/src/faktory/transport.rs
+++ b/node/src/faktory/transport.rs
@@ -39,10 +39,10 @@
     }
 
     fn answer(&mut self, job: JobNumber, answer: Answer) {
-        self.shared.leases().answered(job, answer);
+        self.shared.leases().job_answered(job, answer);
     }
 
     fn accepted(&mut self, job: &JobNumber) {
-        self.shared.leases().admitted(*job);
+        self.shared.leases().job_admitted(*job);
     }
 }
--- a/node/src/management.rs
+++ b/node/src/management.rs
@@ -315,7 +315,7 @@
         return Err(CallError::InvalidMaxUnavailable);
     }
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Ok(RestartRequest::Begin { id: unix.as_millis() as u64, away: max_unavailable })
+    Ok(RestartRequest::Start { id: unix.as_millis() as u64, max_unavailable })
 }
 
 /// Change of the voters from `name=...` and, for an addition, `at=...`; `None` if these don't fit the call.
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -131,7 +131,7 @@
     pub async fn connect(node: &Server, hello: &str) -> Peer {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
-        tokio::spawn(async move { node.session(far).await });
+        tokio::spawn(async move { node.serve_connection(far).await });
         let mut peer = Peer(BufReader::new(Box::new(near)));
         assert_eq!(peer.reply().await, "+HI {\"v\":2}");
         assert_eq!(peer.ask(&format!("HELLO {hello}")).await, "+OK");
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -269,7 +269,7 @@
     for (right, want) in [(true, "+OK"), (false, "-ERR invalid password")] {
         let (near, far) = tokio::io::duplex(4096);
         let node = node.clone();
-        tokio::spawn(async move { node.session(far).await });
+        tokio::spawn(async move { node.serve_connection(far).await });
         let mut peer = Peer(BufReader::new(Box::new(near)));
         let hi = peer.reply().await;
         let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -15,7 +15,8 @@
     let (dispatcher, _inbox) = queue();
     let names =
         Names { classes: vec!["lodge".into()], requires_idempotency_key: vec![true], ..Names::default() };
-    let limits = ClassLimits { deadline: Duration::from_secs(25), duplicate_window: Duration::from_secs(40) };
+    let limits =
+        ClassLimits { deadline: Duration::from_secs(25), deduplication_window: Duration::from_secs(40) };
     let mut leases = LeaseTable::new(dispatcher, names, vec![limits]);
     let text = r#"{"jid":"job-00001","jobtype":"declare","args":[],"queue":"lodge"}"#;
     let job = serde_json::from_str(text).unwrap();
--- a/node/tests/faktory_protocol.rs
+++ b/node/tests/faktory_protocol.rs
@@ -14,7 +14,7 @@
     let twice = "4f8b42c22dd3729b519ba6f68d2da7cc5b2d606d05daed5ad5128cc03e6c6358";
     assert_eq!(password_hash("a", "bc", 2), twice);
     let challenge = Challenge { salt: "bc".to_string(), iterations: 2 };
-    assert_eq!(challenge.answer("a"), twice);
+    assert_eq!(challenge.expected_hash("a"), twice);
     assert_eq!(greeting(Some(&challenge)).encode(), b"+HI {\"i\":2,\"s\":\"bc\",\"v\":2}\r\n");
 }
 
--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -8,7 +8,7 @@
     Outcome, Response, RestartProgress, VoterMember, VoterMetrics, VoterState,
 };
 use molevale::coordination::{
-    print_status, ListBroadcastStatus, NodeMessage, RestartMessage, RestartRequest, Status,
+    fetch_status, ListBroadcastStatus, NodeMessage, RestartMessage, RestartRequest, Status,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -40,9 +40,9 @@
         ("lists", NodeMessage::Lists(BroadcastMessage::Fetch { source: 300, version: 41 })),
         (
             "roll/begin",
-            NodeMessage::RollingRestart(RestartMessage::Requested(RestartRequest::Begin {
+            NodeMessage::RollingRestart(RestartMessage::Requested(RestartRequest::Start {
                 id: 1_700_000_000_789,
-                away: 2,
+                max_unavailable: 2,
             })),
         ),
         ("roll/stop", NodeMessage::RollingRestart(RestartMessage::Requested(RestartRequest::Stop))),
@@ -129,7 +129,7 @@
         },
         held: here,
         lists,
-        refused: 7,
+        rejected_calls: 7,
         cluster: told,
     };
     let counts = BroadcastMetrics { sent: 1, applied: 2, holder_timeouts: 3, stale_messages: 4 };
@@ -174,7 +174,7 @@
         socket.write_all(answer.as_bytes()).await.unwrap();
         String::from_utf8_lossy(&head[..length]).lines().next().unwrap_or_default().to_string()
     };
-    let (asked, printed) = tokio::join!(serve, print_status(address, json));
+    let (asked, printed) = tokio::join!(serve, fetch_status(address, json));
     assert_eq!(asked, "GET /fleet/duties HTTP/1.1");
     printed.unwrap()
 }
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -68,7 +68,7 @@
     async fn open(&mut self, node: &Server, name: &str) -> Peer {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
-        tokio::spawn(async move { node.session(far).await });
+        tokio::spawn(async move { node.serve_connection(far).await });
         let mut peer = Peer(BufReader::new(Box::new(near)));
         let before = self.0.len();
         let greeting = self.reply((name, &mut peer)).await;
