--- a/node/src/faktory/codec.rs
+++ b/node/src/faktory/codec.rs
@@ -1,4 +1,4 @@
-//! Framing of a session: lines in, replies out.
+//! Codec of a session: decodes lines and encodes replies.
 
 use super::command::{CommandError, LINE_MAX};
 use super::reply::Reply;
@@ -6,7 +6,7 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder, LinesCodec, LinesCodecError};
 
-/// A line without its end, or the reason for which it can't be one.
+/// A line without its terminator, or why it is invalid.
 pub(super) type Line = Result<String, CommandError>;
 
 /// Codec of a session.
@@ -22,7 +22,7 @@
     type Item = Line;
     type Error = io::Error;
 
-    /// Returns an invalid line as an item, not as the end of the stream: the session answers it and continues.
+    /// Returns an invalid line as an item, because an error would end the stream: the session replies and continues.
     fn decode(&mut self, source: &mut BytesMut) -> io::Result<Option<Line>> {
         let malformed = |reason: &str| Ok(Some(Err(CommandError::Malformed(reason.to_string()))));
         match self.0.decode(source) {
--- a/node/src/faktory/command.rs
+++ b/node/src/faktory/command.rs
@@ -1,23 +1,23 @@
-//! Commands of the Faktory work protocol, version 2: parsing of the lines that clients and workers send.
+//! Parser for the commands of the Faktory work protocol, version 2.
 
 use bytes::Bytes;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 
-/// Longest line, in bytes: a job of 64 KiB, as on the platform, and the name of the command.
+/// Longest line, in bytes: a job of 64 KiB, the limit of the platform frontend too, and the command's name.
 pub const LINE_MAX: usize = 64 * 1024 + 16;
-/// Most queues in one `FETCH`.
+/// Maximum number of queues in a `FETCH`.
 const QUEUES_MAX: usize = 64;
 /// Shortest job id, in bytes.
 const JID_MIN: usize = 8;
 /// Longest job id, worker id or idempotency key, in bytes.
 pub(super) const ID_MAX: usize = 256;
-/// Characters of an unknown command that the error repeats.
-const UNKNOWN_COMMAND_SHOWN: usize = 32;
+/// Maximum number of characters of an unknown command that the error text repeats.
+const UNKNOWN_COMMAND_ECHO_MAX: usize = 32;
 
-// The names of these types are those of the commands, and part of the error texts that clients see.
+// The types are named after the commands: serde puts their names into the error texts that clients receive.
 
-/// Arguments of `HELLO`, with which a client or worker opens its session.
+/// Arguments of `HELLO`, the handshake of a client or worker.
 #[derive(Debug, Deserialize)]
 pub struct Hello {
     /// Version of the protocol.
@@ -31,35 +31,35 @@
     pub password_hash: Option<String>,
 }
 
-/// Job that a client pushes: the fields that decisions are made by.
+/// Arguments of `PUSH`: the fields of a job that the server reads.
 #[derive(Debug, Deserialize)]
 pub struct Push {
     /// Job id.
     pub jid: String,
     /// Type of the job.
     pub jobtype: String,
-    /// Arguments: a list, passed on to the worker without being read.
+    /// Arguments of the job: a list, passed to the worker unread.
     #[serde(rename = "args")]
     _args: Vec<IgnoredAny>,
-    /// Queue, which is the name of the class.
+    /// Queue; its name is that of a class.
     #[serde(default = "default_queue")]
     pub queue: String,
-    /// Scheduled start; jobs that have one are rejected.
+    /// Time of a scheduled start. Jobs that have one are rejected.
     pub at: Option<String>,
-    /// Further fields.
+    /// Fields that Faktory does not interpret.
     pub custom: Option<Custom>,
 }
 
-/// Fields of a job that Faktory leaves to its users.
+/// Fields of a job that the Faktory protocol leaves to applications.
 #[derive(Debug, Default, Deserialize)]
 pub struct Custom {
     /// Name of the tenant.
     pub tenant: Option<String>,
-    /// Idempotency key; the job id if absent.
+    /// Idempotency key; the job id by default.
     pub key: Option<String>,
-    /// Deadline, in seconds, if it is shorter than that of the class.
+    /// Deadline, in seconds; it can only shorten that of the class.
     pub deadline: Option<f64>,
-    /// Estimate of the run time, in microseconds.
+    /// Estimated execution time, in microseconds.
     pub cost_hint: Option<f64>,
 }
 
@@ -69,12 +69,12 @@
     /// Worker id.
     #[serde(rename = "wid")]
     pub worker_id: String,
-    /// State that the worker reports, if it is about to stop.
+    /// `quiet` or `terminate` if the worker is about to stop.
     pub current_state: Option<String>,
 }
 
 impl Beat {
-    /// Whether the worker reports that it is about to stop.
+    /// Whether the worker is about to stop.
     pub fn is_stopping(&self) -> bool {
         matches!(self.current_state.as_deref(), Some("quiet" | "terminate"))
     }
@@ -86,43 +86,43 @@
     jid: String,
 }
 
-/// Command of a client or worker.
+/// Command from a client or worker.
 #[derive(Debug)]
 pub enum Command {
     /// `HELLO`: opens the session.
     Hello(Hello),
-    /// `PUSH`: submits a job, with its bytes as received.
+    /// `PUSH`: submits a job. The bytes are those received.
     Push(Push, Bytes),
-    /// `TRACK GET`: requests the state of the job of this id.
+    /// `TRACK GET`: returns the state of the job with this id.
     TrackGet(String),
-    /// `INFO`: requests the server's information.
+    /// `INFO`: returns statistics of the server.
     Info,
     /// `END`: closes the session.
     End,
-    /// A command that only workers may send.
+    /// Command that only workers may send.
     Worker(WorkerCommand),
 }
 
 /// Command that only workers may send.
 #[derive(Debug)]
 pub enum WorkerCommand {
-    /// `FETCH`: requests a job of one of these queues.
+    /// `FETCH`: requests a job from one of these queues.
     Fetch(Vec<String>),
-    /// `ACK`: the worker has done the job of this id.
+    /// `ACK`: the job with this id succeeded.
     Ack(String),
-    /// `FAIL`: the worker has failed the job of this id.
+    /// `FAIL`: the job with this id failed.
     Fail(String),
     /// `BEAT`: heartbeat.
     Beat(Beat),
 }
 
-/// Error in a line, which is answered and leaves the session open.
+/// Error in a command. The session replies with it and stays open.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The command is known, and its arguments are invalid.
+    /// The arguments are invalid.
     #[error("{0}")]
     Malformed(String),
-    /// There is no such command.
+    /// The command is unknown.
     #[error("{0}")]
     Unknown(String),
 }
@@ -134,7 +134,7 @@
 }
 
 impl Command {
-    /// Parses a line, without its line end.
+    /// Parses a line, given without its terminator.
     ///
     /// # Errors
     ///
@@ -192,8 +192,8 @@
 }
 
 fn unknown_command(name: &str) -> CommandError {
-    let shown = name.chars().filter(char::is_ascii_graphic).take(UNKNOWN_COMMAND_SHOWN);
-    CommandError::Unknown(format!("unknown command {}", shown.collect::<String>()))
+    let printable = name.chars().filter(char::is_ascii_graphic).take(UNKNOWN_COMMAND_ECHO_MAX);
+    CommandError::Unknown(format!("unknown command {}", printable.collect::<String>()))
 }
 
 fn default_queue() -> String {
--- a/node/src/faktory/leases/assignment.rs
+++ b/node/src/faktory/leases/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of jobs to workers: offers, leases, and their ends.
+//! Assignment of jobs to workers: offers, leases, and how both end.
 
 use super::job::{Attempt, Job, JobNumber};
 use super::LeaseTable;
@@ -8,40 +8,40 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which an attempt waits for a `FETCH` of its worker before it ends as 'full'.
+/// Time for which an attempt waits for a `FETCH` of its worker. Then it ends as rejected by the worker.
 pub const OFFER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A job on its way to the session that fetched it.
+/// A job that is passed to the session that fetched it.
 #[derive(Debug)]
 pub struct Delivery {
-    /// Bytes of the job, as pushed.
+    /// The job's bytes, as pushed.
     pub payload: Bytes,
-    /// Attempt that it is sent in.
+    /// The attempt that is delivered.
     pub attempt: AttemptId,
     job: JobNumber,
 }
 
-/// Reason for which a worker's report on a job is rejected.
+/// Why an `ACK` or `FAIL` of a worker is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
-    /// No job has this id.
+    /// There is no job with this id.
     #[error("this job is unknown")]
     UnknownJob,
-    /// The worker does not hold the lease of the job.
+    /// The worker does not hold the lease on the job.
     #[error("this job is not reserved by this worker")]
     NotHeld,
 }
 
 impl LeaseTable {
-    /// Offers a job to a worker, which gets it with a `FETCH` that waits or that comes within [`OFFER_TIMEOUT`]. Returns
+    /// Offers a job to a worker, which gets it with a waiting `FETCH` or one that follows within [`OFFER_TIMEOUT`]. Returns
     /// whether the offer waits.
     pub fn offer(&mut self, attempt: AttemptId, number: JobNumber, worker: WorkerId) -> bool {
-        let worker_id = self.worker_names.get(&worker).cloned().unwrap_or_default();
+        let worker_id = self.worker_ids.get(&worker).cloned().unwrap_or_default();
         let job = self.jobs.get_mut(&number).filter(|job| !job.lost_by.contains(&worker_id));
         let worker = self.workers.get_mut(&worker_id).filter(|worker| !worker.draining);
         let (Some(job), Some(worker)) = (job, worker) else {
-            // Guards against jobs for a worker that drains or has gone, and for one that lost the lease of this very job:
-            // its late ACK could not be told from that of the new attempt.
+            // The worker drains or is gone, or has lost the lease on this job before: its late ACK could not be
+            // distinguished from that of the new attempt.
             self.dispatcher.ended(attempt, Outcome::Rejected, None, Bytes::new());
             return false;
         };
@@ -51,7 +51,7 @@
         self.jobs.get(&number).is_some_and(|job| matches!(job.attempt, Attempt::Offered(..)))
     }
 
-    /// Assigns the offers of a worker to its waiting `FETCH`es of their class, the oldest of both first.
+    /// Assigns the offers of a worker to its waiting `FETCH`es of the same class, oldest first.
     pub(super) fn assign_offers(&mut self, worker_id: &str) {
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         let mut unassigned = VecDeque::new();
@@ -63,19 +63,19 @@
                 continue;
             };
             let delivery = Delivery { payload: job.payload.clone(), attempt, job: number };
-            if fetch.deliver.send(delivery).is_err() {
+            if fetch.sender.send(delivery).is_err() {
                 worker.offers.push_front(number);
                 continue;
             }
             job.attempt = Attempt::Leased(worker_id.to_string(), attempt);
-            job.may_have_run = true;
+            job.may_have_executed = true;
             self.dispatcher.started(attempt);
         }
         worker.offers = unassigned;
     }
 
-    /// Ends an attempt before its worker does: an offer as never run, a lease with `outcome`. The worker's report comes
-    /// too late then.
+    /// Ends an attempt before its worker reports: an offer as rejected, a lease with `outcome`. A later `ACK` or `FAIL` of
+    /// the worker is rejected.
     pub fn cancel(&mut self, number: JobNumber, attempt: AttemptId, outcome: Outcome) {
         let Some(job) = self.jobs.get(&number) else { return };
         if job.is_offered(attempt) {
@@ -85,30 +85,30 @@
         }
     }
 
-    /// Ends an offer that no `FETCH` has met in time.
+    /// Ends an offer that was not fetched within [`OFFER_TIMEOUT`].
     pub fn expire_offer(&mut self, number: JobNumber, attempt: AttemptId) {
         if self.jobs.get(&number).is_some_and(|job| job.is_offered(attempt)) {
             self.end_attempt(number, Outcome::Rejected);
         }
     }
 
-    /// Ends a lease whose job could not be delivered: `unsent` if no byte of it went out, otherwise the worker may run it.
+    /// Ends a lease whose job was not delivered. If it is not `unsent`, part of it was sent and the worker may execute it.
     pub fn delivery_failed(&mut self, delivery: &Delivery, unsent: bool) {
         let Some(job) = self.jobs.get_mut(&delivery.job) else { return };
         if job.is_leased(delivery.attempt) {
-            job.may_have_run &= !unsent || delivery.attempt.attempt > 0;
+            job.may_have_executed &= !unsent || delivery.attempt.attempt > 0;
             self.end_attempt(delivery.job, if unsent { Outcome::Rejected } else { Outcome::ConnectionLost });
         }
     }
 
-    /// Ends the lease of a job that its worker has done or failed.
+    /// Ends the lease on a job whose worker reports its `outcome`.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such job, or the worker does not hold its lease.
+    /// Fails if there is no such job or the worker does not hold the lease on it.
     pub fn finish(&mut self, worker_id: &str, jid: &str, outcome: Outcome) -> Result<(), LeaseError> {
-        self.note_activity(worker_id);
-        let number = self.by_jid.get(jid).copied().ok_or(LeaseError::UnknownJob)?;
+        self.record_activity(worker_id);
+        let number = self.numbers_by_jid.get(jid).copied().ok_or(LeaseError::UnknownJob)?;
         let job = &self.jobs[&number];
         if !job.is_leased_to(worker_id) || job.jids[0] != jid {
             return Err(LeaseError::NotHeld);
@@ -117,8 +117,8 @@
         Ok(())
     }
 
-    /// Ends the offers to a worker and, if it has gone, its leases.
-    pub(super) fn release(&mut self, worker_id: &str, gone: bool) {
+    /// Ends the offers to a worker and, if it is gone, its leases.
+    pub(super) fn end_attempts(&mut self, worker_id: &str, gone: bool) {
         let outcome = |job: &Job| match &job.attempt {
             Attempt::Offered(worker, _) if worker == worker_id => Some(Outcome::Rejected),
             Attempt::Leased(worker, _) if worker == worker_id && gone => Some(Outcome::ConnectionLost),
@@ -131,7 +131,7 @@
         ends.into_iter().for_each(|(number, outcome)| self.end_attempt(number, outcome));
     }
 
-    /// Ends the attempt that is out, if any, and reports its outcome to the dispatcher.
+    /// Ends the attempt in flight, if any, and reports its outcome to the dispatcher.
     fn end_attempt(&mut self, number: JobNumber, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         let (worker_id, attempt) = match std::mem::replace(&mut job.attempt, Attempt::None) {
--- a/node/src/faktory/leases/job.rs
+++ b/node/src/faktory/leases/job.rs
@@ -1,4 +1,4 @@
-//! Jobs of the lease table: their progress from submission to the end, and the attempt that is out.
+//! Jobs of the lease table: progress from submission to the final answer, and the attempt in flight.
 
 use super::submission::PushOutcome;
 use crate::dispatcher::{Answer, AttemptId};
@@ -6,34 +6,34 @@
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
 
-/// Number of a job in the table, by which the dispatcher refers to it.
+/// Number of a job in the table; the dispatcher refers to the job by it.
 pub type JobNumber = u64;
 
-/// State of a job, as clients are told.
+/// State of a job, as reported to clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No worker has it.
+    /// No worker holds its lease.
     Enqueued,
     /// A worker holds its lease.
     Working,
-    /// It has ended.
+    /// It has its final answer.
     Ended(Answer),
 }
 
-/// What identifies duplicates of a job.
+/// Jobs with the same key are duplicates of each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct IdempotencyKey {
     /// Number of the tenant.
     pub tenant: usize,
     /// Number of the class.
     pub class: usize,
-    /// Key, as pushed; the job id if none was.
+    /// Key as pushed; the job id by default.
     pub key: String,
 }
 
 /// Progress of a job.
 pub(super) enum Progress {
-    /// The dispatcher has yet to admit or reject it; the clients that pushed it wait for that.
+    /// The dispatcher has neither admitted nor rejected it; the clients that pushed it wait for that.
     Submitted(Vec<oneshot::Sender<PushOutcome>>),
     /// The dispatcher has admitted it.
     Admitted,
@@ -41,31 +41,30 @@
     Ended(Answer),
 }
 
-/// Attempt of a job that is out.
+/// Attempt of a job in flight.
 pub(super) enum Attempt {
-    /// None is.
+    /// There is none.
     None,
-    /// It waits for a `FETCH` of a worker.
+    /// It waits for a `FETCH` of this worker.
     Offered(String, AttemptId),
-    /// A worker holds the lease.
+    /// This worker holds the lease.
     Leased(String, AttemptId),
 }
 
-/// A job.
+/// A job in the table.
 pub(super) struct Job {
-    /// Ids under which it was pushed; the first one is its own, the others are of duplicates.
+    /// Ids under which it was pushed; those after the first are of duplicates.
     pub jids: Vec<String>,
-    /// What identifies its duplicates.
+    /// Key that it shares with its duplicates.
     pub key: IdempotencyKey,
-    /// Bytes as pushed; empty once it has ended.
+    /// Bytes as pushed; empty after the final answer.
     pub payload: Bytes,
-    /// Progress.
     pub progress: Progress,
-    /// Attempt that is out.
+    /// Attempt in flight.
     pub attempt: Attempt,
-    /// Whether it may have run.
-    pub may_have_run: bool,
-    /// Workers that lost its lease and may still answer for it.
+    /// Whether a worker may have executed it.
+    pub may_have_executed: bool,
+    /// Workers that lost its lease and may still send a late `ACK` or `FAIL`.
     pub lost_by: BTreeSet<String>,
 }
 
@@ -75,7 +74,7 @@
         matches!(self.progress, Progress::Ended(_))
     }
 
-    /// State, as clients are told.
+    /// State, as reported to clients.
     pub fn state(&self) -> JobState {
         match (&self.progress, &self.attempt) {
             (Progress::Ended(answer), _) => JobState::Ended(answer.clone()),
@@ -95,7 +94,7 @@
     }
 
     /// Whether this worker holds the lease.
-    pub fn is_leased_to(&self, worker: &str) -> bool {
-        matches!(&self.attempt, Attempt::Leased(holder, _) if holder == worker)
+    pub fn is_leased_to(&self, worker_id: &str) -> bool {
+        matches!(&self.attempt, Attempt::Leased(holder, _) if holder == worker_id)
     }
 }
--- a/node/src/faktory/leases/mod.rs
+++ b/node/src/faktory/leases/mod.rs
@@ -1,6 +1,6 @@
-//! Lease table of the Faktory front: workers, jobs, and the one lease on each job that a worker may hold at a time.
+//! Lease table of the Faktory frontend: workers, jobs, and the lease on a job that at most one worker holds at a time.
 //!
-//! The table carries the dispatcher's attempts to workers that wait in a `FETCH`, and reports their outcomes back.
+//! The table assigns the dispatcher's attempts to waiting `FETCH`es of workers, and reports outcomes to the dispatcher.
 
 mod assignment;
 mod job;
@@ -21,50 +21,50 @@
 use tokio::time::Instant;
 use workers::Worker;
 
-/// Shortest time for which the state of an ended job is kept.
+/// Minimum time for which the state of an ended job is kept.
 const STATE_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time limits of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassLimits {
-    /// Time in which a job is to be answered.
+    /// Longest time from submission to the final answer.
     pub deadline: Duration,
-    /// Time after a job's end in which a job with the same key is a duplicate of it.
+    /// Time after a job's end in which a push with the same key is a duplicate of it.
     pub deduplication_window: Duration,
 }
 
-/// All workers and jobs of the front.
+/// The workers and jobs of the frontend.
 pub struct LeaseTable {
     dispatcher: Handle<JobNumber>,
     names: Names,
     /// By class number.
     limits: Vec<ClassLimits>,
     workers: BTreeMap<String, Worker>,
-    worker_names: HashMap<WorkerId, String>,
+    worker_ids: HashMap<WorkerId, String>,
     jobs: HashMap<JobNumber, Job>,
-    by_jid: HashMap<String, JobNumber>,
-    by_key: HashMap<IdempotencyKey, JobNumber>,
-    /// Ended jobs, by the time at which they are forgotten.
-    expiry: BTreeSet<(Instant, JobNumber)>,
-    /// Size of all payloads, in bytes.
+    numbers_by_jid: HashMap<String, JobNumber>,
+    numbers_by_key: HashMap<IdempotencyKey, JobNumber>,
+    /// Ended jobs by the time at which they are removed.
+    expiries: BTreeSet<(Instant, JobNumber)>,
+    /// Total size of the payloads, in bytes.
     payload_bytes: usize,
-    /// Next number of a job or `FETCH`.
+    /// Number of the next job or `FETCH`.
     next_number: u64,
 }
 
 impl LeaseTable {
-    /// Creates an empty table; `limits` holds those of each class, by its number.
+    /// Creates an empty table; `limits` are by class number.
     pub fn new(dispatcher: Handle<JobNumber>, names: Names, limits: Vec<ClassLimits>) -> LeaseTable {
         LeaseTable {
             dispatcher,
             names,
             limits,
             workers: BTreeMap::new(),
-            worker_names: HashMap::new(),
+            worker_ids: HashMap::new(),
             jobs: HashMap::new(),
-            by_jid: HashMap::new(),
-            by_key: HashMap::new(),
-            expiry: BTreeSet::new(),
+            numbers_by_jid: HashMap::new(),
+            numbers_by_key: HashMap::new(),
+            expiries: BTreeSet::new(),
             payload_bytes: 0,
             next_number: 1,
         }
@@ -80,30 +80,30 @@
         self.workers.len()
     }
 
-    /// Number of jobs, ended ones included.
+    /// Number of jobs, including ended ones.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// State of the job that was pushed under this id; `None` if there is none.
+    /// State of the job that was pushed under this id; `None` if there is no such job.
     pub fn job_state(&mut self, jid: &str) -> Option<JobState> {
         self.remove_expired();
-        self.by_jid.get(jid).and_then(|number| self.jobs.get(number)).map(Job::state)
+        self.numbers_by_jid.get(jid).and_then(|number| self.jobs.get(number)).map(Job::state)
     }
 
-    fn draw_number(&mut self) -> u64 {
+    fn allocate_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
     }
 
-    /// Removes the ended jobs whose retention is over.
+    /// Removes ended jobs whose retention time is over.
     fn remove_expired(&mut self) {
-        while let Some(&(at, number)) = self.expiry.first() {
+        while let Some(&(at, number)) = self.expiries.first() {
             if at > Instant::now() {
                 return;
             }
-            self.expiry.pop_first();
+            self.expiries.pop_first();
             self.remove_job(number);
         }
     }
@@ -111,9 +111,9 @@
     fn remove_job(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.remove(&number) else { return };
         for jid in &job.jids {
-            self.by_jid.remove(jid);
+            self.numbers_by_jid.remove(jid);
         }
-        self.by_key.remove(&job.key);
-        self.expiry.retain(|(_, other)| *other != number);
+        self.numbers_by_key.remove(&job.key);
+        self.expiries.retain(|(_, other)| *other != number);
     }
 }
--- a/node/src/faktory/leases/submission.rs
+++ b/node/src/faktory/leases/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs: validation, duplicates, and the dispatcher's answer.
+//! Submission of jobs: validation, deduplication, and the dispatcher's answer.
 
 use super::job::{Attempt, IdempotencyKey, Job, JobNumber, Progress};
 use super::{LeaseTable, STATE_RETENTION};
@@ -12,47 +12,47 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Most jobs in the table; a push beyond is rejected.
+/// Maximum number of jobs in the table; further pushes are rejected.
 const JOBS_MAX: usize = 20_000;
-/// Most bytes in the payloads of jobs that have not ended; a push beyond is rejected.
+/// Maximum total payload of the jobs that have not ended, in bytes; further pushes are rejected.
 const PAYLOAD_BYTES_MAX: usize = 32 << 20;
-/// Most ids under which one job is known. Workers need no bound of their own: each has a connection, and the number of
-/// connections is bounded.
+/// Maximum number of ids of one job. The number of workers needs no limit: each has a connection, and connections are
+/// limited.
 const JIDS_MAX: usize = 64;
-/// Longest deadline that a client may ask for, in seconds.
+/// Longest deadline that a client may request, in seconds.
 const DEADLINE_MAX_S: f64 = 86_400.0;
 
 /// Outcome of a push that was passed to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PushOutcome {
-    /// The job is accepted, now or before, and will have one final answer.
+    /// The push is accepted: the job, or the one that it duplicates, gets exactly one final answer.
     Accepted,
-    /// The job is rejected; it may be pushed again after this time.
+    /// The job was rejected and may be pushed again after this time.
     Rejected(Duration),
 }
 
-/// Reason for which a push is rejected before it reaches the dispatcher.
+/// Why a push is rejected before it reaches the dispatcher.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PushError {
-    /// No class has the name of the queue.
+    /// There is no class with the queue's name.
     #[error("the queue names no class")]
     UnknownClass,
-    /// No tenant has this name.
+    /// There is no tenant with this name.
     #[error("custom.tenant is unknown")]
     UnknownTenant,
-    /// The settings name tenants, and the job names none.
+    /// The settings have tenants, and the job names none.
     #[error("custom.tenant is missing")]
     MissingTenant,
-    /// The job is to start later.
+    /// The job has a scheduled start.
     #[error("jobs that start later are not taken")]
     Scheduled,
     /// The deadline is not a positive number.
     #[error("custom.deadline is not a time")]
     InvalidDeadline,
-    /// The estimate of the run time is not a positive number.
+    /// The cost hint is not a positive number.
     #[error("custom.cost_hint is not a time")]
     InvalidCostHint,
-    /// The id belongs to a job with another key.
+    /// A job with another idempotency key has this id.
     #[error("this jid is in use for another job")]
     JidInUse,
     /// The job has too many duplicates.
@@ -67,9 +67,9 @@
 struct Submission {
     jid: String,
     key: IdempotencyKey,
-    /// Deadline that the client asks for, in seconds.
+    /// Deadline that the client requests, in seconds.
     deadline_s: Option<f64>,
-    /// Estimate of the run time, in microseconds.
+    /// Estimated execution time, in microseconds.
     cost_hint_us: Option<u64>,
 }
 
@@ -86,15 +86,16 @@
         if job.at.is_some() {
             return Err(PushError::Scheduled);
         }
-        let deadline_s = positive(custom.deadline, PushError::InvalidDeadline)?;
-        let cost_hint_us = positive(custom.cost_hint, PushError::InvalidCostHint)?.map(|hint| hint as u64);
+        let deadline_s = check_positive(custom.deadline, PushError::InvalidDeadline)?;
+        let cost_hint_us =
+            check_positive(custom.cost_hint, PushError::InvalidCostHint)?.map(|hint| hint as u64);
         let key = custom.key.unwrap_or_else(|| job.jid.clone());
         Ok(Submission { jid: job.jid, key: IdempotencyKey { tenant, class, key }, deadline_s, cost_hint_us })
     }
 }
 
-/// Checks that a number is positive and finite, if there is one.
-fn positive(value: Option<f64>, error: PushError) -> Result<Option<f64>, PushError> {
+/// Checks that a number, if present, is positive and finite.
+fn check_positive(value: Option<f64>, error: PushError) -> Result<Option<f64>, PushError> {
     match value {
         Some(number) if !(number > 0.0 && number.is_finite()) => Err(error),
         _ => Ok(value),
@@ -102,8 +103,8 @@
 }
 
 impl LeaseTable {
-    /// Submits a job to the dispatcher, or joins it to the job that it is a duplicate of. The receiver gets the outcome
-    /// once the dispatcher has admitted or rejected the job.
+    /// Submits a job to the dispatcher, or attaches it to the job that it duplicates. The receiver gets the outcome once
+    /// the dispatcher has admitted or rejected the job.
     ///
     /// # Errors
     ///
@@ -113,7 +114,7 @@
         let submission = Submission::validate(job, &self.names)?;
         let (sender, receiver) = oneshot::channel();
         if let Some(number) = self.find_duplicate(&submission.jid, &submission.key)? {
-            self.join(number, submission.jid, sender)?;
+            self.attach_duplicate(number, submission.jid, sender)?;
             return Ok(receiver);
         }
         if self.jobs.len() >= JOBS_MAX || self.payload_bytes + payload.len() > PAYLOAD_BYTES_MAX {
@@ -126,10 +127,10 @@
     /// Adds a job to the table and passes it to the dispatcher.
     fn submit(&mut self, submission: Submission, payload: Bytes, sender: oneshot::Sender<PushOutcome>) {
         let Submission { jid, key, deadline_s, cost_hint_us } = submission;
-        let number = self.draw_number();
+        let number = self.allocate_number();
         self.payload_bytes += payload.len();
-        self.by_jid.insert(jid.clone(), number);
-        self.by_key.insert(key.clone(), number);
+        self.numbers_by_jid.insert(jid.clone(), number);
+        self.numbers_by_key.insert(key.clone(), number);
         let (class, tenant) = (key.class, key.tenant);
         let job = Job {
             jids: vec![jid],
@@ -137,43 +138,43 @@
             payload,
             progress: Progress::Submitted(vec![sender]),
             attempt: Attempt::None,
-            may_have_run: false,
+            may_have_executed: false,
             lost_by: BTreeSet::new(),
         };
         self.jobs.insert(number, job);
-        let longest = self.limits[class].deadline;
-        let deadline =
-            deadline_s.map_or(longest, |s| longest.min(Duration::from_secs_f64(s.min(DEADLINE_MAX_S))));
+        let class_deadline = self.limits[class].deadline;
+        let deadline = deadline_s
+            .map_or(class_deadline, |s| class_deadline.min(Duration::from_secs_f64(s.min(DEADLINE_MAX_S))));
         let time_left_us = deadline.as_micros() as u64;
         let request =
             Request { class, tenant, time_left_us, work_hint_us: cost_hint_us, ..Request::default() };
         self.dispatcher.submit(request, number);
     }
 
-    /// The job that this one is a duplicate of, if any.
+    /// Finds the job that a push duplicates, if any.
     ///
-    /// Guards against double execution for clients that push again: within the window a push joins the first job, unless
-    /// that one was rejected and surely never ran.
+    /// This prevents double execution for clients that push again: within the deduplication window a push is attached to
+    /// the first job, unless that one was shed and proven not executed.
     fn find_duplicate(&mut self, jid: &str, key: &IdempotencyKey) -> Result<Option<JobNumber>, PushError> {
-        let by_jid = self.by_jid.get(jid).copied();
+        let by_jid = self.numbers_by_jid.get(jid).copied();
         if by_jid.is_some_and(|number| self.jobs[&number].key != *key) {
             return Err(PushError::JidInUse);
         }
-        let Some(number) = by_jid.or(self.by_key.get(key).copied()) else { return Ok(None) };
+        let Some(number) = by_jid.or(self.numbers_by_key.get(key).copied()) else { return Ok(None) };
         let job = &self.jobs[&number];
-        let may_run_anew = match &job.progress {
+        let may_execute_again = match &job.progress {
             Progress::Submitted(_) | Progress::Admitted => false,
-            Progress::Ended(Answer::Shed(_)) => !job.may_have_run,
+            Progress::Ended(Answer::Shed(_)) => !job.may_have_executed,
             Progress::Ended(_) => !self.names.requires_idempotency_key[key.class],
         };
-        if may_run_anew {
+        if may_execute_again {
             self.remove_job(number);
         }
-        Ok((!may_run_anew).then_some(number))
+        Ok((!may_execute_again).then_some(number))
     }
 
-    /// Joins a push to the job that it is a duplicate of.
-    fn join(
+    /// Attaches a push to the job that it duplicates.
+    fn attach_duplicate(
         &mut self,
         number: JobNumber,
         jid: String,
@@ -185,7 +186,7 @@
                 return Err(PushError::TooManyDuplicates);
             }
             job.jids.push(jid.clone());
-            self.by_jid.insert(jid, number);
+            self.numbers_by_jid.insert(jid, number);
         }
         match &mut job.progress {
             Progress::Submitted(senders) => senders.push(sender),
@@ -194,7 +195,7 @@
         Ok(())
     }
 
-    /// Records that the dispatcher has admitted a job.
+    /// Handles the dispatcher's admission of a job.
     pub fn job_admitted(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         if let Progress::Submitted(senders) = &mut job.progress {
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Records the dispatcher's final answer to a job. A rejection of a job that was not admitted before is the answer to
-    /// the push itself, and the job is not kept.
+    /// Handles the dispatcher's final answer to a job. A job that is shed before its admission is removed, and its push is
+    /// rejected.
     pub fn job_answered(&mut self, number: JobNumber, answer: Answer) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         self.payload_bytes -= job.payload.len();
@@ -215,10 +216,10 @@
             self.remove_job(number);
             return notify(senders, &outcome);
         }
-        let before = std::mem::replace(&mut job.progress, Progress::Ended(answer));
+        let previous = std::mem::replace(&mut job.progress, Progress::Ended(answer));
         let window = self.limits[job.key.class].deduplication_window;
-        self.expiry.insert((Instant::now() + window.max(STATE_RETENTION), number));
-        if let Progress::Submitted(senders) = before {
+        self.expiries.insert((Instant::now() + window.max(STATE_RETENTION), number));
+        if let Progress::Submitted(senders) = previous {
             notify(senders, &PushOutcome::Accepted);
         }
     }
@@ -226,6 +227,6 @@
 
 fn notify(senders: impl IntoIterator<Item = oneshot::Sender<PushOutcome>>, outcome: &PushOutcome) {
     for sender in senders {
-        let _ = sender.send(outcome.clone()); // fails if the client has gone
+        let _ = sender.send(outcome.clone()); // fails if the client has disconnected
     }
 }
--- a/node/src/faktory/leases/workers.rs
+++ b/node/src/faktory/leases/workers.rs
@@ -1,4 +1,4 @@
-//! Workers of the lease table: their sessions, heartbeats and waiting `FETCH`es.
+//! Workers of the lease table: sessions, heartbeats and waiting `FETCH`es.
 
 use super::assignment::Delivery;
 use super::job::JobNumber;
@@ -10,10 +10,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Time without a command after which a worker is taken to be dead, as in Faktory.
+/// Time without a command after which a worker is considered dead; the same as in Faktory.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Error for a worker that has no session.
+/// Error: the worker has no session.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this worker is unknown")]
 pub struct UnknownWorker;
@@ -21,58 +21,58 @@
 /// A `FETCH` that waits for a job.
 pub(super) struct WaitingFetch {
     number: u64,
-    /// Numbers of the classes that it asks for.
+    /// Numbers of the requested classes.
     classes: Vec<usize>,
-    /// Where the job is to go.
-    pub deliver: oneshot::Sender<Delivery>,
+    /// Channel for the job.
+    pub sender: oneshot::Sender<Delivery>,
 }
 
 /// A worker that has at least one session.
 #[derive(Default)]
 pub(super) struct Worker {
     sessions: usize,
-    /// It is about to stop and gets no new jobs.
+    /// Whether it is about to stop and gets no new jobs.
     pub draining: bool,
     last_activity: Option<Instant>,
     waiting: VecDeque<WaitingFetch>,
-    /// Jobs offered to it, the oldest first.
+    /// Jobs offered to it, oldest first.
     pub offers: VecDeque<JobNumber>,
 }
 
 impl Worker {
-    /// Removes and returns the oldest `FETCH` of a class that still waits.
+    /// Removes and returns the oldest waiting `FETCH` of a class.
     pub fn take_fetch(&mut self, class: usize) -> Option<WaitingFetch> {
-        let matches = |fetch: &WaitingFetch| fetch.classes.contains(&class) && !fetch.deliver.is_closed();
+        let matches = |fetch: &WaitingFetch| fetch.classes.contains(&class) && !fetch.sender.is_closed();
         let position = self.waiting.iter().position(matches)?;
         self.waiting.remove(position)
     }
 }
 
 impl LeaseTable {
-    /// Registers a session of a worker. With the first one, the worker becomes available to the dispatcher.
+    /// Registers a session of a worker. The first one makes the worker available to the dispatcher.
     pub fn session_opened(&mut self, worker_id: &str) {
         let worker = self.workers.entry(worker_id.to_string()).or_default();
         worker.sessions += 1;
         worker.last_activity = Some(Instant::now());
         if worker.sessions == 1 {
-            self.worker_names.insert(WorkerId(stable_hash(worker_id)), worker_id.to_string());
-            self.announce(worker_id, Availability::Ready);
+            self.worker_ids.insert(WorkerId(stable_hash(worker_id)), worker_id.to_string());
+            self.report_availability(worker_id, Availability::Ready);
         }
     }
 
-    /// Unregisters a session of a worker. With the last one, its leases are lost.
+    /// Unregisters a session of a worker. The end of the last one ends the worker's leases.
     pub fn session_closed(&mut self, worker_id: &str) {
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         worker.sessions -= 1;
         if worker.sessions == 0 {
-            self.announce(worker_id, Availability::Gone);
-            self.release(worker_id, true);
+            self.report_availability(worker_id, Availability::Gone);
+            self.end_attempts(worker_id, true);
             self.workers.remove(worker_id);
-            self.worker_names.remove(&WorkerId(stable_hash(worker_id)));
+            self.worker_ids.remove(&WorkerId(stable_hash(worker_id)));
         }
     }
 
-    /// Handles a heartbeat, and returns whether the worker drains: one that is `stopping` gets no new jobs from here on.
+    /// Handles a heartbeat and returns whether the worker drains. Once it is `stopping`, it gets no new jobs.
     ///
     /// # Errors
     ///
@@ -82,52 +82,52 @@
         worker.last_activity = Some(Instant::now());
         if stopping && !worker.draining {
             worker.draining = true;
-            worker.waiting.clear(); // its FETCHes then end without a job
-            self.announce(worker_id, Availability::Draining);
-            self.release(worker_id, false);
+            worker.waiting.clear(); // ends its waiting FETCHes without a job
+            self.report_availability(worker_id, Availability::Draining);
+            self.end_attempts(worker_id, false);
             return Ok(true);
         }
         Ok(worker.draining)
     }
 
     /// Whether a worker has sent no command for [`HEARTBEAT_TIMEOUT`].
-    pub fn is_silent(&self, worker_id: &str) -> bool {
+    pub fn has_timed_out(&self, worker_id: &str) -> bool {
         let last_activity = self.workers.get(worker_id).and_then(|worker| worker.last_activity);
         last_activity.is_none_or(|at| at.elapsed() >= HEARTBEAT_TIMEOUT)
     }
 
-    /// Adds a `FETCH` of a worker for a job of these queues, and returns its number. The receiver is closed if the worker
-    /// gets no more jobs.
+    /// Adds a `FETCH` of a worker for a job from these queues, and returns its number. The receiver is closed if the worker
+    /// drains.
     pub fn fetch(&mut self, worker_id: &str, queues: &[String]) -> (u64, oneshot::Receiver<Delivery>) {
-        let number = self.draw_number();
-        let (deliver, receiver) = oneshot::channel();
+        let number = self.allocate_number();
+        let (sender, receiver) = oneshot::channel();
         let class = |queue: &String| self.names.classes.iter().position(|class| class == queue);
         let classes = queues.iter().filter_map(class).collect();
-        self.note_activity(worker_id);
+        self.record_activity(worker_id);
         if let Some(worker) = self.workers.get_mut(worker_id).filter(|worker| !worker.draining) {
-            worker.waiting.push_back(WaitingFetch { number, classes, deliver });
+            worker.waiting.push_back(WaitingFetch { number, classes, sender });
         }
         self.assign_offers(worker_id);
         (number, receiver)
     }
 
-    /// Removes a `FETCH` that no longer waits.
+    /// Removes a waiting `FETCH`.
     pub fn cancel_fetch(&mut self, worker_id: &str, number: u64) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.waiting.retain(|fetch| fetch.number != number);
         }
     }
 
-    /// Notes that a worker has sent a command.
-    pub(super) fn note_activity(&mut self, worker_id: &str) {
+    /// Records that a worker has sent a command.
+    pub(super) fn record_activity(&mut self, worker_id: &str) {
         if let Some(worker) = self.workers.get_mut(worker_id) {
             worker.last_activity = Some(Instant::now());
         }
     }
 
     /// Reports the availability of a worker to the dispatcher.
-    fn announce(&self, worker_id: &str, availability: Availability) {
-        // A worker asks for each job itself, so it can't be overloaded by a push and needs no slow start.
+    fn report_availability(&self, worker_id: &str, availability: Availability) {
+        // Workers fetch their jobs, so they can't be overloaded, and no slow start is needed.
         let worker = WorkerId(stable_hash(worker_id));
         let entry = Endpoint { worker, kind: 0, zone: 0, cell: 0, availability, weight: 1.0, started_at: 0 };
         self.dispatcher.update_endpoints(vec![entry], false);
--- a/node/src/faktory/mod.rs
+++ b/node/src/faktory/mod.rs
@@ -1,9 +1,9 @@
-//! Front for the Faktory work protocol, version 2, on a dispatcher of its own. Off unless an operator's file is named on
-//! the command line.
+//! Frontend for the Faktory work protocol, version 2, with its own dispatcher. Disabled unless the command line names a
+//! configuration file.
 //!
-//! A [`Server`] accepts connections; each has a session, which parses its [`command`]s and answers with [`reply`]s. Jobs
-//! and workers are in the [`leases`] table. The dispatcher decides which worker gets which job, and its transport offers
-//! the job to that worker's next `FETCH`.
+//! A [`Server`] accepts connections. Each has a session, which parses [`command`]s and sends [`reply`]s. The [`leases`]
+//! table holds jobs and workers. The dispatcher decides which worker executes a job, and its transport offers the job to
+//! that worker's next `FETCH`.
 
 pub mod authentication;
 mod codec;
--- a/node/src/faktory/reply.rs
+++ b/node/src/faktory/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the server, encoded in RESP (the Redis serialization protocol).
+//! Replies of the server and their encoding in RESP, the Redis serialization protocol.
 
 use super::command::CommandError;
 use bytes::Bytes;
@@ -6,25 +6,25 @@
 /// Reply to a command.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Success without a value.
+    /// `OK`.
     Ok,
-    /// Simple string: one line.
+    /// Simple string, a single line.
     Simple(String),
-    /// Bulk string: any bytes.
+    /// Bulk string, of any bytes.
     Bulk(Bytes),
-    /// Null: no job.
+    /// Null bulk string: no job is available.
     Nil,
-    /// Error: its code, and the text.
+    /// Error with its code and text.
     Error(&'static str, String),
 }
 
 impl Reply {
-    /// An error without a code of its own.
+    /// Error with the generic code.
     pub fn error(error: impl ToString) -> Reply {
         Reply::Error("ERR", error.to_string())
     }
 
-    /// Encodes the reply for the wire.
+    /// Encodes the reply.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Reply::Ok => b"+OK\r\n".to_vec(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Replaces line breaks: the receiver would take one within a line for its end.
+/// Replaces line breaks, which would end a simple string or an error early.
 fn single_line(text: &str) -> String {
     text.replace(['\r', '\n'], " ")
 }
--- a/node/src/faktory/server.rs
+++ b/node/src/faktory/server.rs
@@ -1,4 +1,4 @@
-//! Server of the Faktory front: start, connections, and the end once every accepted job has its answer.
+//! Server of the Faktory frontend: start, accept loop, and shutdown once every accepted job has its answer.
 
 use super::authentication::Challenge;
 use super::config::FaktoryConfig;
@@ -27,72 +27,72 @@
 use tokio::task::AbortHandle;
 use tokio::time::{interval, Instant};
 
-/// Interval between checks of whether all jobs have ended, once the process ends.
+/// Interval at which the shutdown checks whether all jobs have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval between checks of whether the dispatcher still runs.
+/// Interval at which the server checks whether the dispatcher still runs.
 const DISPATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Error that ends the front, or prevents its start.
+/// Error that ends the frontend or prevents its start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The address can't be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Address in the operator's file.
+        /// Address in the configuration file.
         address: SocketAddr,
         /// Error of the system call.
         source: io::Error,
     },
-    /// The environment variable that is to hold the password is not set.
+    /// The environment variable for the password is not set.
     #[error("operator's file: {0} is not set")]
     PasswordNotSet(String),
-    /// The settings can't be read.
+    /// The settings can't be parsed.
     #[error("{0}")]
     Settings(#[source] names::ParseError),
-    /// The dispatcher rejects the settings.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     InvalidSettings(#[source] InvalidSettings),
-    /// The dispatcher has ended, so that no job can be decided on.
+    /// The dispatcher has ended, so no job can be dispatched.
     #[error("the core has ended")]
     DispatcherEnded,
 }
 
-/// State that the sessions and the dispatcher's transport share.
-pub(super) struct Shared {
+/// State shared by the sessions and the dispatcher's transport.
+pub(super) struct SharedState {
     leases: Mutex<LeaseTable>,
     password: Option<String>,
     counters: Arc<Counters>,
     phase: watch::Receiver<Phase>,
 }
 
-impl Shared {
-    /// The lease table. The lock is never held across an `await`.
+impl SharedState {
+    /// Locks the lease table. The guard must not be held across an `await`.
     pub fn leases(&self) -> MutexGuard<'_, LeaseTable> {
         self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Password, if there is one.
+    /// The password, if there is one.
     pub fn password(&self) -> Option<&str> {
         self.password.as_deref()
     }
 
-    /// Counters of this front.
+    /// Counters of this frontend.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Whether the phase of the process is one in which new jobs are rejected.
+    /// Whether new jobs are rejected in the current phase of the process.
     pub fn rejects_new_jobs(&self) -> bool {
         self.phase.borrow().closes_connections()
     }
 
-    /// Draws the challenge of one session, if there is a password.
+    /// Generates the challenge of a session, if there is a password.
     pub fn challenge(&self) -> Option<Challenge> {
         self.password.as_ref().map(|_| Challenge::generate())
     }
 
-    /// JSON text of the server's information.
-    pub fn info(&self) -> String {
+    /// Reply to `INFO`, as JSON.
+    pub fn info_json(&self) -> String {
         let (workers, jobs) = {
             let leases = self.leases();
             (leases.worker_count(), leases.job_count())
@@ -117,16 +117,16 @@
     }
 }
 
-/// A dispatcher with its Faktory transport, and no listener yet.
+/// A dispatcher with its Faktory transport.
 #[derive(Clone)]
 pub struct Server {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     dispatcher: Arc<AbortHandle>,
     longest_deadline: Duration,
 }
 
 impl Server {
-    /// Starts the dispatcher as a task of its own; `seed` is that of its random choices.
+    /// Starts the dispatcher as a task; `seed` is that of its random number generator.
     ///
     /// # Errors
     ///
@@ -139,13 +139,13 @@
         phase: watch::Receiver<Phase>,
     ) -> Result<Server, Error> {
         let (settings, names) = parse_settings(&config.settings).map_err(Error::Settings)?;
-        // A job may wait so long for a FETCH of the worker that it was assigned to.
+        // An offered job waits this long for a FETCH of its worker.
         let settings = Settings { max_send_delay_us: OFFER_TIMEOUT.as_micros() as u64, ..settings };
         let limits = class_limits(&settings);
         let longest_deadline = limits.iter().map(|class| class.deadline).max().unwrap_or_default();
         let (handle, inbox) = queue();
         let leases = Mutex::new(LeaseTable::new(handle.clone(), names, limits));
-        let shared = Arc::new(Shared { leases, password, counters: counters.clone(), phase });
+        let shared = Arc::new(SharedState { leases, password, counters: counters.clone(), phase });
         let transport = FaktoryTransport { shared: shared.clone() };
         let dispatcher =
             Dispatcher::new(settings, seed, transport, counters).map_err(Error::InvalidSettings)?;
@@ -154,12 +154,13 @@
         Ok(Server { shared, dispatcher: Arc::new(dispatcher), longest_deadline })
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it ends.
     pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(&self, socket: S) {
         session::serve(self.shared.clone(), socket).await;
     }
 
-    /// Serves at most `connections` at a time, until the process ends and every accepted job has its answer.
+    /// Serves up to `connections` concurrent connections until the process is closing and every accepted job has its
+    /// answer.
     ///
     /// # Errors
     ///
@@ -168,7 +169,7 @@
         let mut phase = self.shared.phase.clone();
         tokio::select! {
             () = self.accept(listener, Arc::new(Semaphore::new(connections))) => {}
-            // Guards against a front that stays up and can decide nothing.
+            // Without the dispatcher the frontend would accept connections and dispatch nothing.
             () = self.dispatcher_ended() => return Err(Error::DispatcherEnded),
             _ = phase.wait_for(|phase| *phase == Phase::Closing) => {}
         }
@@ -178,7 +179,7 @@
 
     async fn accept(&self, listener: TcpListener, slots: Arc<Semaphore>) {
         let mut acceptor = Acceptor::default();
-        // A slot is acquired before a connection is taken out of the backlog.
+        // Without a free slot, connections stay in the listen backlog.
         while let Ok(slot) = slots.clone().acquire_owned().await {
             let socket = acceptor.accept(&listener).await.socket;
             let server = self.clone();
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Waits until all jobs have ended: workers finish what they hold, and deadlines end the rest.
+    /// Waits until all jobs have ended: workers finish the jobs they hold, and deadlines end the others.
     async fn drain(&self) {
         let end = Instant::now() + self.longest_deadline;
         let mut check = interval(DRAIN_CHECK_INTERVAL);
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Returns once the dispatcher has ended, which it does not in normal operation.
+    /// Returns once the dispatcher has ended, which does not happen in normal operation.
     async fn dispatcher_ended(&self) {
         let mut check = interval(DISPATCHER_CHECK_INTERVAL);
         while !self.dispatcher.is_finished() {
@@ -209,7 +210,7 @@
     }
 }
 
-/// Time limits of each class, by its number.
+/// Time limits by class number.
 fn class_limits(settings: &Settings) -> Vec<ClassLimits> {
     let limits = settings.classes.iter().map(|class| ClassLimits {
         deadline: Duration::from_micros(class.deadline_us),
@@ -218,17 +219,17 @@
     limits.collect()
 }
 
-/// Binds the address in the operator's file.
+/// Binds the configured address.
 ///
 /// # Errors
 ///
-/// Fails if it can't be bound.
+/// Fails if the address can't be bound.
 pub async fn listen(config: &FaktoryConfig) -> Result<TcpListener, Error> {
     let listener = retry_local_failures(START_RETRY_LIMIT, || TcpListener::bind(config.listen)).await;
     listener.map_err(|source| Error::Listen { address: config.listen, source })
 }
 
-/// Serves as the operator's file says, until the process ends.
+/// Serves with this configuration until the process is closing and every accepted job has its answer.
 ///
 /// # Errors
 ///
--- a/node/src/faktory/session.rs
+++ b/node/src/faktory/session.rs
@@ -1,11 +1,11 @@
-//! Session of one connection: the greeting, then commands in order, each with its reply.
+//! Session of one connection: handshake, then commands, answered in order.
 
 use super::authentication::{check_handshake, greeting, Challenge, HandshakeError};
 use super::codec::{Line, SessionCodec};
 use super::command::{Beat, Command, Hello, Push, WorkerCommand};
 use super::leases::{Delivery, JobState, PushOutcome, HEARTBEAT_TIMEOUT};
 use super::reply::Reply;
-use super::server::Shared;
+use super::server::SharedState;
 use crate::dispatcher::Answer;
 use bytes::Bytes;
 use dispatch_policy::api::Outcome;
@@ -19,33 +19,33 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Time limit for the peer's `HELLO`.
+/// Time limit for `HELLO`.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which a `FETCH` waits for a job, as in Faktory.
+/// Time for which a `FETCH` waits for a job; the same as in Faktory.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between checks of whether a worker has gone silent.
-const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Time limit for writing a reply. Guards against peers that read nothing and so hold their sessions.
+/// Interval at which an idle session checks for a heartbeat timeout of its worker.
+const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Time limit for writing a reply, so that a peer that does not read can't keep its session open.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Marker: the session has ended.
+/// Error value: the session has ended.
 struct SessionEnded;
 
 type Result<T> = std::result::Result<T, SessionEnded>;
 
 struct Session<S> {
-    shared: Arc<Shared>,
-    wire: Framed<S, SessionCodec>,
+    shared: Arc<SharedState>,
+    framed: Framed<S, SessionCodec>,
     /// Id of the worker; `None` for a client.
     worker_id: Option<String>,
-    /// A line that was received while a `FETCH` waited.
+    /// Line that was received while a `FETCH` waited.
     read_ahead: Option<io::Result<Line>>,
 }
 
-/// Serves one connection to its end. The leases of a worker are lost with its last session.
-pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(shared: Arc<Shared>, socket: S) {
-    let wire = Framed::new(socket, SessionCodec::default());
-    let mut session = Session { shared: shared.clone(), wire, worker_id: None, read_ahead: None };
+/// Serves one connection until it ends. The end of a worker's last session ends its leases.
+pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(shared: Arc<SharedState>, socket: S) {
+    let framed = Framed::new(socket, SessionCodec::default());
+    let mut session = Session { shared: shared.clone(), framed, worker_id: None, read_ahead: None };
     let SessionEnded = session.run().await;
     if let Some(worker_id) = session.worker_id {
         shared.leases().session_closed(&worker_id);
@@ -54,7 +54,7 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Session<S> {
     async fn run(&mut self) -> SessionEnded {
-        if let Err(ended) = self.greet().await {
+        if let Err(ended) = self.exchange_handshake().await {
             return ended;
         }
         loop {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Reads one command, carries it out and sends its reply.
+    /// Reads a command, executes it and sends the reply.
     async fn serve_command(&mut self) -> Result<()> {
         let command = match self.read_line().await?.and_then(|line| Command::parse(&line)) {
             Ok(command) => command,
@@ -81,21 +81,21 @@
                 Some(state) => Reply::Bulk(Bytes::from(encode_state(&jid, &state))),
                 None => Reply::error("this job is unknown"),
             },
-            Command::Info => Reply::Bulk(Bytes::from(self.shared.info())),
+            Command::Info => Reply::Bulk(Bytes::from(self.shared.info_json())),
             Command::Hello(_) => Reply::error("HELLO comes once"),
         };
         self.send(reply).await
     }
 
-    /// Reads the next line. The session ends with the connection, or if a worker has gone silent.
+    /// Reads the next line. Ends the session if the connection ends or the worker's heartbeat times out.
     async fn read_line(&mut self) -> Result<Line> {
         let next = match self.read_ahead.take() {
             Some(line) => Some(line),
             None => loop {
                 tokio::select! {
                     biased;
-                    line = self.wire.next() => break line,
-                    () = sleep(SILENCE_CHECK_INTERVAL) => self.check_silence()?,
+                    line = self.framed.next() => break line,
+                    () = sleep(HEARTBEAT_CHECK_INTERVAL) => self.check_heartbeat()?,
                 }
             },
         };
@@ -105,30 +105,30 @@
         }
     }
 
-    fn check_silence(&self) -> Result<()> {
+    fn check_heartbeat(&self) -> Result<()> {
         let Some(worker_id) = &self.worker_id else { return Ok(()) };
-        if !self.shared.leases().is_silent(worker_id) {
+        if !self.shared.leases().has_timed_out(worker_id) {
             return Ok(());
         }
         log::warn!(event = "faktory_worker_silent", worker = worker_id, timeout_s = HEARTBEAT_TIMEOUT.as_secs();
-            "Faktory worker sent no command within the heartbeat timeout: its session is closed");
+            "Faktory worker sent no command within the heartbeat timeout; closing the session");
         Err(SessionEnded)
     }
 
     async fn send(&mut self, reply: Reply) -> Result<()> {
-        match timeout(WRITE_TIMEOUT, self.wire.send(reply)).await {
+        match timeout(WRITE_TIMEOUT, self.framed.send(reply)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) | Err(_) => Err(SessionEnded),
         }
     }
 
-    /// Exchanges greeting and handshake.
-    async fn greet(&mut self) -> Result<()> {
+    /// Sends the greeting and checks the peer's `HELLO`.
+    async fn exchange_handshake(&mut self) -> Result<()> {
         let challenge = self.shared.challenge();
         self.send(greeting(challenge.as_ref())).await?;
         let line = timeout(HELLO_TIMEOUT, self.read_line()).await.unwrap_or(Err(SessionEnded))?;
         let rejection = match line.and_then(|line| Command::parse(&line)) {
-            Ok(Command::Hello(hello)) => match self.open(hello, challenge.as_ref()) {
+            Ok(Command::Hello(hello)) => match self.accept_handshake(hello, challenge.as_ref()) {
                 Ok(()) => return self.send(Reply::Ok).await,
                 Err(error) => Reply::error(error),
             },
@@ -139,8 +139,8 @@
         Err(SessionEnded)
     }
 
-    /// Checks the handshake, and registers the session of a worker.
-    fn open(
+    /// Validates the handshake and, for a worker, registers the session.
+    fn accept_handshake(
         &mut self,
         hello: Hello,
         challenge: Option<&Challenge>,
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// Submits a job, and waits until it is accepted or rejected.
+    /// Submits a job and waits until the push is accepted or rejected.
     async fn push(&self, job: Push, payload: Bytes) -> Result<Reply> {
         if self.shared.rejects_new_jobs() {
             return Ok(Reply::Error("SHUTDOWN", "the server takes no new jobs".to_string()));
@@ -171,18 +171,18 @@
             Ok(PushOutcome::Rejected(retry_after)) => {
                 Ok(Reply::error(format!("refused: try again in {:.3} s", retry_after.as_secs_f64())))
             }
-            // A dispatcher that has ended answers nothing more.
+            // The dispatcher has ended: no outcome follows.
             Err(_) => Err(SessionEnded),
         }
     }
 
-    /// Carries out a worker's command other than `FETCH`.
+    /// Executes a worker's command other than `FETCH`.
     fn run_worker_command(&self, command: WorkerCommand) -> Reply {
         let Some(worker_id) = &self.worker_id else {
             return Reply::error("only a worker, whose HELLO names its wid, may say this");
         };
         match command {
-            WorkerCommand::Fetch(_) => Reply::Nil, // it waits in `fetch`
+            WorkerCommand::Fetch(_) => Reply::Nil, // handled by `fetch`
             WorkerCommand::Ack(jid) => self.finish(worker_id, &jid, Outcome::Success),
             WorkerCommand::Fail(jid) => self.finish(worker_id, &jid, Outcome::Error),
             WorkerCommand::Beat(beat) => self.record_heartbeat(worker_id, &beat),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Waits for a job and sends it. A connection that ends meanwhile takes no job with it.
+    /// Waits for a job and sends it. A connection that ends during the wait gets no job.
     async fn fetch(&mut self, queues: &[String]) -> Result<()> {
         let worker_id = self.worker_id.clone().unwrap_or_default();
         let (number, mut receiver) = self.shared.leases().fetch(&worker_id, queues);
@@ -215,12 +215,12 @@
             biased;
             delivery = &mut receiver => delivery.ok(),
             () = sleep(FETCH_TIMEOUT) => None,
-            line = self.wire.next(), if self.read_ahead.is_none() => {
+            line = self.framed.next(), if self.read_ahead.is_none() => {
                 let Some(line) = line else {
-                    self.abandon_fetch(&worker_id, number, &mut receiver);
+                    self.withdraw_fetch(&worker_id, number, &mut receiver);
                     return Err(SessionEnded);
                 };
-                // A command that came early waits for its turn: the reply to this FETCH comes first.
+                // A pipelined command is handled after the reply to this FETCH.
                 self.read_ahead = Some(line);
                 timeout(FETCH_TIMEOUT, &mut receiver).await.ok().and_then(|delivery| delivery.ok())
             }
@@ -229,13 +229,13 @@
         let Some(delivery) = delivery else { return self.send(Reply::Nil).await };
         let sent = self.send(Reply::Bulk(delivery.payload.clone())).await;
         if sent.is_err() {
-            // Part of it may have gone out: the worker may run it.
+            // Part of the reply may have been sent, so the worker may execute the job.
             self.shared.leases().delivery_failed(&delivery, false);
         }
         sent
     }
 
-    /// Ends a `FETCH` that has waited long enough, and returns the job that it was given in this moment, if any.
+    /// Ends a `FETCH` that has timed out. Returns a job that was assigned to it concurrently, if any.
     fn end_fetch(
         &self,
         worker_id: &str,
@@ -246,8 +246,8 @@
         receiver.try_recv().ok()
     }
 
-    /// Ends the `FETCH` of a connection that has gone. A job that it was given in this moment goes back unsent.
-    fn abandon_fetch(&self, worker_id: &str, number: u64, receiver: &mut oneshot::Receiver<Delivery>) {
+    /// Ends the `FETCH` of a closed connection. A job that was assigned to it concurrently is returned as not sent.
+    fn withdraw_fetch(&self, worker_id: &str, number: u64, receiver: &mut oneshot::Receiver<Delivery>) {
         let mut leases = self.shared.leases();
         leases.cancel_fetch(worker_id, number);
         if let Ok(delivery) = receiver.try_recv() {
@@ -256,7 +256,7 @@
     }
 }
 
-/// JSON text of a job's state.
+/// Encodes the state of a job as JSON.
 fn encode_state(jid: &str, state: &JobState) -> String {
     let fields = match state {
         JobState::Enqueued => json!({"jid": jid, "state": "enqueued"}),
--- a/node/src/faktory/transport.rs
+++ b/node/src/faktory/transport.rs
@@ -1,15 +1,15 @@
-//! Transport of the dispatcher's decisions to Faktory workers, by way of the lease table.
+//! Transport of the dispatcher's decisions to Faktory workers, through the lease table.
 
 use super::leases::{JobNumber, OFFER_TIMEOUT};
-use super::server::Shared;
+use super::server::SharedState;
 use crate::dispatcher::{Answer, AttemptId, Frontend};
 use dispatch_policy::api::{Outcome, WorkerId};
 use std::sync::Arc;
 use tokio::time::{sleep, Instant};
 
-/// Transport that the dispatcher drives.
+/// The dispatcher's interface to this frontend.
 pub(super) struct FaktoryTransport {
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
 }
 
 impl Frontend for FaktoryTransport {
@@ -21,7 +21,7 @@
         attempt: AttemptId,
         job: &JobNumber,
         worker: WorkerId,
-        _until: Instant,
+        _deadline: Instant,
     ) -> Self::Attempt {
         let job = *job;
         if self.shared.leases().offer(attempt, job, worker) {
