--- a/node/src/coordination/operator_commands.rs
+++ b/node/src/coordination/operator_commands.rs
@@ -1,4 +1,5 @@
-//! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: ask a node's management address and print the answer.
+//! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: calls to a node's management address, and the text
+//! of the response.
 
 use super::status::Status;
 use crate::operator_client::{call, CallError};
@@ -10,39 +11,39 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// Changes of leases that are printed.
-const CHANGES: usize = 10;
+/// Number of lease changes that are shown.
+const CHANGES_SHOWN: usize = 10;
 
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum OperatorCommandError {
-    /// The node does not answer.
+    /// The node can't be reached or does not respond.
     #[error(transparent)]
     Unreachable(#[from] CallError),
-    /// The node rejected the command, for this reason.
+    /// The node rejected the command.
     #[error("{address}: {reason}")]
     Rejected {
-        /// Management address of the node.
+        /// Management address.
         address: SocketAddr,
-        /// The node's answer.
+        /// Body of the response.
         reason: String,
     },
-    /// The node's answer can't be decoded.
-    #[error("{address}: an answer that can't be read: {source}")]
-    Malformed {
-        /// Management address of the node.
+    /// The response is not a status report.
+    #[error("{address}: invalid status report: {source}")]
+    InvalidReport {
+        /// Management address.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// JSON error.
         #[source]
         source: serde_json::Error,
     },
 }
 
-/// Returns the status of the node at this management address and of the voters, as JSON or as text.
+/// Requests the status of the node at a management address and of the voters, and returns it as JSON or as text.
 ///
 /// # Errors
 ///
-/// [`OperatorCommandError`] if the node does not answer, or not with a status.
+/// [`OperatorCommandError`] if the node does not respond with a status.
 pub async fn fetch_status(address: SocketAddr, json: bool) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::GET, "/fleet/duties").await;
     let (status, body) = call?;
@@ -54,22 +55,22 @@
         return Ok(String::from_utf8_lossy(&body).into_owned());
     }
     let status: Status = serde_json::from_slice(&body)
-        .map_err(|source| OperatorCommandError::Malformed { address, source })?;
+        .map_err(|source| OperatorCommandError::InvalidReport { address, source })?;
     Ok(format_status(&status))
 }
 
-/// Sends an operator's command, which `path` names; returns the node's answer.
+/// Sends the operator's command that `path` names, and returns the node's response.
 ///
 /// # Errors
 ///
-/// [`OperatorCommandError`] if the node does not answer or rejects the command.
+/// [`OperatorCommandError`] if the node does not respond or rejects the command.
 pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::POST, path).await;
     let (status, body) = call?;
-    let answer = String::from_utf8_lossy(&body).trim().to_string();
+    let text = String::from_utf8_lossy(&body).trim().to_string();
     match status {
-        StatusCode::OK => Ok(format!("{answer}\n")),
-        _ => Err(OperatorCommandError::Rejected { address, reason: answer }),
+        StatusCode::OK => Ok(format!("{text}\n")),
+        _ => Err(OperatorCommandError::Rejected { address, reason: text }),
     }
 }
 
@@ -80,19 +81,22 @@
         Some(state) => format!("its voter is {}", state_name(state)),
     };
     let held: Vec<String> =
-        status.held.iter().map(|(lease, token, _)| format!("{lease} under {token}")).collect();
+        status.held.iter().map(|(lease, token, _)| format!("{lease} (token {token})")).collect();
     let held = match held.as_slice() {
-        [] => "nothing".to_string(),
+        [] => "no lease".to_string(),
         held => held.join(", "),
     };
     let cluster = match &status.cluster {
-        None => "no voter that leads answers: nothing is granted now, and jobs go on\n".to_string(),
+        None => {
+            "no leader among the voters responds: no lease is granted now, and requests are still served\n"
+                .to_string()
+        }
         Some(cluster) => format_cluster(cluster),
     };
     format!("{}: {voter}; it holds {held}\n{cluster}", status.node)
 }
 
-/// Word for a voter's state in the command's output.
+/// Name of a voter's state, as in the JSON status.
 fn state_name(state: &VoterState) -> &'static str {
     match state {
         VoterState::Waiting => "waiting",
@@ -113,55 +117,55 @@
     format!("voters: {}; term {}\n{restart}{leases}\n\n{changes}\n", voters.join(", "), cluster.term)
 }
 
-/// Time since a Unix time in milliseconds.
-fn since(unix_ms: u64) -> String {
+/// Time elapsed since a Unix time in milliseconds.
+fn elapsed_since(unix_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{:.0} s", now.saturating_sub(Duration::from_millis(unix_ms)).as_secs_f64())
 }
 
 fn lease_table(cluster: &ClusterStatus) -> Table {
     let mut table = Table::new();
-    table.load_style(NOTHING).set_header(["DUTY", "HOLDER", "TOKEN", "LEASE LEFT", "SINCE"]);
+    table.load_style(NOTHING).set_header(["LEASE", "HOLDER", "TOKEN", "REMAINING", "GRANTED AGO"]);
     for (lease, record) in &cluster.table.leases {
         let remaining = cluster.remaining_ms.iter().find(|(name, _)| name == lease);
         let remaining_ms = remaining.map_or(0, |(_, ms)| *ms);
         let holder = match &record.holder {
             Some(holder) if remaining_ms > 0 => holder.name.clone(),
-            Some(holder) => format!("nobody (was {})", holder.name),
-            None => "nobody".to_string(),
+            Some(holder) => format!("none (was {})", holder.name),
+            None => "none".to_string(),
         };
         let remaining = format!("{:.1} s", remaining_ms as f64 / 1000.0);
         let token = record.token.to_string();
-        table.add_row([lease.clone(), holder, token, remaining, since(record.granted_at_ms)]);
+        table.add_row([lease.clone(), holder, token, remaining, elapsed_since(record.granted_at_ms)]);
     }
     table
 }
 
 fn change_table(leases: &LeaseTable) -> Table {
     let mut table = Table::new();
-    table.load_style(NOTHING).set_header(["AGO", "DUTY", "WHAT", "WHO", "TOKEN"]);
-    for change in leases.history.iter().rev().take(CHANGES) {
+    table.load_style(NOTHING).set_header(["AGO", "LEASE", "CHANGE", "HOLDER", "TOKEN"]);
+    for change in leases.history.iter().rev().take(CHANGES_SHOWN) {
         let kind = match change.kind {
             ChangeKind::Granted => "granted",
-            ChangeKind::Released => "given back",
+            ChangeKind::Released => "released",
         };
         let (lease, holder, token) = (change.lease.clone(), change.holder.clone(), change.token.to_string());
-        table.add_row([since(change.at_ms), lease, kind.to_string(), holder, token]);
+        table.add_row([elapsed_since(change.at_ms), lease, kind.to_string(), holder, token]);
     }
     table
 }
 
-/// Progress of the last rolling restart, if there was one.
+/// Progress or outcome of the latest rolling restart; empty if there was none.
 fn format_restart(leases: &LeaseTable) -> String {
     let record = leases.leases.get(super::rolling_restart::LEASE);
     let saved = record.map_or(&[][..], |record| &record.state);
     match postcard::from_bytes::<RestartProgress>(saved) {
         Ok(RestartProgress { completed, total, outcome: Some(outcome), .. }) => {
-            format!("last roll: {completed} of {total}, ended: {outcome}\n")
+            format!("last rolling restart: {completed} of {total} nodes, outcome: {outcome}\n")
         }
         Ok(RestartProgress { completed, total, in_progress, .. }) => {
             let names: Vec<&str> = in_progress.iter().map(|(name, _)| name.as_str()).collect();
-            format!("roll: {completed} of {total}, under way: {}\n", names.join(", "))
+            format!("rolling restart: {completed} of {total} nodes, in progress: {}\n", names.join(", "))
         }
         Err(_) => String::new(),
     }
