--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -1,17 +1,17 @@
-//! Coordination task of a node: carries the messages of a [`Client`] of the voters and, if the node has a state folder, of
-//! a [`::coordination::Voter`], and does what the leases held here are for. No job waits for it.
+//! Coordination task of a node: embeds a [`Client`] of the voters and, if the node has a state directory, a
+//! [`::coordination::Voter`], and performs the operations whose leases this node holds. No request waits for it.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `task` | the task: its inputs and timers |
+//! | `task` | event loop: inputs and timers |
 //! | `handle` | commands to the task |
 //! | `candidacy` | which leases this node requests |
-//! | `client_host`, `voter_host` | actions of client and voter |
-//! | `operator_requests` | requests of operators to the voters |
-//! | `store_folder` | the voter's store on the disk |
-//! | `list_delivery` | lists between the zone's broadcast and the watch of discovery |
-//! | `rolling_restart`, `scheduled_call` | what the holders of these leases do |
-//! | `status`, `operator_commands` | the status, and how commands print it |
+//! | `client_host`, `voter_host` | execution of the client's and the voter's actions |
+//! | `operator_requests` | operators' requests to the voters |
+//! | `store_folder` | the voter's store on disk |
+//! | `list_delivery` | endpoint lists between the zone's broadcast and the discovery watch |
+//! | `rolling_restart`, `scheduled_call` | operations of lease holders |
+//! | `status`, `operator_commands` | the status, and the commands that show it |
 
 mod candidacy;
 mod client_host;
@@ -49,11 +49,11 @@
 use voter_host::VoterHost;
 
 /// Length of the queue of commands to the task.
-const COMMAND_QUEUE: usize = 16;
-/// Length of the queue of finished disk operations and calls.
-const COMPLETION_QUEUE: usize = 4;
+const COMMAND_QUEUE_LENGTH: usize = 16;
+/// Length of the queue of completed disk operations and scheduled calls.
+const COMPLETION_QUEUE_LENGTH: usize = 4;
 
-/// What the task depends on.
+/// Dependencies of the task.
 pub struct Dependencies {
     /// Name of the node.
     pub name: String,
@@ -61,28 +61,28 @@
     pub fleet_name: String,
     /// Zone of the node.
     pub zone: String,
-    /// Address at which the other nodes reach this node.
+    /// Address at which other nodes reach this node.
     pub address: SocketAddr,
-    /// Section on coordination in the operators' file.
+    /// Coordination section of the fleet file.
     pub settings: CoordinationSection,
-    /// Folder of the voter's store; `None` if this node is no voter.
+    /// Directory of the voter's store; `None` if this node is not a voter.
     pub state_directory: Option<PathBuf>,
-    /// Messages between nodes, and the view of the fleet.
+    /// Membership task: messages between nodes, and the membership view.
     pub membership: membership::Handle,
     /// Phase of this process.
     pub phase: watch::Receiver<Phase>,
-    /// Delivery of lists, if one node of each zone follows discovery.
+    /// Delivery of endpoint lists, if one node of each zone watches discovery for the others.
     pub list_delivery: Option<ListDelivery>,
-    /// What a rolling restart tells to drain and to end.
+    /// Transitions of the phase, for a rolling restart that drains and ends this process.
     pub phases: Phases,
-    /// Counters of jobs.
+    /// Counters of requests.
     pub counters: Arc<Counters>,
 }
 
 /// Starts the task.
 pub fn start(mut dependencies: Dependencies) -> Handle {
-    let (commands, received_commands) = mpsc::channel(COMMAND_QUEUE);
-    let (completions, received_completions) = mpsc::channel(COMPLETION_QUEUE);
+    let (commands, received_commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+    let (completions, received_completions) = mpsc::channel(COMPLETION_QUEUE_LENGTH);
     let settings = &dependencies.settings;
     let timing = Timing { lease: settings.lease_duration, election: settings.election_timeout };
     let voters = settings.voters.iter().map(|(_, address)| *address).collect();
--- a/node/src/coordination/candidacy.rs
+++ b/node/src/coordination/candidacy.rs
@@ -1,4 +1,4 @@
-//! Candidacy: which leases this node requests. It is only a matter of load, never of right.
+//! Candidacy: which leases this node requests. It only limits the voters' load; the holder is decided by their grants.
 
 use super::clock::boottime;
 use super::rolling_restart::LEASE as RESTART_LEASE;
@@ -7,23 +7,23 @@
 use ::membership::{name_hash, Peer};
 use std::time::Duration;
 
-/// Nodes that request one lease, drawn the same way everywhere. If all nodes did, the load of the voters would grow with the
-/// fleet.
-const CANDIDATES: usize = 3;
+/// Number of nodes that request the same lease; all nodes select the same ones. If every node requested it, the load of
+/// the voters would grow with the fleet.
+const CANDIDATES_PER_LEASE: usize = 3;
 
-/// Nodes that may hold a lease.
+/// Which nodes may hold a lease.
 enum Scope {
     Fleet,
     Zone,
 }
 
 impl Task {
-    /// Name of the lease to follow discovery for this node's zone.
+    /// Name of the lease for watching discovery on behalf of this node's zone.
     pub(super) fn list_lease(&self) -> String {
         format!("lists/{}", self.dependencies.zone)
     }
 
-    /// Requests the leases that this node is a candidate for, and releases the others.
+    /// Requests the leases for which this node is a candidate, and releases the others.
     pub(super) fn update_candidacy(&mut self, peers: &[Peer]) {
         let now = boottime();
         let process_id = self.dependencies.membership.process_id();
@@ -39,7 +39,7 @@
                 Scope::Fleet => &all,
                 Scope::Zone => &zone,
             };
-            // The holder keeps its lease: a growing fleet is no reason for a hand-over.
+            // A holder keeps its lease when the fleet grows and other nodes become the candidates.
             let is_holder = self.client.valid_token(now, &lease).is_some();
             if is_serving && (self.is_candidate(&lease, peers) || is_holder) {
                 self.client.acquire(now, &lease);
@@ -49,10 +49,10 @@
         }
     }
 
-    /// All leases, with the nodes that may hold each.
+    /// All leases that this node may request, with their scopes.
     fn leases(&self, now: Duration) -> Vec<(String, Scope)> {
         let settings = &self.dependencies.settings;
-        let calls = settings.scheduled_calls.iter().map(scheduled_call::lease_of);
+        let calls = settings.scheduled_calls.iter().map(scheduled_call::lease_name);
         let mut leases: Vec<(String, Scope)> = calls.map(|lease| (lease, Scope::Fleet)).collect();
         let list_delivery = self.dependencies.list_delivery.as_ref();
         if list_delivery.is_some_and(|lists| !lists.discovery_failed_recently(now)) {
@@ -67,6 +67,6 @@
     fn is_candidate(&self, lease: &str, peers: &[&Peer]) -> bool {
         let rank = |name: &str| name_hash(&format!("{lease}\n{name}"));
         let own_rank = rank(&self.dependencies.name);
-        peers.iter().filter(|peer| rank(&peer.name) < own_rank).count() < CANDIDATES
+        peers.iter().filter(|peer| rank(&peer.name) < own_rank).count() < CANDIDATES_PER_LEASE
     }
 }
--- a/node/src/coordination/client_host.rs
+++ b/node/src/coordination/client_host.rs
@@ -1,4 +1,4 @@
-//! Actions of the client: requests to voters, and leases acquired and lost.
+//! Execution of the client's actions: requests to voters, and leases that were acquired or lost.
 
 use super::clock::boottime;
 use super::message::NodeMessage;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Task {
-    /// Carries out the actions of the client.
+    /// Executes the client's actions.
     pub(super) fn drive_client(&mut self) {
         while let Some(action) = self.client.next_action() {
             match action {
--- a/node/src/coordination/handle.rs
+++ b/node/src/coordination/handle.rs
@@ -1,4 +1,4 @@
-//! Commands to the coordination task.
+//! Handle of the coordination task, and the commands that it sends to the task.
 
 use super::message::RestartRequest;
 use super::operator_requests::OPERATOR_TIMEOUT;
@@ -14,7 +14,7 @@
 pub(super) enum Command {
     Status(oneshot::Sender<Status>),
     Request(Operation, oneshot::Sender<Outcome>),
-    /// Forward a request to the holder with this name; answers whether the holder is in the view.
+    /// Forwards a request to the holder with this name; returns whether the holder is in the membership view.
     RollingRestart(String, RestartRequest, oneshot::Sender<bool>),
     Shutdown(oneshot::Sender<()>),
 }
@@ -22,13 +22,13 @@
 /// Why a request for a rolling restart was not forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestartRequestError {
-    /// No leader of the voters responds.
+    /// No leader among the voters responds.
     #[error("no voter that leads answers")]
     NoLeader,
     /// No node holds the lease.
     #[error("nobody holds the duty 'roll': does the fleet's file say roll = true?")]
     NoHolder,
-    /// The holder is not in this node's view.
+    /// The holder is not in this node's membership view.
     #[error("{0} holds it and is not in the view")]
     HolderUnknown(String),
 }
@@ -54,18 +54,18 @@
         Some(Status { cluster, ..status })
     }
 
-    /// Sends an operator's request to the voters; `None` if no leader responds.
+    /// Sends an operator's request to the voters; returns `None` if no leader responds in time.
     pub async fn request(&self, operation: Operation) -> Option<Outcome> {
         let (sender, outcome) = oneshot::channel();
         self.0.send(Command::Request(operation, sender)).await.ok()?;
         timeout(OPERATOR_TIMEOUT, outcome).await.ok()?.ok()
     }
 
-    /// Forwards a request for a rolling restart to the holder of its lease; returns the holder's name.
+    /// Forwards a request for a rolling restart to the holder of its lease, and returns the holder's name.
     ///
     /// # Errors
     ///
-    /// [`RestartRequestError`] if the holder is not known.
+    /// [`RestartRequestError`] if there is no holder, or it can't be determined or reached.
     pub async fn request_restart(&self, request: RestartRequest) -> Result<String, RestartRequestError> {
         let Some(Outcome::Status(status)) = self.request(Operation::Status).await else {
             return Err(RestartRequestError::NoLeader);
--- a/node/src/coordination/message.rs
+++ b/node/src/coordination/message.rs
@@ -1,5 +1,4 @@
-//! Messages of coordination between nodes. They are encoded by `postcard`: their bytes depend on the order of variants and
-//! fields.
+//! Coordination messages between nodes, encoded by `postcard`: the bytes depend on the order of variants and fields.
 
 use ::coordination::{BroadcastMessage, Message};
 use serde::{Deserialize, Serialize};
@@ -9,50 +8,50 @@
 pub enum NodeMessage {
     /// Between voters, and between clients and voters.
     Coordination(Message),
-    /// Between the nodes of a zone.
+    /// List broadcast among the nodes of a zone.
     Lists(BroadcastMessage),
-    /// Between the holder of the rolling restart's lease and the nodes.
+    /// Between the holder of the rolling restart's lease and other nodes.
     RollingRestart(RestartMessage),
 }
 
 /// Message of a rolling restart.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RestartMessage {
-    /// Request of an operator, to the holder.
+    /// Operator's request, forwarded to the holder.
     Requested(RestartRequest),
-    /// Request to a process to drain and end.
+    /// Instruction to a process to drain and end.
     Restart {
-        /// Token of the holder.
+        /// The holder's fencing token.
         token: u64,
-        /// Id of the process.
+        /// Random id of the process.
         process_id: u64,
     },
-    /// Request for the counters of jobs.
+    /// Query for the counters of requests.
     HealthQuery {
-        /// Token of the holder.
+        /// The holder's fencing token.
         token: u64,
     },
-    /// Counters of jobs.
+    /// Counters of requests.
     HealthReport {
-        /// Id of the process.
+        /// Random id of the process.
         process_id: u64,
-        /// Jobs that failed since its start.
+        /// Requests that failed since its start.
         failed: u64,
-        /// Jobs that ended since its start.
+        /// Requests that ended since its start.
         ended: u64,
     },
 }
 
-/// Request of an operator for a rolling restart.
+/// Operator's request about a rolling restart.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RestartRequest {
     /// Start a rolling restart.
     Start {
         /// Id: Unix time of the request in milliseconds.
         id: u64,
-        /// Most nodes of one zone that may be unavailable at once.
+        /// Maximum number of nodes of one zone that are unavailable at once.
         max_unavailable: u8,
     },
-    /// Stop the rolling restart.
+    /// Stop the rolling restart in progress.
     Stop,
 }
--- a/node/src/coordination/operator_requests.rs
+++ b/node/src/coordination/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators to the voters, repeated at other voters until one that leads responds.
+//! Operators' requests to the voters, sent to one voter after another until the leader responds.
 
 use super::clock::boottime;
 use super::task::Task;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time limit of an operator's request.
+/// Time limit for an operator's request.
 pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time limit of each voter's response.
+/// Time limit for the response of each voter.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause before a request is repeated after a voter that does not lead.
+/// Pause before a request is sent again after a response from a voter that is not the leader.
 const REDIRECT_PAUSE: Duration = Duration::from_nanos(VOTER_TIMEOUT.as_nanos() as u64 / 6);
-/// Most requests that wait at once.
+/// Maximum number of pending requests.
 const REQUESTS_MAX: usize = 16;
 
-/// Request of an operator that waits for its response.
+/// Pending request of an operator.
 pub(super) struct OperatorRequest {
     operation: Operation,
     sender: oneshot::Sender<Outcome>,
@@ -44,12 +44,12 @@
         self.operator_requests.insert(id, OperatorRequest { operation, sender, received_at, retry_at });
     }
 
-    /// Repeats the requests whose voter did not respond at the next voter, while there is time left.
+    /// Sends requests that are due for a retry to the next voter, unless they have timed out.
     pub(super) fn retry_operator_requests(&mut self, now: Duration) {
-        let is_late = |request: &OperatorRequest| now >= request.retry_at;
-        let late: Vec<u64> =
-            self.operator_requests.iter().filter(|(_, r)| is_late(r)).map(|(id, _)| *id).collect();
-        for id in late {
+        let is_due = |request: &OperatorRequest| now >= request.retry_at;
+        let due: Vec<u64> =
+            self.operator_requests.iter().filter(|(_, r)| is_due(r)).map(|(id, _)| *id).collect();
+        for id in due {
             let Some(request) = self.operator_requests.remove(&id) else { continue };
             self.client.try_next_voter();
             if now - request.received_at < OPERATOR_TIMEOUT {
@@ -69,16 +69,16 @@
         if let Some(request) = self.operator_requests.remove(&response.request_id) {
             match response.outcome {
                 Outcome::NotLeader(_) | Outcome::ConfirmReceipt => self.retry_after_pause(now, request),
-                // Fails if the operator waits no longer.
+                // Fails if the operator's request was cancelled.
                 ref outcome => drop(request.sender.send(outcome.clone())),
             }
         }
         self.client.receive(now, from, response);
     }
 
-    /// Repeats a request after a pause, so that there is no busy loop while no voter leads.
+    /// Schedules a request for a retry after a pause, which prevents a busy loop while there is no leader.
     fn retry_after_pause(&mut self, now: Duration, request: OperatorRequest) {
-        // No request has an id this high.
+        // The request awaits no response; this key is above all ids in use.
         let key = u64::MAX - request.received_at.as_nanos() as u64;
         let request = OperatorRequest { retry_at: now + REDIRECT_PAUSE, ..request };
         self.operator_requests.insert(key, request);
--- a/node/src/coordination/rolling_restart.rs
+++ b/node/src/coordination/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Rolling restart at this node: its holder drives the restart, and each node drains and ends when the holder tells it to.
+//! Rolling restart: the lease holder drives it, and each node drains and ends when the holder instructs it to.
 
 use super::clock::boottime;
 use super::message::{NodeMessage, RestartMessage, RestartRequest};
@@ -13,54 +13,55 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Name of the lease.
+/// Name of the rolling restart's lease.
 pub(super) const LEASE: &str = "roll";
-/// Interval between passes of the holder over the fleet.
+/// Interval at which the holder checks the fleet and continues the restart.
 const PASS_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between queries for the counters of jobs, and the number of nodes that are asked each time.
+/// Interval between queries for the counters of requests.
 const HEALTH_QUERY_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of nodes that are queried each time.
 const NODES_PER_QUERY: usize = 8;
-/// Time for clients to leave a node that drains, before it ends.
+/// Time for clients to leave a draining node before it ends.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Most processes whose counters are kept.
+/// Maximum number of processes whose counters are kept.
 const PROCESSES_MAX: usize = 4096;
 
-/// Message to a node, which lacks the token that is valid when it is sent.
+/// Message to a node; the token is added when it is sent.
 enum Outgoing {
     Restart { to: SocketAddr, process_id: u64 },
     HealthQuery { to: SocketAddr },
 }
 
-/// Jobs that failed and ended at a process, by its own counters.
+/// Numbers of failed and of ended requests of a process.
 #[derive(Clone, Copy)]
-struct JobCounts {
+struct RequestCounts {
     failed: u64,
     ended: u64,
 }
 
-/// Counters at the first and at the last report of a process.
-struct JobReports {
-    first: JobCounts,
-    last: JobCounts,
+/// First and last report of a process.
+struct HealthReports {
+    first: RequestCounts,
+    last: RequestCounts,
 }
 
-/// Part of this node in rolling restarts.
+/// State of rolling restarts at this node.
 #[derive(Default)]
 pub(super) struct RestartDriver {
-    /// Protects this node from an earlier holder.
+    /// Rejects messages of earlier holders.
     guard: FencingGuard,
     /// The restart, while this node holds the lease.
     restart: Option<RollingRestart>,
     next_pass: Duration,
     next_health_query: Duration,
-    /// Position of the next node that is asked for its counters.
+    /// Position of the next node to query.
     query_position: usize,
-    /// Progress that is not saved yet.
+    /// Progress that has yet to be saved.
     unsaved: Option<RestartProgress>,
     outgoing: VecDeque<Outgoing>,
     /// Reports by process id.
-    reports: BTreeMap<u64, JobReports>,
-    /// This process drains and ends.
+    reports: BTreeMap<u64, HealthReports>,
+    /// Whether this process was instructed to drain and end.
     is_ending: bool,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl RestartDriver {
-    /// Resumes the restart that the last holder saved.
+    /// Resumes the restart whose progress the last holder saved.
     pub(super) fn lease_acquired(&mut self, own_name: &str, saved: &[u8]) {
         let progress = postcard::from_bytes::<RestartProgress>(saved).ok();
         self.restart = progress.map(|progress| RollingRestart::resume(own_name, progress));
@@ -90,18 +91,19 @@
         self.outgoing.clear();
     }
 
-    /// Handles an operator's request, at the holder.
+    /// Handles an operator's request at the holder.
     fn request(&mut self, own_name: &str, request: RestartRequest, peers: &[Peer]) {
         let in_progress = self.restart.as_ref().is_some_and(|r| r.progress().outcome.is_none());
         match request {
             RestartRequest::Start { id, max_unavailable } if !in_progress => {
-                log::info!(event = "rolling_restart_started", id = id, max_unavailable = max_unavailable, nodes = peers.len();
+                log::info!(event = "rolling_restart_started", id = id, max_unavailable = max_unavailable,
+                    nodes = peers.len();
                     "rolling restart started");
                 self.reports.clear();
                 self.restart = Some(RollingRestart::start(own_name, id, max_unavailable, &members(peers)));
             }
             RestartRequest::Start { .. } => log::warn!(event = "rolling_restart_in_progress";
-                "rolling restart requested while one is in progress: it goes on"),
+                "rolling restart requested while another is in progress; request ignored"),
             RestartRequest::Stop => {
                 if let Some(restart) = &mut self.restart {
                     restart.stop(RestartOutcome::Cancelled);
@@ -119,10 +121,10 @@
         }
     }
 
-    /// Continues the restart, if the lease is valid.
-    fn advance(&mut self, now: Duration, peers: &[Peer], may_act: bool) {
+    /// Continues the restart; `may_continue` tells whether the lease is valid and no progress is being saved.
+    fn advance(&mut self, now: Duration, peers: &[Peer], may_continue: bool) {
         self.next_pass = now + PASS_INTERVAL;
-        let Some(restart) = self.restart.as_mut().filter(|_| may_act) else { return };
+        let Some(restart) = self.restart.as_mut().filter(|_| may_continue) else { return };
         restart.advance(now, &members(peers));
         self.outgoing.clear();
         while let Some(step) = restart.next_step() {
@@ -150,19 +152,19 @@
         self.query_position = (self.query_position + NODES_PER_QUERY) % peers.len();
     }
 
-    /// Takes the progress that is to be saved for the next holder.
+    /// Takes the encoded progress that has yet to be saved for the next holder.
     fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         postcard::to_stdvec(&self.unsaved.take()?).ok()
     }
 
-    /// Records the counters of a process.
-    fn record_report(&mut self, process_id: u64, counts: JobCounts) {
+    /// Records a report of a process and updates the totals of the restart.
+    fn record_report(&mut self, process_id: u64, counts: RequestCounts) {
         if self.reports.len() < PROCESSES_MAX || self.reports.contains_key(&process_id) {
             let reports =
-                self.reports.entry(process_id).or_insert(JobReports { first: counts, last: counts });
+                self.reports.entry(process_id).or_insert(HealthReports { first: counts, last: counts });
             reports.last = counts;
         }
-        let sum = |count: fn(&JobCounts) -> u64| {
+        let sum = |count: fn(&RequestCounts) -> u64| {
             self.reports.values().map(|r| count(&r.last).saturating_sub(count(&r.first))).sum::<u64>()
         };
         let (failed, ended) = (sum(|counts| counts.failed), sum(|counts| counts.ended));
@@ -171,12 +173,12 @@
         }
     }
 
-    /// Drains and ends this process, as at SIGTERM. Its supervisor starts it again.
+    /// Drains and ends this process, as on SIGTERM. Its supervisor starts it again.
     fn end_process(&mut self, phases: &Phases) {
         if std::mem::replace(&mut self.is_ending, true) {
             return;
         }
-        log::info!(event = "rolling_restart_reached_node"; "rolling restart reached this node: it drains and ends");
+        log::info!(event = "rolling_restart_reached_node"; "rolling restart reached this node: draining and ending");
         let phases = phases.clone();
         phases.drain();
         tokio::spawn(async move {
@@ -209,12 +211,12 @@
         if let Some(progress) = self.restart.take_unsaved() {
             self.client.save_state(now, LEASE, progress);
         }
-        // Progress is saved for the next holder before any node is told to restart.
+        // Progress must be saved for the next holder before any node is instructed to restart.
         if self.client.is_saving_state(LEASE) {
             return;
         }
         while let Some(outgoing) = self.restart.outgoing.pop_front() {
-            // The lease is checked anew before each message.
+            // The lease may expire between two messages.
             let Some(token) = self.client.valid_token(boottime(), LEASE) else { break };
             let (to, message) = match outgoing {
                 Outgoing::Restart { to, process_id } => (to, RestartMessage::Restart { token, process_id }),
@@ -240,7 +242,7 @@
                 }
             }
             RestartMessage::HealthReport { process_id, failed, ended } => {
-                self.restart.record_report(process_id, JobCounts { failed, ended });
+                self.restart.record_report(process_id, RequestCounts { failed, ended });
             }
         }
     }
@@ -252,7 +254,7 @@
             }
             Ok(()) => {}
             Err(error) => log::warn!(event = "act_rejected", lease = LEASE, token = token, error:% = error;
-                "request to restart rejected: a later holder has been seen"),
+                "restart instruction rejected: its fencing token is older than the latest one seen"),
         }
     }
 
--- a/node/src/coordination/scheduled_call.rs
+++ b/node/src/coordination/scheduled_call.rs
@@ -1,5 +1,5 @@
-//! Scheduled calls: the holder of a call's lease makes it for the whole fleet. The token goes with each call, and the
-//! receiver rejects one that is lower than it has seen.
+//! Scheduled calls: the holder of a call's lease makes it for the whole fleet. Each call carries the fencing token, and
+//! the receiver rejects a token lower than the highest it has seen.
 
 use super::clock::boottime;
 use super::task::{Completion, Task};
@@ -17,16 +17,16 @@
 
 /// Time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least time until a call that is due is made.
+/// Minimum delay of a call that is due.
 const CALL_DELAY: Duration = Duration::from_millis(10);
 
 /// Outcome of a call.
 pub(super) enum CallOutcome {
-    /// It was answered with 2xx.
+    /// The response was 2xx.
     Done,
-    /// It was answered with 409 or 412: a later holder has been seen.
+    /// The response was 409 or 412: the receiver has seen a higher token.
     Rejected,
-    /// It failed.
+    /// The call failed.
     Failed(CallError),
 }
 
@@ -41,22 +41,22 @@
     Exchange(#[from] hyper::Error),
     #[error("{0}")]
     Status(StatusCode),
-    #[error("no answer in {CALL_TIMEOUT:?}")]
+    #[error("no response within {CALL_TIMEOUT:?}")]
     Timeout,
 }
 
-/// Schedule of a call while its lease is held here.
+/// State of a call while this node holds its lease.
 pub(super) struct CallState {
     pub(super) next_call: Duration,
     pub(super) in_flight: bool,
 }
 
 /// Name of a call's lease.
-pub(super) fn lease_of(call: &ScheduledCall) -> String {
+pub(super) fn lease_name(call: &ScheduledCall) -> String {
     format!("errand/{}", call.name)
 }
 
-async fn run(call: &ScheduledCall, lease: &str, token: u64, node: &str) -> CallOutcome {
+async fn execute(call: &ScheduledCall, lease: &str, token: u64, node: &str) -> CallOutcome {
     match timeout(CALL_TIMEOUT, post(call, lease, token, node)).await {
         Ok(Ok(status)) if status.is_success() => CallOutcome::Done,
         Ok(Ok(StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED)) => CallOutcome::Rejected,
@@ -81,7 +81,7 @@
 }
 
 impl Task {
-    /// Time of the next call whose lease is valid here.
+    /// Time of the next call whose lease this node holds.
     pub(super) fn next_call(&self, now: Duration) -> Duration {
         let is_held = |lease: &str| self.client.valid_token(now, lease).is_some();
         let waiting = self.calls.iter().filter(|(lease, call)| !call.in_flight && is_held(lease));
@@ -89,10 +89,10 @@
         next.map_or(Duration::MAX, |at| at.max(now + CALL_DELAY))
     }
 
-    /// Makes the calls that are due. The lease is checked right before each.
-    pub(super) fn make_calls(&mut self, now: Duration) {
+    /// Starts the calls that are due. The lease is checked right before each.
+    pub(super) fn start_due_calls(&mut self, now: Duration) {
         for call in &self.dependencies.settings.scheduled_calls {
-            let lease = lease_of(call);
+            let lease = lease_name(call);
             let state = self.calls.get_mut(&lease).filter(|call| !call.in_flight && now >= call.next_call);
             let Some(state) = state else { continue };
             let Some(token) = self.client.valid_token(boottime(), &lease) else { continue };
@@ -101,7 +101,7 @@
             let (call, node) = (call.clone(), self.dependencies.name.clone());
             let completions = self.completions.clone();
             tokio::spawn(async move {
-                let outcome = run(&call, &lease, token, &node).await;
+                let outcome = execute(&call, &lease, token, &node).await;
                 // Fails once the task has ended.
                 let _ = completions.send(Completion::CallDone { lease, token, outcome }).await;
             });
@@ -117,7 +117,7 @@
             CallOutcome::Rejected => {
                 self.rejected_calls += 1;
                 log::warn!(event = "act_rejected", lease = lease, token = token;
-                    "scheduled call rejected: a later holder has been seen");
+                    "scheduled call rejected: the receiver has seen a higher fencing token");
             }
             CallOutcome::Failed(error) => {
                 log::warn!(event = "act_failed", lease = lease, token = token, error:% = error;
--- a/node/src/coordination/status.rs
+++ b/node/src/coordination/status.rs
@@ -1,4 +1,4 @@
-//! Status of coordination, as a node serves it to operators.
+//! Coordination status that a node reports to operators.
 
 use super::clock::boottime;
 use super::list_delivery::ListDelivery;
@@ -6,30 +6,30 @@
 use ::coordination::{BroadcastMetrics, ClusterStatus, VoterMetrics, VoterState};
 use serde::{Deserialize, Serialize};
 
-/// Status of coordination at one node.
+/// Coordination status of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the node.
     pub node: String,
-    /// State of its voter, if it has one.
+    /// State of its voter; `None` if it has none.
     pub voter: Option<VoterState>,
-    /// Counters of its voter.
+    /// Metrics of its voter.
     #[serde(rename = "figures")]
     pub metrics: VoterMetrics,
     /// Leases that it holds: name, token and remaining time in milliseconds.
     #[serde(rename = "here")]
     pub held: Vec<(String, u64, u64)>,
-    /// State of the list broadcast, if one node of each zone follows discovery.
+    /// State of the list broadcast, if lists are shared.
     pub lists: Option<ListBroadcastStatus>,
-    /// Acts that were rejected because a later holder had been seen.
+    /// Scheduled calls that were rejected because the receiver had seen a higher token.
     #[serde(rename = "refused")]
     pub rejected_calls: u64,
-    /// Status of the voters; `None` if no leader responds.
+    /// Status of the cluster; `None` if no leader responds.
     #[serde(rename = "told")]
     pub cluster: Option<ClusterStatus>,
 }
 
-/// State of the list broadcast at one node.
+/// State of the list broadcast at a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListBroadcastStatus {
     /// Whether the node polls discovery itself.
@@ -37,13 +37,13 @@
     pub polls_discovery: bool,
     /// Version of its list.
     pub version: u64,
-    /// Counters.
+    /// Metrics.
     #[serde(rename = "counts")]
     pub metrics: BroadcastMetrics,
 }
 
 impl Task {
-    /// Status of this node, without that of the voters.
+    /// Status of this node, without that of the cluster.
     pub(super) fn status(&self) -> Status {
         let held = self.client.held_leases(boottime());
         let voter = self.voter.running();
--- a/node/src/coordination/store_folder.rs
+++ b/node/src/coordination/store_folder.rs
@@ -1,4 +1,5 @@
-//! Folder of the voter's store. Opening and writing wait for the disk, so neither runs on the thread that serves jobs.
+//! Directory of the voter's store. Opening and writing block on the disk, so neither runs on the thread that serves
+//! requests.
 
 use ::coordination::{Store, StoreContents, StoreError};
 use redb::backends::FileBackend;
@@ -9,32 +10,32 @@
 use std::time::UNIX_EPOCH;
 use thiserror::Error;
 
-/// Name of the file in the folder.
+/// Name of the database file.
 const FILE_NAME: &str = "duties.redb";
 
 /// Why a store was not opened.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
-    /// Another process of this node has it open still.
-    #[error("another process has it")]
+    /// Another process of this node still has it open.
+    #[error("another process has the store open")]
     InUse,
-    /// The disk refuses for now: it is full, or fails.
-    #[error("{}: {source}", folder.display())]
+    /// The disk is full or fails, which may be temporary.
+    #[error("{}: {source}", directory.display())]
     Unavailable {
-        folder: PathBuf,
+        directory: PathBuf,
         #[source]
         source: UnavailableCause,
     },
-    /// It can't be used at all.
-    #[error("{}: {source}", folder.display())]
+    /// It can't be used, and a retry would not help.
+    #[error("{}: {source}", directory.display())]
     Unusable {
-        folder: PathBuf,
+        directory: PathBuf,
         #[source]
         source: UnusableCause,
     },
 }
 
-/// Failure of the disk.
+/// Why a store can't be opened for now.
 #[derive(Debug, Error)]
 pub(super) enum UnavailableCause {
     #[error(transparent)]
@@ -43,7 +44,7 @@
     Store(#[from] StoreError),
 }
 
-/// Why a store can't be used at all.
+/// Why a store can't be used.
 #[derive(Debug, Error)]
 pub(super) enum UnusableCause {
     #[error(transparent)]
@@ -52,11 +53,12 @@
     Store(#[from] StoreError),
 }
 
-/// Opens the folder's store, or creates one. Waits for the disk.
-pub(super) fn open(folder: &Path, fleet: &str, node: &str) -> Result<(Store, StoreContents), OpenError> {
-    let unavailable = |source: UnavailableCause| OpenError::Unavailable { folder: folder.into(), source };
-    let unusable = |source: UnusableCause| OpenError::Unusable { folder: folder.into(), source };
-    let (file, location) = open_file(folder).map_err(|e| unavailable(e.into()))?;
+/// Opens or creates the store in a directory. Blocks on the disk.
+pub(super) fn open(directory: &Path, fleet: &str, node: &str) -> Result<(Store, StoreContents), OpenError> {
+    let unavailable =
+        |source: UnavailableCause| OpenError::Unavailable { directory: directory.into(), source };
+    let unusable = |source: UnusableCause| OpenError::Unusable { directory: directory.into(), source };
+    let (file, location) = open_file(directory).map_err(|e| unavailable(e.into()))?;
     let backend = match FileBackend::new(file) {
         Ok(backend) => backend,
         Err(redb::DatabaseError::DatabaseAlreadyOpen) => return Err(OpenError::InUse),
@@ -70,22 +72,22 @@
     }
 }
 
-/// Opens the file, and returns what tells it from a copy.
-fn open_file(folder: &Path) -> io::Result<(File, u64)> {
-    create_dir_all(folder)?;
-    let path = folder.join(FILE_NAME);
+/// Opens or creates the file, and returns it with its [`location`].
+fn open_file(directory: &Path) -> io::Result<(File, u64)> {
+    create_dir_all(directory)?;
+    let path = directory.join(FILE_NAME);
     let is_new = !path.exists();
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
     let location = location(&file.metadata()?);
     if is_new {
-        // A file whose name is not on the disk would be an empty folder at the next start.
-        File::open(folder)?.sync_all()?;
+        // Unless the directory entry is durable, the next start may find an empty directory.
+        File::open(directory)?.sync_all()?;
     }
     Ok((file, location))
 }
 
-/// Hash of what tells a file from a copy of it: a copy is another inode, created at another time. An inode alone may be
-/// given to another file.
+/// Hash that distinguishes a file from copies of it: a copy has another inode and creation time. The inode number alone
+/// may be reused for another file.
 fn location(metadata: &Metadata) -> u64 {
     let created = metadata.created().ok().and_then(|time| time.duration_since(UNIX_EPOCH).ok());
     let created_ns = created.unwrap_or_default().as_nanos() as u64;
--- a/node/src/coordination/task.rs
+++ b/node/src/coordination/task.rs
@@ -1,4 +1,4 @@
-//! Coordination task: its inputs and timers.
+//! Event loop of the coordination task: inputs and timers.
 
 use super::clock::boottime;
 use super::handle::Command;
@@ -21,16 +21,16 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{interval, sleep, sleep_until, Instant, MissedTickBehavior};
 
-/// Interval at which the candidacy is updated if the view of the fleet does not change.
+/// Interval at which the candidacy is updated even if the membership view does not change.
 const CANDIDACY_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest sleep of the task.
+/// Maximum sleep of the task.
 const SLEEP_MAX: Duration = Duration::from_secs(3600);
-/// Time limit of the shutdown.
+/// Time limit for the shutdown.
 pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for the membership task to send the last messages, before its own last ones.
+/// Time for the membership task to send this task's last messages before it announces that the node leaves.
 const FLUSH_TIME: Duration = Duration::from_millis(30);
 
-/// Result of a thread that waited for the disk, or of a call.
+/// Result of a disk operation or of a scheduled call.
 pub(super) enum Completion {
     StoreOpened(Result<Box<(Store, StoreContents)>, OpenError>),
     Written(u64, Result<(), StoreError>),
@@ -44,9 +44,9 @@
     pub(super) client: Client,
     pub(super) voter: VoterHost,
     pub(super) completions: mpsc::Sender<Completion>,
-    /// Requests of operators by the id of the request to the voters.
+    /// Operators' requests by the id of the request to the voters.
     pub(super) operator_requests: BTreeMap<u64, OperatorRequest>,
-    /// Scheduled calls by the name of their lease, while it is held here.
+    /// Scheduled calls whose lease this node holds, by the lease's name.
     pub(super) calls: BTreeMap<String, CallState>,
     pub(super) rejected_calls: u64,
     pub(super) phase: Phase,
@@ -68,15 +68,15 @@
         candidacy.set_missed_tick_behavior(MissedTickBehavior::Delay);
         self.open_store();
         loop {
-            self.carry_out_actions();
+            self.execute_actions();
             tokio::select! {
-                () = sleep_until(self.wake_at()) => self.tick(),
+                () = sleep_until(self.next_wake_up()) => self.tick(),
                 Some((from, bytes)) = messages.recv() => self.receive(from, &bytes),
-                Some(completion) = completions.recv() => self.complete(completion),
+                Some(completion) = completions.recv() => self.handle_completion(completion),
                 Some(list) = list_delivery::next_published(&mut published) => self.publish_list(&list),
                 _ = candidacy.tick() => self.update_candidacy(&peers.borrow().clone()),
                 Ok(()) = peers.changed() => self.update_candidacy(&peers.borrow_and_update().clone()),
-                Ok(()) = phase.changed() => self.change_phase(*phase.borrow_and_update(), &peers),
+                Ok(()) = phase.changed() => self.handle_phase_change(*phase.borrow_and_update(), &peers),
                 Some(command) = commands.recv() => {
                     if self.execute(command, &peers).await.is_break() {
                         return;
@@ -87,7 +87,7 @@
     }
 
     /// Time at which [`Task::tick`] is due next.
-    fn wake_at(&self) -> Instant {
+    fn next_wake_up(&self) -> Instant {
         let now = boottime();
         let lists = self.dependencies.list_delivery.as_ref().map_or(Duration::MAX, ListDelivery::next_tick);
         let requests = self.operator_requests.values().map(|request| request.retry_at).min();
@@ -111,19 +111,19 @@
         }
         self.tick_voter(now);
         self.retry_operator_requests(now);
-        self.make_calls(now);
+        self.start_due_calls(now);
         if now >= self.restart.next_tick() {
             self.drive_restart(now);
         }
         let lists = self.dependencies.list_delivery.as_ref();
         if lists.is_some_and(|lists| now >= lists.next_tick()) {
-            let may_act = self.may_publish_lists();
-            self.with_lists(|lists| lists.tick(now, may_act));
+            let is_lease_valid = self.is_list_lease_valid();
+            self.with_lists(|lists| lists.tick(now, is_lease_valid));
         }
     }
 
-    /// Carries out the actions of client and voter.
-    pub(super) fn carry_out_actions(&mut self) {
+    /// Executes the actions of client and voter.
+    pub(super) fn execute_actions(&mut self) {
         self.drive_client();
         self.drive_voter();
     }
@@ -148,25 +148,25 @@
         }
     }
 
-    fn complete(&mut self, completion: Completion) {
+    fn handle_completion(&mut self, completion: Completion) {
         match completion {
             Completion::StoreOpened(outcome) => self.store_opened(outcome),
-            Completion::Written(number, outcome) => self.write_done(number, outcome),
+            Completion::Written(number, outcome) => self.write_completed(number, outcome),
             Completion::CallDone { lease, token, outcome } => self.call_done(&lease, token, outcome),
         }
     }
 
     fn publish_list(&mut self, list: &EndpointList) {
-        let (now, may_act) = (boottime(), self.may_publish_lists());
-        self.with_lists(|lists| lists.publish(now, list, may_act));
+        let (now, is_lease_valid) = (boottime(), self.is_list_lease_valid());
+        self.with_lists(|lists| lists.publish(now, list, is_lease_valid));
     }
 
-    fn change_phase(&mut self, phase: Phase, peers: &watch::Receiver<Vec<Peer>>) {
-        let before = std::mem::replace(&mut self.phase, phase);
+    fn handle_phase_change(&mut self, phase: Phase, peers: &watch::Receiver<Vec<Peer>>) {
+        let previous = std::mem::replace(&mut self.phase, phase);
         match phase {
             Phase::HandedOver => self.voter.close(),
             Phase::Stopping | Phase::Closing => self.transfer_leadership(),
-            _ if before == Phase::HandedOver => self.open_store(),
+            _ if previous == Phase::HandedOver => self.open_store(),
             _ => {}
         }
         self.update_candidacy(&peers.borrow().clone());
@@ -178,10 +178,10 @@
         }
     }
 
-    /// Executes a command; breaks after the shutdown.
+    /// Executes a command. Breaks after a shutdown.
     async fn execute(&mut self, command: Command, peers: &watch::Receiver<Vec<Peer>>) -> ControlFlow<()> {
         match command {
-            // These fail if the sender waits no longer.
+            // Sending a result fails if the caller has stopped waiting.
             Command::Status(sender) => drop(sender.send(self.status())),
             Command::Request(operation, sender) => self.start_operator_request(operation, sender),
             Command::RollingRestart(holder, request, sender) => {
@@ -203,8 +203,8 @@
     async fn shut_down(&mut self, sender: oneshot::Sender<()>) {
         self.update_candidacy(&[]);
         self.transfer_leadership();
-        self.carry_out_actions();
+        self.execute_actions();
         sleep(FLUSH_TIME).await;
-        let _ = sender.send(()); // fails if the sender waits no longer
+        let _ = sender.send(()); // fails if the caller has stopped waiting
     }
 }
--- a/node/src/coordination/voter_host.rs
+++ b/node/src/coordination/voter_host.rs
@@ -1,4 +1,4 @@
-//! Host of the voter: its store, its actions and its events.
+//! Embedder of the voter: its store, actions and events.
 
 use super::clock::boottime;
 use super::store_folder::{self, OpenError};
@@ -11,18 +11,18 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Pause before a store whose disk failed is opened again, at first ...
+/// Initial pause before a store whose disk failed is opened again. It doubles with each failure.
 const REOPEN_PAUSE: Duration = Duration::from_secs(1);
-/// ... and after many failures.
+/// Maximum of that pause.
 const REOPEN_PAUSE_MAX: Duration = Duration::from_secs(16);
-/// Interval between attempts to open a store that another process of this node has open.
+/// Interval at which opening a store is retried while another process of this node has it open.
 const IN_USE_RETRY: Duration = Duration::from_millis(200);
 
-/// The voter of this node, if it has one.
+/// The voter of this node, if it has one, and the state of opening its store.
 pub(super) struct VoterHost {
     voter: Option<(Voter, Arc<Store>)>,
     is_opening: bool,
-    /// Time at which a store whose disk failed is opened again.
+    /// Time at which a store whose disk failed is opened again; `Duration::MAX` if none has failed.
     reopen_at: Duration,
     reopen_pause: Duration,
 }
@@ -46,13 +46,13 @@
         self.running().map_or(Duration::MAX, Voter::next_tick).min(self.reopen_at)
     }
 
-    /// Closes the store, for the process that serves now.
+    /// Stops the voter and closes its store, which another process can open then.
     pub(super) fn close(&mut self) {
         self.voter = None;
     }
 
-    /// Plans to open the store again; each pause is twice the last.
-    fn plan_reopen(&mut self, now: Duration) {
+    /// Schedules the next attempt to open the store, with exponential backoff.
+    fn schedule_reopen(&mut self, now: Duration) {
         self.reopen_at = now + self.reopen_pause;
         self.reopen_pause = (self.reopen_pause * 2).min(REOPEN_PAUSE_MAX);
     }
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Opens the store on a thread of its own, if this node has a folder for it.
+    /// Opens the store on a blocking thread, if this node has a state directory.
     pub(super) fn open_store(&mut self) {
-        let folder = self.dependencies.state_directory.clone().filter(|_| !self.voter.is_opening);
-        let Some(folder) = folder else { return };
+        let directory = self.dependencies.state_directory.clone().filter(|_| !self.voter.is_opening);
+        let Some(directory) = directory else { return };
         let (fleet, node) = (self.dependencies.fleet_name.clone(), self.dependencies.name.clone());
         let completions = self.completions.clone();
         self.voter.is_opening = true;
         tokio::task::spawn_blocking(move || {
-            let mut opened = store_folder::open(&folder, &fleet, &node);
+            let mut opened = store_folder::open(&directory, &fleet, &node);
             while matches!(opened, Err(OpenError::InUse)) && !completions.is_closed() {
                 std::thread::sleep(IN_USE_RETRY);
-                opened = store_folder::open(&folder, &fleet, &node);
+                opened = store_folder::open(&directory, &fleet, &node);
             }
             // Fails once the task has ended.
             let _ = completions.blocking_send(Completion::StoreOpened(opened.map(Box::new)));
@@ -99,11 +99,11 @@
             }
             Err(error @ OpenError::Unavailable { .. }) => {
                 log::warn!(event = "voter_store_unavailable", reason:% = error;
-                    "voter's store can't be opened now: it is tried again");
-                self.voter.plan_reopen(boottime());
+                    "voter's store can't be opened now; it will be retried");
+                self.voter.schedule_reopen(boottime());
             }
             Err(error) => log::error!(event = "voter_store_unusable", reason:% = error;
-                "this node is no voter: its store can't be used"),
+                "voter's store can't be used; this node does not vote"),
         }
     }
 
@@ -127,24 +127,24 @@
         self.voter.voter = Some((Voter::new(config, contents, now), Arc::new(store)));
     }
 
-    /// Handles the outcome of a write. If it failed, the voter is closed and its store opened again later: what was
-    /// acknowledged is on the disk, so the voter continues from what is read back, as after a crash.
-    pub(super) fn write_done(&mut self, number: u64, outcome: Result<(), StoreError>) {
+    /// Handles the outcome of a write. If it failed, the voter is stopped and its store opened again later: everything
+    /// that was acknowledged is durable, so the voter recovers from the store as after a crash.
+    pub(super) fn write_completed(&mut self, number: u64, outcome: Result<(), StoreError>) {
         let now = boottime();
         let has_failed = outcome.is_err();
         if let Some(voter) = self.voter.running_mut() {
             voter.persisted(now, number, outcome);
         }
         if has_failed {
-            self.carry_out_actions(); // the voter's report of it
+            self.execute_actions(); // including the voter's report of the failure
             self.voter.close();
-            self.voter.plan_reopen(now);
+            self.voter.schedule_reopen(now);
         } else {
             self.voter.reopen_pause = REOPEN_PAUSE;
         }
     }
 
-    /// Carries out the actions of the voter.
+    /// Executes the voter's actions.
     pub(super) fn drive_voter(&mut self) {
         let Some((mut voter, store)) = self.voter.voter.take() else { return };
         while let Some(action) = voter.next_action() {
@@ -154,8 +154,9 @@
                     let (store, completions) = (store.clone(), self.completions.clone());
                     tokio::task::spawn_blocking(move || {
                         let outcome = store.write(&batch);
-                        drop(store); // before the outcome is known: a process that takes over opens the folder
-                                     // Fails once the task has ended.
+                        // Dropped before the outcome is sent, so that a successor process can open the store.
+                        drop(store);
+                        // Fails once the task has ended.
                         let _ = completions.blocking_send(Completion::Written(batch.number, outcome));
                     });
                 }
@@ -171,16 +172,18 @@
         VoterEvent::ClusterFormed { cluster_id } => {
             log::info!(event = "cluster_formed", cluster_id = cluster_id; "voters formed a cluster");
         }
-        VoterEvent::VotingEnabled => log::info!(event = "voting_enabled"; "voter may vote"),
-        VoterEvent::BecameLeader { term } => log::info!(event = "became_leader", term = term; "voter leads"),
-        VoterEvent::LeadershipLost => log::info!(event = "leadership_lost"; "voter leads no longer"),
+        VoterEvent::VotingEnabled => log::info!(event = "voting_enabled"; "voting enabled"),
+        VoterEvent::BecameLeader { term } => {
+            log::info!(event = "became_leader", term = term; "voter became the leader")
+        }
+        VoterEvent::LeadershipLost => log::info!(event = "leadership_lost"; "voter lost the leadership"),
         VoterEvent::StaleCopy => log::error!(event = "voter_store_stale_copy";
-            "voter's store is an older copy or a copied one: it does not vote; remove the voter, empty its folder and add it \
-             again"),
+            "voter's store was copied or restored from an older copy: it does not vote; remove the voter, empty its \
+             state directory and add it again"),
         VoterEvent::NotMember => log::warn!(event = "voter_not_member";
-            "voter's disk is not among the voters: it does not vote until it is added"),
+            "voter's disk is not a member of the cluster and does not vote until it is added"),
         VoterEvent::StorageFailed { reason } => log::error!(event = "voter_store_failed", reason = reason;
-            "voter's store failed: it grants and votes nothing until the store can be opened again"),
+            "voter's store failed; the voter neither votes nor grants leases until the store can be opened again"),
         VoterEvent::VotersChanged { names } => {
             log::info!(event = "voters_changed", voters = names.join(", "); "voters changed");
         }
