--- a/node/src/coordination/operator_requests.rs
+++ b/node/src/coordination/operator_requests.rs
@@ -69,7 +69,7 @@
         if let Some(request) = self.operator_requests.remove(&response.request_id) {
             match response.outcome {
                 Outcome::NotLeader(_) | Outcome::ConfirmReceipt => self.retry_after_pause(now, request),
-                // Fails if the operator's request was cancelled.
+                // Fails if the caller has stopped waiting.
                 ref outcome => drop(request.sender.send(outcome.clone())),
             }
         }
