--- a/node/src/coordination/list_delivery.rs
+++ b/node/src/coordination/list_delivery.rs
@@ -35,8 +35,8 @@
     /// Lists that this node received from discovery; the task takes the receiver.
     published: Option<mpsc::Receiver<EndpointList>>,
     /// Set by the watch while discovery is unreachable.
-    unreachable: Arc<AtomicBool>,
-    unreachable_since: Option<Duration>,
+    discovery_unreachable: Arc<AtomicBool>,
+    discovery_unreachable_since: Option<Duration>,
     failed_at: Option<Duration>,
     discovery: DiscoveryAddress,
 }
@@ -62,21 +62,24 @@
         if !enabled {
             return (None, None);
         }
-        let (is_polling, watches) = watch::channel(true);
-        let (list_sender, received) = mpsc::channel(LIST_QUEUE_LENGTH);
-        let (publish, published) = mpsc::channel(LIST_QUEUE_LENGTH);
-        let unreachable = Arc::new(AtomicBool::new(false));
+        let (is_polling, polls_discovery) = watch::channel(true);
+        let (list_sender, received_lists) = mpsc::channel(LIST_QUEUE_LENGTH);
+        let (published_lists, published) = mpsc::channel(LIST_QUEUE_LENGTH);
+        let discovery_unreachable = Arc::new(AtomicBool::new(false));
         let delivery = ListDelivery {
             broadcast: ListBroadcast::new("", source_id(&discovery)),
             is_polling,
             list_sender,
             published: Some(published),
-            unreachable: unreachable.clone(),
-            unreachable_since: None,
+            discovery_unreachable: discovery_unreachable.clone(),
+            discovery_unreachable_since: None,
             failed_at: None,
             discovery,
         };
-        (Some(delivery), Some(ListSharing { watches, received, publish, unreachable }))
+        (
+            Some(delivery),
+            Some(ListSharing { polls_discovery, received_lists, published_lists, discovery_unreachable }),
+        )
     }
 
     /// Sets the name of the node. Must be called before any other method.
@@ -136,11 +139,11 @@
 
     /// Returns whether to release the lease because discovery has not responded to this node for [`DISCOVERY_TIMEOUT`].
     fn should_release_lease(&mut self, now: Duration) -> bool {
-        if !self.unreachable.load(Ordering::Relaxed) || !self.broadcast.polls_discovery() {
-            self.unreachable_since = None;
+        if !self.discovery_unreachable.load(Ordering::Relaxed) || !self.broadcast.polls_discovery() {
+            self.discovery_unreachable_since = None;
             return false;
         }
-        let since = *self.unreachable_since.get_or_insert(now);
+        let since = *self.discovery_unreachable_since.get_or_insert(now);
         let has_timed_out = now.saturating_sub(since) >= DISCOVERY_TIMEOUT;
         if has_timed_out {
             self.failed_at = Some(now);
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -230,7 +230,7 @@
     };
     let operator: Value = toml::from_str(include_str!("../../deploy/faktory.toml")).unwrap();
     read("faktory.toml", &operator["settings"]);
-    for site in deployments::Site::all() {
+    for site in deployments::Deployment::all() {
         read(&site.name, &site.settings());
     }
     read("of the tests", &common::settings(true, 1_000_000));
@@ -353,7 +353,7 @@
     let mut config = good();
     config["listen"] = format!("{own}:8443").into();
     config["management"] = format!("{own}:9000").into();
-    let member = common::wire::line("s-1", format!("{own}:8500").parse().unwrap(), "in_service", 0);
+    let member = common::wire::endpoint_entry("s-1", format!("{own}:8500").parse().unwrap(), "in_service", 0);
     config["known"] = json!({"revision": 1, "complete": true, "members": [member]});
     config
 }
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{request, Client, Platform, Worker, UP};
+use common::{request, Client, PlatformNode, Worker, UP};
 use molevale::config::Limits;
 use molevale::dispatcher::queue;
 use molevale::names::Names;
@@ -27,7 +27,11 @@
 async fn connections_that_ask_for_nothing_are_evicted_before_those_that_write() {
     let now = Instant::now() + Duration::from_secs(9);
     let ago = |ms| now - Duration::from_millis(ms);
-    let idle = |has_begun, is_answered, ms| IdleState { has_begun, is_answered, since: ago(ms) };
+    let idle = |has_partial_message, was_answered, ms| IdleState {
+        has_partial_message,
+        was_answered,
+        last_activity: ago(ms),
+    };
     let in_order = [
         idle(false, false, 2000),
         idle(false, false, 300),
@@ -82,16 +86,16 @@
         assert_eq!(old.held_resources().descriptors, held.descriptors - 2, "its client and its attempt");
         drop((clients, bodies));
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
-        new.update_peer_usage(old.held_resources());
+        new.update_other_process_usage(old.held_resources());
         let less = new.allocation();
         assert!(less.clients > given.clients && less.clients < all.clients, "it is still there");
-        new.update_peer_usage(held); // nothing is taken away again
-        new.update_peer_usage(HeldResources::default());
+        new.update_other_process_usage(held); // nothing is taken away again
+        new.update_other_process_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
-        assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
+        assert_eq!(new.client_slots.in_use() + new.worker_connections(), 0);
         let _all = busy(&new.client_slots, all.clients).await;
         assert_eq!(
-            (new.client_slots.taken(), new.body_memory_kib.available_permits()),
+            (new.client_slots.in_use(), new.body_memory_kib.available_permits()),
             (all.clients, all.bodies_kib)
         );
     }
@@ -102,69 +106,70 @@
 fn pauses_grow_with_the_cluster_and_with_each_rejection() {
     let cluster = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
     for n in [1, 4, 100, 300] {
-        let calls: f64 = cluster(n).map(|mut backoff| 1.0 / backoff.rejected().as_secs_f64()).sum();
+        let calls: f64 =
+            cluster(n).map(|mut backoff| 1.0 / backoff.pause_after_rejection().as_secs_f64()).sum();
         assert!(calls < 150.0, "{n} nodes ask {calls} times a second");
     }
-    let firsts: BTreeSet<_> = cluster(100).map(|mut backoff| backoff.rejected()).collect();
+    let firsts: BTreeSet<_> = cluster(100).map(|mut backoff| backoff.pause_after_rejection()).collect();
     assert!(firsts.len() > 90, "they are not in step");
     let mut backoff = Backoff::new(100, true, 7);
     let mut last = Duration::ZERO;
     for _ in 0..10 {
-        last = backoff.rejected();
+        last = backoff.pause_after_rejection();
     }
     assert!(last >= PAUSE_MAX / 2 && last <= PAUSE_MAX);
     backoff.reset();
-    assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer ends it");
+    assert!(backoff.pause_after_rejection() <= PAUSE_MIN / 4 * 100, "an answer ends it");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_client_beyond_the_descriptor_budget_is_refused_at_once() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
     let mut clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
         clients.push(client);
     }
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
-    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     assert_eq!(got.status, 503);
     assert!(got.head.to_lowercase().contains("retry-after"));
-    assert!(beyond.answer().await.is_none(), "and closed");
+    assert!(beyond.read_answer().await.is_none(), "and closed");
     assert_eq!((node.counters.rejected_early.get(), node.counters.requests_accepted.get()), (1, 4));
     // Room that is given up serves again.
     clients.clear();
     while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
     }
-    assert_eq!(Client::connect(&node).await.ask(UP).await.status, 200);
+    assert_eq!(Client::connect(&node).await.exchange(UP).await.status, 200);
 }
 
 /// Protects the memory limit from many large bodies at once, also unfinished ones.
 #[tokio::test(start_paused = true)]
 async fn a_body_beyond_the_memory_budget_is_refused_and_small_requests_are_served() {
     let worker = Worker::start().await;
-    let node = Platform::within(vec![worker.line("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
+    let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
     let body = "x".repeat(64 * 1024);
     let mut large = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
-        client.tell(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
         large.push(client);
     }
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
     let mut beyond = Client::connect(&node).await;
-    let got = beyond.ask(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
     assert_eq!((got.status, node.counters.requests_accepted.get()), (503, 4));
     assert!(got.head.to_lowercase().contains("retry-after"));
     let mut small = Client::connect(&node).await;
-    small.tell(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
+    small.send_after_pause(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
     while node.counters.requests_accepted.get() < 5 {
         tokio::task::yield_now().await;
     }
@@ -174,7 +179,7 @@
         tokio::task::yield_now().await;
     }
     let mut again = Client::connect(&node).await;
-    again.tell(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
+    again.send_after_pause(&request("check", "9b1f03aa5c7e2d47", 60.0, &body)).await;
     while node.counters.requests_accepted.get() < 6 {
         tokio::task::yield_now().await;
     }
@@ -185,15 +190,15 @@
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_is_evicted_for_a_new_one_and_a_busy_one_is_not() {
     let worker = Worker::start().await;
-    let node = Platform::start(vec![worker.line("s-1", "in_service")], 70).await; // 4 for clients
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 4 for clients
     let mut busy = Client::connect(&node).await;
-    busy.tell(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    let mut seen = worker.take().await;
-    seen.begin().await;
+    busy.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
+    let mut seen = worker.receive_request().await;
+    seen.begin_response().await;
     let mut served = Vec::new();
     for _ in 0..2 {
         let mut client = Client::connect(&node).await;
-        assert_eq!(client.ask(UP).await.status, 200);
+        assert_eq!(client.exchange(UP).await.status, 200);
         served.push(client);
     }
     let mut silent = Client::connect(&node).await;
@@ -203,11 +208,11 @@
     advance(Duration::from_millis(300)).await;
     for gone in [&mut silent, &mut served[0]] {
         let mut new = Client::connect(&node).await;
-        assert_eq!(new.ask(UP).await.status, 200);
-        assert!(gone.answer().await.is_none(), "closed");
+        assert_eq!(new.exchange(UP).await.status, 200);
+        assert!(gone.read_answer().await.is_none(), "closed");
         *gone = new;
     }
-    assert_eq!(served[1].ask(UP).await.status, 200);
-    seen.say(json!({"state": "done", "result": "r"})).await;
-    assert_eq!(busy.answer().await.unwrap().body, "r");
+    assert_eq!(served[1].exchange(UP).await.status, 200);
+    seen.send_update(json!({"state": "done", "result": "r"})).await;
+    assert_eq!(busy.read_answer().await.unwrap().body, "r");
 }
--- a/node/tests/sites.rs
+++ b/node/tests/sites.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::deployments::Site;
+use common::deployments::Deployment;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -40,13 +40,13 @@
 
 impl Node {
     /// Starts the `n`-th deployment's node, with few descriptors, as the least deployment has them.
-    async fn start(n: usize, site: &Site) -> Node {
+    async fn start(n: usize, site: &Deployment) -> Node {
         let pid = std::process::id();
         let own = format!("127.{}.{}.{}", 80 + n, pid / 256 % 256, pid % 256);
         let settings = site.settings();
         let worker =
             Worker::start("127.0.0.1:0".parse().unwrap(), WorkerProfile::default(), false).await.unwrap();
-        let mut line = wire::line("s-1", worker.address, "in_service", 0);
+        let mut line = wire::endpoint_entry("s-1", worker.address, "in_service", 0);
         line["locality"] = settings["Azs"][0].clone();
         line["flavor"] = settings["HostTypes"][0].clone();
         let discovery = Discovery::start("127.0.0.1:0".parse().unwrap(), vec![line.clone()]).await.unwrap();
@@ -89,7 +89,7 @@
         let name = class["Name"].as_str().unwrap();
         let deadline = class["DeadlineUs"].as_f64().unwrap() / 1e6;
         let key = (class["Semantics"] == "keyed").then_some("k1");
-        let text = wire::job(name, id, tenant, key, deadline, None, "1000");
+        let text = wire::request_with_fields(name, id, tenant, key, deadline, None, "1000");
         let text = text.replacen(&format!("POST /{name}"), &format!("POST /{}", in_path(name)), 1);
         let mut stream = BufReader::new(TcpStream::connect(&self.address).await.unwrap());
         stream.get_mut().write_all(text.as_bytes()).await.unwrap();
@@ -108,7 +108,7 @@
 
 #[tokio::test]
 async fn the_program_serves_every_class_of_every_deployment() {
-    let sites = Site::all();
+    let sites = Deployment::all();
     assert!(sites.len() >= 3);
     for (n, site) in sites.iter().enumerate() {
         let node = Node::start(n, site).await;
@@ -120,7 +120,7 @@
                 served += 1;
             }
         }
-        assert_eq!(node.worker.seen().done, served, "{name}");
+        assert_eq!(node.worker.record().done, served, "{name}");
         node.end();
     }
 }
