--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -1,24 +1,24 @@
-//! Checker of membership views: compares the views of many nodes with what the test bed expects. It knows nothing of how
-//! nodes come to their views.
+//! Checker of membership views: compares the views of many nodes with the expected ones. It does not depend on how nodes
+//! compute their views.
 
 use membership::View;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Views that the test bed expects: of each running node, the nodes that it can reach.
+/// Expected views: each running node lists the nodes that it can reach.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ExpectedViews {
-    /// Partition that each running node is in, by its name. Nodes of one partition reach each other.
+    /// Partition of each running node, by its name. Nodes of one partition reach each other.
     pub partitions: BTreeMap<String, u32>,
 }
 
 impl ExpectedViews {
-    /// Expected views of nodes that all reach each other.
+    /// Returns the expected views of nodes that all reach each other.
     pub fn whole<'a>(names: impl IntoIterator<Item = &'a str>) -> ExpectedViews {
         ExpectedViews { partitions: names.into_iter().map(|name| (name.to_string(), 0)).collect() }
     }
 
-    /// Names of the nodes in a partition, in order.
+    /// Returns the names of the nodes in a partition, in order.
     fn members_of(&self, partition: u32) -> BTreeSet<&str> {
         let members = self.partitions.iter().filter(|(_, other)| **other == partition);
         members.map(|(name, _)| name.as_str()).collect()
@@ -32,11 +32,11 @@
     NoView(String),
     /// The view of the first node lacks the second, which runs and is reachable.
     Missing(String, String),
-    /// The view of the first node holds the second to be present, which does not run or is not reachable.
+    /// The view of the first node lists the second as present, which does not run or is not reachable.
     Stale(String, String),
     /// The first two nodes, which reach each other, know different incarnations of the third.
     IncarnationMismatch(String, String, String),
-    /// The view of a node has a name twice, or contradicts the node itself.
+    /// The view of a node has a duplicate name, or a wrong entry for the node itself.
     Inconsistent(String),
 }
 
@@ -45,7 +45,7 @@
         match self {
             ViewFault::NoView(node) => write!(f, "{node} reports no view"),
             ViewFault::Missing(node, other) => write!(f, "the view of {node} lacks {other}"),
-            ViewFault::Stale(node, other) => write!(f, "the view of {node} holds {other} to be present"),
+            ViewFault::Stale(node, other) => write!(f, "the view of {node} lists {other} as present"),
             ViewFault::IncarnationMismatch(node, other, member) => {
                 write!(f, "{node} and {other} know different incarnations of {member}")
             }
@@ -84,7 +84,7 @@
     faults
 }
 
-/// Whether a view has each name once, and agrees with the node that it is of.
+/// Whether a view has each name once and a correct entry for its own node.
 fn is_consistent(name: &str, view: &View) -> bool {
     let names: BTreeSet<&str> = view.members.iter().map(|member| member.name.as_str()).collect();
     let own = view.members.iter().find(|member| member.name == name);
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -11,19 +11,19 @@
 use tokio::task::JoinError;
 use tokio::time::sleep;
 
-/// Time limit for the views to become equal and true.
+/// Time limit for the views to settle.
 const SETTLE_LIMIT: Duration = Duration::from_secs(20);
 /// Number of nodes.
 const NODES: usize = 5;
-/// Jobs a second.
+/// Requests per second.
 const RATE: f64 = 20.0;
 /// Duration of the load.
 const LOAD_LENGTH: Duration = Duration::from_secs(20);
 /// Time of load before the first fault.
 const BEFORE_FAULTS: Duration = Duration::from_secs(2);
-/// Node that is killed, and node that is cut off.
+/// Node that is killed, and node that is isolated.
 const KILLED: usize = 1;
-const CUT_OFF: usize = 4;
+const ISOLATED: usize = 4;
 
 /// Error of the demonstration.
 #[derive(Debug, thiserror::Error)]
@@ -31,20 +31,20 @@
     /// A node can't be started.
     #[error("cannot start {}: {source}", binary.display())]
     Start {
-        /// The program.
+        /// Path of the program.
         binary: PathBuf,
-        /// The system's error.
+        /// Cause.
         source: io::Error,
     },
-    /// The views are not equal and true in time.
+    /// The views did not settle in time.
     #[error("{step}: the views did not settle in {SETTLE_LIMIT:?}: {}", list(faults))]
     NotSettled {
-        /// What had happened.
+        /// Last step before the failure.
         step: String,
-        /// What was wrong with the views last.
+        /// Faults of the views at the end.
         faults: Vec<ViewFault>,
     },
-    /// The load's task failed.
+    /// The load's task panicked.
     #[error(transparent)]
     Load(#[from] JoinError),
 }
@@ -53,17 +53,17 @@
     faults.iter().map(ViewFault::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// Starts five nodes with workers and load, kills one, cuts one off, and prints what each sees.
+/// Starts five nodes with workers and load, kills one, isolates one, and prints the view of each.
 ///
 /// # Errors
-/// Where the program can't be started, or the views of the nodes don't become right in time.
+/// If the program can't be started, or the views of the nodes don't settle in time.
 pub async fn run(binary: &Path) -> Result<(), DemoError> {
     let cannot_start = |source| DemoError::Start { binary: binary.to_path_buf(), source };
     let spec = Spec { workers: 4, quota: 12.0, ..Spec::new(binary, NODES) };
     let mut cluster = Cluster::start(spec).await.map_err(cannot_start)?;
-    println!("Five nodes, four workers, 20 jobs a second. Each row is what one node sees of each other.\n");
+    println!("Five nodes, four workers, 20 requests per second. Each row is the view of one node.\n");
     let all: Vec<(usize, u32)> = (0..NODES).map(|i| (i, 0)).collect();
-    settle(&cluster, "all five find each other", &all).await?;
+    settle(&cluster, "all five nodes have joined", &all).await?;
     let tenants = TENANTS.map(String::from).to_vec();
     let load = Load { rate: RATE, duration: LOAD_LENGTH, seed: 1, tenants };
     let load = tokio::spawn(run_load(load, (0..NODES).map(|i| cluster.listen(i)).collect()));
@@ -72,15 +72,16 @@
     let killed = format!("{} is killed", Cluster::name(KILLED));
     settle(&cluster, &killed, &[(0, 0), (2, 0), (3, 0), (4, 0)]).await?;
     cluster.proxies.partition(&[0, 0, 0, 0, 1]);
-    let cut_off = format!("{} is cut off from the other nodes, not from workers", Cluster::name(CUT_OFF));
-    settle(&cluster, &cut_off, &[(0, 0), (2, 0), (3, 0), (4, 1)]).await?;
+    let isolated =
+        format!("{} is isolated from the other nodes, not from the workers", Cluster::name(ISOLATED));
+    settle(&cluster, &isolated, &[(0, 0), (2, 0), (3, 0), (4, 1)]).await?;
     cluster.proxies.heal();
     cluster.start_node(KILLED).map_err(cannot_start)?;
-    settle(&cluster, "the cut is mended and the killed one started again", &all).await?;
+    settle(&cluster, "the partition is healed and the killed node restarted", &all).await?;
     let report = load.await?;
     println!(
-        "Meanwhile {} jobs were due: {} served in time, {} late, {} refused, {} failed, {} lost with the node that was \
-         killed or before the front noticed it. Worth served: {:.2}.",
+        "Load: {} requests due, {} in time, {} late, {} shed, {} failed, {} lost with the killed node or sent to it before \
+         the health check failed. Priority weight served in time: {:.2}.",
         report.due,
         report.in_time,
         report.late,
@@ -92,7 +93,7 @@
     Ok(())
 }
 
-/// Waits until the views are right where these nodes run, each with its partition, and prints them.
+/// Waits until the views have settled, for these running nodes and their partitions, and prints them.
 async fn settle(cluster: &Cluster, step: &str, running: &[(usize, u32)]) -> Result<(), DemoError> {
     let mut expected = Cluster::expected_views(running.iter().map(|(node, _)| *node));
     for (node, partition) in running {
@@ -100,12 +101,12 @@
     }
     let settled = cluster.settled(&expected, SETTLE_LIMIT).await;
     let took = settled.map_err(|faults| DemoError::NotSettled { step: step.to_string(), faults })?;
-    println!("{step}: equal and true after {:.1} s", took.as_secs_f64());
+    println!("{step}: settled after {:.1} s", took.as_secs_f64());
     println!("{}", table(&cluster.statuses().await));
     Ok(())
 }
 
-/// A row for each node: the status that it has of each other.
+/// Formats a row for each node: the status that it reports of each member.
 fn table(statuses: &BTreeMap<String, Option<Status>>) -> String {
     let known = statuses.values().flatten().flat_map(|s| &s.view.members).map(|m| &m.name);
     let names: BTreeSet<&String> = known.chain(statuses.keys()).collect();
@@ -114,7 +115,7 @@
     for (name, status) in statuses {
         out += &format!("\n  {name:6}");
         let Some(status) = status else {
-            out += "  tells nothing";
+            out += "  reports nothing";
             continue;
         };
         for other in &names {
@@ -130,7 +131,7 @@
             out += &format!("{label:>9}");
         }
         out += &format!(
-            "   {} take jobs, {} may be sending",
+            "   {} accept requests, {} may send to workers",
             status.fleet_size.dispatchers, status.fleet_size.senders
         );
     }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as a stand-in: a list of workers with a version, served whole or as watches, and a count of the calls.
+//! Stand-in for discovery: serves a versioned list of workers, at once or by long poll, and counts the calls.
 
 use crate::wire::head;
 use serde_json::{json, Value};
@@ -13,12 +13,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest duration of a watch.
-const WAIT_MAX: Duration = Duration::from_secs(60);
+/// Longest wait of a long poll.
+const LONG_POLL_MAX: Duration = Duration::from_secs(60);
 
-/// A discovery; it ends with this value.
+/// A discovery service; stops when dropped.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     list: watch::Sender<(u64, Vec<Value>)>,
     calls: Arc<AtomicU64>,
@@ -32,36 +32,36 @@
 }
 
 impl Discovery {
-    /// Starts one with these lines of workers, as version 1.
+    /// Starts discovery with these entries, as version 1.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// If the address can't be bound.
     pub async fn start(address: SocketAddr, members: Vec<Value>) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (list, told) = watch::channel((1, members));
+        let (list, updates) = watch::channel((1, members));
         let calls = Arc::new(AtomicU64::new(0));
-        let counted = calls.clone();
+        let call_counter = calls.clone();
         let task = tokio::spawn(async move {
             loop {
                 let Ok((socket, _)) = listener.accept().await else { continue };
-                tokio::spawn(serve(socket, told.clone(), counted.clone()));
+                tokio::spawn(serve(socket, updates.clone(), call_counter.clone()));
             }
         });
         Ok(Discovery { address, list, calls, task })
     }
 
-    /// The list from here on.
+    /// Replaces the list and increments its version.
     pub fn publish(&self, members: Vec<Value>) {
         self.list.send_modify(|list| *list = (list.0 + 1, members));
     }
 
-    /// The version of the list.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.list.borrow().0
     }
 
-    /// The calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -82,8 +82,8 @@
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
         };
         if let (Some(index), Some(wait)) = (number("index"), number("wait")) {
-            let wait = Duration::from_millis(wait).min(WAIT_MAX);
-            // Over is over: a watch that heard nothing is told the list as it is.
+            let wait = Duration::from_millis(wait).min(LONG_POLL_MAX);
+            // A long poll that times out is answered with the current list.
             let _ = timeout(wait, list.wait_for(|(version, _)| *version > index)).await;
         }
         let (revision, members) = list.borrow().clone();
--- a/testbed/src/emulated_broadcast.rs
+++ b/testbed/src/emulated_broadcast.rs
@@ -1,5 +1,5 @@
-//! List broadcast of one zone in emulated time: how many calls discovery gets, and how long a change takes to the last node,
-//! with one node that polls discovery for all and without.
+//! List broadcast within one zone in emulated time: measures the calls to discovery and how long a change takes to reach
+//! the last node, if one node polls discovery for all or each node polls.
 
 use crate::emulated_network::{node_address, EventQueue};
 use ::coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
@@ -13,29 +13,29 @@
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
 /// Duration of a run.
 const RUN_LENGTH: Duration = Duration::from_secs(60);
-/// Time from which calls and messages count: the start, when all nodes poll, is the same either way.
+/// Time from which calls and messages count: before, all nodes poll in both modes.
 const COUNTED_FROM: Duration = Duration::from_secs(3);
-/// When the first lease holder is granted its lease.
+/// Time at which the first lease is granted.
 const LEASE_GRANTED: Duration = Duration::from_millis(500);
-/// When the lease holder is killed, in runs in which it is.
+/// Time at which the lease holder is killed, in runs with a kill.
 const HOLDER_KILLED: Duration = Duration::from_millis(30_100);
-/// Middle of a run; the next lease is granted [`VACANCY`] later.
+/// Middle of a run, at which the vacancy begins; the next lease is granted [`VACANCY`] later.
 const MIDDLE: Duration = Duration::from_secs(30);
-/// A lease and an election, with the times that a node has by default: nobody holds the lease for as long after a kill.
+/// Time without a lease holder after a kill: a lease and an election with the default timing of a node.
 const VACANCY: Duration = Duration::from_millis(11_500);
 /// Number of workers.
 const WORKERS: usize = 60;
-/// Length of a worker's entry, in bytes.
+/// Size of a worker's list entry, in bytes.
 const ENTRY_BYTES: usize = 180;
-/// Delay of a message, in microseconds.
+/// Range of message delays, in microseconds.
 const DELAY_US: Range<u64> = 500..10_000;
-/// Time limit of a poll: by the size of the zone, within bounds.
+/// Time limit of a poll: proportional to the number of nodes, within bounds.
 const POLL_TIMEOUT_PER_NODE: Duration = Duration::from_millis(200);
 const POLL_TIMEOUT_MIN: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT_MAX: Duration = Duration::from_secs(20);
-/// Number of the discovery that the list comes from.
+/// Id of the discovery service.
 const DISCOVERY_ID: u64 = 1;
-/// Fencing token before the first that is granted.
+/// Base of the fencing tokens that are granted.
 const FENCING_TOKEN: u64 = 10;
 /// Second byte of the nodes' addresses.
 const NETWORK: u8 = 7;
@@ -43,29 +43,29 @@
 /// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Spec {
-    /// Nodes of the zone.
+    /// Number of nodes in the zone.
     pub nodes: usize,
     /// Whether one node polls discovery for all.
     pub shared: bool,
     /// Whether that node is killed in the middle.
     pub holder_killed: bool,
-    /// Share of the messages between nodes that is lost.
+    /// Share of the messages between nodes that are lost.
     pub loss: f64,
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 /// Outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Calls that discovery got.
+    /// Number of calls to discovery.
     pub calls: u64,
-    /// Time from each change until the last running node had it, in milliseconds.
-    pub last_ms: Vec<u64>,
-    /// Messages between nodes.
+    /// Time from each change until the last running node received it, in milliseconds.
+    pub propagation_ms: Vec<u64>,
+    /// Number of messages between nodes.
     pub messages: u64,
-    /// Messages a second of the node that sent most.
-    pub most: f64,
+    /// Messages per second of the node that sent most.
+    pub peak_send_rate: f64,
 }
 
 enum Event {
@@ -74,7 +74,7 @@
         to: usize,
         message: BroadcastMessage,
     },
-    /// Discovery answers a poll; version 0 tells of no change.
+    /// Discovery answers a poll; version 0 means no change.
     PollAnswer {
         node: usize,
         poll: u64,
@@ -88,28 +88,28 @@
 
 struct Node {
     broadcast: ListBroadcast,
-    runs: bool,
+    is_running: bool,
     holds_lease: bool,
-    /// Number of its last poll; answers to earlier ones are dropped.
+    /// Number of the last poll; answers to earlier ones are ignored.
     poll: u64,
-    /// Version of the list that it has.
+    /// Version of its list.
     version: u64,
     next_tick: Option<Duration>,
 }
 
-/// The nodes of a zone and discovery.
+/// State of a run: the nodes of a zone, and discovery.
 struct Zone {
     spec: Spec,
     queue: EventQueue<Event>,
     rng: SmallRng,
     nodes: Vec<Node>,
-    /// Polls that wait for a change: node and number.
+    /// Polls that wait for a change: node and poll number.
     waiting_polls: Vec<(usize, u64)>,
     /// Version of discovery's list.
     version: u64,
-    /// When each version was made, and when the last node had it, by version.
+    /// When each version was published, and when the last node received it, by version.
     changed_at: Vec<Duration>,
-    seen_at: Vec<Duration>,
+    received_at: Vec<Duration>,
     outcome: Outcome,
     poll_timeout: Duration,
 }
@@ -121,28 +121,28 @@
 /// Runs a zone for a minute of emulated time.
 ///
 /// # Panics
-/// Where a node is behind by more than the last change at the end.
+/// If a node lags by more than the last change at the end.
 pub fn run(spec: Spec) -> Outcome {
-    let mut zone = Zone::started(spec);
-    let mut at_start = None;
+    let mut zone = Zone::new(spec);
+    let mut start_counts = None;
     while let Some(event) = zone.queue.next_until(RUN_LENGTH) {
-        if at_start.is_none() && zone.queue.now() >= COUNTED_FROM {
-            at_start = Some((zone.outcome.calls, zone.sent()));
+        if start_counts.is_none() && zone.queue.now() >= COUNTED_FROM {
+            start_counts = Some((zone.outcome.calls, zone.sent()));
         }
         zone.handle(event);
     }
-    let (calls, sent) = at_start.unwrap_or_default();
+    let (calls, sent) = start_counts.unwrap_or_default();
     zone.outcome(calls, &sent)
 }
 
 impl Zone {
-    fn started(spec: Spec) -> Zone {
+    fn new(spec: Spec) -> Zone {
         let peers: Vec<(String, SocketAddr)> =
             (0..spec.nodes).map(|i| (format!("n{i:04}"), address(i))).collect();
         let node = |i: usize| {
             let mut broadcast = ListBroadcast::new(&peers[i].0, DISCOVERY_ID);
             broadcast.set_peers(peers.clone());
-            Node { broadcast, runs: true, holds_lease: false, poll: 0, version: 0, next_tick: None }
+            Node { broadcast, is_running: true, holds_lease: false, poll: 0, version: 0, next_tick: None }
         };
         let poll_timeout = POLL_TIMEOUT_PER_NODE * spec.nodes as u32;
         let mut zone = Zone {
@@ -153,7 +153,7 @@
             waiting_polls: Vec::new(),
             version: 1,
             changed_at: vec![Duration::ZERO; 2],
-            seen_at: vec![Duration::ZERO; 2],
+            received_at: vec![Duration::ZERO; 2],
             outcome: Outcome::default(),
             poll_timeout: poll_timeout.clamp(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX),
         };
@@ -169,24 +169,27 @@
         zone
     }
 
-    /// Messages that each node has sent.
+    /// Returns the number of messages that each node has sent.
     fn sent(&self) -> Vec<u64> {
         self.nodes.iter().map(|node| node.broadcast.metrics().sent).collect()
     }
 
-    /// The outcome, without the calls and messages of the start.
+    /// Returns the outcome, without the calls and messages of the start phase.
     fn outcome(self, calls_at_start: u64, sent_at_start: &[u64]) -> Outcome {
         let sent: Vec<u64> =
             self.sent().iter().zip(sent_at_start).map(|(total, at_start)| total - at_start).collect();
         let up_to_date =
-            self.nodes.iter().filter(|node| node.runs).all(|node| node.version + 1 >= self.version);
-        assert!(up_to_date, "a node is behind by more than the last change");
-        let delay = |version: usize| self.seen_at[version].saturating_sub(self.changed_at[version]);
+            self.nodes.iter().filter(|node| node.is_running).all(|node| node.version + 1 >= self.version);
+        assert!(up_to_date, "a node lags by more than the last change");
+        let delay = |version: usize| self.received_at[version].saturating_sub(self.changed_at[version]);
         Outcome {
             calls: self.outcome.calls - calls_at_start,
             messages: sent.iter().sum(),
-            most: sent.iter().copied().max().unwrap_or(0) as f64 / (RUN_LENGTH - COUNTED_FROM).as_secs_f64(),
-            last_ms: (2..self.version as usize).map(|version| delay(version).as_millis() as u64).collect(),
+            peak_send_rate: sent.iter().copied().max().unwrap_or(0) as f64
+                / (RUN_LENGTH - COUNTED_FROM).as_secs_f64(),
+            propagation_ms: (2..self.version as usize)
+                .map(|version| delay(version).as_millis() as u64)
+                .collect(),
         }
     }
 
@@ -203,12 +206,12 @@
             self.queue.schedule(delay, Event::PollAnswer { node: i, poll, version });
         } else {
             self.waiting_polls.push((i, poll));
-            // A poll without news ends, and is made anew.
+            // A poll without a change times out and is repeated.
             self.queue.schedule(self.poll_timeout, Event::PollAnswer { node: i, poll, version: 0 });
         }
     }
 
-    /// What a version changes: all workers, or one.
+    /// Returns the change that a version makes: all workers for version 1, otherwise one.
     fn delta(version: u64) -> ListDelta {
         let entry =
             |i: usize| ListEntry { key: format!("w{i:03}"), removed: false, bytes: vec![0; ENTRY_BYTES] };
@@ -221,7 +224,7 @@
     fn record_version(&mut self, i: usize, version: u64) {
         let (now, node) = (self.queue.now(), &mut self.nodes[i]);
         for seen in node.version + 1..=version {
-            self.seen_at[seen as usize] = self.seen_at[seen as usize].max(now);
+            self.received_at[seen as usize] = self.received_at[seen as usize].max(now);
         }
         node.version = node.version.max(version);
     }
@@ -234,28 +237,28 @@
             Event::ListChange => self.change_list(),
             Event::KillHolder => {
                 if let Some(node) = self.nodes.iter_mut().find(|node| node.holds_lease) {
-                    (node.runs, node.holds_lease) = (false, false);
+                    (node.is_running, node.holds_lease) = (false, false);
                 }
             }
             Event::GrantLease(i) => {
                 let token = FENCING_TOKEN + self.queue.scheduled();
                 self.nodes[i].holds_lease = true;
                 self.nodes[i].broadcast.lease_acquired(self.queue.now(), token);
-                self.carry_out_actions(i);
+                self.execute_actions(i);
             }
         }
     }
 
     fn receive(&mut self, from: usize, to: usize, message: BroadcastMessage) {
-        if self.nodes[to].runs {
+        if self.nodes[to].is_running {
             self.nodes[to].broadcast.receive(self.queue.now(), address(from), message);
-            self.carry_out_actions(to);
+            self.execute_actions(to);
         }
     }
 
     fn poll_answered(&mut self, i: usize, poll: u64, version: u64) {
         let node = &self.nodes[i];
-        if !node.runs || node.poll != poll || !node.broadcast.polls_discovery() {
+        if !node.is_running || node.poll != poll || !node.broadcast.polls_discovery() {
             return;
         }
         let holds_lease = node.holds_lease;
@@ -267,15 +270,15 @@
         }
         self.waiting_polls.retain(|(node, _)| *node != i);
         self.poll_discovery(i);
-        self.carry_out_actions(i);
+        self.execute_actions(i);
     }
 
     fn tick(&mut self, i: usize) {
         let (now, node) = (self.queue.now(), &mut self.nodes[i]);
-        if node.runs && node.next_tick == Some(now) {
+        if node.is_running && node.next_tick == Some(now) {
             node.next_tick = None;
             node.broadcast.tick(now, node.holds_lease);
-            self.carry_out_actions(i);
+            self.execute_actions(i);
         }
     }
 
@@ -283,7 +286,7 @@
         let now = self.queue.now();
         self.version += 1;
         self.changed_at.push(now);
-        self.seen_at.push(now);
+        self.received_at.push(now);
         let version = self.version;
         for (node, poll) in std::mem::take(&mut self.waiting_polls) {
             let delay = self.draw_delay();
@@ -292,8 +295,8 @@
         self.queue.schedule(CHANGE_INTERVAL, Event::ListChange);
     }
 
-    /// Carries out a node's actions and schedules its next tick.
-    fn carry_out_actions(&mut self, i: usize) {
+    /// Executes a node's actions and schedules its next tick.
+    fn execute_actions(&mut self, i: usize) {
         while let Some(action) = self.nodes[i].broadcast.next_action() {
             match action {
                 BroadcastAction::Send { to, message } => self.send(i, to, message),
--- a/testbed/src/fault_proxy.rs
+++ b/testbed/src/fault_proxy.rs
@@ -1,7 +1,7 @@
-//! Fault proxies between nodes: datagrams and streams from one node to another, with loss, delay, duplicates and cuts.
+//! Fault proxies between nodes: forward datagrams and streams with loss, delay, duplication, corruption and cuts.
 //!
-//! Each node is known to the others at its proxy's address. The proxy tells by the sender's address which node sends, and
-//! applies the rule of that pair and direction.
+//! Each node advertises its proxy's address. The proxy identifies the sending node by its address and applies the rule of
+//! that pair and direction.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -17,30 +17,30 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Interval at which a cut stream looks whether it is whole again.
+/// Interval at which a cut stream checks whether the cut has ended.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest datagram that is passed on, in bytes.
+/// Longest datagram that is forwarded, in bytes.
 const DATAGRAM_MAX: usize = 65_536;
 /// Buffer of one direction of a stream, in bytes.
 const STREAM_BUFFER: usize = 16 * 1024;
-/// Datagrams that are recorded for each node at most.
+/// Maximum number of datagrams recorded for each node.
 const RECORDED_MAX: usize = 4096;
 
-/// Faults of one direction between two nodes.
+/// Fault rule of one direction between two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "struct Rule")]
 pub struct LinkRule {
-    /// Nothing passes; streams stay open and silent.
+    /// Nothing is forwarded; streams stay open without data.
     pub cut: bool,
-    /// Share of the datagrams that is lost.
+    /// Share of the datagrams that are dropped.
     pub loss: f64,
-    /// Share that is delivered twice.
+    /// Share that are delivered twice.
     pub twice: f64,
-    /// Share that has one bit inverted.
+    /// Share with one bit inverted.
     pub mutated: f64,
-    /// Least delay, in milliseconds.
+    /// Minimum delay, in milliseconds.
     pub delay_ms: u64,
-    /// Largest additional delay, in milliseconds; drawn for each datagram, so that they overtake each other.
+    /// Maximum additional random delay of each datagram, in milliseconds; reorders datagrams.
     pub jitter_ms: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl LinkRules {
-    /// The rule from one node to another.
+    /// Returns the rule from one node to another.
     pub fn between(&self, from: usize, to: usize) -> LinkRule {
         *self.links.get(&(from, to)).unwrap_or(&self.default)
     }
@@ -62,7 +62,7 @@
         self.links.insert((from, to), rule);
     }
 
-    /// Sets the rule of all links that have none of their own.
+    /// Sets the rule of all links without their own.
     pub fn set_default_rule(&mut self, rule: LinkRule) {
         self.default = rule;
     }
@@ -91,11 +91,11 @@
 /// Counters of all proxies of a cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyCounters {
-    /// Datagrams passed on.
+    /// Datagrams forwarded.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams forwarded.
     pub bytes: u64,
-    /// Datagrams lost or cut off.
+    /// Datagrams dropped by loss or cuts.
     pub lost: u64,
 }
 
@@ -104,12 +104,12 @@
     nodes: HashMap<IpAddr, usize>,
     rng: SmallRng,
     counters: ProxyCounters,
-    /// The first datagrams to each node since recording began, for tests that replay them.
+    /// First datagrams to each node since recording began, for replay tests.
     recorded: HashMap<usize, Vec<Vec<u8>>>,
     recording: bool,
 }
 
-/// The proxies of one cluster; they end with the last clone.
+/// The proxies of one cluster; they stop when the last clone is dropped.
 #[derive(Clone)]
 pub struct FaultProxies {
     state: Arc<Mutex<State>>,
@@ -127,11 +127,11 @@
 }
 
 impl FaultProxies {
-    /// Starts a proxy at `fronts[i]` for the node that listens at `nodes[i]`; what they draw goes by the seed.
+    /// Starts a proxy at `proxies[i]` for the node that listens at `nodes[i]`; random choices depend on the seed.
     ///
     /// # Errors
-    /// Where an address can't be bound.
-    pub async fn start(fronts: &[SocketAddr], nodes: &[SocketAddr], seed: u64) -> io::Result<FaultProxies> {
+    /// If an address can't be bound.
+    pub async fn start(proxies: &[SocketAddr], nodes: &[SocketAddr], seed: u64) -> io::Result<FaultProxies> {
         let state = State {
             rules: HashMap::new(),
             nodes: nodes.iter().enumerate().map(|(i, address)| (address.ip(), i)).collect(),
@@ -142,9 +142,9 @@
         };
         let state = Arc::new(Mutex::new(state));
         let tasks = Arc::new(Tasks(Mutex::default()));
-        for (to, (front, node)) in fronts.iter().zip(nodes).enumerate() {
-            let socket = Arc::new(UdpSocket::bind(front).await?);
-            let listener = TcpListener::bind(front).await?;
+        for (to, (proxy, node)) in proxies.iter().zip(nodes).enumerate() {
+            let socket = Arc::new(UdpSocket::bind(proxy).await?);
+            let listener = TcpListener::bind(proxy).await?;
             let datagrams = tokio::spawn(forward_datagrams(state.clone(), socket, to, *node));
             let streams = tokio::spawn(forward_streams(state.clone(), listener, to, *node));
             let mut tasks = tasks.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -177,17 +177,17 @@
         lock(&self.state).rules.clear();
     }
 
-    /// The counters now.
+    /// Returns the counters.
     pub fn counters(&self) -> ProxyCounters {
         lock(&self.state).counters
     }
 
-    /// Records the datagrams to each node from here on, up to some thousands.
+    /// Starts to record the datagrams to each node, up to some thousands.
     pub fn start_recording(&self) {
         lock(&self.state).recording = true;
     }
 
-    /// The recorded datagrams to a node.
+    /// Returns the recorded datagrams to a node.
     pub fn recorded(&self, to: usize) -> Vec<Vec<u8>> {
         lock(&self.state).recorded.get(&to).cloned().unwrap_or_default()
     }
@@ -202,7 +202,7 @@
         self.rules.get(&(from, to)).copied().unwrap_or_default()
     }
 
-    /// The delay of each copy of a datagram; none where it is lost. May change the bytes.
+    /// Returns the delay of each copy of a datagram, none if it is dropped. May change the bytes.
     fn apply_rule(&mut self, from: usize, to: usize, bytes: &mut [u8]) -> Vec<Duration> {
         let rule = self.rule(from, to);
         if rule.cut || self.rng.random_bool(rule.loss) {
@@ -230,7 +230,7 @@
 async fn forward_datagrams(state: Arc<Mutex<State>>, socket: Arc<UdpSocket>, to: usize, node: SocketAddr) {
     let mut buffer = vec![0; DATAGRAM_MAX];
     loop {
-        // An error here is of a datagram sent before, whose receiver is not there.
+        // An error here belongs to an earlier datagram whose receiver was not reachable.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let mut bytes = buffer[..length].to_vec();
         let Some(from) = lock(&state).nodes.get(&sender.ip()).copied() else { continue };
@@ -255,7 +255,7 @@
         let Some(from) = lock(&state).nodes.get(&sender.ip()).copied() else { continue };
         let state = state.clone();
         tokio::spawn(async move {
-            // While it is cut the connection stays open and silent, as a cut cable leaves it.
+            // While the link is cut, the connection stays open without data, as with an unplugged cable.
             wait_until_open(&state, from, to).await;
             let Ok(server) = connect(node).await else { return };
             let ((client_in, client_out), (server_in, server_out)) =
--- a/testbed/src/history_check.rs
+++ b/testbed/src/history_check.rs
@@ -1,5 +1,5 @@
-//! History checker: finds violations of mutual exclusion in a history of operations under fencing tokens. It knows nothing of
-//! how leases are granted.
+//! History checker: finds violations of mutual exclusion in a history of operations under fencing tokens. It does not
+//! depend on how leases are granted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,11 +8,11 @@
 /// One operation on a resource that only one holder may operate on at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedOperation {
-    /// Time at which the holder checked that it may act, on one global clock.
+    /// Time at which the holder checked its lease, on one global clock.
     pub started_at: Duration,
     /// Time at which the resource accepted or rejected it.
     pub arrived_at: Duration,
-    /// Process that acted.
+    /// Process that operated.
     pub process: String,
     /// Fencing token.
     pub token: u64,
@@ -25,9 +25,9 @@
 pub enum Violation {
     /// An operation was accepted under a token lower than one accepted before.
     TokenRegressed(u64, u64),
-    /// Two processes acted under one token.
+    /// Two processes operated under one token.
     TokenShared(u64, String, String),
-    /// A process began an operation under a token after another had begun one under a higher token.
+    /// An operation started under a token after one had started under a higher token.
     HoldersOverlap(u64, u64),
     /// An operation was rejected though no higher token had arrived.
     RejectedWithoutCause(u64),
@@ -37,14 +37,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::TokenRegressed(old, new) => {
-                write!(f, "an act under {old} was taken after one under {new}")
+                write!(f, "an operation under token {old} was accepted after one under token {new}")
             }
-            Violation::TokenShared(token, a, b) => write!(f, "{a} and {b} acted under {token}"),
+            Violation::TokenShared(token, a, b) => write!(f, "{a} and {b} operated under token {token}"),
             Violation::HoldersOverlap(old, new) => {
-                write!(f, "{old} was acted under after {new} had been begun")
+                write!(f, "an operation under token {old} started after one under token {new}")
             }
             Violation::RejectedWithoutCause(token) => {
-                write!(f, "an act under {token} was refused without cause")
+                write!(f, "an operation under token {token} was rejected though no higher token had arrived")
             }
         }
     }
@@ -53,30 +53,34 @@
 /// Returns all violations in the operations on one resource, which are in the order of their arrival.
 pub fn violations(operations: &[FencedOperation]) -> Vec<Violation> {
     let mut found = Vec::new();
-    let (mut highest, mut seen) = (0, 0);
+    let (mut highest_accepted, mut highest_arrived) = (0, 0);
     let mut owners: BTreeMap<u64, &str> = BTreeMap::new();
-    for act in operations {
-        match act.accepted {
-            true if act.token < highest => found.push(Violation::TokenRegressed(act.token, highest)),
-            true => highest = act.token,
-            false if act.token >= seen => found.push(Violation::RejectedWithoutCause(act.token)),
+    for operation in operations {
+        match operation.accepted {
+            true if operation.token < highest_accepted => {
+                found.push(Violation::TokenRegressed(operation.token, highest_accepted))
+            }
+            true => highest_accepted = operation.token,
+            false if operation.token >= highest_arrived => {
+                found.push(Violation::RejectedWithoutCause(operation.token))
+            }
             false => {}
         }
-        seen = seen.max(act.token);
-        let owner = *owners.entry(act.token).or_insert(&act.process);
-        if owner != act.process {
-            found.push(Violation::TokenShared(act.token, owner.to_string(), act.process.clone()));
+        highest_arrived = highest_arrived.max(operation.token);
+        let owner = *owners.entry(operation.token).or_insert(&operation.process);
+        if owner != operation.process {
+            found.push(Violation::TokenShared(operation.token, owner.to_string(), operation.process.clone()));
         }
     }
-    // What counts between holders is when each checked its lease, however long the act was on its way.
+    // Holders overlap by when they checked their leases, regardless of how long an operation took to arrive.
     let mut by_start: Vec<&FencedOperation> = operations.iter().collect();
     by_start.sort_by_key(|a| a.started_at);
-    let mut latest = 0;
-    for act in by_start {
-        if act.token < latest {
-            found.push(Violation::HoldersOverlap(act.token, latest));
+    let mut highest_started = 0;
+    for operation in by_start {
+        if operation.token < highest_started {
+            found.push(Violation::HoldersOverlap(operation.token, highest_started));
         }
-        latest = latest.max(act.token);
+        highest_started = highest_started.max(operation.token);
     }
     found
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,14 +1,14 @@
-//! Testbed: many processes of the program on loopback addresses, with stand-ins for workers and discovery, an open-loop load,
-//! and faults; and the same state machines in emulated time. No node links it.
+//! Test bed: runs many processes of the program on loopback addresses, with stand-ins for workers and discovery, an
+//! open-loop load, and fault injection; and runs the same state machines in emulated time. No node links this crate.
 //!
-//! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] plays jobs; [`plan`] carries a
-//!   plan of faults out; [`soak`] draws overlapping faults and judges the protocol's rules.
-//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases, [`emulated_broadcast`] the list broadcast; [`scale`]
-//!   measures all of them at growing sizes.
-//! - Judges: [`check`] compares the views of the nodes with what is true, [`history_check`] and [`resource`] the calls of lease
-//!   holders.
+//! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] sends requests; [`plan`]
+//!   executes a fault plan; [`soak`] injects overlapping random faults and checks the protocol's rules.
+//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases, [`emulated_broadcast`] the
+//!   list broadcast; [`scale`] measures all of them at growing sizes.
+//! - Checkers: [`check`] compares the nodes' membership views with the expected ones; [`history_check`] and [`resource`]
+//!   check the operations of lease holders.
 //!
-//! A fault plan is a TOML file; an error names its line:
+//! A fault plan is a TOML file. A parse error reports the line:
 //!
 //! ```
 //! use testbed::plan::Plan;
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load of jobs: each is due at a drawn time whether or not the ones before it have ended, and its time is
-//! counted from when it was due.
+//! Open-loop load: each request is due at a random time whether or not earlier ones have ended, and its latency counts
+//! from when it was due.
 
 use crate::wire::{head, length, request_with_fields, status};
 use hdrhistogram::Histogram;
@@ -20,39 +20,40 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time limit of one health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time beyond a job's deadline before it counts as lost.
+/// Time after a request's deadline until it counts as lost.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// Idle connections that are kept to each node.
+/// Maximum number of idle connections to each node.
 const IDLE_CONNECTIONS_MAX: usize = 64;
-/// Mean and deviation of the logarithm of a job's work, relative to its class: works differ by about half of their mean.
+/// Mean and deviation of the logarithm of a request's work, relative to its class: the standard deviation of the work is
+/// about half of its mean.
 const WORK_LOG_MEAN: f64 = -0.1;
 const WORK_LOG_DEVIATION: f64 = 0.45;
-/// Bounds of a job's work, relative to its class.
+/// Bounds of a request's work, relative to its class.
 const WORK_FACTOR_MIN: f64 = 0.2;
 const WORK_FACTOR_MAX: f64 = 5.0;
 
-/// Class of jobs.
+/// Request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: &'static str,
-    /// Its share of the jobs.
+    /// Share of the requests.
     pub share: f64,
-    /// Its mean work.
+    /// Mean work.
     pub work: Duration,
-    /// A job is in time within this, and `stretch` times its own work.
+    /// A request is in time if answered within this plus `stretch` times its own work.
     pub latency_objective: Duration,
-    /// Multiple of a job's own work that is allowed in addition.
+    /// Multiple of the request's own work that is allowed in addition.
     pub stretch: f64,
-    /// Time that its client waits.
+    /// Time for which the client waits.
     pub deadline: Duration,
-    /// Priority weight of each second of work.
+    /// Priority weight per second of work.
     pub priority_weight: f64,
-    /// Whether it carries an idempotency key.
+    /// Whether its requests have an idempotency key.
     pub keyed: bool,
 }
 
-/// Jobs as the platform has them, a fifth as long.
+/// Returns the platform's request classes, with work a fifth as long.
 pub fn classes() -> [Class; 2] {
     let ms = Duration::from_millis;
     let check = Class {
@@ -81,40 +82,40 @@
 /// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Jobs a second.
+    /// Requests per second.
     pub rate: f64,
     /// Duration.
     pub duration: Duration,
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The tenants, all with the same share of the jobs.
+    /// Tenants, each with the same share of the requests.
     pub tenants: Vec<String>,
 }
 
-/// Outcome of a load: counts of jobs by how they ended.
+/// Outcome of a load: counts of requests by outcome.
 #[derive(Clone)]
 pub struct Report {
-    /// Jobs that were due.
+    /// Requests that were due.
     pub due: u64,
-    /// Served in time.
+    /// Succeeded in time.
     pub in_time: u64,
-    /// Served too late to be worth anything.
+    /// Succeeded too late to count.
     pub late: u64,
-    /// Rejected.
+    /// Shed by the node (429 or 503).
     pub shed: u64,
     /// Failed.
     pub failed: u64,
-    /// No answer at all by their deadline.
+    /// Without an answer by the deadline.
     pub lost: u64,
-    /// Of those that failed or were lost, the number that was sent to each node.
+    /// Number of failed or lost requests, by the node that they were sent to.
     pub unserved_by_node: HashMap<SocketAddr, u64>,
     /// Due while no node was healthy.
     pub without_node: u64,
-    /// Priority weight that was served in time, as a share of all that was due.
+    /// Priority weight served in time, as a share of the weight due.
     pub weight_in_time: f64,
-    /// Time from when each was due to its answer, in microseconds, of those served.
+    /// Latency of successful requests from when they were due, in microseconds.
     pub latencies: Histogram<u64>,
-    /// Of jobs with an idempotency key: how often each was answered 200.
+    /// Number of 200 answers of each request with an idempotency key, by request id.
     pub answers_by_key: HashMap<String, u32>,
 }
 
@@ -122,7 +123,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "worth {:.3}; {} due, {} in time, {} late, {} refused, {} failed, {} lost, {} nowhere; median {:.0} ms, \
+            "weight in time {:.3}; {} due, {} in time, {} late, {} shed, {} failed, {} lost, {} without node; median {:.0} ms, \
              99% {:.0} ms",
             self.weight_in_time,
             self.due,
@@ -150,24 +151,24 @@
             unserved_by_node: HashMap::new(),
             without_node: 0,
             weight_in_time: 0.0,
-            latencies: Histogram::new(3).expect("three digits are allowed"),
+            latencies: Histogram::new(3).expect("3 significant digits are supported"),
             answers_by_key: HashMap::new(),
         }
     }
 }
 
-/// Report that grows with each job.
+/// Accumulates the report.
 struct Tally {
     report: Report,
-    /// Weight that was served in time, and that was due.
-    served_weight: f64,
+    /// Priority weight served in time, and due.
+    weight_in_time: f64,
     due_weight: f64,
 }
 
 /// Idle connections by node.
 type ConnectionPool = Mutex<HashMap<SocketAddr, Vec<BufReader<TcpStream>>>>;
 
-/// What all jobs of a load share.
+/// State shared by all requests of a load.
 struct Shared {
     tally: Mutex<Tally>,
     /// Nodes that passed their last health check.
@@ -175,70 +176,71 @@
     pool: ConnectionPool,
 }
 
-/// A drawn job.
-struct Job {
+/// One request of the load.
+struct Request {
     class: Class,
     id: String,
     tenant: String,
     work: Duration,
     due: Instant,
-    /// Chooses among the nodes that are healthy when it is due.
+    /// Random number that selects among the nodes that are healthy when the request is due.
     choice: u64,
 }
 
-/// Plays a load against these nodes, through a load balancer that takes a node out once it says that it is not up.
+/// Runs a load against these nodes, as through a load balancer that skips nodes whose last health check failed.
 ///
 /// # Panics
-/// Where the rate is not above zero, or there is no tenant.
+/// If the rate is not above zero, or there is no tenant.
 pub async fn run_load(load: Load, nodes: Vec<SocketAddr>) -> Report {
     let shared = Arc::new(Shared {
-        tally: Mutex::new(Tally { report: Report::empty(), served_weight: 0.0, due_weight: 0.0 }),
+        tally: Mutex::new(Tally { report: Report::empty(), weight_in_time: 0.0, due_weight: 0.0 }),
         healthy: Mutex::new(nodes.clone()),
         pool: Mutex::default(),
     });
     let health_checks = tokio::spawn(check_health(nodes, shared.clone()));
     let mut rng = SmallRng::seed_from_u64(load.seed);
-    let gap = Exp::new(load.rate).expect("a rate above zero");
-    let (start, mut at, mut jobs) = (Instant::now(), Duration::ZERO, JoinSet::new());
+    let gap = Exp::new(load.rate).expect("the rate is above zero");
+    let (start, mut at, mut requests) = (Instant::now(), Duration::ZERO, JoinSet::new());
     for number in 0u64.. {
         at += Duration::from_secs_f64(gap.sample(&mut rng));
         if at >= load.duration {
             break;
         }
-        let job = Job::draw(&load, number, start + at, &mut rng);
-        sleep_until(job.due).await;
+        let request = Request::draw(&load, number, start + at, &mut rng);
+        sleep_until(request.due).await;
         let shared = shared.clone();
-        jobs.spawn(async move { job.run(&shared).await });
-        while jobs.try_join_next().is_some() {}
+        requests.spawn(async move { request.run(&shared).await });
+        while requests.try_join_next().is_some() {}
     }
-    while jobs.join_next().await.is_some() {}
+    while requests.join_next().await.is_some() {}
     health_checks.abort();
     let tally = lock(&shared.tally);
-    Report { weight_in_time: tally.served_weight / tally.due_weight.max(1e-9), ..tally.report.clone() }
+    Report { weight_in_time: tally.weight_in_time / tally.due_weight.max(1e-9), ..tally.report.clone() }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How a job ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum Outcome {
     Answered { node: SocketAddr, status: u16 },
     Lost { node: SocketAddr },
     NoNode,
 }
 
-impl Job {
-    fn draw(load: &Load, number: u64, due: Instant, rng: &mut SmallRng) -> Job {
-        let factor = LogNormal::<f64>::new(WORK_LOG_MEAN, WORK_LOG_DEVIATION).expect("finite");
+impl Request {
+    fn draw(load: &Load, number: u64, due: Instant, rng: &mut SmallRng) -> Request {
+        let factor =
+            LogNormal::<f64>::new(WORK_LOG_MEAN, WORK_LOG_DEVIATION).expect("the deviation is finite");
         let [first, second] = classes();
         let class = if rng.random::<f64>() < first.share { first } else { second };
         let work = class.work.mul_f64(factor.sample(rng).clamp(WORK_FACTOR_MIN, WORK_FACTOR_MAX));
         let tenant = load.tenants[rng.random_range(0..load.tenants.len())].clone();
         let choice = rng.random();
         let id = format!("{:016x}", load.seed.rotate_left(40) ^ number);
-        Job { class, id, tenant, work, due, choice }
+        Request { class, id, tenant, work, due, choice }
     }
 
     async fn run(self, shared: &Shared) {
@@ -246,15 +248,15 @@
             let healthy = lock(&shared.healthy);
             healthy.get(self.choice as usize % healthy.len().max(1)).copied()
         };
-        let end = match node {
+        let outcome = match node {
             Some(node) => self.send(node, &shared.pool).await,
-            None => End::NoNode,
+            None => Outcome::NoNode,
         };
-        lock(&shared.tally).count(&self, end);
+        lock(&shared.tally).count(&self, outcome);
     }
 
-    /// Sends the job to a node and waits for its answer.
-    async fn send(&self, node: SocketAddr, pool: &ConnectionPool) -> End {
+    /// Sends the request to a node and waits for the answer.
+    async fn send(&self, node: SocketAddr, pool: &ConnectionPool) -> Outcome {
         let key = self.class.keyed.then(|| format!("key-{}", self.id));
         let (deadline, us) = (self.class.deadline.as_secs_f64(), self.work.as_micros() as u64);
         let body = us.to_string();
@@ -270,61 +272,61 @@
         let idle = lock(pool).get_mut(&node).and_then(Vec::pop);
         let exchange = async {
             if let Some(stream) = idle {
-                // A node may close a connection between two requests; then the client sends once more on a new one.
-                if let Some(answer) = request(stream, &text).await {
+                // A node may close an idle connection at any time; the client then retries once on a new one.
+                if let Some(answer) = send_request(stream, &text).await {
                     return Some(answer);
                 }
             }
-            request(BufReader::new(TcpStream::connect(node).await.ok()?), &text).await
+            send_request(BufReader::new(TcpStream::connect(node).await.ok()?), &text).await
         };
         let left = (self.due + self.class.deadline + LOST_AFTER).saturating_duration_since(Instant::now());
-        let Ok(Some((status, stream))) = timeout(left, exchange).await else { return End::Lost { node } };
+        let Ok(Some((status, stream))) = timeout(left, exchange).await else { return Outcome::Lost { node } };
         let mut pool = lock(pool);
         let idle = pool.entry(node).or_default();
         if let Some(stream) = stream.filter(|_| idle.len() < IDLE_CONNECTIONS_MAX) {
             idle.push(stream);
         }
-        End::Answered { node, status }
+        Outcome::Answered { node, status }
     }
 }
 
 impl Tally {
-    fn count(&mut self, job: &Job, end: End) {
-        let worth = job.class.priority_weight * job.work.as_secs_f64();
-        self.due_weight += worth;
+    fn count(&mut self, request: &Request, outcome: Outcome) {
+        let weight = request.class.priority_weight * request.work.as_secs_f64();
+        self.due_weight += weight;
         self.report.due += 1;
-        match end {
-            End::Answered { status: 200, .. } => self.count_served(job, worth),
-            End::Answered { status: 429 | 503, .. } => self.report.shed += 1,
-            End::Answered { node, .. } => {
+        match outcome {
+            Outcome::Answered { status: 200, .. } => self.count_served(request, weight),
+            Outcome::Answered { status: 429 | 503, .. } => self.report.shed += 1,
+            Outcome::Answered { node, .. } => {
                 self.report.failed += 1;
                 *self.report.unserved_by_node.entry(node).or_default() += 1;
             }
-            End::Lost { node } => {
+            Outcome::Lost { node } => {
                 self.report.lost += 1;
                 *self.report.unserved_by_node.entry(node).or_default() += 1;
             }
-            End::NoNode => self.report.without_node += 1,
+            Outcome::NoNode => self.report.without_node += 1,
         }
     }
 
-    fn count_served(&mut self, job: &Job, worth: f64) {
-        let (took, class) = (job.due.elapsed(), &job.class);
+    fn count_served(&mut self, request: &Request, weight: f64) {
+        let (took, class) = (request.due.elapsed(), &request.class);
         if class.keyed {
-            *self.report.answers_by_key.entry(job.id.clone()).or_default() += 1;
+            *self.report.answers_by_key.entry(request.id.clone()).or_default() += 1;
         }
-        let _ = self.report.latencies.record(took.as_micros() as u64); // the histogram grows with what it is given
-        if took <= class.latency_objective + job.work.mul_f64(class.stretch) {
+        let _ = self.report.latencies.record(took.as_micros() as u64); // cannot fail: the histogram resizes itself
+        if took <= class.latency_objective + request.work.mul_f64(class.stretch) {
             self.report.in_time += 1;
-            self.served_weight += worth;
+            self.weight_in_time += weight;
         } else {
             self.report.late += 1;
         }
     }
 }
 
-/// Sends a request and reads its answer: the status, and the connection where it stays open.
-async fn request(
+/// Sends a request and reads the answer; returns its status, and the connection unless the node closes it.
+async fn send_request(
     mut stream: BufReader<TcpStream>,
     text: &str,
 ) -> Option<(u16, Option<BufReader<TcpStream>>)> {
@@ -336,7 +338,7 @@
     Some((status(&head)?, (!closes).then_some(stream)))
 }
 
-/// Takes nodes in and out by their health checks.
+/// Keeps the set of healthy nodes up to date by health checks.
 async fn check_health(nodes: Vec<SocketAddr>, shared: Arc<Shared>) {
     loop {
         let mut checks = JoinSet::new();
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the testbed: fault plans against real processes, soak runs, and measurements in emulated time.
+//! Command line of the test bed: fault plans and soak runs against real processes, and measurements in emulated time.
 
 use clap::{Parser, Subcommand};
 use std::future::Future;
@@ -10,11 +10,11 @@
 use testbed::plan::{execute, Outcome, Plan, PlanError};
 use testbed::{demo, measure, scale, soak};
 
-/// Counts what is allocated, for the measurements of state in bytes.
+/// Counts allocated bytes, for the measurements of state size.
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = counting();
 
-/// Runs many processes of the program side by side, with faults between them.
+/// Runs many processes of the program and injects faults between them.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -24,106 +24,106 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts five nodes with workers and load, kills one, cuts one off, and prints what each sees.
+    /// Starts five nodes with workers and load, kills one, isolates one, and prints the view of each.
     Demo {
-        /// The program.
+        /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
         node: PathBuf,
     },
-    /// Carries a fault plan out.
+    /// Executes a fault plan.
     Play {
-        /// The plan.
+        /// Fault plan (TOML).
         plan: PathBuf,
-        /// The program.
+        /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
         node: PathBuf,
-        /// So many times, each with another seed.
+        /// Number of runs, each with the next seed.
         #[arg(long, default_value_t = 1)]
         times: u64,
-        /// In pairs: once with the nodes' talk and once without.
+        /// Runs each seed twice: with membership and without.
         #[arg(long)]
         paired: bool,
-        /// Where to write what each node told when: a line of JSON for each half second.
+        /// File for the nodes' status reports: one line of JSON for each half second.
         #[arg(long)]
         views: Option<PathBuf>,
     },
-    /// Measures the fleet in emulated time.
+    /// Measures membership in emulated time.
     Measure {
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, num_args = 1.., default_values_t = [10, 100, 1000])]
         nodes: Vec<usize>,
-        /// Plays of each.
+        /// Runs per number of nodes.
         #[arg(long, default_value_t = 20)]
         plays: u64,
     },
-    /// Measures duties in emulated time: how long nobody holds one, and what lists cost.
+    /// Measures coordination in emulated time: how long a lease is vacant, and what the list broadcast costs.
     Duties {
-        /// Nodes of a zone.
+        /// Number of nodes in a zone.
         #[arg(long, num_args = 1.., default_values_t = [10, 100, 1000])]
         nodes: Vec<usize>,
-        /// Plays of each.
+        /// Runs per number of nodes.
         #[arg(long, default_value_t = 200)]
         plays: u64,
     },
-    /// Measures each role at growing sizes, and draws the capacity page from the results.
+    /// Measures each role at growing sizes, and generates the capacity page from the results.
     Scale(scale::Arguments),
-    /// Draws overlapping faults against real processes for many seeds, and judges the protocol's rules.
+    /// Injects overlapping random faults into real processes, and checks the protocol's rules, for many seeds.
     Soak {
-        /// The program.
+        /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
         node: PathBuf,
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1)]
         times: u64,
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, default_value_t = 12)]
         nodes: usize,
-        /// Workers.
+        /// Number of workers.
         #[arg(long, default_value_t = 8)]
         workers: usize,
-        /// Seconds of load.
+        /// Duration of the load, in seconds.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
-        /// Seconds from the start on in which nothing goes wrong.
+        /// Seconds from the start without faults.
         #[arg(long, default_value_t = 1.0)]
         quiet: f64,
-        /// Requests a second, over all nodes.
+        /// Requests per second, over all nodes.
         #[arg(long, default_value_t = 150.0)]
         requests: f64,
-        /// Troubles that begin in a second.
+        /// Faults that begin per second.
         #[arg(long, default_value_t = 3.0)]
         troubles: f64,
-        /// Prints the schedules.
+        /// Prints the fault schedules.
         #[arg(long)]
         verbose: bool,
     },
-    /// Measures the talk of real processes, idle and with nothing else to do.
+    /// Measures membership of real processes that are otherwise idle.
     Idle {
-        /// The program.
+        /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
         node: PathBuf,
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, default_value_t = 10)]
         nodes: usize,
-        /// Plays of a kill.
+        /// Number of kills.
         #[arg(long, default_value_t = 10)]
         plays: u64,
     },
 }
 
-/// Error of a command; its text is one line for the operator.
+/// Error of a command, printed as one line.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    #[error("no runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
     #[error(transparent)]
     Demo(#[from] demo::DemoError),
     #[error(transparent)]
     Scale(#[from] scale::ScaleError),
-    /// A cluster or soak could not be run.
+    /// A cluster or soak run failed to start or to complete.
     #[error(transparent)]
     Run(#[from] io::Error),
     #[error("cannot read {}: {source}", path.display())]
@@ -132,11 +132,11 @@
     Plan { path: PathBuf, source: PlanError },
     #[error("cannot write {}: {source}", path.display())]
     WriteViews { path: PathBuf, source: io::Error },
-    #[error("rules were broken with {broken} of {seeds} seeds")]
-    RulesBroken { broken: u64, seeds: u64 },
+    #[error("{violating_seeds} of {seeds} seeds violated a rule")]
+    RulesViolated { violating_seeds: u64, seeds: u64 },
 }
 
-/// Exit code of a command that failed.
+/// Exit code of a failed command.
 const FAILED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -161,7 +161,7 @@
             Ok(())
         }
         Command::Play { plan, node, times, paired, views } => {
-            block_on(play_plan(plan, node, times, paired, views))
+            block_on(run_plan(plan, node, times, paired, views))
         }
         Command::Scale(arguments) => Ok(scale::run(&arguments, &ALLOCATOR)?),
         Command::Soak { node, seed, times, nodes, workers, seconds, quiet, requests, troubles, verbose } => {
@@ -193,13 +193,13 @@
 fn measure_coordination(nodes: &[usize], plays: u64) {
     measure::lease_vacancies(plays).iter().for_each(|line| println!("{line}"));
     for nodes in nodes {
-        // Larger zones take longer, and differ less.
+        // Runs of larger zones take longer and vary less, so fewer are made.
         let plays = (plays * 10 / *nodes as u64).clamp(1, 20);
         measure::list_broadcast(*nodes, plays).iter().for_each(|line| println!("{line}"));
     }
 }
 
-async fn play_plan(
+async fn run_plan(
     path: PathBuf,
     node: PathBuf,
     times: u64,
@@ -208,16 +208,16 @@
 ) -> Result<(), CommandError> {
     let mut history = String::new();
     let mut plan = read_plan(&path)?;
-    let first = plan.seed;
-    for play in 0..times {
-        plan.seed = first + play;
+    let first_seed = plan.seed;
+    for run in 0..times {
+        plan.seed = first_seed + run;
         let with_membership: &[bool] = if paired { &[true, false] } else { &[plan.fleet] };
         for fleet in with_membership {
             plan.fleet = *fleet;
             let outcome = execute(&plan, &node, |line| println!("  {line}")).await?;
             history += &history_lines(plan.seed, &outcome);
-            let view = if *fleet { "with the view" } else { "without it" };
-            println!("seed {} {view}: {}", plan.seed, summary(&outcome));
+            let mode = if *fleet { "with membership" } else { "without membership" };
+            println!("seed {} {mode}: {}", plan.seed, summary(&outcome));
         }
     }
     if let Some(path) = views {
@@ -232,24 +232,27 @@
     Plan::parse(&text).map_err(|source| CommandError::Plan { path: path.to_path_buf(), source })
 }
 
-/// Runs a soak for each seed; an error where any rule was broken.
+/// Runs a soak for each seed.
+///
+/// # Errors
+/// If any rule was violated, or a run failed.
 async fn run_soaks(options: soak::Options, seeds: u64) -> Result<(), CommandError> {
-    let mut broken = 0;
+    let mut violating_seeds = 0;
     for seed in options.seed..options.seed + seeds {
         let report = soak::run(soak::Options { seed, ..options.clone() }).await?;
         println!("seed {seed}: {} violations; {report}", report.violations.len());
         if !report.violations.is_empty() {
             println!("    logs in {}", report.log_folder.display());
-            broken += 1;
+            violating_seeds += 1;
         }
     }
-    if broken > 0 {
-        return Err(CommandError::RulesBroken { broken, seeds });
+    if violating_seeds > 0 {
+        return Err(CommandError::RulesViolated { violating_seeds, seeds });
     }
     Ok(())
 }
 
-/// The status reports of a play, a line of JSON for each moment.
+/// Formats the status reports of a run, one line of JSON for each time.
 fn history_lines(seed: u64, outcome: &Outcome) -> String {
     let mut lines = String::new();
     for (at, nodes) in &outcome.history {
@@ -261,11 +264,11 @@
 
 fn summary(outcome: &Outcome) -> String {
     let settled = match &outcome.settled {
-        Ok(took) => format!("settled {took:.1?} after the load"),
-        Err(wrong) => format!("NOT SETTLED: {}", wrong[0]),
+        Ok(took) => format!("views settled {took:.1?} after the load"),
+        Err(faults) => format!("VIEWS NOT SETTLED: {}", faults[0]),
     };
     format!(
-        "{}; {} cold workers fell, pressure {:.2}; {} keys done twice; {settled}",
+        "{}; {} cold workers failed under overload, peak cold load {:.2}; {} keys executed twice; {settled}",
         outcome.report, outcome.failed_workers, outcome.peak_cold_load, outcome.repeated_keys
     )
 }
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Process of the program under test: start, signals, resource use and management calls. It is killed with its value.
+//! Process of the program under test: start, signals, resource use and management calls. It is killed on drop.
 
 use membership::Status;
 use rustix::process::{kill_process, Pid, Signal};
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time limit of a call to a management address: a process that does not answer is stopped, or gone.
+/// Time limit of a call to a management address: a process that does not answer is stopped or has ended.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A process of the program; it ends with this value.
+/// A process of the program; killed when dropped.
 pub struct Process {
     child: Child,
     /// Management address.
@@ -26,32 +26,33 @@
     config: PathBuf,
 }
 
-/// Writes a new file and renames it over the old one: whoever reads it sees one of the two.
+/// Replaces a file atomically: a reader sees either the old content or the new one.
 fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let new = path.with_extension("new");
     std::fs::write(&new, text)?;
     std::fs::rename(&new, path)
 }
 
-/// The management address of a configuration.
+/// Returns the management address of a configuration.
 fn management_address(config: &Value) -> io::Result<SocketAddr> {
-    let invalid = || io::Error::new(io::ErrorKind::InvalidInput, "management");
+    let invalid =
+        || io::Error::new(io::ErrorKind::InvalidInput, "the configuration has no valid management address");
     config["management"].as_str().ok_or_else(invalid)?.parse().map_err(|_| invalid())
 }
 
 impl Process {
-    /// Starts the program at `binary` in a folder of its own, with this configuration and these arguments.
+    /// Starts the program at `binary` in its own folder, with this configuration and these arguments.
     ///
     /// # Errors
-    /// Where the configuration has no management address, a file can't be written, or the program can't be started.
+    /// If the configuration has no valid management address, a file can't be written, or the program can't be started.
     pub fn start(binary: &Path, folder: &Path, config: &Value, arguments: &[&str]) -> io::Result<Process> {
         Process::start_with(binary, folder, config, arguments, &[])
     }
 
-    /// As [`Process::start`], with these environment variables beside its own.
+    /// Like [`Process::start`], with additional environment variables.
     ///
     /// # Errors
-    /// As [`Process::start`].
+    /// See [`Process::start`].
     pub fn start_with(
         binary: &Path,
         folder: &Path,
@@ -61,7 +62,7 @@
     ) -> io::Result<Process> {
         std::fs::create_dir_all(folder)?;
         let management = management_address(config)?;
-        // A process that takes over has a file of its own: the one before may read its own again.
+        // A successor gets its own file, as its predecessor may reload the old one.
         let file = folder.join(format!("config-{}.json", management.port()));
         replace_file(&file, &config.to_string())?;
         let log = folder.join(format!("log-{}", management.port()));
@@ -81,58 +82,58 @@
         Ok(Process { child, management, log, config: file })
     }
 
-    /// Replaces the configuration and has the process read it, by SIGHUP.
+    /// Replaces the configuration and sends SIGHUP, so that the process reloads it.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn reload(&mut self, config: &Value) -> io::Result<()> {
         replace_file(&self.config, &config.to_string())?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// Process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
     /// Sends a signal, unless the process has ended.
     pub fn signal(&mut self, signal: Signal) {
-        // Asked first: a number whose process is reaped may be another's.
+        // The id of a process that was reaped may belong to another process.
         if let (Ok(None), Some(pid)) = (self.child.try_wait(), Pid::from_raw(self.child.id() as i32)) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Stops the process, by SIGSTOP.
+    /// Stops the process with SIGSTOP.
     pub fn stop(&mut self) {
         self.signal(Signal::STOP);
     }
 
-    /// Continues a stopped process, by SIGCONT.
+    /// Resumes a stopped process with SIGCONT.
     pub fn resume(&mut self) {
         self.signal(Signal::CONT);
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
-        let _ = self.child.kill(); // it may have ended by itself
+        let _ = self.child.kill(); // fails if the process has already ended
         let _ = self.child.wait();
     }
 
-    /// Exit status, if the process has ended.
+    /// Returns the exit status, if the process has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Processor time used, in ticks of the kernel (of a hundredth second, mostly).
+    /// Returns the processor time used, in clock ticks (usually 10 ms each).
     pub fn cpu_ticks(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
         Some(fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?)
     }
 
-    /// Resident memory, in KiB.
+    /// Returns the resident memory, in KiB.
     pub fn memory_kib(&self) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -146,13 +147,13 @@
     }
 }
 
-/// Membership status of the node at a management address; `None` where it gives none.
+/// Returns the membership status of the node at a management address; `None` if it reports none.
 pub async fn fleet_status(at: SocketAddr) -> Option<Status> {
     let (status, body) = call(at, "GET", "/fleet").await?;
     serde_json::from_slice(&body).ok().filter(|_| status == 200)
 }
 
-/// Calls a management address: status and body; `None` where no whole answer came.
+/// Calls a management address; returns status and body, or `None` without a complete response.
 pub async fn call(at: SocketAddr, method: &str, path: &str) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
--- a/testbed/src/resource.rs
+++ b/testbed/src/resource.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a resource that only one node may act on at a time: it accepts calls with a fencing token, rejects a token
-//! lower than it has seen, and records all calls.
+//! Stand-in for a resource on which only one node may operate at a time: accepts calls with a fencing token, rejects
+//! tokens lower than the highest_token so far, and records all calls.
 
 use crate::history_check::FencedOperation;
 use crate::wire::{field, head};
@@ -15,10 +15,10 @@
 #[derive(Default)]
 struct State {
     operations: Vec<FencedOperation>,
-    highest: u64,
+    highest_token: u64,
 }
 
-/// A resource; its task ends with this value.
+/// A resource; stops when dropped.
 pub struct Resource {
     /// Address at which it listens.
     pub address: SocketAddr,
@@ -56,8 +56,8 @@
         Ok(Resource { address, state, task })
     }
 
-    /// Returns all calls in the order of their arrival. When each was started is not known here: an accepted one counts as
-    /// started when it arrived, a rejected one as started long before.
+    /// Returns all calls in the order of their arrival. Their start times are not known here: an accepted call counts as
+    /// started on arrival, a rejected one as started at time zero.
     pub fn operations(&self) -> Vec<FencedOperation> {
         lock(&self.state).operations.clone()
     }
@@ -71,8 +71,8 @@
         let process = field(&head, "x-node")?;
         let accepted = {
             let (mut s, arrived_at) = (lock(&state), start.elapsed());
-            let accepted = token >= s.highest;
-            s.highest = s.highest.max(token);
+            let accepted = token >= s.highest_token;
+            s.highest_token = s.highest_token.max(token);
             let started_at = if accepted { arrived_at } else { Duration::ZERO };
             s.operations.push(FencedOperation { started_at, arrived_at, process, token, accepted });
             accepted
--- a/testbed/src/wire.rs
+++ b/testbed/src/wire.rs
@@ -1,13 +1,13 @@
-//! The platform's wire, as its public page tells it: what stand-ins and tests share.
+//! Messages of the platform's HTTP protocol, shared by stand-ins and tests.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt};
 
-/// The longest head that a stand-in reads, in bytes.
+/// Longest message head that a stand-in reads, in bytes.
 const HEAD_MAX: usize = 16 * 1024;
 
-/// A head, as it came; `None` at the end of the connection, or where it is no head.
+/// Reads a message head; `None` at the end of the connection, or if the head is invalid or too long.
 pub async fn head(stream: &mut (impl AsyncBufRead + Unpin)) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -18,29 +18,29 @@
     Some(head)
 }
 
-/// A field of a head.
+/// Returns the value of a header field.
 pub fn field(head: &str, name: &str) -> Option<String> {
     let line = head.lines().filter_map(|l| l.split_once(": ")).find(|(n, _)| n.eq_ignore_ascii_case(name))?;
     Some(line.1.to_string())
 }
 
-/// The length of the body behind a head.
+/// Returns the length of the body that follows a head.
 pub fn length(head: &str) -> usize {
     field(head, "content-length").and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// The status of an answer's head.
+/// Returns the status code of a response head.
 pub fn status(head: &str) -> Option<u16> {
     head.split(' ').nth(1)?.parse().ok()
 }
 
-/// A request of a client, with this body; `lodge` carries the key `k1`.
+/// Formats a client request with this body; class `lodge` has the idempotency key `k1`.
 pub fn request(class: &str, id: &str, deadline: f64, body: &str) -> String {
     let key = if class == "lodge" { Some("k1") } else { None };
     request_with_fields(class, id, "sava", key, deadline, None, body)
 }
 
-/// A request of a client, with all that it may tell.
+/// Formats a client request with all its header fields.
 pub fn request_with_fields(
     class: &str,
     id: &str,
@@ -60,13 +60,13 @@
     )
 }
 
-/// A worker's line of the list.
+/// Returns a worker's entry of the endpoint list.
 pub fn endpoint_entry(id: &str, address: SocketAddr, phase: &str, since_ms: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "ljubljana", "flavor": "gen-a", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": since_ms})
 }
 
-/// Settings of two classes and one tenant, in the nested form of a node's configuration.
+/// Returns settings of two classes and one tenant, in the nested form of a node's configuration.
 pub fn settings(cancelling: bool, aim_us: u64) -> Value {
     json!({
         "Azs": ["ljubljana"], "HostTypes": ["gen-a"], "Siblings": 1, "ResolutionUs": 1000,
