--- a/testbed/src/cluster/configuration.rs
+++ b/testbed/src/cluster/configuration.rs
@@ -5,19 +5,19 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Nodes that the others know at the start.
+/// Number of seed nodes.
 const SEED_NODES: usize = 3;
-/// Time limit of an election of a voter, in milliseconds.
+/// A voter's election timeout, in milliseconds.
 const ELECTION_MS: u64 = 500;
 
 impl Cluster {
-    /// Membership file of a node, with its duties.
+    /// Returns the fleet file of a node: membership and coordination.
     pub(super) fn fleet_file(&self, i: usize) -> String {
         let seeds: Vec<String> = (0..self.spec.nodes.min(SEED_NODES))
             .map(|seed| format!("{:?}", self.advertise(seed).to_string()))
             .collect();
         let probe_ms = self.spec.probe_ms;
-        let duties = self.spec.coordination.as_ref().map(|spec| self.duties_section(i, spec));
+        let coordination = self.spec.coordination.as_ref().map(|spec| self.coordination_section(i, spec));
         format!(
             "fleet = \"testbed\"\nlisten = \"{}\"\nadvertise = \"{}\"\nzone = \"z{}\"\nkey_file = \"../fleet.key\"\n\
              seeds = [{}]\n[timing]\nprobe_ms = {probe_ms}\nanswer_ms = {}\nsuspicion_ms = {}\n\
@@ -28,15 +28,15 @@
             seeds.join(", "),
             probe_ms * 2 / 5,
             probe_ms * 4,
-            duties.unwrap_or_default()
+            coordination.unwrap_or_default()
         )
     }
 
-    fn duties_section(&self, i: usize, spec: &CoordinationSpec) -> String {
+    fn coordination_section(&self, i: usize, spec: &CoordinationSpec) -> String {
         let voter = |v| format!("{{ name = \"{}\", at = \"{}\" }}", Cluster::name(v), self.advertise(v));
         let voters: Vec<String> = (0..spec.voters).map(voter).collect();
-        let has_state = i < spec.voters || self.stateful.contains(&i);
-        let state = if has_state { "state = \"state\"\n" } else { "" };
+        let has_state_directory = i < spec.voters || self.nodes_with_state.contains(&i);
+        let state = if has_state_directory { "state = \"state\"\n" } else { "" };
         let mut section = format!(
             "[duties]\n{state}voters = [{}]\nlease_ms = {}\nelection_ms = {ELECTION_MS}\nlists = {}\nroll = {}\n",
             voters.join(", "),
@@ -53,12 +53,12 @@
         section
     }
 
-    /// Configuration of a node's next process.
+    /// Returns the configuration of a node's next process.
     pub(super) fn config(&self, i: usize, name: &str) -> Value {
         json!({"name": name, "listen": self.listen(i).to_string(), "discovery": self.discovery.address.to_string(),
             "management": self.block.address(i, 9000 + self.starts).to_string(), "seed": format!("{:x}", i + 1),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"revision": 0, "complete": true, "members": self.worker_lines()}, "settings": self.settings(i)})
+            "known": {"revision": 0, "complete": true, "members": self.endpoint_entries()}, "settings": self.settings(i)})
     }
 
     fn settings(&self, i: usize) -> Value {
@@ -82,8 +82,8 @@
         settings
     }
 
-    /// The workers as discovery lists them.
-    pub(super) fn worker_lines(&self) -> Vec<Value> {
+    /// Returns the workers' entries of the endpoint list.
+    pub(super) fn endpoint_entries(&self) -> Vec<Value> {
         let workers = self.workers.iter().enumerate().filter_map(|(n, worker)| Some((n, worker.as_ref()?)));
         workers
             .map(|(n, (worker, since_ms))| {
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Cluster under test: real processes on loopback addresses of their own, with workers, discovery and fault proxies between
-//! the nodes. All processes end when the value is dropped.
+//! Cluster under test: real processes on their own loopback addresses, with workers, discovery, and fault proxies between
+//! the nodes. Dropping it ends all processes.
 
 mod addresses;
 mod configuration;
@@ -25,60 +25,60 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// Key that all clusters under test share.
+/// Content of the key file of all clusters under test.
 pub const KEY: &str = "current 0f1e2d3c4b5a69788796a5b4c3d2e1f00f1e2d3c4b5a69788796a5b4c3d2e1f0\n";
-/// Largest number of nodes: one address for each and one for its proxy, in one block.
+/// Maximum number of nodes: a block has an address for each node and each proxy.
 pub const NODES_MAX: usize = 100;
-/// Interval between two looks at the views.
+/// Interval at which the views are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Port of the nodes for each other.
+/// Port for messages between nodes.
 const GOSSIP_PORT: u16 = 7946;
-/// First host of the proxies.
+/// First host number of the proxies.
 const PROXY_HOST: usize = 100;
-/// First host of the workers, and their number on one port.
+/// First host number of the workers, and the number of workers on one port.
 const WORKER_HOST: usize = 200;
 const WORKERS_PER_PORT: usize = 50;
 
-/// The tenants of the cluster's settings.
+/// Tenants in the cluster's settings.
 pub const TENANTS: [&str; 2] = ["primorje-spedicija", "savinja-logistika"];
 
 /// Real processes with their workers, discovery and fault proxies.
 pub struct Cluster {
-    /// Its parameters.
+    /// Parameters.
     pub spec: Spec,
-    /// The nodes' processes; `None` where none runs.
+    /// Process of each node; `None` if none runs.
     pub nodes: Vec<Option<Process>>,
-    /// Processes that were taken over from and are on their way to their end.
+    /// Processes whose successors have started.
     pub predecessors: Vec<Process>,
-    /// ViewFault proxies between them.
+    /// Fault proxies between the nodes.
     pub proxies: FaultProxies,
-    /// The workers, by number; `None` where one is gone.
+    /// Workers by number, with their start time in Unix milliseconds (0 if warm); `None` if removed.
     pub workers: Vec<Option<(Worker, u64)>>,
-    /// Discovery, from which the nodes know the workers.
+    /// Discovery, which publishes the workers to the nodes.
     pub discovery: Discovery,
-    /// Nodes that have a state folder, though they are no voters by the file.
-    pub stateful: BTreeSet<usize>,
+    /// Nodes that have a state directory without being listed as voters.
+    pub nodes_with_state: BTreeSet<usize>,
     folder: PathBuf,
     block: Block,
     starts: u16,
-    shims: Option<Shims>,
+    shims: Option<FaultShims>,
     _lock: TcpListener,
 }
 
-/// The library that makes system calls of the nodes fail, and what it is to inject into each.
-struct Shims {
+/// The fault injection library, and its control file for each node.
+struct FaultShims {
     library: PathBuf,
     controls: Vec<Control>,
 }
 
 /// Number of the next cluster in this process.
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_CLUSTER: AtomicU32 = AtomicU32::new(0);
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts a cluster with all its nodes.
     ///
     /// # Errors
-    /// As [`Cluster::prepare`] and [`Cluster::start_node`].
+    /// See [`Cluster::prepare`] and [`Cluster::start_node`].
     pub async fn start(spec: Spec) -> io::Result<Cluster> {
         let mut cluster = Cluster::prepare(spec).await?;
         for i in 0..cluster.spec.nodes {
@@ -87,22 +87,23 @@
         Ok(cluster)
     }
 
-    /// Starts all but the nodes.
+    /// Starts a cluster without its nodes.
     ///
     /// # Errors
-    /// Where there are too many nodes, no addresses are free, or a stand-in or file can't be made.
+    /// If there are too many nodes, no address block is free, or a stand-in or file can't be created.
     pub async fn prepare(spec: Spec) -> io::Result<Cluster> {
         let too_many = || io::Error::new(io::ErrorKind::InvalidInput, format!("at most {NODES_MAX} nodes"));
         (1..=NODES_MAX).contains(&spec.nodes).then_some(()).ok_or_else(too_many)?;
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
         let (block, _lock) = free_block(std::process::id().wrapping_mul(97).wrapping_add(number * 7919))?;
         let folder = std::env::temp_dir().join(format!("testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("fleet.key"), KEY)?;
-        let fronts: Vec<SocketAddr> =
+        let proxy_addresses: Vec<SocketAddr> =
             (0..spec.nodes).map(|i| block.address(PROXY_HOST + i, GOSSIP_PORT)).collect();
-        let hosts: Vec<SocketAddr> = (0..spec.nodes).map(|i| block.address(i, GOSSIP_PORT)).collect();
-        let proxies = FaultProxies::start(&fronts, &hosts, spec.seed).await?;
+        let node_addresses: Vec<SocketAddr> =
+            (0..spec.nodes).map(|i| block.address(i, GOSSIP_PORT)).collect();
+        let proxies = FaultProxies::start(&proxy_addresses, &node_addresses, spec.seed).await?;
         let discovery = Discovery::start(block.address(250, 8500), Vec::new()).await?;
         let mut cluster = Cluster {
             nodes: (0..spec.nodes).map(|_| None).collect(),
@@ -110,7 +111,7 @@
             proxies,
             workers: Vec::new(),
             discovery,
-            stateful: BTreeSet::new(),
+            nodes_with_state: BTreeSet::new(),
             folder,
             block,
             starts: 0,
@@ -125,80 +126,80 @@
         Ok(cluster)
     }
 
-    /// Has the nodes that are started from here on run with a library that makes their system calls fail.
+    /// Runs nodes that are started from now on with the fault injection library.
     ///
     /// # Errors
-    /// Where it can't be built.
+    /// If the library can't be built, or a control file can't be created.
     pub fn with_shims(&mut self) -> io::Result<()> {
         let library = shim::build(&self.folder)?;
         let control = |i| Control::create(self.folder.join(format!("control-{i}")));
         let controls = (0..self.spec.nodes).map(control).collect::<io::Result<_>>()?;
-        self.shims = Some(Shims { library, controls });
+        self.shims = Some(FaultShims { library, controls });
         Ok(())
     }
 
-    /// What is injected into a node's calls.
+    /// Returns the control of the faults injected into a node's system calls.
     ///
     /// # Panics
-    /// Where the nodes run without the library.
+    /// If the nodes run without the library.
     pub fn control(&self, i: usize) -> &Control {
-        &self.shims.as_ref().expect("nodes with the library").controls[i]
+        &self.shims.as_ref().expect("with_shims was called").controls[i]
     }
 
-    /// The name of a node.
+    /// Returns the name of a node.
     pub fn name(i: usize) -> String {
         format!("n{i:02}")
     }
 
-    /// Where clients connect to a node.
+    /// Returns the address at which a node listens for clients.
     pub fn listen(&self, i: usize) -> SocketAddr {
         self.block.address(i, shim::CLIENT_PORT)
     }
 
-    /// Where the other nodes reach it: its proxy.
+    /// Returns the address that a node advertises to the others: its proxy's.
     pub fn advertise(&self, i: usize) -> SocketAddr {
         self.block.address(PROXY_HOST + i, GOSSIP_PORT)
     }
 
-    /// Where it listens for other nodes itself.
+    /// Returns the address at which a node listens for other nodes, behind its proxy.
     pub fn gossip_address(&self, i: usize) -> SocketAddr {
         self.block.address(i, GOSSIP_PORT)
     }
 
-    /// The state folder of a node.
+    /// Returns the state directory of a node.
     pub fn state(&self, i: usize) -> PathBuf {
         self.folder.join(Cluster::name(i)).join("state")
     }
 
-    /// An address for a stand-in of the test's own.
+    /// Returns an address for a stand-in that a test starts.
     pub fn spare_address(&self, n: u16) -> SocketAddr {
         self.block.address(251, 8600 + n)
     }
 
-    /// Coordination status of a node, as JSON.
+    /// Returns the coordination status of a node, as JSON.
     pub async fn coordination_status(&self, i: usize) -> Option<Value> {
         let at = self.nodes[i].as_ref()?.management;
         let (status, body) = crate::process::call(at, "GET", "/fleet/duties").await?;
         serde_json::from_slice(&body).ok().filter(|_| status == 200)
     }
 
-    /// Folder of the cluster; removed with it.
+    /// Returns the folder of the cluster; it is removed on drop.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Starts a process for a node: anew, or beside one that runs, which is then in [`Cluster::predecessors`].
+    /// Starts a process for a node. One that is already running moves to [`Cluster::predecessors`].
     ///
     /// # Errors
-    /// Where a file can't be written or the program can't be started.
+    /// If a file can't be written or the program can't be started.
     pub fn start_node(&mut self, i: usize) -> io::Result<()> {
         self.start_as(i, &Cluster::name(i))
     }
 
-    /// As [`Cluster::start_node`], under another name.
+    /// Like [`Cluster::start_node`], under another name.
     ///
     /// # Errors
-    /// As [`Cluster::start_node`].
+    /// See [`Cluster::start_node`].
     pub fn start_as(&mut self, i: usize, name: &str) -> io::Result<()> {
         self.starts += 1;
         let folder = self.folder.join(Cluster::name(i));
@@ -223,23 +224,26 @@
         Ok(())
     }
 
-    /// Publishes the workers to discovery.
+    /// Publishes all workers in discovery.
     pub fn publish_workers(&self) {
-        self.discovery.publish(self.worker_lines());
+        self.discovery.publish(self.endpoint_entries());
     }
 
-    /// Publishes the workers, one of them as draining.
+    /// Publishes all workers in discovery, one of them as draining.
     pub fn publish_draining(&self, n: usize) {
-        let mut lines = self.worker_lines();
+        let mut entries = self.endpoint_entries();
         let id = format!("w{n:03}");
-        lines.iter_mut().filter(|l| l["id"] == id.as_str()).for_each(|l| l["phase"] = "terminating".into());
-        self.discovery.publish(lines);
+        entries
+            .iter_mut()
+            .filter(|entry| entry["id"] == id.as_str())
+            .for_each(|entry| entry["phase"] = "terminating".into());
+        self.discovery.publish(entries);
     }
 
-    /// Adds a worker, which is not published yet. Returns its number.
+    /// Starts a worker without publishing it. Returns its number.
     ///
     /// # Errors
-    /// Where its address can't be bound.
+    /// If its address can't be bound.
     pub async fn add_worker(&mut self, cold: bool) -> io::Result<usize> {
         let n = self.workers.len();
         let address =
@@ -250,18 +254,18 @@
         Ok(n)
     }
 
-    /// The process of a node that runs.
+    /// Returns the process of a running node.
     ///
     /// # Panics
-    /// Where none runs: a test that says so is wrong.
+    /// If the node has no process, which is a fault of the test.
     pub fn node(&mut self, i: usize) -> &mut Process {
         self.nodes[i].as_mut().expect("this node has a process")
     }
 
-    /// Restarts each node whose process has ended by itself, as a supervisor does; returns which.
+    /// Restarts each node whose process has exited, as a supervisor does. Returns the restarted nodes.
     ///
     /// # Errors
-    /// As [`Cluster::start_node`].
+    /// See [`Cluster::start_node`].
     pub fn restart_ended(&mut self) -> io::Result<Vec<usize>> {
         let ended = |p: &mut Option<Process>| p.as_mut().is_some_and(|p| p.exit_status().is_some());
         let all: Vec<usize> =
@@ -275,7 +279,7 @@
         self.nodes[i] = None;
     }
 
-    /// Status reports of all nodes, by name; `None` for a node that gives none.
+    /// Returns the status reports of all nodes, by name; `None` for a node that reports none.
     pub async fn statuses(&self) -> BTreeMap<String, Option<Status>> {
         let mut calls = JoinSet::new();
         for (i, process) in self.nodes.iter().enumerate() {
@@ -289,45 +293,45 @@
         all
     }
 
-    /// The views of all nodes.
+    /// Returns the membership views of all nodes.
     pub async fn views(&self) -> BTreeMap<String, Option<View>> {
         self.statuses().await.into_iter().map(|(n, s)| (n, s.map(|s| s.view))).collect()
     }
 
-    /// The right views where these nodes run, in one partition.
+    /// Returns the expected views if these nodes run, in one partition.
     pub fn expected_views(running: impl IntoIterator<Item = usize>) -> ExpectedViews {
         ExpectedViews { partitions: running.into_iter().map(|i| (Cluster::name(i), 0)).collect() }
     }
 
-    /// Waits until the views are equal and true, and have been for [`Spec::settle_time`]. Returns how long that took.
+    /// Waits until the views have been equal and as expected for [`Spec::settle_time`]. Returns the time until they were.
     ///
     /// # Errors
-    /// What was wrong last, where they are not within `bound`.
+    /// Returns the last faults if the views do not settle within `bound`.
     pub async fn settled(
         &self,
         expected: &ExpectedViews,
         bound: Duration,
     ) -> Result<Duration, Vec<ViewFault>> {
         let start = Instant::now();
-        let (mut right_since, mut last): (Option<Instant>, Vec<ViewFault>) = (None, Vec::new());
+        let (mut correct_since, mut last_faults): (Option<Instant>, Vec<ViewFault>) = (None, Vec::new());
         loop {
-            let wrong = view_faults(expected, &self.views().await);
-            if wrong.is_empty() {
-                let since = *right_since.get_or_insert_with(Instant::now);
+            let faults = view_faults(expected, &self.views().await);
+            if faults.is_empty() {
+                let since = *correct_since.get_or_insert_with(Instant::now);
                 if since.elapsed() >= self.spec.settle_time() {
                     return Ok(since - start);
                 }
             } else {
-                (right_since, last) = (None, wrong);
+                (correct_since, last_faults) = (None, faults);
             }
-            if right_since.is_none() && start.elapsed() >= bound {
-                return Err(last);
+            if correct_since.is_none() && start.elapsed() >= bound {
+                return Err(last_faults);
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The log of a node's last process.
+    /// Returns the log of a node's last process.
     pub fn log(&self, i: usize) -> String {
         let log = self.nodes[i].as_ref().map(|p| p.log.clone());
         log.and_then(|path| std::fs::read_to_string(path).ok()).unwrap_or_default()
@@ -339,7 +343,7 @@
         self.nodes.clear();
         self.predecessors.clear();
         if std::thread::panicking() {
-            eprintln!("the nodes' logs are left in {}", self.folder.display());
+            eprintln!("the nodes' logs are kept in {}", self.folder.display());
         } else {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,4 +1,4 @@
-//! ViewFault plans: faults injected into nodes at given times, from a TOML file, and the outcome of running one.
+//! Fault plans: faults injected into nodes at given times, read from a TOML file, and their execution.
 
 use crate::check::ViewFault;
 use crate::cluster::{Cluster, CoordinationSpec, Spec, NODES_MAX, TENANTS};
@@ -14,63 +14,63 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use toml::Spanned;
 
-/// A plan: the cluster, its load, and the faults.
+/// A fault plan: the cluster, its load, and the faults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Number of nodes.
     pub nodes: usize,
-    /// Whether they are members of one fleet.
-    #[serde(default = "yes")]
+    /// Whether the nodes are members of one fleet.
+    #[serde(default = "default_fleet")]
     pub fleet: bool,
-    /// Whether members coordinate: three voters, and one node of each zone that follows discovery.
-    #[serde(default)]
-    pub duties: bool,
+    /// Whether members coordinate: three voters, and one node of each zone polls discovery for the others.
+    #[serde(default, rename = "duties")]
+    pub coordination: bool,
     /// Number of workers.
     pub workers: usize,
-    /// Jobs a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Quota of each of the two tenants, in jobs a second.
+    /// Quota of each of the two tenants, in requests per second.
     pub quota: f64,
     /// Duration of the load, in seconds.
     pub length_s: f64,
     /// Probe interval of membership, in milliseconds.
-    #[serde(default = "probe")]
+    #[serde(default = "default_probe_ms")]
     pub probe_ms: u64,
-    /// Faults.
-    #[serde(default)]
-    pub fault: Vec<Spanned<Step>>,
+    /// Faults, in any order.
+    #[serde(default, rename = "fault")]
+    pub steps: Vec<Spanned<Step>>,
 }
 
-fn yes() -> bool {
+fn default_fleet() -> bool {
     true
 }
 
-fn probe() -> u64 {
+fn default_probe_ms() -> u64 {
     250
 }
 
-/// A fault, at its time.
+/// A fault and its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in seconds from the load's start.
+    /// Time since the start of the load, in seconds.
     pub at_s: f64,
-    /// Kind.
+    /// Kind of fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// To which nodes; with `part`, who is on one side of the cut; with `link`, from whom.
+    /// Affected nodes; for `part` the nodes on one side, for `link` the senders.
     #[serde(default)]
     pub nodes: Vec<usize>,
-    /// With `link`: to whom.
+    /// For `link`: the receivers.
     #[serde(default)]
     pub to: Vec<usize>,
-    /// With `link`: the rule.
+    /// For `link`: the rule.
     #[serde(default)]
     pub rule: LinkRule,
-    /// With `workers`: how many more, all cold.
+    /// For `workers`: number of additional workers, started cold.
     #[serde(default)]
     pub count: usize,
 }
@@ -79,37 +79,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Kill processes.
+    /// Sends SIGKILL.
     Kill,
-    /// Start processes.
+    /// Starts new processes.
     Start,
-    /// Stop them where they stand.
+    /// Sends SIGSTOP.
     Stop,
-    /// Let them go on.
-    GoOn,
-    /// Ask them to end.
-    Term,
-    /// Cut these off from all others.
-    Part,
-    /// A rule from some to some.
+    /// Sends SIGCONT.
+    #[serde(rename = "go_on")]
+    Resume,
+    /// Sends SIGTERM.
+    #[serde(rename = "term")]
+    Terminate,
+    /// Partitions these nodes from all others.
+    #[serde(rename = "part")]
+    Partition,
+    /// Sets a fault rule from some nodes to some others.
     Link,
-    /// Everything passes again.
+    /// Removes all fault rules.
     Heal,
-    /// More workers, cold.
+    /// Starts additional workers, cold.
     Workers,
 }
 
-/// Interval between two status reports of a node.
+/// Interval at which status reports are recorded.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Time limit for the views to become equal and true.
+/// Time limit for the views to settle.
 const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// Time that nodes without membership have to start.
+/// Start time allowed for nodes without membership.
 const START_TIME: Duration = Duration::from_secs(2);
-/// Number of voters of a plan with duties.
+/// Number of voters of a plan with coordination.
 const VOTERS: usize = 3;
 /// Duration of a lease, in milliseconds.
 const LEASE_MS: u64 = 2500;
-/// Least probe interval, in milliseconds.
+/// Minimum probe interval, in milliseconds.
 const PROBE_MIN_MS: u64 = 100;
 
 /// Error in a plan: the line, from 1, and the reason.
@@ -132,87 +135,91 @@
     ///
     /// # Errors
     ///
-    /// Returns the first part that is wrong, by its line.
+    /// Returns the first invalid part and its line.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
         let plan: Plan = toml::from_str(text).map_err(|e| PlanError {
             line: e.span().map_or(1, |s| line(s.start)),
             reason: e.message().trim().replace('\n', " "),
         })?;
-        let bad = |at: usize, reason: &str| Err(PlanError { line: line(at), reason: reason.to_string() });
-        if plan.duties && plan.nodes < VOTERS {
-            return bad(0, "duties want 3 nodes at least, for the voters");
+        let invalid = |at: usize, reason: &str| Err(PlanError { line: line(at), reason: reason.to_string() });
+        if plan.coordination && plan.nodes < VOTERS {
+            return invalid(0, "duties need at least 3 nodes, for the voters");
         }
         if !(1..=NODES_MAX).contains(&plan.nodes) {
-            return bad(0, &format!("nodes: 1 to {NODES_MAX} are allowed"));
+            return invalid(0, &format!("nodes must be from 1 to {NODES_MAX}"));
         }
-        let above = |x: f64| x.is_finite() && x > 0.0;
-        if !above(plan.rate) || !above(plan.quota) || !above(plan.length_s) || plan.probe_ms < PROBE_MIN_MS {
-            return bad(0, "rate, quota and length_s must be above zero, and probe_ms 100 at least");
+        let is_positive = |x: f64| x.is_finite() && x > 0.0;
+        if !is_positive(plan.rate)
+            || !is_positive(plan.quota)
+            || !is_positive(plan.length_s)
+            || plan.probe_ms < PROBE_MIN_MS
+        {
+            return invalid(0, "rate, quota and length_s must be above zero, and probe_ms at least 100");
         }
-        for step in &plan.fault {
+        for step in &plan.steps {
             let (at, step) = (step.span().start, step.get_ref());
-            let part = |x: f64| (0.0..=1.0).contains(&x);
+            let is_ratio = |x: f64| (0.0..=1.0).contains(&x);
             if step.nodes.iter().chain(&step.to).any(|i| *i >= plan.nodes) {
-                return bad(at, "there is no such node");
+                return invalid(at, "there is no such node");
             }
             if !step.at_s.is_finite() || !(0.0..=plan.length_s).contains(&step.at_s) {
-                return bad(at, "at_s lies outside the plan");
+                return invalid(at, "at_s must be from 0 to length_s");
             }
-            if !part(step.rule.loss) || !part(step.rule.twice) || !part(step.rule.mutated) {
-                return bad(at, "loss, twice and mutated are parts, from 0 to 1");
+            if !is_ratio(step.rule.loss) || !is_ratio(step.rule.twice) || !is_ratio(step.rule.mutated) {
+                return invalid(at, "loss, twice and mutated are ratios, from 0 to 1");
             }
         }
         Ok(plan)
     }
 }
 
-/// Status reports of all nodes at some moments since the load's start.
-pub type History = Vec<(Duration, BTreeMap<String, Option<Status>>)>;
+/// Status reports of all nodes, by time since the load's start.
+pub type StatusHistory = Vec<(Duration, BTreeMap<String, Option<Status>>)>;
 
 /// Outcome of a plan.
 pub struct Outcome {
-    /// How the jobs ended.
+    /// Outcome of the load.
     pub report: Report,
-    /// How long after the load's end the views of all that ran were equal and true, or what was wrong.
+    /// Time after the load's end until the views of all running nodes settled, or their faults.
     pub settled: Result<Duration, Vec<ViewFault>>,
-    /// Status reports of the nodes each half second from the load's start on.
-    pub history: History,
-    /// Workers that failed under overload while they were warming up.
+    /// Status reports of the nodes, each half second from the load's start.
+    pub history: StatusHistory,
+    /// Number of workers that failed under overload while warming up.
     pub failed_workers: usize,
-    /// Largest load of a worker that was warming up, as a share of what makes it fail.
+    /// Largest load of a worker that was warming up, as a share of the load at which it fails.
     pub peak_cold_load: f64,
-    /// Idempotency keys that were done more than once.
+    /// Number of idempotency keys that were executed more than once.
     pub repeated_keys: usize,
 }
 
-/// Carries a plan out with this program; `report_step` is called with a line for each step.
+/// Executes a plan with this program; calls `report_step` with a line for each step.
 ///
 /// # Errors
-/// Where the cluster can't be started, a process or worker can't be started, or the load fails.
+/// If the cluster, a process or a worker can't be started, or the load fails.
 pub async fn execute(plan: &Plan, binary: &Path, report_step: impl Fn(&str)) -> io::Result<Outcome> {
     let mut cluster = Cluster::start(plan.cluster_spec(binary)).await?;
     let mut running = vec![true; plan.nodes];
     if plan.fleet {
         let settled = cluster.settled(&Cluster::expected_views(0..plan.nodes), SETTLE_LIMIT).await;
         report_step(&match &settled {
-            Ok(took) => format!("the views of {} nodes are equal and true after {took:.1?}", plan.nodes),
-            Err(wrong) => format!("the views did not settle: {}", wrong[0]),
+            Ok(took) => format!("the views of {} nodes settled after {took:.1?}", plan.nodes),
+            Err(faults) => format!("the views did not settle: {}", faults[0]),
         });
     } else {
         sleep(START_TIME).await;
     }
     let nodes = (0..plan.nodes).map(|i| cluster.listen(i)).collect();
     let (start, load) = (Instant::now(), tokio::spawn(run_load(plan.load(), nodes)));
-    let mut steps: Vec<Step> = plan.fault.iter().map(|step| step.get_ref().clone()).collect();
+    let mut steps: Vec<Step> = plan.steps.iter().map(|step| step.get_ref().clone()).collect();
     steps.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let mut history = History::new();
+    let mut history = StatusHistory::new();
     for step in steps {
-        watch(&cluster, start, Duration::from_secs_f64(step.at_s), &mut history).await;
+        record_statuses(&cluster, start, Duration::from_secs_f64(step.at_s), &mut history).await;
         execute_step(&mut cluster, &mut running, &step).await?;
         report_step(&format!("{:5.1} s: {:?} {:?}", step.at_s, step.kind, step.nodes));
     }
-    watch(&cluster, start, Duration::from_secs_f64(plan.length_s), &mut history).await;
+    record_statuses(&cluster, start, Duration::from_secs_f64(plan.length_s), &mut history).await;
     let report = load.await.map_err(io::Error::other)?;
     let expected = Cluster::expected_views((0..plan.nodes).filter(|i| running[*i]));
     let settled = match plan.fleet {
@@ -222,12 +229,12 @@
     Ok(outcome(&cluster, report, settled, history))
 }
 
-/// Adds what the workers have recorded.
+/// Builds the outcome from the report and the workers' records.
 fn outcome(
     cluster: &Cluster,
     report: Report,
     settled: Result<Duration, Vec<ViewFault>>,
-    history: History,
+    history: StatusHistory,
 ) -> Outcome {
     let records: Vec<_> = cluster.workers.iter().flatten().map(|(worker, _)| worker.record()).collect();
     let mut keys: BTreeMap<&String, u32> = BTreeMap::new();
@@ -256,7 +263,7 @@
         };
         Spec {
             fleet: self.fleet,
-            coordination: self.duties.then_some(coordination),
+            coordination: self.coordination.then_some(coordination),
             workers: self.workers,
             quota: self.quota,
             probe_ms: self.probe_ms,
@@ -276,7 +283,7 @@
 }
 
 /// Records the status reports each half second until this time.
-async fn watch(cluster: &Cluster, start: Instant, until: Duration, history: &mut History) {
+async fn record_statuses(cluster: &Cluster, start: Instant, until: Duration, history: &mut StatusHistory) {
     while cluster.spec.fleet && start.elapsed() + STATUS_INTERVAL < until {
         history.push((start.elapsed(), cluster.statuses().await));
         sleep(STATUS_INTERVAL).await;
@@ -289,11 +296,11 @@
         match step.kind {
             FaultKind::Kill => cluster.kill(i),
             FaultKind::Start => cluster.start_node(i)?,
-            FaultKind::Stop | FaultKind::GoOn | FaultKind::Term => {
+            FaultKind::Stop | FaultKind::Resume | FaultKind::Terminate => {
                 if let Some(process) = &mut cluster.nodes[i] {
                     process.signal(match step.kind {
                         FaultKind::Stop => Signal::STOP,
-                        FaultKind::GoOn => Signal::CONT,
+                        FaultKind::Resume => Signal::CONT,
                         _ => Signal::TERM,
                     });
                 }
@@ -301,15 +308,16 @@
             _ => {}
         }
         match step.kind {
-            FaultKind::Kill | FaultKind::Stop | FaultKind::Term => running[i] = false,
-            FaultKind::Start | FaultKind::GoOn => running[i] = true,
+            FaultKind::Kill | FaultKind::Stop | FaultKind::Terminate => running[i] = false,
+            FaultKind::Start | FaultKind::Resume => running[i] = true,
             _ => {}
         }
     }
     match step.kind {
-        FaultKind::Part => {
-            let parts: Vec<u32> = (0..running.len()).map(|i| u32::from(step.nodes.contains(&i))).collect();
-            cluster.proxies.partition(&parts);
+        FaultKind::Partition => {
+            let partitions: Vec<u32> =
+                (0..running.len()).map(|i| u32::from(step.nodes.contains(&i))).collect();
+            cluster.proxies.partition(&partitions);
         }
         FaultKind::Heal => cluster.proxies.heal(),
         FaultKind::Link => {
