--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -1,4 +1,5 @@
-//! Clients of a soak run: an open-loop load in which some disconnect, stall halfway, write slowly or wait too short.
+//! Clients of a soak run: an open-loop load in which some clients disconnect, stall within a request, write slowly or
+//! have a very short deadline.
 
 use super::history::{Recorder, RequestEnd, RequestRecord};
 use super::settings::{Class, CLASSES, MEAN_WORK};
@@ -17,43 +18,43 @@
 
 type Stream = BufReader<TcpStream>;
 
-/// Beyond a request's deadline, before its client gives up on an answer: more than an answer may be late.
+/// Time after a request's deadline for which its client waits for an answer: more than an answer may be late.
 const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
-/// After a close, for a reset to follow that tells that the request was not read.
+/// Time after a close within which a reset may follow, which shows that the request was not read.
 const RESET_WAIT: Duration = Duration::from_millis(120);
-/// Time within which a client that stalls is due an answer or a close ...
-const CLOSE_DUE: Duration = Duration::from_secs(3);
-/// ... and this much more, for the machine's own delays.
-const CLOSE_SLACK: Duration = Duration::from_millis(500);
-/// The part of requests whose body is long.
+/// Time within which a client that stalls must get an answer or a close ...
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// ... plus a tolerance for scheduling delays.
+const CLOSE_TOLERANCE: Duration = Duration::from_millis(500);
+/// Share of requests with a long body.
 const LONG_BODY_SHARE: f64 = 0.08;
-/// Connections that are kept to each node.
-const KEPT_MAX: usize = 24;
+/// Maximum number of idle connections to each node.
+const IDLE_CONNECTIONS_MAX: usize = 24;
 
-/// A node as its clients know it.
+/// A node as seen by clients.
 #[derive(Debug)]
 pub struct Target {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// New connections go there.
+    /// Whether clients open new connections to it.
     pub accepts: AtomicBool,
-    kept: Mutex<Vec<Stream>>,
+    idle: Mutex<Vec<Stream>>,
 }
 
 impl Target {
-    /// A node that is not up yet.
+    /// Creates the target of a node that is not ready yet.
     pub fn new(address: SocketAddr) -> Target {
-        Target { address, accepts: AtomicBool::new(false), kept: Mutex::default() }
+        Target { address, accepts: AtomicBool::new(false), idle: Mutex::default() }
     }
 
-    fn take(&self) -> Option<Stream> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).pop()
+    fn take_idle(&self) -> Option<Stream> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop()
     }
 
-    fn keep(&self, stream: Stream) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        if kept.len() < KEPT_MAX {
-            kept.push(stream);
+    fn put_idle(&self, stream: Stream) {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        if idle.len() < IDLE_CONNECTIONS_MAX {
+            idle.push(stream);
         }
     }
 }
@@ -62,19 +63,19 @@
 #[derive(Clone, Copy, Debug)]
 enum ClientBehavior {
     Plain,
-    /// It writes in pieces.
+    /// It writes the request in pieces.
     Slow,
-    /// It leaves this long after its request; with a reset, or with bytes behind its request.
+    /// It disconnects this long after its request, possibly with a reset or after sending further bytes.
     Disconnects {
         after: Duration,
         reset: bool,
         trailing: bool,
     },
-    /// It stops in the middle of its request and stays.
+    /// It stops in the middle of its request and keeps the connection open.
     Stalls {
         in_head: bool,
     },
-    /// It waits this long only.
+    /// It has this very short deadline.
     Impatient(Duration),
 }
 
@@ -82,62 +83,61 @@
 pub struct Clients {
     recorder: Recorder,
     targets: Vec<Arc<Target>>,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl Clients {
-    /// Clients of these nodes.
+    /// Creates clients of these nodes.
     pub fn new(recorder: Recorder, targets: Vec<Arc<Target>>) -> Arc<Clients> {
-        Arc::new(Clients { recorder, targets, numbers: AtomicU64::new(1) })
+        Arc::new(Clients { recorder, targets, next_number: AtomicU64::new(1) })
     }
 
-    /// Sends so many requests a second for this time, and waits for all of them.
+    /// Sends requests at this rate for this time, and waits for all of them to end.
     ///
     /// # Panics
-    /// Where the rate is not above zero.
-    pub async fn play(self: Arc<Self>, per_second: f64, span: Duration, seed: u64) {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let gaps = Exp::new(per_second).expect("a rate above zero");
-        let (mut due, end) = (Instant::now(), Instant::now() + span);
+    /// If the rate is not above zero.
+    pub async fn run(self: Arc<Self>, per_second: f64, duration: Duration, seed: u64) {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let gaps = Exp::new(per_second).expect("the rate is above zero");
+        let (mut due, end) = (Instant::now(), Instant::now() + duration);
         let mut calls = JoinSet::new();
         while due < end {
-            due += Duration::from_secs_f64(gaps.sample(&mut random));
+            due += Duration::from_secs_f64(gaps.sample(&mut rng));
             sleep_until(due).await;
-            let random = SmallRng::seed_from_u64(random.random());
-            calls.spawn(self.clone().call(random));
+            let rng = SmallRng::seed_from_u64(rng.random());
+            calls.spawn(self.clone().call(rng));
             while calls.try_join_next().is_some() {}
         }
         while calls.join_next().await.is_some() {}
     }
 
-    async fn call(self: Arc<Self>, mut random: SmallRng) {
-        let class = draw_class(&mut random);
-        let behavior = draw_behavior(&mut random);
-        // A node that ends gets requests on connections that it leaves open, and no new ones.
-        let first = random.random_range(0..self.targets.len());
+    async fn call(self: Arc<Self>, mut rng: SmallRng) {
+        let class = draw_class(&mut rng);
+        let behavior = draw_behavior(&mut rng);
+        // A node that is shutting down gets requests on its open connections, but no new connections.
+        let first = rng.random_range(0..self.targets.len());
         let (mut chosen, mut stream) = (None, None);
         for step in 0..self.targets.len() {
             let node = (first + step) % self.targets.len();
             let target = &self.targets[node];
             let accepts = target.accepts.load(Ordering::Relaxed);
-            stream = if accepts && random.random_bool(0.2) { None } else { target.take() };
+            stream = if accepts && rng.random_bool(0.2) { None } else { target.take_idle() };
             if stream.is_some() || accepts {
                 chosen = Some(node);
                 break;
             }
         }
         let Some(node) = chosen else { return };
-        let id = format!("soak-{}", self.numbers.fetch_add(1, Ordering::Relaxed));
-        let work = MEAN_WORK.mul_f64(random.random_range(0.3..1.7));
+        let id = format!("soak-{}", self.next_number.fetch_add(1, Ordering::Relaxed));
+        let work = MEAN_WORK.mul_f64(rng.random_range(0.3..1.7));
         let deadline = match behavior {
             ClientBehavior::Impatient(deadline) => deadline,
             _ => class.deadline,
         };
         let key = (class.name == "lodge").then(|| format!("key-{id}"));
         let us = work.as_micros() as u64;
-        // Some bodies are longer than what goes out in one call.
-        let padding =
-            if random.random_bool(LONG_BODY_SHARE) { random.random_range(20_000..60_000) } else { 0 };
+        // Some bodies are too long to be sent in one system call.
+        let padding = if rng.random_bool(LONG_BODY_SHARE) { rng.random_range(20_000..60_000) } else { 0 };
         let body = format!("{us}{}", " ".repeat(padding));
         let text = request_with_fields(
             class.name,
@@ -148,45 +148,41 @@
             Some(us),
             &body,
         );
-        // Requests that share a subject are held back together where some of them fail.
-        let text = text.replacen("user=00ff", &format!("user={:x}", random.random::<u32>()), 1);
+        // Requests of one user are held back together if some of them fail, so each gets its own user.
+        let text = text.replacen("user=00ff", &format!("user={:x}", rng.random::<u32>()), 1);
         let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
         let reused_connection = stream.is_some();
-        let end = attempt.run(stream, &mut random).await;
+        let end = attempt.run(stream, &mut rng).await;
         if reused_connection
             && end == RequestEnd::ClosedUnread
             && self.targets[node].accepts.load(Ordering::Relaxed)
         {
-            attempt.run(None, &mut random).await;
+            attempt.run(None, &mut rng).await;
         }
     }
 }
 
-fn draw_class(random: &mut SmallRng) -> &'static Class {
-    let mut part = random.random_range(0.0..1.0);
+fn draw_class(rng: &mut SmallRng) -> &'static Class {
+    let mut remaining = rng.random_range(0.0..1.0);
     for class in &CLASSES {
-        part -= class.share;
-        if part <= 0.0 {
+        remaining -= class.share;
+        if remaining <= 0.0 {
             return class;
         }
     }
     &CLASSES[0]
 }
 
-fn draw_behavior(random: &mut SmallRng) -> ClientBehavior {
+fn draw_behavior(rng: &mut SmallRng) -> ClientBehavior {
     let ms = Duration::from_millis;
-    match random.random_range(0..100) {
+    match rng.random_range(0..100) {
         0..10 => {
-            let after = ms(random.random_range(0..400));
-            ClientBehavior::Disconnects {
-                after,
-                reset: random.random_bool(0.3),
-                trailing: random.random_bool(0.3),
-            }
+            let after = ms(rng.random_range(0..400));
+            ClientBehavior::Disconnects { after, reset: rng.random_bool(0.3), trailing: rng.random_bool(0.3) }
         }
         10..14 => ClientBehavior::Slow,
-        14..17 => ClientBehavior::Stalls { in_head: random.random_bool(0.5) },
-        17..21 => ClientBehavior::Impatient(ms(random.random_range(2..80))),
+        14..17 => ClientBehavior::Stalls { in_head: rng.random_bool(0.5) },
+        17..21 => ClientBehavior::Impatient(ms(rng.random_range(2..80))),
         _ => ClientBehavior::Plain,
     }
 }
@@ -202,7 +198,7 @@
 }
 
 impl Attempt<'_> {
-    async fn run(&self, stream: Option<Stream>, random: &mut SmallRng) -> RequestEnd {
+    async fn run(&self, stream: Option<Stream>, rng: &mut SmallRng) -> RequestEnd {
         let (recorder, target) = (&self.clients.recorder, &self.clients.targets[self.node]);
         let reused_connection = stream.is_some();
         let stream = match stream {
@@ -215,7 +211,7 @@
         };
         let Some(mut stream) = stream else { return RequestEnd::NotConnected };
         let _ = stream.get_ref().set_nodelay(true);
-        let place = recorder.add_request(RequestRecord {
+        let index = recorder.add_request(RequestRecord {
             id: self.id.to_string(),
             node: self.node,
             semantics: self.class.semantics,
@@ -227,66 +223,65 @@
             end: RequestEnd::Pending,
             ended: None,
         });
-        let end = self.exchange(&mut stream, place, random).await;
-        let (end, stays) = match end {
-            Some((end, stays)) => (end, stays),
-            None => return RequestEnd::Pending, // it left, or stopped halfway
+        let end = self.exchange(&mut stream, index, rng).await;
+        let (end, stays_open) = match end {
+            Some((end, stays_open)) => (end, stays_open),
+            None => return RequestEnd::Pending, // the client disconnected, or stalled
         };
         {
             let now = recorder.now();
-            let request = &mut recorder.history().requests[place];
+            let request = &mut recorder.history().requests[index];
             (request.end, request.ended) = (end, Some(now));
         }
-        if stays {
-            target.keep(stream);
+        if stays_open {
+            target.put_idle(stream);
         }
         end
     }
 
-    /// Writes the request and reads its answer; `None` where the client has left before.
+    /// Writes the request and reads its answer; `None` if the client disconnects before or stalls.
     async fn exchange(
         &self,
         stream: &mut Stream,
-        place: usize,
-        random: &mut SmallRng,
+        index: usize,
+        rng: &mut SmallRng,
     ) -> Option<(RequestEnd, bool)> {
         let recorder = &self.clients.recorder;
-        let reused_connection = recorder.history().requests[place].reused_connection;
-        let refused = if reused_connection { RequestEnd::ClosedUnread } else { RequestEnd::Broken };
+        let reused_connection = recorder.history().requests[index].reused_connection;
+        let no_answer = if reused_connection { RequestEnd::ClosedUnread } else { RequestEnd::Broken };
         if let ClientBehavior::Stalls { in_head } = self.behavior {
-            self.stop_halfway(stream, in_head).await;
+            self.stall(stream, in_head).await;
             return None;
         }
-        let pieces =
-            if matches!(self.behavior, ClientBehavior::Slow) { random.random_range(2..6) } else { 1 };
+        let pieces = if matches!(self.behavior, ClientBehavior::Slow) { rng.random_range(2..6) } else { 1 };
         for piece in self.text.as_bytes().chunks(self.text.len().div_ceil(pieces)) {
             if stream.write_all(piece).await.is_err() {
-                // It was not written whole: the node has not taken it.
+                // It was not written completely, so the node has not accepted it.
                 return Some((RequestEnd::ClosedUnread, false));
             }
             if pieces > 1 {
-                sleep(Duration::from_millis(random.random_range(1..80))).await;
+                sleep(Duration::from_millis(rng.random_range(1..80))).await;
             }
         }
         let written = recorder.now();
-        recorder.history().requests[place].written = Some(written);
+        recorder.history().requests[index].written = Some(written);
         let limit = self.deadline + ANSWER_GRACE;
         if let ClientBehavior::Disconnects { after, reset, trailing } = self.behavior {
             if trailing && stream.write_all(b"POST /check HT").await.is_err() {
-                return Some((refused, false));
+                return Some((no_answer, false));
             }
-            if let Ok((end, stays)) = timeout(after, self.answer(stream, refused)).await {
-                return Some((end, stays && !trailing));
+            if let Ok((end, stays_open)) = timeout(after, self.answer(stream, no_answer)).await {
+                return Some((end, stays_open && !trailing));
             }
             if reset {
                 let _ = stream.get_ref().set_zero_linger();
             }
-            // Taken before the close, which the caller makes at once: no attempt can begin too early for it.
+            // Recorded just before the caller closes the connection, so that no attempt after the close precedes this time.
             let now = recorder.now();
-            recorder.history().requests[place].disconnected = Some(now);
+            recorder.history().requests[index].disconnected = Some(now);
             return None;
         }
-        match timeout(limit, self.answer(stream, refused)).await {
+        match timeout(limit, self.answer(stream, no_answer)).await {
             Ok(end) => Some(end),
             Err(_) => Some((RequestEnd::Pending, false)),
         }
@@ -307,26 +302,26 @@
         let Some(status) = status(&head) else { return (RequestEnd::Unanswered, false) };
         let result = String::from_utf8_lossy(&body);
         let is_valid = status != 200 || self.clients.recorder.is_valid_result(self.id, &result);
-        let stays = !head.to_ascii_lowercase().contains("connection: close");
-        (RequestEnd::Answered { status, is_valid }, stays)
+        let stays_open = !head.to_ascii_lowercase().contains("connection: close");
+        (RequestEnd::Answered { status, is_valid }, stays_open)
     }
 
-    /// Stalls in the middle and stays: an answer or a close is owed.
-    async fn stop_halfway(&self, stream: &mut Stream, in_head: bool) {
+    /// Stalls within the request and keeps the connection open: the node must answer or close it.
+    async fn stall(&self, stream: &mut Stream, in_head: bool) {
         let text = self.text.as_bytes();
         let most = if in_head { 40 } else { text.len() - 1 };
         if stream.write_all(&text[..most]).await.is_err() {
             return;
         }
-        let (stopped, mut byte) = (Instant::now(), [0; 1]);
-        if timeout(CLOSE_DUE + CLOSE_SLACK, stream.read(&mut byte)).await.is_err() {
-            self.clients.recorder.history().ignored_clients.push((self.node, stopped.elapsed()));
+        let (stalled_at, mut byte) = (Instant::now(), [0; 1]);
+        if timeout(CLOSE_TIMEOUT + CLOSE_TOLERANCE, stream.read(&mut byte)).await.is_err() {
+            self.clients.recorder.history().ignored_clients.push((self.node, stalled_at.elapsed()));
         }
     }
 }
 
-/// Whether a reset tells that the other end closed with the request unread. Without one, it has read it: bytes that
-/// come after a close, or lie unread at one, are answered by a reset.
+/// Whether the other end resets the connection, which shows that it closed it with the request unread. Without a reset it
+/// has read the request: bytes that arrive after a close, or are unread at a close, cause a reset.
 async fn is_reset(stream: &mut Stream) -> bool {
     let until = Instant::now() + RESET_WAIT;
     loop {
--- a/testbed/src/soak/cold_load.rs
+++ b/testbed/src/soak/cold_load.rs
@@ -30,8 +30,11 @@
         }
         let warm_share = COLD_SHARE + (1.0 - COLD_SHARE) * warm_up_progress;
         let mean_limit = OVERLOAD_MULTIPLE * worker_capacity() * warm_share * OVERLOAD_WINDOW.as_secs_f64();
-        let allowed =
-            if mean_limit < 30.0 { mean_limit + 3.0 * mean_limit.sqrt() + 3.0 } else { mean_limit + 2.0 * mean_limit.sqrt() + 2.0 };
+        let allowed = if mean_limit < 30.0 {
+            mean_limit + 3.0 * mean_limit.sqrt() + 3.0
+        } else {
+            mean_limit + 2.0 * mean_limit.sqrt() + 2.0
+        };
         let received: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
         self.is_overloaded = received > allowed;
         self.is_overloaded.then_some((received, allowed))
--- a/testbed/src/soak/driver/execution.rs
+++ b/testbed/src/soak/driver/execution.rs
@@ -1,4 +1,4 @@
-//! Execution of the schedule: begins each fault at its time, and ends those that last.
+//! Execution of the fault schedule: starts each fault at its time, and ends those that have a duration.
 
 use super::super::discovery::AgentMode;
 use super::super::history::Time;
@@ -12,14 +12,14 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time after SIGTERM for which clients open new connections to a node.
+/// Time after SIGTERM for which clients still open new connections to a node.
 const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// Interval between the reloads of one fault.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(40);
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// Something that is due at a time. Processes are named by their place in the history.
+/// An action with a due time. `record` is the index of a process in the history.
 pub(super) enum Action {
     Begin(PlannedFault),
     StopInjecting { node: usize, faults: Vec<Fault> },
@@ -35,24 +35,24 @@
 }
 
 impl Driver {
-    /// Carries out all that is due by now.
-    pub(super) fn carry_out_due_actions(&mut self) -> io::Result<()> {
+    /// Executes all due actions.
+    pub(super) fn execute_due_actions(&mut self) -> io::Result<()> {
         let now = self.recorder.now();
-        let agenda = std::mem::take(&mut self.agenda).into_iter();
-        let (due, later): (Vec<_>, Vec<_>) = agenda.partition(|(at, _)| *at <= now);
-        self.agenda = later;
+        let actions = std::mem::take(&mut self.pending_actions).into_iter();
+        let (due, later): (Vec<_>, Vec<_>) = actions.partition(|(at, _)| *at <= now);
+        self.pending_actions = later;
         for (_, action) in due {
-            self.carry_out(action, now)?;
+            self.execute(action, now)?;
         }
         Ok(())
     }
 
-    /// Plans an action.
-    pub(super) fn plan(&mut self, at: Time, action: Action) {
-        self.agenda.push((at, action));
+    /// Schedules an action.
+    pub(super) fn schedule(&mut self, at: Time, action: Action) {
+        self.pending_actions.push((at, action));
     }
 
-    fn carry_out(&mut self, action: Action, now: Time) -> io::Result<()> {
+    fn execute(&mut self, action: Action, now: Time) -> io::Result<()> {
         match action {
             Action::Begin(planned) => self.begin(planned, now)?,
             Action::StopInjecting { node, faults } => {
@@ -71,8 +71,7 @@
         Ok(())
     }
 
-    /// Begins a fault. One that ends or replaces a process is left out where the node is on its way to its end, or has
-    /// just started.
+    /// Starts a fault. One that ends or replaces a process is skipped if the node is shutting down or not ready yet.
     fn begin(&mut self, planned: PlannedFault, now: Time) -> io::Result<()> {
         let end = now + planned.span;
         match planned.kind {
@@ -81,14 +80,14 @@
             FaultKind::Pause { node, span } => self.pause(node, now + span),
             FaultKind::Restart { node } if self.is_steady(node) => {
                 self.terminate(node, now);
-                self.plan(now + CONNECTS_AFTER_SIGTERM, Action::StopConnecting(node));
+                self.schedule(now + CONNECTS_AFTER_SIGTERM, Action::StopConnecting(node));
             }
             FaultKind::Kill { node } if self.is_steady(node) => self.nodes[node].kill_at = Some(now),
             FaultKind::Upgrade { node } if self.is_steady(node) => self.start_node(node)?,
             FaultKind::FailedUpgrade { node, after } if self.is_steady(node) => {
                 self.start_node(node)?;
                 let record = self.nodes[node].record;
-                self.plan(now + after, Action::KillSuccessor { node, record });
+                self.schedule(now + after, Action::KillSuccessor { node, record });
             }
             FaultKind::Restart { .. }
             | FaultKind::Kill { .. }
@@ -98,7 +97,7 @@
             FaultKind::Reload { node, moves_discovery, times } => {
                 for n in 0..times {
                     let at = now + RELOAD_INTERVAL * n as u32;
-                    self.plan(at, Action::Reload { node, moves_discovery });
+                    self.schedule(at, Action::Reload { node, moves_discovery });
                 }
             }
             FaultKind::Replace { drain_time } => self.replace_worker(drain_time, now)?,
@@ -115,20 +114,20 @@
             self.nodes[node].control.set_rate(*fault, *per_million)?;
         }
         let faults = faults.into_iter().map(|(fault, _)| fault).collect();
-        self.plan(end, Action::StopInjecting { node, faults });
+        self.schedule(end, Action::StopInjecting { node, faults });
         Ok(())
     }
 
     fn step_clock(&mut self, node: usize, milliseconds: i64, end: Time) -> io::Result<()> {
         self.nodes[node].control.set_clock_offset(milliseconds * NANOS_PER_MILLI)?;
-        self.plan(end, Action::ResetClock(node));
+        self.schedule(end, Action::ResetClock(node));
         Ok(())
     }
 
     fn pause(&mut self, node: usize, end: Time) {
         self.signal(node, Signal::STOP);
         let record = self.nodes[node].record;
-        self.plan(end, Action::Resume { node, record });
+        self.schedule(end, Action::Resume { node, record });
     }
 
     fn drain_node(&self, node: usize, span: Duration) {
@@ -137,35 +136,35 @@
         }
     }
 
-    /// `choice` counts round the workers that are in service.
+    /// `choice` is an index modulo the number of workers in service.
     fn disturb_worker(&mut self, choice: usize, mode: WorkerMode, end: Time) {
         let in_service: Vec<usize> =
             (0..self.workers.len()).filter(|worker| self.workers[*worker].in_service).collect();
         let worker = in_service[choice % in_service.len()];
         self.set_worker_mode(worker, mode);
-        self.plan(end, Action::RestoreWorker(worker));
+        self.schedule(end, Action::RestoreWorker(worker));
     }
 
     fn disturb_discovery(&mut self, node: Option<usize>, mode: AgentMode, end: Time) {
         self.nodes_of(node).for_each(|node| self.nodes[node].agent.set_mode(mode));
-        self.plan(end, Action::RestoreDiscovery(node));
+        self.schedule(end, Action::RestoreDiscovery(node));
     }
 
-    /// Takes a worker out of service that drains for a while, and adds a cold one.
+    /// Drains a worker, which is removed later, and adds a cold one.
     fn replace_worker(&mut self, drain_time: Duration, now: Time) -> io::Result<()> {
         let Some(worker) = self.oldest_worker() else { return Ok(()) };
         self.workers[worker].in_service = false;
         self.set_phase(worker, "terminating");
         self.publish(Some(worker), now);
-        self.plan(now + drain_time, Action::TerminateWorker(worker));
-        // It goes on with what it has for as long as that may take.
-        self.plan(now + drain_time + KILL_AFTER, Action::RemoveWorker(worker));
+        self.schedule(now + drain_time, Action::TerminateWorker(worker));
+        // It keeps running accepted requests for as long as they may take.
+        self.schedule(now + drain_time + KILL_AFTER, Action::RemoveWorker(worker));
         self.add_worker(true)?;
         self.publish(None, now);
         Ok(())
     }
 
-    /// Ends a worker without notice, and adds a cold one.
+    /// Removes a worker without draining, and adds a cold one.
     fn crash_worker(&mut self, now: Time) -> io::Result<()> {
         let Some(worker) = self.oldest_worker() else { return Ok(()) };
         (self.workers[worker].in_service, self.workers[worker].stand_in) = (false, None);
--- a/testbed/src/soak/driver/mod.rs
+++ b/testbed/src/soak/driver/mod.rs
@@ -1,7 +1,7 @@
-//! Driver of one soak run: starts the processes and stand-ins, plays load and faults, and has the history judged.
+//! Driver of one soak run: starts processes and stand-ins, runs the load, injects faults, and has the history checked.
 //!
-//! `Driver` owns all of it and runs on one task. `processes` starts, ends and watches the nodes' processes, `execution`
-//! carries the schedule out, `endpoints` replaces workers and tells discovery, `report` collects the outcome.
+//! `Driver` owns all state and runs on one task. `processes` starts, ends and watches the nodes' processes, `execution`
+//! executes the schedule, `endpoints` replaces workers and updates discovery, `report` collects the outcome.
 
 mod endpoints;
 mod execution;
@@ -29,25 +29,25 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Time that the nodes have to start before the first fault.
+/// Time for the nodes to start before the first fault.
 const START_TIME: Duration = Duration::from_secs(1);
-/// Interval between two looks at processes and schedule.
+/// Interval at which processes and the schedule are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for requests that are open at the end of the load.
+/// Time after the load for open requests to end.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
-/// After the load, so many times [`DRAIN_TIME`] until a run ends although faults are still being undone.
+/// Multiple of [`DRAIN_TIME`] after the load at which a run ends even if faults are still being undone.
 const DRAIN_TIMES_MAX: u32 = 3;
-/// Interval at which the stand-ins' own delay is measured.
+/// Interval at which the stand-ins' scheduling delay is measured.
 const LAG_PROBE_INTERVAL: Duration = Duration::from_millis(10);
-/// Delay of a timer that is usual and does not count.
+/// Usual delay of a timer, which does not count.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
-/// What the seed of the load differs by from that of the faults.
+/// XORed with the seed of the faults to get the seed of the load.
 const LOAD_SEED: u64 = 0x10ad;
 
 /// Parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// Path of the program.
     pub binary: PathBuf,
     /// Number of nodes; each is one process, two during an upgrade.
     pub nodes: usize,
@@ -55,13 +55,13 @@
     pub workers: usize,
     /// Duration of the load.
     pub load_duration: Duration,
-    /// Time from the start on without faults: a second at least, for the nodes to start.
+    /// Time from the start without faults: at least a second, for the nodes to start.
     pub fault_free: Duration,
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     pub requests_per_second: f64,
-    /// Faults that begin in a second.
+    /// Faults that begin per second.
     pub faults_per_second: f64,
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Whether the schedule is printed.
     pub verbose: bool,
@@ -79,25 +79,25 @@
     targets: Vec<Arc<Target>>,
     workers: Vec<Worker>,
     list: List,
-    /// The list as it was when the run began: every other process starts from this one.
+    /// List at the start of the run; every second process starts with this outdated list.
     initial_list: List,
-    /// Processes that were started so far.
+    /// Number of processes started so far.
     starts: u16,
-    agenda: Vec<(Time, Action)>,
+    pending_actions: Vec<(Time, Action)>,
     ready_sender: mpsc::UnboundedSender<ProcessReady>,
     ready_receiver: mpsc::UnboundedReceiver<ProcessReady>,
-    /// System-call faults that the schedule has turned on.
+    /// System-call faults that the schedule has enabled.
     injected: BTreeSet<Fault>,
 }
 
 /// Number of the next run in this process.
 static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
 
-/// Runs one seed.
+/// Executes one soak run.
 ///
 /// # Errors
-/// Where the stand-ins or processes can't be started, or a file of the run can't be read or written. What the program does
-/// wrong is in the report.
+/// If the stand-ins or processes can't be started, or a file of the run can't be read or written. Faults of the program
+/// are in the report.
 pub async fn run(options: Options) -> io::Result<Report> {
     let spec = ScheduleSpec {
         nodes: options.nodes,
@@ -111,12 +111,13 @@
     if driver.options.verbose {
         planned.iter().for_each(|planned| println!("  {planned}"));
     }
-    driver.agenda = planned.into_iter().map(|planned| (planned.at, Action::Begin(planned))).collect();
+    driver.pending_actions =
+        planned.into_iter().map(|planned| (planned.at, Action::Begin(planned))).collect();
     driver.run().await
 }
 
 impl Driver {
-    /// Starts workers and discovery; the nodes are not started yet.
+    /// Starts workers and discovery, but not the nodes.
     async fn prepare(options: Options) -> io::Result<Driver> {
         let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
         let (block, _block_lock) =
@@ -139,7 +140,7 @@
             list: List { revision: 1, entries: Vec::new() },
             initial_list: List::default(),
             starts: 0,
-            agenda: Vec::new(),
+            pending_actions: Vec::new(),
             ready_sender,
             ready_receiver,
             injected: BTreeSet::new(),
@@ -170,13 +171,13 @@
         }
         let clients = Clients::new(self.recorder.clone(), self.targets.clone());
         let Options { requests_per_second, load_duration, seed, .. } = self.options;
-        let mut load = tokio::spawn(clients.play(requests_per_second, load_duration, seed ^ LOAD_SEED));
+        let mut load = tokio::spawn(clients.run(requests_per_second, load_duration, seed ^ LOAD_SEED));
         let mut load_ended = false;
         loop {
             self.watch_processes()?;
-            self.carry_out_due_actions()?;
+            self.execute_due_actions()?;
             if !load_ended && load.is_finished() {
-                let _ = (&mut load).await; // a panic of a client shows as a request without an answer
+                let _ = (&mut load).await; // a panic of a client shows up as a request without an answer
                 load_ended = true;
             }
             if load_ended && self.is_over() {
@@ -188,15 +189,15 @@
         self.finish().await
     }
 
-    /// Whether the time for open requests is over, and all faults are undone or had time enough.
+    /// Whether the time for open requests is over, and all faults are undone or the time for that is over too.
     fn is_over(&self) -> bool {
         let (now, load_duration) = (self.recorder.now(), self.options.load_duration);
-        let settled = self.agenda.is_empty() && self.nodes.iter().all(Node::has_no_planned_end);
+        let settled = self.pending_actions.is_empty() && self.nodes.iter().all(Node::has_no_planned_restart);
         now > load_duration + DRAIN_TIME && (settled || now > load_duration + DRAIN_TIMES_MAX * DRAIN_TIME)
     }
 }
 
-/// Records by how much the stand-ins' own timers are late.
+/// Records the delay of timers in the stand-ins' process.
 async fn measure_lag(recorder: Recorder) {
     loop {
         let due = Instant::now() + LAG_PROBE_INTERVAL;
--- a/testbed/src/soak/driver/processes.rs
+++ b/testbed/src/soak/driver/processes.rs
@@ -15,48 +15,48 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Time after SIGTERM before SIGKILL at the earliest: the longest deadline and 0.7 s.
+/// Time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s.
 pub(super) const KILL_AFTER: Duration = Duration::from_millis(2_500 + 700);
-/// Time from the end of a process until the next one is started.
+/// Time from the end of a process to the start of the next one.
 const RESTART_AFTER: Duration = Duration::from_millis(200);
-/// Time that a process has to answer whether it is ready.
+/// Time limit of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Attempts that the settings allow for a request: a reload changes from one to the other.
+/// Values of the maximum number of attempts, between which reloads alternate.
 const MAX_ATTEMPTS: [usize; 2] = [3, 2];
 
-/// A node under test: its processes, what is injected into them and where they hear of workers.
+/// A node under test: its processes, fault injection and discovery agent.
 pub(super) struct Node {
-    /// The process that was started last.
+    /// Process that was started last.
     pub(super) process: Option<Process>,
-    /// Place of that process in the history.
+    /// Index of that process in the history.
     pub(super) record: usize,
-    /// Processes that were taken over from.
+    /// Processes whose successors have started.
     pub(super) predecessors: Vec<Predecessor>,
-    /// What is injected into its system calls.
+    /// Control of the faults injected into its system calls.
     pub(super) control: Control,
-    /// Its discovery.
+    /// Discovery agent.
     pub(super) agent: Agent,
-    /// Which of the agent's two addresses the node is configured with.
+    /// Index of the agent's address that the node is configured with.
     pub(super) agent_address: usize,
     max_attempts: usize,
     cancelling: bool,
-    /// When the node was last told to use the agent's other address.
+    /// When the node was last reconfigured to use the agent's other address.
     pub(super) discovery_moved_at: Option<Time>,
-    /// Until when a change may be missed by a call that fell silent or failed.
-    pub(super) discovery_unsure_until: Time,
-    /// When the process is to be killed.
+    /// Time until which the node may miss a change because a call failed or got no answer.
+    pub(super) discovery_uncertain_until: Time,
+    /// When the process will be killed.
     pub(super) kill_at: Option<Time>,
-    /// When the next process is to be started.
+    /// When the next process will be started.
     start_at: Option<Time>,
-    /// Workers whose withdrawal counts once discovery is reached again.
+    /// Workers whose withdrawal the node can only learn once discovery recovers.
     pub(super) pending_withdrawals: Vec<usize>,
 }
 
-/// A process that another one has taken over from.
+/// A process whose successor has started.
 pub(super) struct Predecessor {
     process: Process,
     record: usize,
-    /// When it is to be killed; `None` until it was told to end.
+    /// When it will be killed; `None` before SIGTERM.
     kill_at: Option<Time>,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Node {
-    /// A node without a process.
+    /// Creates a node without a process.
     pub(super) fn new(control: Control, agent: Agent) -> Node {
         Node {
             process: None,
@@ -79,19 +79,19 @@
             max_attempts: MAX_ATTEMPTS[0],
             cancelling: true,
             discovery_moved_at: None,
-            discovery_unsure_until: Time::ZERO,
+            discovery_uncertain_until: Time::ZERO,
             kill_at: None,
             start_at: None,
             pending_withdrawals: Vec::new(),
         }
     }
 
-    /// Whether its process is neither to be killed nor to be started.
-    pub(super) fn has_no_planned_end(&self) -> bool {
+    /// Whether neither a kill nor a start of a process is planned.
+    pub(super) fn has_no_planned_restart(&self) -> bool {
         self.kill_at.is_none() && self.start_at.is_none()
     }
 
-    /// Changes what a reload of its settings changes.
+    /// Alternates the settings that a reload changes.
     fn alternate_settings(&mut self) {
         let [usual, other] = MAX_ATTEMPTS;
         self.max_attempts = if self.max_attempts == usual { other } else { usual };
@@ -100,7 +100,7 @@
 }
 
 impl Driver {
-    /// Configuration of a node's next process.
+    /// Returns the configuration of a node's next process.
     fn config(&self, i: usize) -> Value {
         let (node, options) = (&self.nodes[i], &self.options);
         let settings =
@@ -115,7 +115,7 @@
             "settings": settings})
     }
 
-    /// Starts a node's next process; one that runs becomes its predecessor.
+    /// Starts a node's next process; a running one becomes its predecessor.
     pub(super) fn start_node(&mut self, i: usize) -> io::Result<()> {
         self.starts += 1;
         let config = self.config(i);
@@ -133,10 +133,10 @@
         Ok(())
     }
 
-    /// Adds a process that was started just now to the history; returns its place.
+    /// Adds a newly started process to the history; returns its index.
     fn record_start(&self, node: usize) -> usize {
         let started = self.recorder.now();
-        // What the agent has counts from a process's first moment on, if the agent can be asked.
+        // A process is assumed to know the list of an agent from its start, if the agent answers.
         let list_from = (self.nodes[node].agent.mode() == AgentMode::Normal).then_some(started);
         let mut history = self.recorder.history();
         history.processes.push(ProcessRecord {
@@ -158,11 +158,11 @@
             while !is_ready(management).await {
                 sleep(POLL_INTERVAL).await;
             }
-            let _ = sender.send(ProcessReady { record, at: recorder.now() }); // nobody listens once the run is over
+            let _ = sender.send(ProcessReady { record, at: recorder.now() }); // the receiver is dropped once the run is over
         });
     }
 
-    /// Handles what the processes did by themselves: became ready, or ended.
+    /// Handles processes that became ready or exited, and kills or starts those that are due.
     pub(super) fn watch_processes(&mut self) -> io::Result<()> {
         let now = self.recorder.now();
         while let Ok(ready) = self.ready_receiver.try_recv() {
@@ -172,7 +172,7 @@
             let node = &mut self.nodes[i];
             node.predecessors.retain_mut(|predecessor| {
                 let Predecessor { process, record, kill_at } = predecessor;
-                !has_ended(&self.recorder, process, *record, *kill_at, now)
+                !reap_or_kill(&self.recorder, process, *record, *kill_at, now)
             });
             let Some(process) = &mut node.process else {
                 if node.start_at.is_some_and(|at| now >= at) {
@@ -180,7 +180,7 @@
                 }
                 continue;
             };
-            if has_ended(&self.recorder, process, node.record, node.kill_at, now) {
+            if reap_or_kill(&self.recorder, process, node.record, node.kill_at, now) {
                 (node.process, node.kill_at) = (None, None);
                 node.start_at = Some(now + RESTART_AFTER);
                 self.targets[i].accepts.store(false, Ordering::Relaxed);
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// Sends clients to a process that is ready, and tells the ones before to end.
+    /// Directs clients to a process that is ready, and sends SIGTERM to its predecessors.
     fn process_ready(&mut self, ready: ProcessReady, now: Time) {
         let node = {
             let mut history = self.recorder.history();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Whether a node has one process, which is ready and was not told to end.
+    /// Whether a node has exactly one process, which is ready and was not sent SIGTERM.
     pub(super) fn is_steady(&self, i: usize) -> bool {
         let node = &self.nodes[i];
         let history = self.recorder.history();
@@ -216,7 +216,7 @@
         ready && node.process.is_some() && node.predecessors.is_empty() && node.kill_at.is_none()
     }
 
-    /// Tells a node to end; it is killed when its time is over.
+    /// Sends SIGTERM to a node and schedules its kill.
     pub(super) fn terminate(&mut self, i: usize, now: Time) {
         self.signal(i, Signal::TERM);
         self.nodes[i].kill_at = Some(now + KILL_AFTER);
@@ -224,11 +224,12 @@
         self.recorder.history().processes[record].terminated = Some(now);
     }
 
-    /// Kills a process that takes over; its predecessor serves on, unless it was told to end by then.
+    /// Kills a process that is taking over, unless its predecessor has been sent SIGTERM; the predecessor continues.
     pub(super) fn kill_successor(&mut self, i: usize, record: usize) {
         let node = &mut self.nodes[i];
-        let serves_on = node.predecessors.last().is_some_and(|predecessor| predecessor.kill_at.is_none());
-        if node.record != record || !serves_on {
+        let predecessor_continues =
+            node.predecessors.last().is_some_and(|predecessor| predecessor.kill_at.is_none());
+        if node.record != record || !predecessor_continues {
             return;
         }
         if let (Some(mut successor), Some(predecessor)) = (node.process.take(), node.predecessors.pop()) {
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Continues a stopped process, also one that was taken over from meanwhile.
+    /// Resumes a stopped process, even if a successor has started meanwhile.
     pub(super) fn resume(&mut self, i: usize, record: usize) {
         let node = &mut self.nodes[i];
         let current = node.process.as_mut().filter(|_| node.record == record);
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Has a node read a configuration in which its discovery, or its settings, are others.
+    /// Reloads a node with another address of discovery or other settings.
     pub(super) fn reload(&mut self, i: usize, moves_discovery: bool, now: Time) -> io::Result<()> {
         let node = &mut self.nodes[i];
         if moves_discovery {
@@ -270,8 +271,8 @@
     }
 }
 
-/// Whether a process has ended by itself, or its time is over and it was killed; records its end.
-fn has_ended(
+/// Whether a process has exited or was due to be killed; kills it in that case, and records its end.
+fn reap_or_kill(
     recorder: &Recorder,
     process: &mut Process,
     record: usize,
@@ -299,14 +300,14 @@
     process.kill();
 }
 
-/// Sends a node's clients away for this time; a process that has ended meanwhile is not reached.
+/// Fails a node's health check for this time, so that clients avoid it. Errors are ignored, as the process may have ended.
 pub(super) async fn drain_clients(management: SocketAddr, span: Duration) {
     call(management, "POST", "/healthcheck/fail").await;
     sleep(span).await;
     call(management, "POST", "/healthcheck/ok").await;
 }
 
-/// Whether the process at this management address serves.
+/// Whether the process at this management address is ready.
 async fn is_ready(management: SocketAddr) -> bool {
     let health = call(management, "GET", "/healthcheck");
     timeout(READINESS_TIMEOUT, health).await.ok().flatten().is_some_and(|(status, _)| status == 200)
--- a/testbed/src/soak/worker.rs
+++ b/testbed/src/soak/worker.rs
@@ -1,4 +1,4 @@
-//! Workers of a soak run: stand-ins that record each attempt, and misbehave by their mode.
+//! Stand-in for workers in a soak run: records each attempt, and misbehaves according to its mode.
 
 use super::cold_load::ColdLoad;
 use super::history::{AttemptEnd, AttemptRecord, Recorder};
@@ -19,44 +19,44 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Jobs that wait at a worker before it rejects more.
-const QUEUE: usize = 30;
-/// The backlog of a worker whose connections may come up late: once it is full, the kernel drops what comes.
+/// Number of requests that may wait at a worker; more are rejected.
+const QUEUE_LENGTH: usize = 30;
+/// Backlog of a worker that can delay connections: once it is full, the kernel drops connection requests.
 const SHORT_BACKLOG: u32 = 0;
-/// The usual backlog, in connections.
+/// Backlog of other workers, in connections.
 const BACKLOG: u32 = 1024;
-/// After a worker accepts again, for its backlog to be empty.
-const BACKLOG_CLEARED: Duration = Duration::from_millis(50);
+/// Time after a worker accepts again until its backlog is empty.
+const BACKLOG_DRAIN_TIME: Duration = Duration::from_millis(50);
 
-/// Answer to a request that is turned away.
+/// Response to a rejected request.
 const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-/// Answer to a request that fails at once.
+/// Response to a request that fails at once.
 const SERVER_ERROR: &[u8] = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-/// Head of an answer whose lines follow in chunks.
+/// Head of a response whose lines follow in chunks.
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Behavior of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerMode {
-    /// As it should; a few jobs fail.
+    /// It behaves correctly; a few requests fail.
     Normal,
-    /// It takes jobs, and says nothing or stops in the middle.
+    /// It accepts requests, and sends nothing or stops in the middle.
     Silent,
-    /// It breaks connections under requests.
+    /// It resets or closes connections during requests.
     Resetting,
-    /// Its answers are malformed, doubled or endless.
+    /// Its responses are malformed, duplicated, oversized, truncated or for another request.
     Malformed,
-    /// It turns all jobs away.
+    /// It rejects all requests.
     Rejecting,
-    /// It closes connections soon after their answer.
+    /// It closes idle connections soon after a response.
     ClosingIdle,
-    /// New connections wait in its backlog and beyond.
+    /// It accepts no connections; they wait in its backlog, or are dropped by the kernel.
     NotAccepting,
 }
 
-/// A worker; its connections break when it is dropped.
+/// A worker; dropping it breaks its connections.
 pub struct SoakWorker {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     mode: watch::Sender<WorkerMode>,
     task: JoinHandle<()>,
@@ -72,49 +72,49 @@
     number: usize,
     recorder: Recorder,
     slots: Semaphore,
-    held: AtomicU64,
-    random: Mutex<SmallRng>,
+    held_requests: AtomicU64,
+    rng: Mutex<SmallRng>,
     cold: Option<Mutex<ColdLoad>>,
 }
 
 impl SoakWorker {
-    /// Starts one, warm or cold. `late` makes one whose connections can be held back.
+    /// Starts a worker, warm or cold. With `short_backlog` the kernel drops connections while it does not accept.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// If the address can't be bound.
     pub fn start(
         number: usize,
         address: SocketAddr,
         recorder: &Recorder,
         cold: bool,
-        late: bool,
+        short_backlog: bool,
         seed: u64,
     ) -> io::Result<SoakWorker> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        let listener = socket.listen(if late { SHORT_BACKLOG } else { BACKLOG })?;
+        let listener = socket.listen(if short_backlog { SHORT_BACKLOG } else { BACKLOG })?;
         let mode = watch::Sender::new(WorkerMode::Normal);
         let cold = cold.then(|| Mutex::new(ColdLoad::new()));
         let shared = Arc::new(Shared {
             number,
             recorder: recorder.clone(),
             slots: Semaphore::new(SLOTS),
-            held: AtomicU64::new(0),
-            random: Mutex::new(SmallRng::seed_from_u64(seed)),
+            held_requests: AtomicU64::new(0),
+            rng: Mutex::new(SmallRng::seed_from_u64(seed)),
             cold,
         });
         let task = tokio::spawn(accept(listener, shared, mode.subscribe()));
         Ok(SoakWorker { address, mode, task })
     }
 
-    /// Changes how it behaves.
+    /// Changes its behavior.
     pub fn set_mode(&self, mode: WorkerMode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// Accepts connections, except while the mode holds them back.
+/// Accepts connections, except in mode [`WorkerMode::NotAccepting`].
 async fn accept(listener: TcpListener, shared: Arc<Shared>, mut mode: watch::Receiver<WorkerMode>) {
     let mut connections = JoinSet::new();
     let mut resumed: Option<Instant> = None;
@@ -129,22 +129,22 @@
         };
         let Ok((socket, _)) = accepted else { continue };
         let _ = socket.set_nodelay(true);
-        // What was written to a connection in the backlog is read late.
-        let held_back = resumed.is_some_and(|at| at.elapsed() < BACKLOG_CLEARED);
-        connections.spawn(serve(socket, shared.clone(), mode.clone(), held_back));
+        // Requests on connections that waited in the backlog are read late.
+        let late_read = resumed.is_some_and(|at| at.elapsed() < BACKLOG_DRAIN_TIME);
+        connections.spawn(serve(socket, shared.clone(), mode.clone(), late_read));
         while connections.try_join_next().is_some() {}
     }
 }
 
-/// An attempt that breaks off with whatever holds it.
+/// An open attempt; it ends as broken if dropped before its end is recorded.
 struct OpenAttempt<'a> {
     recorder: &'a Recorder,
-    place: usize,
+    index: usize,
 }
 
 impl OpenAttempt<'_> {
     fn end(&self, end: AttemptEnd) {
-        self.recorder.end_attempt(self.place, end);
+        self.recorder.end_attempt(self.index, end);
     }
 }
 
@@ -154,8 +154,8 @@
     }
 }
 
-/// What follows on an answer.
-enum Next {
+/// What to do with a connection after a response.
+enum AfterResponse {
     Keep,
     Close,
     Reset,
@@ -165,7 +165,7 @@
     socket: TcpStream,
     shared: Arc<Shared>,
     mut mode: watch::Receiver<WorkerMode>,
-    held_back: bool,
+    late_read: bool,
 ) -> Option<()> {
     let (read, mut writer) = socket.into_split();
     let mut reader = BufReader::new(read);
@@ -174,14 +174,14 @@
         let idle = shared.draw(0..300);
         tokio::select! {
             begun = reader.fill_buf() => { begun.ok().filter(|bytes| !bytes.is_empty())?; }
-            () = closes_idle(&mut mode, idle), if !first => return None,
+            () = close_when_idle(&mut mode, idle), if !first => return None,
         }
         let first_byte = recorder.now();
         let head = head(&mut reader).await?;
         let mut body = vec![0; length(&head).min(64 * 1024)];
         reader.read_exact(&mut body).await.ok()?;
         let id = field(&head, "x-request-id")?;
-        let place = recorder.add_attempt(AttemptRecord {
+        let index = recorder.add_attempt(AttemptRecord {
             id: id.clone(),
             worker: shared.number,
             first_byte,
@@ -189,10 +189,10 @@
             sent_deadline: field(&head, "x-deadline").and_then(|text| text.parse().ok()),
             end: AttemptEnd::InFlight,
             ended: None,
-            late_read: first && held_back,
+            late_read: first && late_read,
         });
         first = false;
-        let open = OpenAttempt { recorder, place };
+        let open = OpenAttempt { recorder, index };
         let work = String::from_utf8(body).ok()?.trim().parse::<f64>().ok()? / 1e6;
         shared.record_load(work);
         let now = *mode.borrow();
@@ -204,9 +204,9 @@
             }
         };
         match next {
-            Next::Keep => {}
-            Next::Close => return None,
-            Next::Reset => {
+            AfterResponse::Keep => {}
+            AfterResponse::Close => return None,
+            AfterResponse::Reset => {
                 let _ = writer.as_ref().set_zero_linger();
                 return None;
             }
@@ -214,21 +214,21 @@
     }
 }
 
-async fn closes_idle(mode: &mut watch::Receiver<WorkerMode>, idle: u64) {
+async fn close_when_idle(mode: &mut watch::Receiver<WorkerMode>, idle: u64) {
     let _ = mode.wait_for(|mode| *mode == WorkerMode::ClosingIdle).await;
     sleep(Duration::from_millis(idle)).await;
 }
 
-/// Returns once the node has ended its side.
+/// Returns once the node has closed its side.
 async fn node_closes(reader: &mut BufReader<OwnedReadHalf>) {
     if reader.fill_buf().await.is_ok_and(|bytes| !bytes.is_empty()) {
         std::future::pending().await
     }
 }
 
-struct Held<'a>(&'a AtomicU64);
+struct HeldRequest<'a>(&'a AtomicU64);
 
-impl Drop for Held<'_> {
+impl Drop for HeldRequest<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -236,18 +236,18 @@
 
 impl Shared {
     fn draw(&self, range: std::ops::Range<u64>) -> u64 {
-        self.random.lock().unwrap_or_else(PoisonError::into_inner).random_range(range)
+        self.rng.lock().unwrap_or_else(PoisonError::into_inner).random_range(range)
     }
 
     fn record_load(&self, work: f64) {
         let Some(cold) = &self.cold else { return };
         let mut cold = cold.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((came, allowed)) = cold.add(work / MEAN_WORK.as_secs_f64()) {
-            self.recorder.history().overloads.push((self.number, came, allowed));
+        if let Some((received, allowed)) = cold.add(work / MEAN_WORK.as_secs_f64()) {
+            self.recorder.history().overloads.push((self.number, received, allowed));
         }
     }
 
-    /// Answers a request as the mode and a draw have it.
+    /// Answers a request according to the mode and random draws.
     async fn answer(
         &self,
         open: &OpenAttempt<'_>,
@@ -255,37 +255,37 @@
         work: f64,
         mode: WorkerMode,
         writer: &mut OwnedWriteHalf,
-    ) -> Option<Next> {
-        let full = self.held.load(Ordering::Relaxed) >= (SLOTS + QUEUE) as u64;
+    ) -> Option<AfterResponse> {
+        let full = self.held_requests.load(Ordering::Relaxed) >= (SLOTS + QUEUE_LENGTH) as u64;
         if full || mode == WorkerMode::Rejecting {
             open.end(AttemptEnd::NotExecuted);
             writer.write_all(REJECTION).await.ok()?;
-            return Some(Next::Keep);
+            return Some(AfterResponse::Keep);
         }
-        self.held.fetch_add(1, Ordering::Relaxed);
-        let _held = Held(&self.held);
+        self.held_requests.fetch_add(1, Ordering::Relaxed);
+        let _held_request = HeldRequest(&self.held_requests);
         let (stage, chance) = (self.draw(0..3), self.draw(0..100));
         if mode == WorkerMode::Silent && stage == 0 {
             std::future::pending::<()>().await;
         }
         if mode == WorkerMode::Resetting && stage == 0 {
-            return Some(if chance < 50 { Next::Reset } else { Next::Close });
+            return Some(if chance < 50 { AfterResponse::Reset } else { AfterResponse::Close });
         }
         if chance < 2 {
             open.end(AttemptEnd::Concluded);
             writer.write_all(SERVER_ERROR).await.ok()?;
-            return Some(Next::Keep);
+            return Some(AfterResponse::Keep);
         }
         writer.write_all(STREAM_HEAD).await.ok()?;
         if chance < 4 {
             open.end(AttemptEnd::NotExecuted);
-            return self.last(writer, id, json!({"state": "returned"})).await;
+            return self.send_last_line(writer, id, json!({"state": "returned"})).await;
         }
-        self.run_job(open, id, work, mode, (stage, chance), writer).await
+        self.run_request(open, id, work, mode, (stage, chance), writer).await
     }
 
-    /// Runs a job that was taken, up to its last line or to the stage at which the mode breaks it off.
-    async fn run_job(
+    /// Runs an accepted request up to its last line, or to the stage at which the mode interrupts it.
+    async fn run_request(
         &self,
         open: &OpenAttempt<'_>,
         id: &str,
@@ -293,61 +293,66 @@
         mode: WorkerMode,
         (stage, chance): (u64, u64),
         writer: &mut OwnedWriteHalf,
-    ) -> Option<Next> {
+    ) -> Option<AfterResponse> {
         let _slot = self.slots.acquire().await.ok()?;
-        self.say(writer, id, json!({"state": "started"})).await?;
+        self.send_line(writer, id, json!({"state": "started"})).await?;
         sleep(Duration::from_secs_f64(work / 2.0)).await;
         if mode == WorkerMode::Silent {
             std::future::pending::<()>().await;
         }
         if mode == WorkerMode::Resetting && stage == 1 {
-            return Some(if chance < 50 { Next::Reset } else { Next::Close });
+            return Some(if chance < 50 { AfterResponse::Reset } else { AfterResponse::Close });
         }
         sleep(Duration::from_secs_f64(work / 2.0)).await;
         if chance < 6 {
             open.end(AttemptEnd::Concluded);
-            return self.last(writer, id, json!({"state": "failed"})).await;
+            return self.send_last_line(writer, id, json!({"state": "failed"})).await;
         }
         if mode == WorkerMode::Malformed {
-            return self.spoil(open, id, chance % 5, writer).await;
+            return self.answer_malformed(open, id, chance % 5, writer).await;
         }
         let result = format!("{id}.{}", self.number);
         self.recorder.record_result(id, &result);
         open.end(AttemptEnd::Concluded);
-        self.last(writer, id, json!({"state": "done", "result": result, "load": {"x0": 2, "depth": 0}})).await
+        self.send_last_line(
+            writer,
+            id,
+            json!({"state": "done", "result": result, "load": {"x0": 2, "depth": 0}}),
+        )
+        .await
     }
 
-    async fn spoil(
+    async fn answer_malformed(
         &self,
         open: &OpenAttempt<'_>,
         id: &str,
-        how: u64,
+        variant: u64,
         writer: &mut OwnedWriteHalf,
-    ) -> Option<Next> {
+    ) -> Option<AfterResponse> {
         let result = format!("{id}.{}", self.number);
         let done = json!({"state": "done", "result": result});
-        match how {
+        match variant {
             0 => {
                 open.end(AttemptEnd::Concluded);
                 writer.write_all(b"9\r\nnot json\n\r\n").await.ok()?;
             }
             1 => {
                 open.end(AttemptEnd::Concluded);
-                self.say(writer, "somebody-else", done).await?;
+                self.send_line(writer, "somebody-else", done).await?;
             }
             2 => {
                 self.recorder.record_result(id, &result);
                 open.end(AttemptEnd::Concluded);
-                self.last(writer, id, done).await?;
+                self.send_last_line(writer, id, done).await?;
                 sleep(Duration::from_millis(self.draw(0..12))).await;
                 let second = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n";
                 writer.write_all(second.as_bytes()).await.ok()?;
-                return Some(Next::Keep);
+                return Some(AfterResponse::Keep);
             }
             3 => {
                 open.end(AttemptEnd::Concluded);
-                let endless = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
-                writer.write_all(endless.as_bytes()).await.ok()?;
+                let oversized = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
+                writer.write_all(oversized.as_bytes()).await.ok()?;
                 sleep(Duration::from_secs(1)).await;
             }
             _ => {
@@ -355,20 +360,30 @@
                 writer.write_all(b"40\r\n{\"id\":").await.ok()?;
             }
         }
-        Some(Next::Close)
+        Some(AfterResponse::Close)
     }
 
-    async fn say(&self, writer: &mut OwnedWriteHalf, id: &str, mut line: serde_json::Value) -> Option<()> {
+    async fn send_line(
+        &self,
+        writer: &mut OwnedWriteHalf,
+        id: &str,
+        mut line: serde_json::Value,
+    ) -> Option<()> {
         line["id"] = id.into();
         line["from"] = format!("s-{}", self.number).into();
         let text = line.to_string();
         writer.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await.ok()
     }
 
-    async fn last(&self, writer: &mut OwnedWriteHalf, id: &str, line: serde_json::Value) -> Option<Next> {
-        self.say(writer, id, line).await?;
+    async fn send_last_line(
+        &self,
+        writer: &mut OwnedWriteHalf,
+        id: &str,
+        line: serde_json::Value,
+    ) -> Option<AfterResponse> {
+        self.send_line(writer, id, line).await?;
         let end = writer.write_all(b"0\r\n\r\n");
         timeout(Duration::from_secs(1), end).await.ok()?.ok()?;
-        Some(Next::Keep)
+        Some(AfterResponse::Keep)
     }
 }
