--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The soak's oracle finds each kind of broken rule, and excuses what the protocol excuses.
+//! The soak's oracle reports each kind of rule violation, and accepts what the protocol excuses. A seed determines the
+//! schedule.
 
 use std::time::Duration;
 use testbed::soak::history::{
@@ -11,7 +12,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A request written at 1 s and answered 100 ms later, with a wait of 1 s.
+/// A request written at 1 s and answered 100 ms later, with a deadline of 1 s.
 fn request(semantics: Semantics) -> RequestRecord {
     RequestRecord {
         id: "r".to_string(),
@@ -27,7 +28,7 @@
     }
 }
 
-/// Its attempt: 10 ms later, 50 ms long.
+/// An attempt of that request, 50 ms long.
 fn attempt(worker: usize, at: u64, end: AttemptEnd) -> AttemptRecord {
     AttemptRecord {
         id: "r".to_string(),
@@ -59,106 +60,116 @@
     History { requests: vec![request], attempts, processes: vec![process()], ..History::default() }
 }
 
-/// The rules that the oracle finds broken.
-fn broken(history: &History) -> Vec<&'static str> {
+/// Returns the rules that the oracle reports as violated.
+fn violated_rules(history: &History) -> Vec<&'static str> {
     check_history(history, &Limits::default()).iter().map(|violation| violation.rule()).collect()
 }
 
-fn served() -> History {
+fn served_request() -> History {
     history(request(Semantics::Safe), vec![attempt(1, 1_010, AttemptEnd::Concluded)])
 }
 
 #[test]
-fn served_request_breaks_no_rule() {
-    assert_eq!(broken(&served()), Vec::<&str>::new());
+fn served_request_violates_no_rule() {
+    assert_eq!(violated_rules(&served_request()), Vec::<&str>::new());
 }
 
 #[test]
-fn request_without_timely_genuine_answer_is_lost() {
+fn request_without_timely_valid_answer_is_lost() {
     for end in [RequestEnd::Pending, RequestEnd::Unanswered, RequestEnd::Broken] {
-        let lost = History { requests: vec![RequestRecord { end, ..request(Semantics::Safe) }], ..served() };
-        assert_eq!(broken(&lost), ["lost"], "{end:?}");
+        let lost =
+            History { requests: vec![RequestRecord { end, ..request(Semantics::Safe) }], ..served_request() };
+        assert_eq!(violated_rules(&lost), ["lost"], "{end:?}");
     }
     let late = RequestRecord { ended: Some(ms(2_600)), ..request(Semantics::Safe) };
-    assert_eq!(broken(&History { requests: vec![late], ..served() }), ["lost"]);
-    let forged = RequestEnd::Answered { status: 200, is_valid: false };
-    let forged = RequestRecord { end: forged, ..request(Semantics::Safe) };
-    assert_eq!(broken(&History { requests: vec![forged], ..served() }), ["lost"]);
+    assert_eq!(violated_rules(&History { requests: vec![late], ..served_request() }), ["lost"]);
+    let invalid = RequestEnd::Answered { status: 200, is_valid: false };
+    let invalid = RequestRecord { end: invalid, ..request(Semantics::Safe) };
+    assert_eq!(violated_rules(&History { requests: vec![invalid], ..served_request() }), ["lost"]);
 }
 
 #[test]
 fn request_cut_by_an_excused_kill_is_not_lost() {
-    let crossed =
+    let closed_unread =
         RequestRecord { reused_connection: true, end: RequestEnd::ClosedUnread, ..request(Semantics::Safe) };
-    assert_eq!(broken(&history(crossed, vec![])), Vec::<&str>::new());
+    assert_eq!(violated_rules(&history(closed_unread, vec![])), Vec::<&str>::new());
     let killed = ProcessRecord { ended: Some(ms(1_050)), killed: true, ..process() };
     let cut = RequestRecord { end: RequestEnd::Broken, ended: Some(ms(1_051)), ..request(Semantics::Safe) };
     let cut = History { processes: vec![killed], ..history(cut, vec![]) };
-    assert_eq!(broken(&cut), Vec::<&str>::new());
-    // It came more than 0.7 s after SIGTERM: SIGKILL is no excuse.
-    let told = ProcessRecord { terminated: Some(ms(200)), ..cut.processes[0] };
-    assert_eq!(broken(&History { processes: vec![told], ..cut }), ["lost"]);
+    assert_eq!(violated_rules(&cut), Vec::<&str>::new());
+    // The request was written more than 0.7 s after SIGTERM, so SIGKILL does not excuse it.
+    let terminated_process = ProcessRecord { terminated: Some(ms(200)), ..cut.processes[0] };
+    assert_eq!(violated_rules(&History { processes: vec![terminated_process], ..cut }), ["lost"]);
 }
 
 #[test]
-fn forbidden_second_attempt_is_found() {
-    let twice = |semantics, first, at| {
+fn forbidden_second_attempt_is_reported() {
+    let second_attempt = |semantics, first, at| {
         let attempts = vec![attempt(1, 1_010, first), attempt(2, at, AttemptEnd::Concluded)];
-        broken(&history(request(semantics), attempts))
+        violated_rules(&history(request(semantics), attempts))
     };
-    assert_eq!(twice(Semantics::Safe, AttemptEnd::Broken, 1_015), ["duplicate"], "the first is still out");
-    assert_eq!(twice(Semantics::Safe, AttemptEnd::Broken, 1_200), Vec::<&str>::new());
-    assert_eq!(twice(Semantics::Unsafe, AttemptEnd::Broken, 1_200), ["duplicate"]);
-    assert_eq!(twice(Semantics::Unsafe, AttemptEnd::NotExecuted, 1_200), Vec::<&str>::new());
-    assert_eq!(twice(Semantics::Keyed, AttemptEnd::ClosedByNode, 1_200), Vec::<&str>::new());
+    assert_eq!(
+        second_attempt(Semantics::Safe, AttemptEnd::Broken, 1_015),
+        ["duplicate"],
+        "the first is still in flight"
+    );
+    assert_eq!(second_attempt(Semantics::Safe, AttemptEnd::Broken, 1_200), Vec::<&str>::new());
+    assert_eq!(second_attempt(Semantics::Unsafe, AttemptEnd::Broken, 1_200), ["duplicate"]);
+    assert_eq!(second_attempt(Semantics::Unsafe, AttemptEnd::NotExecuted, 1_200), Vec::<&str>::new());
+    assert_eq!(second_attempt(Semantics::Keyed, AttemptEnd::ClosedByNode, 1_200), Vec::<&str>::new());
     let long = RequestRecord { deadline: ms(20_000), ..request(Semantics::Keyed) };
     let attempts = vec![attempt(1, 1_010, AttemptEnd::Broken), attempt(2, 9_000, AttemptEnd::Concluded)];
-    assert_eq!(broken(&history(long, attempts)), ["duplicate"], "the key's window is over");
+    assert_eq!(violated_rules(&history(long, attempts)), ["duplicate"], "the deduplication window is over");
 }
 
 #[test]
-fn attempt_after_disconnect_drain_or_deadline_is_found() {
-    let left =
+fn attempt_after_disconnect_drain_or_deadline_is_reported() {
+    let disconnected =
         RequestRecord { disconnected: Some(ms(1_000)), end: RequestEnd::Pending, ..request(Semantics::Safe) };
-    let late = |at| broken(&history(left.clone(), vec![attempt(1, at, AttemptEnd::ClosedByNode)]));
+    let late =
+        |at| violated_rules(&history(disconnected.clone(), vec![attempt(1, at, AttemptEnd::ClosedByNode)]));
     assert_eq!(late(1_090), Vec::<&str>::new());
     assert_eq!(late(1_200), ["lost"]);
-    let drained = |told| {
-        let withdrawals = vec![Withdrawal { node: 0, worker: 1, known_at: ms(told) }];
-        broken(&History { withdrawals, ..served() })
+    let drained_at = |known_at| {
+        let withdrawals = vec![Withdrawal { node: 0, worker: 1, known_at: ms(known_at) }];
+        violated_rules(&History { withdrawals, ..served_request() })
     };
-    assert_eq!(drained(600), Vec::<&str>::new());
-    assert_eq!(drained(310), ["drain"]);
-    // Discovery could not be asked from the process's start on.
+    assert_eq!(drained_at(600), Vec::<&str>::new());
+    assert_eq!(drained_at(310), ["drain"]);
+    // Discovery was faulty when the process started.
     let withdrawals = vec![Withdrawal { node: 0, worker: 1, known_at: ms(0) }];
-    let blind = |list_from| History {
+    let with_list_from = |list_from| History {
         processes: vec![ProcessRecord { list_from, ..process() }],
         withdrawals: withdrawals.clone(),
-        ..served()
+        ..served_request()
     };
-    assert_eq!(broken(&blind(None)), Vec::<&str>::new());
-    assert_eq!(broken(&blind(Some(ms(900)))), Vec::<&str>::new());
-    assert_eq!(broken(&blind(Some(ms(100)))), ["drain"]);
-    let told = AttemptRecord { sent_deadline: Some(1.25), ..attempt(1, 1_010, AttemptEnd::Concluded) };
-    assert_eq!(broken(&history(request(Semantics::Safe), vec![told])), ["deadline"]);
+    assert_eq!(violated_rules(&with_list_from(None)), Vec::<&str>::new());
+    assert_eq!(violated_rules(&with_list_from(Some(ms(900)))), Vec::<&str>::new());
+    assert_eq!(violated_rules(&with_list_from(Some(ms(100)))), ["drain"]);
+    let attempt_with_long_deadline =
+        AttemptRecord { sent_deadline: Some(1.25), ..attempt(1, 1_010, AttemptEnd::Concluded) };
+    assert_eq!(
+        violated_rules(&history(request(Semantics::Safe), vec![attempt_with_long_deadline])),
+        ["deadline"]
+    );
 }
 
 #[test]
-fn crash_late_start_overload_and_ignored_client_are_found() {
-    let with = |record| broken(&History { processes: vec![record], ..served() });
+fn crash_late_start_overload_and_ignored_client_are_reported() {
+    let with = |record| violated_rules(&History { processes: vec![record], ..served_request() });
     assert_eq!(with(ProcessRecord { ended: Some(ms(5_000)), code: Some(0), ..process() }), ["crash"]);
-    let told =
+    let terminated_process =
         ProcessRecord { terminated: Some(ms(4_000)), ended: Some(ms(5_000)), code: Some(0), ..process() };
-    assert_eq!(with(told), Vec::<&str>::new());
-    assert_eq!(with(ProcessRecord { code: Some(101), ..told }), ["crash"]);
+    assert_eq!(with(terminated_process), Vec::<&str>::new());
+    assert_eq!(with(ProcessRecord { code: Some(101), ..terminated_process }), ["crash"]);
     assert_eq!(with(ProcessRecord { ready: Some(ms(10_100)), ..process() }), ["ready"]);
-    let overload = History { overloads: vec![(3, 40.0, 30.0)], ..served() };
-    assert_eq!(broken(&overload), ["failback"]);
-    let ignored = History { ignored_clients: vec![(0, ms(3_600))], ..served() };
-    assert_eq!(broken(&ignored), ["ignored"]);
+    let overload = History { overloads: vec![(3, 40.0, 30.0)], ..served_request() };
+    assert_eq!(violated_rules(&overload), ["failback"]);
+    let ignored = History { ignored_clients: vec![(0, ms(3_600))], ..served_request() };
+    assert_eq!(violated_rules(&ignored), ["ignored"]);
 }
 
-/// The faults of a seed are the same in each run, begin after the time without faults, and are of all kinds.
+/// The same seed gives the same faults, none of which begins in the fault-free time; the kinds below all occur.
 #[test]
 fn seed_determines_the_schedule() {
     let load_duration = ms(400_000);
@@ -168,12 +179,12 @@
     assert_eq!(planned, draw(&spec, 7));
     assert_ne!(planned, draw(&spec, 8));
     assert!(planned.iter().all(|planned| planned.at >= spec.fault_free && planned.at <= load_duration));
-    let any = |is: fn(&FaultKind) -> bool| planned.iter().any(|planned| is(&planned.kind));
-    assert!(any(|t| matches!(t, FaultKind::Calls { .. })));
-    assert!(any(|t| matches!(t, FaultKind::ClockStep { .. })));
-    assert!(any(|t| matches!(t, FaultKind::Restart { .. })));
-    assert!(any(|t| matches!(t, FaultKind::Upgrade { .. })));
-    assert!(any(|t| matches!(t, FaultKind::FailedUpgrade { .. })));
-    assert!(any(|t| matches!(t, FaultKind::Reload { .. })));
-    assert!(any(|t| matches!(t, FaultKind::Discovery { .. })));
+    let includes = |is: fn(&FaultKind) -> bool| planned.iter().any(|planned| is(&planned.kind));
+    assert!(includes(|kind| matches!(kind, FaultKind::Calls { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::ClockStep { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::Restart { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::Upgrade { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::FailedUpgrade { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::Reload { .. })));
+    assert!(includes(|kind| matches!(kind, FaultKind::Discovery { .. })));
 }
