--- a/node/src/coordination/operator_commands.rs
+++ b/node/src/coordination/operator_commands.rs
@@ -81,16 +81,13 @@
         Some(state) => format!("its voter is {}", state_name(state)),
     };
     let held: Vec<String> =
-        status.held.iter().map(|(lease, token, _)| format!("{lease} (token {token})")).collect();
+        status.held.iter().map(|(lease, token, _)| format!("{lease} under {token}")).collect();
     let held = match held.as_slice() {
-        [] => "no lease".to_string(),
+        [] => "nothing".to_string(),
         held => held.join(", "),
     };
     let cluster = match &status.cluster {
-        None => {
-            "no leader among the voters responds: no lease is granted now, and requests are still served\n"
-                .to_string()
-        }
+        None => "no voter that leads answers: nothing is granted now, and jobs go on\n".to_string(),
         Some(cluster) => format_cluster(cluster),
     };
     format!("{}: {voter}; it holds {held}\n{cluster}", status.node)
@@ -125,14 +122,14 @@
 
 fn lease_table(cluster: &ClusterStatus) -> Table {
     let mut table = Table::new();
-    table.load_style(NOTHING).set_header(["LEASE", "HOLDER", "TOKEN", "REMAINING", "GRANTED AGO"]);
+    table.load_style(NOTHING).set_header(["DUTY", "HOLDER", "TOKEN", "LEASE LEFT", "SINCE"]);
     for (lease, record) in &cluster.table.leases {
         let remaining = cluster.remaining_ms.iter().find(|(name, _)| name == lease);
         let remaining_ms = remaining.map_or(0, |(_, ms)| *ms);
         let holder = match &record.holder {
             Some(holder) if remaining_ms > 0 => holder.name.clone(),
-            Some(holder) => format!("none (was {})", holder.name),
-            None => "none".to_string(),
+            Some(holder) => format!("nobody (was {})", holder.name),
+            None => "nobody".to_string(),
         };
         let remaining = format!("{:.1} s", remaining_ms as f64 / 1000.0);
         let token = record.token.to_string();
@@ -143,11 +140,11 @@
 
 fn change_table(leases: &LeaseTable) -> Table {
     let mut table = Table::new();
-    table.load_style(NOTHING).set_header(["AGO", "LEASE", "CHANGE", "HOLDER", "TOKEN"]);
+    table.load_style(NOTHING).set_header(["AGO", "DUTY", "WHAT", "WHO", "TOKEN"]);
     for change in leases.history.iter().rev().take(CHANGES_SHOWN) {
         let kind = match change.kind {
             ChangeKind::Granted => "granted",
-            ChangeKind::Released => "released",
+            ChangeKind::Released => "given back",
         };
         let (lease, holder, token) = (change.lease.clone(), change.holder.clone(), change.token.to_string());
         table.add_row([elapsed_since(change.at_ms), lease, kind.to_string(), holder, token]);
@@ -161,11 +158,11 @@
     let saved = record.map_or(&[][..], |record| &record.state);
     match postcard::from_bytes::<RestartProgress>(saved) {
         Ok(RestartProgress { completed, total, outcome: Some(outcome), .. }) => {
-            format!("last rolling restart: {completed} of {total} nodes, outcome: {outcome}\n")
+            format!("last roll: {completed} of {total}, ended: {outcome}\n")
         }
         Ok(RestartProgress { completed, total, in_progress, .. }) => {
             let names: Vec<&str> = in_progress.iter().map(|(name, _)| name.as_str()).collect();
-            format!("rolling restart: {completed} of {total} nodes, in progress: {}\n", names.join(", "))
+            format!("roll: {completed} of {total}, under way: {}\n", names.join(", "))
         }
         Err(_) => String::new(),
     }
--- a/node/src/membership/show.rs
+++ b/node/src/membership/show.rs
@@ -63,14 +63,11 @@
 fn summary_line(status: &Status) -> String {
     let Status { view, fleet_size, .. } = status;
     let summary = match view.yielded_to {
-        Some(other) => format!("it yielded its name to the process at {other}"),
-        None if !view.joined => "no other node was seen yet".to_string(),
-        None => format!(
-            "{} nodes accept requests, {} may send to workers",
-            fleet_size.dispatchers, fleet_size.senders
-        ),
+        Some(other) => format!("it yielded to a process of its name at {other}"),
+        None if !view.joined => "it has heard of nobody yet".to_string(),
+        None => format!("{} take jobs, {} may be sending", fleet_size.dispatchers, fleet_size.senders),
     };
-    format!("fleet {}, view of {}: {summary}", view.fleet, view.node)
+    format!("fleet {}, as {} sees it: {summary}", view.fleet, view.node)
 }
 
 fn member_row(member: &MemberInfo, is_own: bool) -> [String; 6] {
