--- a/node/tests/client_disconnects.rs
+++ b/node/tests/client_disconnects.rs
@@ -1,6 +1,5 @@
-//! Clients that leave while their request waits: it is not sent on. What counts as leaving is the end of what comes from
-//! the client, however it comes: a close, a half-close or a reset, with or without bytes behind the request. Judged
-//! by what the stand-in for the worker got.
+//! A request whose client has left is not sent to a worker. A client leaves when its sending side ends, by a close, a half-close
+//! or a reset, with or without further bytes after the request. The tests check what the worker's stand-in received.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -14,50 +13,59 @@
 use tokio::task::yield_now;
 use tokio::time::advance;
 
-const GONE: &str = "9b1f03aa5c7e2d41";
-const NEXT: &str = "9b1f03aa5c7e2d42";
-/// In which a request whose client has left is off, at the latest.
-const OFF: u64 = 100;
+const LEFT_ID: &str = "9b1f03aa5c7e2d41";
+const NEXT_ID: &str = "9b1f03aa5c7e2d42";
+/// The longest time until a request whose client has left is dropped.
+const DROPPED_WITHIN_MS: u64 = 100;
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Departure {
     Close,
     Reset,
     HalfClose,
-    /// With part of a further request behind the first, and a close.
-    Part,
-    /// With a whole further request behind it.
-    Further,
-    /// With more behind it than the node reads ahead.
-    Much,
-    /// The same, and a reset.
-    MuchReset,
+    /// Sends part of a further request, then closes.
+    PartialRequest,
+    /// Sends a complete further request, then closes.
+    FurtherRequest,
+    /// Sends more than the node reads ahead, then closes.
+    LongRequest,
+    /// Sends as much, then resets the connection.
+    LongRequestReset,
 }
 
-const WAYS: [Way; 7] =
-    [Way::Close, Way::Reset, Way::HalfClose, Way::Part, Way::Further, Way::Much, Way::MuchReset];
+const DEPARTURES: [Departure; 7] = [
+    Departure::Close,
+    Departure::Reset,
+    Departure::HalfClose,
+    Departure::PartialRequest,
+    Departure::FurtherRequest,
+    Departure::LongRequest,
+    Departure::LongRequestReset,
+];
 
-/// What comes behind the request before the client leaves.
-fn behind(way: Way) -> String {
-    match way {
-        Way::Part => "POST /check HTTP/1.1\r\nX-Req".to_string(),
-        Way::Further => request("check", "9b1f03aa5c7e2d4f", 60.0, "x"),
-        Way::Much | Way::MuchReset => request("check", "9b1f03aa5c7e2d4f", 60.0, &"x".repeat(60_000)),
+/// What the client sends after the request before it leaves.
+fn bytes_after_request(departure: Departure) -> String {
+    match departure {
+        Departure::PartialRequest => "POST /check HTTP/1.1\r\nX-Req".to_string(),
+        Departure::FurtherRequest => request("check", "9b1f03aa5c7e2d4f", 60.0, "x"),
+        Departure::LongRequest | Departure::LongRequestReset => {
+            request("check", "9b1f03aa5c7e2d4f", 60.0, &"x".repeat(60_000))
+        }
         _ => String::new(),
     }
 }
 
-/// The client leaves; one that half-closes stays to be kept.
-async fn leave(mut client: Client, way: Way) -> Option<Client> {
-    client.send(&behind(way)).await;
-    go(client, way).await
+/// The client leaves; one that half-closes is returned, so that its connection stays open.
+async fn leave(mut client: Client, departure: Departure) -> Option<Client> {
+    client.send(&bytes_after_request(departure)).await;
+    close(client, departure).await
 }
 
-async fn go(mut client: Client, way: Way) -> Option<Client> {
-    match way {
-        Way::Reset | Way::MuchReset => client.reset(),
-        Way::HalfClose => {
+async fn close(mut client: Client, departure: Departure) -> Option<Client> {
+    match departure {
+        Departure::Reset | Departure::LongRequestReset => client.reset(),
+        Departure::HalfClose => {
             client.half_close().await;
             return Some(client);
         }
@@ -66,9 +74,9 @@
     None
 }
 
-/// Lets what the kernel has to tell arrive, and the time pass in which the request must be off; says whether it is.
-async fn off(node: &PlatformNode, left: u64) -> bool {
-    for _ in 0..OFF / 10 {
+/// Advances the clock by the time within which the request must be dropped; returns whether it was.
+async fn is_dropped(node: &PlatformNode, left: u64) -> bool {
+    for _ in 0..DROPPED_WITHIN_MS / 10 {
         for _ in 0..20 {
             yield_now().await;
         }
@@ -83,113 +91,117 @@
     false
 }
 
-async fn taken(node: &PlatformNode, n: u64) {
+async fn wait_for_accepted(node: &PlatformNode, n: u64) {
     while node.counters.requests_accepted.get() < n {
         yield_now().await;
     }
 }
 
-/// The worker's next request is this one's, and is served.
-async fn next_is(worker: &Worker, client: &mut Client, id: &str) {
-    let mut seen = worker.receive_request().await;
-    assert_eq!(seen.header("x-request-id"), id, "sent on though its client had left");
-    seen.complete("r").await;
+/// The worker's next request must have this id; it is completed.
+async fn expect_next_request(worker: &Worker, client: &mut Client, id: &str) {
+    let mut received = worker.receive_request().await;
+    assert_eq!(received.header("x-request-id"), id, "sent although its client had left");
+    received.complete("r").await;
     assert_eq!(client.read_answer().await.expect("an answer").body, "r");
 }
 
-/// While the module holds it: no worker is there. Then one is, and gets the next client's request only.
+/// The request is queued because no worker is ready; once one is, it receives only the next client's request.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_waits_for_a_worker_is_dropped_however_its_client_leaves() {
-    for way in WAYS {
+async fn a_queued_request_is_dropped_however_its_client_leaves() {
+    for departure in DEPARTURES {
         let worker = Worker::start().await;
         let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
-        taken(&node, 1).await;
-        let _kept = leave(client, way).await;
-        assert!(off(&node, 1).await, "{way:?}: still held");
+        client.send_after_pause(&request("check", LEFT_ID, 60.0, "x")).await;
+        wait_for_accepted(&node, 1).await;
+        let _kept = leave(client, departure).await;
+        assert!(is_dropped(&node, 1).await, "{departure:?}: still queued");
         node.assert_nothing_open().await;
         node.apply_list(2, vec![worker.list_entry("s-1", "in_service")]).await;
         let mut next = Client::connect(&node).await;
-        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
-        next_is(&worker, &mut next, NEXT).await;
+        next.send_after_pause(&request("check", NEXT_ID, 60.0, "x")).await;
+        expect_next_request(&worker, &mut next, NEXT_ID).await;
         node.assert_nothing_open().await;
         assert_eq!(
             (node.counters.attempts_sent.get(), node.counters.requests_accepted.get()),
             (1, 2),
-            "{way:?}"
+            "{departure:?}"
         );
     }
 }
 
-/// While it is out, it is called off; what had come behind it is never taken.
+/// The attempt in flight is cancelled, and what the client sent after the request is never accepted.
 #[tokio::test(start_paused = true)]
-async fn an_attempt_is_called_off_however_its_client_leaves() {
-    for way in WAYS {
+async fn an_attempt_is_cancelled_however_its_client_leaves() {
+    for departure in DEPARTURES {
         let worker = Worker::start().await;
         let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
-        let mut seen = worker.receive_request().await;
-        seen.begin_response().await;
+        client.send_after_pause(&request("check", LEFT_ID, 60.0, "x")).await;
+        let mut received = worker.receive_request().await;
+        received.begin_response().await;
         while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
-        let _kept = leave(client, way).await;
-        assert!(off(&node, 1).await, "{way:?}");
-        assert!(seen.next_request().await.is_none(), "{way:?}: its connection is closed");
+        let _kept = leave(client, departure).await;
+        assert!(is_dropped(&node, 1).await, "{departure:?}");
+        assert!(received.next_request().await.is_none(), "{departure:?}: its connection is closed");
         node.assert_nothing_open().await;
-        assert_eq!((node.counters.requests_accepted.get(), node.counters.cancelled.get()), (1, 1), "{way:?}");
+        assert_eq!(
+            (node.counters.requests_accepted.get(), node.counters.cancelled.get()),
+            (1, 1),
+            "{departure:?}"
+        );
     }
 }
 
-/// Between two attempts: the first was handed back, and the worker is full until later.
+/// Between two attempts: the worker returned the first, and no worker has capacity for a second.
 #[tokio::test(start_paused = true)]
 async fn a_request_between_two_attempts_is_dropped() {
-    for way in WAYS {
+    for departure in DEPARTURES {
         let worker = Worker::start().await;
         let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
         let mut client = Client::connect(&node).await;
-        client.send_after_pause(&request("lodge", GONE, 60.0, "x")).await;
-        let mut seen = worker.receive_request().await;
-        // It drains before it hands the job back: there is nowhere else to go for now.
+        client.send_after_pause(&request("lodge", LEFT_ID, 60.0, "x")).await;
+        let mut received = worker.receive_request().await;
+        // The worker drains before it returns the request, so no other attempt is possible for now.
         node.apply_list(2, vec![worker.list_entry("s-1", "terminating")]).await;
-        seen.begin_response().await;
-        seen.send_update(json!({"state": "returned"})).await;
-        seen.write("0\r\n\r\n").await;
+        received.begin_response().await;
+        received.send_update(json!({"state": "returned"})).await;
+        received.write("0\r\n\r\n").await;
         while node.counters.rejected.get() < 1 {
             yield_now().await;
         }
-        let _kept = leave(client, way).await;
-        assert!(off(&node, 1).await, "{way:?}: still held");
+        let _kept = leave(client, departure).await;
+        assert!(is_dropped(&node, 1).await, "{departure:?}: still queued");
         node.assert_nothing_open().await;
         let other = Worker::start().await;
         node.apply_list(3, vec![other.list_entry("s-2", "in_service")]).await;
         let mut next = Client::connect(&node).await;
-        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
-        next_is(&other, &mut next, NEXT).await;
-        assert_eq!(node.counters.attempts_sent.get(), 2, "{way:?}");
+        next.send_after_pause(&request("check", NEXT_ID, 60.0, "x")).await;
+        expect_next_request(&other, &mut next, NEXT_ID).await;
+        assert_eq!(node.counters.attempts_sent.get(), 2, "{departure:?}");
         node.assert_nothing_open().await;
     }
 }
 
-/// While its worker's connection is still coming up, whether the module may call attempts off or not.
+/// The client leaves while the connection to the worker is being established, with and without cancellation allowed.
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_connection_comes_up_late_is_not_written_then() {
+async fn a_request_is_not_written_to_a_connection_established_after_its_client_left() {
     for cancelling in [true, false] {
-        let (worker, _fills) = worker_with_full_backlog().await;
+        let (worker, _backlog_filler) = worker_with_full_backlog().await;
         let mut settings = common::settings(cancelling, 60_000_000);
         settings["Limits"]["ConnectTimeoutUs"] = 60_000_000.into();
         let node =
             PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
         let mut client = Client::connect(&node).await;
-        client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
+        client.send_after_pause(&request("check", LEFT_ID, 60.0, "x")).await;
         while node.counters.in_flight.get() < 1 {
             yield_now().await;
         }
         drop(client);
-        assert!(off(&node, 1).await);
-        drop(worker.0.accept().await.unwrap()); // there is room now
+        assert!(is_dropped(&node, 1).await);
+        drop(worker.0.accept().await.unwrap()); // frees the backlog
         if !cancelling {
             let (mut late, _) = worker.0.accept().await.unwrap();
             let mut bytes = Vec::new();
@@ -198,93 +210,99 @@
         }
         node.assert_nothing_open().await;
         let mut next = Client::connect(&node).await;
-        next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
-        next_is(&worker, &mut next, NEXT).await;
+        next.send_after_pause(&request("check", NEXT_ID, 60.0, "x")).await;
+        expect_next_request(&worker, &mut next, NEXT_ID).await;
         node.assert_nothing_open().await;
     }
 }
 
-fn place(name: &str) -> PathBuf {
+fn handover_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("molevale-leaving-{}-{name}", std::process::id()))
 }
 
-/// During a hand-over: what waits stays with the old process, what runs goes to the new one; either drops what
-/// its client left.
+/// During a process handover the predecessor keeps the waiting request and the successor adopts the one in flight; each drops its
+/// request when the client leaves.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_in_a_hand_over_is_seen_by_the_process_that_has_its_request() {
-    let place = place("over");
-    let (worker, waits) = (Worker::start().await, Worker::start().await);
+async fn a_client_that_leaves_during_a_handover_is_noticed_by_the_process_with_its_request() {
+    let handover_path = handover_path("over");
+    let (worker, other_worker) = (Worker::start().await, Worker::start().await);
     let known = vec![worker.list_entry("s-1", "in_service")];
-    let old = PlatformNode::start_with_handover(Some(place.clone()), known, 256, 32, None).await;
-    while !place.exists() {
+    let old = PlatformNode::start_with_handover(Some(handover_path.clone()), known, 256, 32, None).await;
+    while !handover_path.exists() {
         yield_now().await;
     }
-    let mut runs = Client::connect(&old).await;
-    runs.send_after_pause(&request("lodge", GONE, 60.0, "")).await;
-    let mut seen = worker.receive_request().await;
-    seen.begin_response().await;
+    let mut in_flight = Client::connect(&old).await;
+    in_flight.send_after_pause(&request("lodge", LEFT_ID, 60.0, "")).await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
     while old.counters.acknowledged.get() < 1 {
         yield_now().await;
     }
     old.apply_list(2, vec![worker.list_entry("s-1", "terminating")]).await;
-    let mut held = Client::connect(&old).await;
-    held.send_after_pause(&request("check", "9b1f03aa5c7e2d43", 60.0, "x")).await;
-    taken(&old, 2).await;
-    let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
-        panic!("nobody")
+    let mut waiting = Client::connect(&old).await;
+    waiting.send_after_pause(&request("check", "9b1f03aa5c7e2d43", 60.0, "x")).await;
+    wait_for_accepted(&old, 2).await;
+    let PredecessorLookup::Serving(listener, predecessor) = Predecessor::look_up(&handover_path).await else {
+        panic!("no predecessor is serving")
     };
-    let new =
-        PlatformNode::start_with_handover(Some(place.clone()), vec![], 256, 32, Some((listener, before)))
-            .await;
+    let new = PlatformNode::start_with_handover(
+        Some(handover_path.clone()),
+        vec![],
+        256,
+        32,
+        Some((listener, predecessor)),
+    )
+    .await;
     while new.counters.transferred_in.get() < 1 {
         yield_now().await;
     }
-    drop((runs, leave(held, Way::Part).await));
-    assert!(off(&old, 1).await && off(&new, 1).await);
-    assert!(seen.next_request().await.is_none(), "called off");
+    drop((in_flight, leave(waiting, Departure::PartialRequest).await));
+    assert!(is_dropped(&old, 1).await && is_dropped(&new, 1).await);
+    assert!(received.next_request().await.is_none(), "cancelled");
     old.assert_nothing_open().await;
     for node in [&old, &new] {
-        node.apply_list(3, vec![waits.list_entry("s-2", "in_service")]).await;
+        node.apply_list(3, vec![other_worker.list_entry("s-2", "in_service")]).await;
     }
     let mut next = Client::connect(&new).await;
-    next.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
-    next_is(&waits, &mut next, NEXT).await;
+    next.send_after_pause(&request("check", NEXT_ID, 60.0, "x")).await;
+    expect_next_request(&other_worker, &mut next, NEXT_ID).await;
     assert_eq!((old.counters.attempts_sent.get(), new.counters.attempts_sent.get()), (1, 1));
     advance(Duration::from_secs(5)).await;
-    assert_eq!(old.task.await.unwrap(), Ok(()), "nothing holds it up");
-    new.assert_only_ids_open(1).await; // until the old process is gone: here both are in one
-    std::fs::remove_file(place).unwrap();
+    assert_eq!(old.task.await.unwrap(), Ok(()), "nothing delays its end");
+    new.assert_only_ids_open(1).await; // until the predecessor ends; in this test both are one process
+    std::fs::remove_file(handover_path).unwrap();
 }
 
-/// While its job is on the way to another process that then does not take it: it is seen once it goes on here.
+/// The client leaves while its request is offered to a successor that rejects it: this process notices once it continues.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_while_its_job_is_frozen_is_seen_when_it_thaws() {
-    for way in [Way::Close, Way::Reset, Way::HalfClose] {
-        let place = place(&format!("frozen-{way:?}"));
+async fn a_client_that_leaves_while_its_request_is_frozen_is_noticed_after_the_thaw() {
+    for departure in [Departure::Close, Departure::Reset, Departure::HalfClose] {
+        let handover_path = handover_path(&format!("frozen-{departure:?}"));
         let worker = Worker::start().await;
         let known = vec![worker.list_entry("s-1", "in_service")];
-        let old = PlatformNode::start_with_handover(Some(place.clone()), known, 256, 32, None).await;
-        while !place.exists() {
+        let old = PlatformNode::start_with_handover(Some(handover_path.clone()), known, 256, 32, None).await;
+        while !handover_path.exists() {
             yield_now().await;
         }
         let mut client = Client::connect(&old).await;
-        client.send_after_pause(&request("lodge", GONE, 60.0, "")).await;
-        let mut seen = worker.receive_request().await;
-        seen.begin_response().await;
+        client.send_after_pause(&request("lodge", LEFT_ID, 60.0, "")).await;
+        let mut received = worker.receive_request().await;
+        received.begin_response().await;
         while old.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
-        let PredecessorLookup::Serving(_listener, before) = Predecessor::look_up(&place).await else {
-            panic!("nobody")
+        let PredecessorLookup::Serving(_listener, predecessor) = Predecessor::look_up(&handover_path).await
+        else {
+            panic!("no predecessor is serving")
         };
-        let (_, remains) = before.take_over().await;
+        let (_, remains) = predecessor.take_over().await;
         let (offer, mut offered) = tokio::sync::mpsc::unbounded_channel();
         let (client, counters) = (std::sync::Mutex::new(Some(client)), old.counters.clone());
         let adopt = move |_: &str, _| {
-            // Frozen: its leaving is not this process's to see yet.
+            // Frozen: this process can't notice yet that the client leaves.
             let client = client.lock().unwrap().take().unwrap();
-            match way {
-                Way::Reset => client.reset(),
+            match departure {
+                Departure::Reset => client.reset(),
                 _ => drop(client),
             }
             assert_eq!(counters.client_left.get(), 0);
@@ -293,23 +311,23 @@
         };
         let follow = tokio::spawn(remains.run(|_| {}, adopt));
         offered.recv().await.unwrap();
-        assert!(off(&old, 1).await, "{way:?}");
-        assert!(seen.next_request().await.is_none(), "called off");
+        assert!(is_dropped(&old, 1).await, "{departure:?}");
+        assert!(received.next_request().await.is_none(), "cancelled");
         old.assert_nothing_open().await;
         follow.abort();
-        std::fs::remove_file(place).unwrap();
+        std::fs::remove_file(handover_path).unwrap();
     }
 }
 
-/// Guards memory: a client may state a whole day, and the timer goes with its answer.
+/// Guards memory: a deadline may be a whole day away, and its timer must end with the request.
 #[tokio::test(start_paused = true)]
-async fn a_long_wait_leaves_no_timer_behind() {
+async fn a_long_deadline_leaves_no_timer_behind() {
     let worker = Worker::start().await;
     let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
     for n in 0..40 {
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2e{n:02}"), 86_400.0, "x")).await;
-        taken(&node, n + 1).await;
+        wait_for_accepted(&node, n + 1).await;
         drop(client);
         while node.counters.client_left.get() < n + 1 {
             yield_now().await;
@@ -318,72 +336,74 @@
     node.assert_nothing_open().await;
 }
 
-/// In one turn with the request: it is gone before anything looked at the request.
+/// The client sends its request and leaves before the node has read anything of it.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_asks_and_goes_at_once_reaches_no_worker() {
-    // What fits into no single write keeps the client there for a while.
-    for way in WAYS.into_iter().filter(|w| !matches!(w, Way::Much | Way::MuchReset)) {
+async fn a_client_that_leaves_right_after_its_request_reaches_no_worker() {
+    // Text that does not fit into a single write keeps the client connected for a while.
+    for departure in
+        DEPARTURES.into_iter().filter(|w| !matches!(w, Departure::LongRequest | Departure::LongRequestReset))
+    {
         let worker = Worker::start().await;
         let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
-        // A connection that is idle: nothing has to come up before a request can be written.
+        // The worker's connection is idle, so a request can be written to it at once.
         let mut first = Client::connect(&node).await;
         first.send_after_pause(&request("check", "9b1f03aa5c7e2d40", 60.0, "x")).await;
-        let mut seen = worker.receive_request().await;
-        seen.complete("r").await;
+        let mut received = worker.receive_request().await;
+        received.complete("r").await;
         assert_eq!(first.read_answer().await.unwrap().status, 200);
         while node.counters.kept_alive.get() < 1 {
             yield_now().await;
         }
         advance(Duration::from_millis(100)).await;
         let mut client = Client::connect(&node).await;
-        client.send(&(request("check", GONE, 60.0, "x") + &behind(way))).await;
-        let _kept = go(client, way).await;
-        off(&node, 1).await;
+        client.send(&(request("check", LEFT_ID, 60.0, "x") + &bytes_after_request(departure))).await;
+        let _kept = close(client, departure).await;
+        is_dropped(&node, 1).await;
         assert_eq!(
             node.counters.client_left.get(),
             node.counters.requests_accepted.get() - 1,
-            "{way:?}: gone, where it was taken"
+            "{departure:?}: left, if it was accepted"
         );
-        first.send_after_pause(&request("check", NEXT, 60.0, "x")).await;
-        // Called off before a byte was written, its connection may be closed for it: then there is a new one.
-        let kept = async {
-            match seen.next_request().await {
-                Some(seen) => seen,
+        first.send_after_pause(&request("check", NEXT_ID, 60.0, "x")).await;
+        // If the attempt was cancelled before a byte was written, its connection may be closed and replaced.
+        let reused = async {
+            match received.next_request().await {
+                Some(received) => received,
                 None => std::future::pending().await,
             }
         };
-        let mut seen = tokio::select! {
-            seen = kept => seen,
-            seen = worker.receive_request() => seen,
+        let mut received = tokio::select! {
+            received = reused => received,
+            received = worker.receive_request() => received,
         };
-        assert_eq!(seen.header("x-request-id"), NEXT, "{way:?}");
-        seen.complete("s").await;
+        assert_eq!(received.header("x-request-id"), NEXT_ID, "{departure:?}");
+        received.complete("s").await;
         assert_eq!(first.read_answer().await.unwrap().body, "s");
         node.assert_nothing_open().await;
     }
 }
 
-/// While the node drains, and while it closes.
+/// While the node drains, and while it is closing.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_waits_in_a_node_that_ends_is_dropped_and_the_node_ends() {
-    for way in WAYS {
-        for closes in [false, true] {
+async fn a_queued_request_is_dropped_in_an_ending_node_which_then_ends() {
+    for departure in DEPARTURES {
+        for closing in [false, true] {
             let worker = Worker::start().await;
             let node = PlatformNode::start(vec![worker.list_entry("s-1", "terminating")], 1024).await;
             let mut client = Client::connect(&node).await;
-            client.send_after_pause(&request("check", GONE, 60.0, "x")).await;
-            taken(&node, 1).await;
-            if closes {
+            client.send_after_pause(&request("check", LEFT_ID, 60.0, "x")).await;
+            wait_for_accepted(&node, 1).await;
+            if closing {
                 stop_until_closing(&node.phases).await;
             } else {
                 node.phases.drain();
             }
-            let _kept = leave(client, way).await;
-            assert!(off(&node, 1).await, "{way:?} {closes}: still held");
+            let _kept = leave(client, departure).await;
+            assert!(is_dropped(&node, 1).await, "{departure:?} {closing}: still queued");
             node.assert_nothing_open().await;
             assert_eq!(node.counters.attempts_sent.get(), 0);
-            if closes {
-                assert_eq!(node.task.await.unwrap(), Ok(()), "nothing holds it up");
+            if closing {
+                assert_eq!(node.task.await.unwrap(), Ok(()), "nothing delays its end");
             }
         }
     }
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The core with a front that only takes notes, against random steps on paused time.
+//! The dispatcher with a recording frontend, under random steps on a paused clock.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
@@ -16,55 +16,61 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// What the core asked for.
+/// What the dispatcher asked of its frontend.
 #[derive(Default)]
-struct Notes {
-    out: BTreeMap<u64, (AttemptId, WorkerId)>, // by job: the attempt that is out
-    stopped: Vec<(u64, Outcome)>,              // told to stop, and not ended yet
+struct Record {
+    in_flight: BTreeMap<u64, (AttemptId, WorkerId)>, // by request
+    stopped: Vec<(u64, Outcome)>,                    // told to stop, and not ended yet
     answers: BTreeMap<u64, Answer>,
     draining: BTreeMap<WorkerId, Instant>,
     sent: BTreeMap<u64, u32>,
 }
 
-struct Noting(Arc<Mutex<Notes>>);
+struct RecordingFrontend(Arc<Mutex<Record>>);
 
-impl Frontend for Noting {
+impl Frontend for RecordingFrontend {
     type Job = u64;
     type Attempt = u64;
 
-    fn send(&mut self, tag: AttemptId, job: &u64, worker: WorkerId, until: Instant) -> u64 {
-        let mut notes = self.0.lock().unwrap();
-        assert!(!notes.answers.contains_key(job), "job {job} was sent after its answer");
-        assert!(notes.out.insert(*job, (tag, worker)).is_none(), "job {job} is out twice");
+    fn send(&mut self, attempt_id: AttemptId, request_id: &u64, worker: WorkerId, until: Instant) -> u64 {
+        let mut record = self.0.lock().unwrap();
+        assert!(!record.answers.contains_key(request_id), "request {request_id} was sent after its answer");
+        assert!(
+            record.in_flight.insert(*request_id, (attempt_id, worker)).is_none(),
+            "request {request_id} has two attempts in flight"
+        );
         assert!(until > Instant::now());
-        let late = notes.draining.get(&worker).map_or(Duration::ZERO, Instant::elapsed);
-        assert!(late <= Duration::from_millis(500), "sent to a worker that drains");
-        let sent = notes.sent.entry(*job).or_default();
-        assert_eq!(tag.attempt, *sent);
+        let drained_for = record.draining.get(&worker).map_or(Duration::ZERO, Instant::elapsed);
+        assert!(drained_for <= Duration::from_millis(500), "sent to a draining worker");
+        let sent = record.sent.entry(*request_id).or_default();
+        assert_eq!(attempt_id.attempt, *sent);
         *sent += 1;
-        assert!(*sent <= 3, "job {job} has too many attempts");
-        *job
+        assert!(*sent <= 3, "request {request_id} has too many attempts");
+        *request_id
     }
 
-    fn stop(&mut self, job: u64, why: Outcome) {
-        let mut notes = self.0.lock().unwrap();
-        assert!(notes.out.contains_key(&job), "job {job} was stopped and not out");
-        notes.stopped.push((job, why));
+    fn stop(&mut self, request_id: u64, outcome: Outcome) {
+        let mut record = self.0.lock().unwrap();
+        assert!(
+            record.in_flight.contains_key(&request_id),
+            "request {request_id} was stopped with no attempt in flight"
+        );
+        record.stopped.push((request_id, outcome));
     }
 
-    fn answer(&mut self, job: u64, answer: Answer) {
-        let earlier = self.0.lock().unwrap().answers.insert(job, answer);
-        assert_eq!(earlier, None, "job {job} was answered twice");
+    fn answer(&mut self, request_id: u64, answer: Answer) {
+        let earlier = self.0.lock().unwrap().answers.insert(request_id, answer);
+        assert_eq!(earlier, None, "request {request_id} was answered twice");
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Accept(bool),
-    End(u8, Outcome),
-    Left(u8),
-    Move(u8),
-    List(bool, bool),
+    EndAttempt(u8, Outcome),
+    ClientLeft(u8),
+    Transfer(u8),
+    UpdateList(bool, bool),
     Wait(u8),
 }
 
@@ -74,113 +80,116 @@
         let ends = [Success, Success, Success, Error, Rejected, ConnectionLost, ConnectFailed];
         match u8::arbitrary(g) % 10 {
             0..=3 => Step::Accept(bool::arbitrary(g)),
-            4..=6 => Step::End(u8::arbitrary(g), *g.choose(&ends).unwrap()),
-            7 if bool::arbitrary(g) => Step::Left(u8::arbitrary(g)),
-            7 => Step::Move(u8::arbitrary(g)),
-            8 => Step::List(bool::arbitrary(g), bool::arbitrary(g)),
+            4..=6 => Step::EndAttempt(u8::arbitrary(g), *g.choose(&ends).unwrap()),
+            7 if bool::arbitrary(g) => Step::ClientLeft(u8::arbitrary(g)),
+            7 => Step::Transfer(u8::arbitrary(g)),
+            8 => Step::UpdateList(bool::arbitrary(g), bool::arbitrary(g)),
             _ => Step::Wait(u8::arbitrary(g)),
         }
     }
 }
 
-fn line(worker: u64, availability: Availability) -> Endpoint {
+fn endpoint(worker: u64, availability: Availability) -> Endpoint {
     Endpoint { worker: WorkerId(worker), kind: 0, zone: 0, cell: 0, availability, weight: 1.0, started_at: 0 }
 }
 
-/// Lets the core take what is in its queue and ends what it told to stop, as a front does.
-async fn settle(core: &Handle<u64>, notes: &Mutex<Notes>) {
+/// Lets the dispatcher process its queue, and ends the attempts that it stopped, as a frontend does.
+async fn settle(handle: &Handle<u64>, record: &Mutex<Record>) {
     loop {
         sleep(Duration::from_micros(1)).await;
-        let stopped = std::mem::take(&mut notes.lock().unwrap().stopped);
+        let stopped = std::mem::take(&mut record.lock().unwrap().stopped);
         if stopped.is_empty() {
             return;
         }
-        for (job, why) in stopped {
-            let (tag, _) = notes.lock().unwrap().out.remove(&job).unwrap();
-            core.ended(tag, why, None, Bytes::new());
-            core.ended(tag, Outcome::Success, None, Bytes::new()); // a second outcome counts for nothing
+        for (request_id, outcome) in stopped {
+            let (attempt_id, _) = record.lock().unwrap().in_flight.remove(&request_id).unwrap();
+            handle.ended(attempt_id, outcome, None, Bytes::new());
+            handle.ended(attempt_id, Outcome::Success, None, Bytes::new()); // a second outcome is ignored
         }
     }
 }
 
-async fn walk(steps: Vec<Step>) {
+async fn run_steps(steps: Vec<Step>) {
     let (settings, _) = parse_settings(&settings(true, 1_000_000)).unwrap();
-    let notes = Arc::new(Mutex::new(Notes::default()));
+    let record = Arc::new(Mutex::new(Record::default()));
     let counters = Arc::new(Counters::default());
-    let (core, inbox) = queue();
-    let dispatcher = Dispatcher::new(settings, 7, Noting(notes.clone()), counters.clone()).unwrap();
+    let (handle, inbox) = queue();
+    let dispatcher =
+        Dispatcher::new(settings, 7, RecordingFrontend(record.clone()), counters.clone()).unwrap();
     let task = tokio::spawn(dispatcher.run(inbox));
-    core.update_endpoints(vec![line(1, Availability::Ready), line(2, Availability::Ready)], true);
-    let (mut jobs, mut left) = (Vec::new(), 0);
+    handle.update_endpoints(vec![endpoint(1, Availability::Ready), endpoint(2, Availability::Ready)], true);
+    let (mut requests, mut left) = (Vec::new(), 0);
     for step in steps {
         match step {
             Step::Accept(lodge) => {
                 let class = usize::from(lodge);
                 let request = Request { class, time_left_us: 5_000_000, ..Request::default() };
-                jobs.push(core.submit(request, jobs.len() as u64));
+                requests.push(handle.submit(request, requests.len() as u64));
             }
-            Step::End(n, outcome) => {
-                let mut notes = notes.lock().unwrap();
-                let job = notes.out.keys().copied().nth(usize::from(n) % notes.out.len().max(1));
-                if let Some((tag, _)) = job.and_then(|j| notes.out.remove(&j)) {
-                    core.ended(tag, outcome, None, Bytes::from_static(b"r"));
+            Step::EndAttempt(n, outcome) => {
+                let mut record = record.lock().unwrap();
+                let request_id =
+                    record.in_flight.keys().copied().nth(usize::from(n) % record.in_flight.len().max(1));
+                if let Some((attempt_id, _)) = request_id.and_then(|id| record.in_flight.remove(&id)) {
+                    handle.ended(attempt_id, outcome, None, Bytes::from_static(b"r"));
                 }
             }
-            Step::Left(n) if !jobs.is_empty() => {
-                let job = usize::from(n) % jobs.len();
-                // A client that leaves has no answer to come; one that has its answer is no news.
-                if !notes.lock().unwrap().answers.contains_key(&(job as u64)) {
-                    core.client_left(jobs[job]);
+            Step::ClientLeft(n) if !requests.is_empty() => {
+                let request_id = usize::from(n) % requests.len();
+                // A client that has left must get no answer; one that already has its answer can no longer leave.
+                if !record.lock().unwrap().answers.contains_key(&(request_id as u64)) {
+                    handle.client_left(requests[request_id]);
                     left += 1;
-                    settle(&core, &notes).await;
-                    notes.lock().unwrap().answers.entry(job as u64).or_insert(Answer::Failed);
+                    settle(&handle, &record).await;
+                    record.lock().unwrap().answers.entry(request_id as u64).or_insert(Answer::Failed);
                 }
             }
-            Step::Left(_) => {}
-            Step::Move(n) => {
-                // It is out, so that another process may go on with it; nothing more is heard of it here.
-                let mut notes = notes.lock().unwrap();
-                let job = notes.out.keys().copied().nth(usize::from(n) % notes.out.len().max(1));
-                if let Some((tag, _)) = job.and_then(|j| notes.out.get(&j).copied()) {
-                    core.transferred(tag);
-                    notes.answers.insert(job.unwrap(), Answer::Failed); // an answer here would be a second one
+            Step::ClientLeft(_) => {}
+            Step::Transfer(n) => {
+                // An attempt in flight is transferred to another process, which then answers; this one must not.
+                let mut record = record.lock().unwrap();
+                let request_id =
+                    record.in_flight.keys().copied().nth(usize::from(n) % record.in_flight.len().max(1));
+                if let Some((attempt_id, _)) = request_id.and_then(|id| record.in_flight.get(&id).copied()) {
+                    handle.transferred(attempt_id);
+                    record.answers.insert(request_id.unwrap(), Answer::Failed); // an answer from here would be a second one
                 }
             }
-            Step::List(second, drains) => {
+            Step::UpdateList(second, drains) => {
                 let worker = 1 + u64::from(second);
                 let state = if drains { Availability::Draining } else { Availability::Ready };
-                core.update_endpoints(vec![line(worker, state)], false);
-                let mut notes = notes.lock().unwrap();
+                handle.update_endpoints(vec![endpoint(worker, state)], false);
+                let mut record = record.lock().unwrap();
                 if drains {
-                    notes.draining.entry(WorkerId(worker)).or_insert_with(Instant::now);
+                    record.draining.entry(WorkerId(worker)).or_insert_with(Instant::now);
                 } else {
-                    notes.draining.remove(&WorkerId(worker));
+                    record.draining.remove(&WorkerId(worker));
                 }
             }
             Step::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 10)).await,
         }
-        settle(&core, &notes).await;
+        settle(&handle, &record).await;
     }
     for _ in 0..60 {
         sleep(Duration::from_millis(100)).await;
-        settle(&core, &notes).await;
+        settle(&handle, &record).await;
     }
-    let notes = notes.lock().unwrap();
-    assert_eq!(notes.answers.len(), jobs.len(), "each request has its answer");
-    assert!(notes.out.is_empty(), "no attempt is left out");
+    let record = record.lock().unwrap();
+    assert_eq!(record.answers.len(), requests.len(), "each request has its answer");
+    assert!(record.in_flight.is_empty(), "no attempt is still in flight");
     let c = &counters;
     assert_eq!(
         c.requests_accepted.get(),
         c.served.get() + c.shed.get() + c.failed.get() + c.client_left.get() + c.transferred_out.get()
     );
     assert_eq!(c.client_left.get(), left);
-    assert!(!task.is_finished(), "the core has ended");
+    assert!(!task.is_finished(), "the dispatcher has ended");
 }
 
 #[test]
-fn random_steps_get_one_answer_a_request_and_one_outcome_an_attempt() {
+fn random_steps_yield_one_answer_per_request_and_one_outcome_per_attempt() {
     fn property(steps: Vec<Step>) -> bool {
-        run_paused(walk(steps))
+        run_paused(run_steps(steps))
     }
     seeded_quickcheck(200, 100).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/endpoint_list.rs
+++ b/node/tests/endpoint_list.rs
@@ -1,10 +1,11 @@
-//! The endpoint list as it is read from configurations and discovery.
+//! Parsing of the endpoint list in configurations and discovery's answers.
 
 use molevale::endpoint_list::EndpointList;
 
-/// Operators read this text where the list in a configuration is wrong; it was recorded before the types had these names.
+/// Operators see this text when the list in a configuration is malformed. It was recorded before the types had their current
+/// names, and must not follow a renamed type.
 #[test]
-fn errors_name_the_parts_of_the_list_as_ever() {
+fn parse_errors_keep_the_published_names_of_types_and_fields() {
     let error = |text: &str| serde_json::from_str::<EndpointList>(text).unwrap_err().to_string();
     assert_eq!(error("1"), "invalid type: integer `1`, expected struct ListBody at line 1 column 1");
     let list = |member: &str| format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#);
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the platform's frontend: slots for clients, the budget of descriptors and memory that two processes share,
-//! and the backoff of calls to discovery.
+//! Limits of the platform frontend: connection slots for clients, the budget of descriptors and memory that two processes
+//! share, and the backoff of calls to discovery.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -21,10 +21,10 @@
 use std::time::Duration;
 use tokio::time::{advance, timeout, Instant};
 
-/// Protects true requests in a crowd: who says nothing goes before who writes, and of those that write the one that has
-/// paused for longest.
+/// Guards active clients when connections are scarce: silent connections are evicted before those that are writing, and of the
+/// latter the one that has paused for longest.
 #[tokio::test(start_paused = true)]
-async fn connections_that_ask_for_nothing_are_evicted_before_those_that_write() {
+async fn silent_connections_are_evicted_before_those_that_write() {
     let now = Instant::now() + Duration::from_secs(9);
     let ago = |ms| now - Duration::from_millis(ms);
     let idle = |has_begun, is_answered, ms| IdleState { has_begun, is_answered, since: ago(ms) };
@@ -43,8 +43,8 @@
     assert!(order.is_sorted(), "{order:?}");
 }
 
-/// So many slots at once, with a request at work at each.
-async fn busy(slots: &Arc<ConnectionSlots>, n: usize) -> Vec<Slot> {
+/// Acquires this many slots and marks each as busy with a request.
+async fn acquire_busy(slots: &Arc<ConnectionSlots>, n: usize) -> Vec<Slot> {
     let monitor = MonitoredStream::new(()).monitor();
     let mut all = Vec::new();
     for _ in 0..n {
@@ -55,7 +55,7 @@
     all
 }
 
-/// Protects the limits while two processes are one node: together they never hold more than one may.
+/// Guards the limits of a node during a process handover: both processes together never hold more than one may.
 #[tokio::test(start_paused = true)]
 async fn what_another_process_holds_is_not_allocated_until_it_is_released() {
     for (sockets, memory_mb) in [(128, 16), (256, 32), (1024, 192)] {
@@ -63,33 +63,40 @@
         let budget = |held| ResourceBudget::new(queue().0, limits, held, &Names::default(), Arc::default());
         let old = budget(HeldResources::default());
         let all = old.allocation();
-        let mut clients = busy(&old.client_slots, all.clients / 4).await;
+        let mut clients = acquire_busy(&old.client_slots, all.clients / 4).await;
         let bodies = old.body_memory_kib.try_acquire_many(all.bodies_kib as u32 / 2).unwrap();
         let held = old.held_resources();
         let new = budget(held);
-        let given = new.allocation();
+        let allocated = new.allocation();
         let set_aside = FIXED_DESCRIPTORS + REJECTION_SLOTS;
-        let together = held.descriptors + set_aside + given.clients + given.workers;
+        let total = held.descriptors + set_aside + allocated.clients + allocated.workers;
         assert!(
-            together <= sockets || given.clients + given.workers <= DESCRIPTORS_MIN,
-            "{together} of {sockets}"
+            total <= sockets || allocated.clients + allocated.workers <= DESCRIPTORS_MIN,
+            "{total} of {sockets}"
         );
-        assert_eq!(held.bodies_kib + given.bodies_kib, all.bodies_kib);
-        // Who waits for the last client to go takes nothing meanwhile.
+        assert_eq!(held.bodies_kib + allocated.bodies_kib, all.bodies_kib);
+        // Waiting for the last client to leave acquires nothing meanwhile.
         let mut last = std::pin::pin!(old.clients_closed());
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_err());
         drop(clients.pop());
-        assert_eq!(old.held_resources().descriptors, held.descriptors - 2, "its client and its attempt");
+        assert_eq!(
+            old.held_resources().descriptors,
+            held.descriptors - 2,
+            "one for the client and one for its attempt"
+        );
         drop((clients, bodies));
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
         new.update_peer_usage(old.held_resources());
-        let less = new.allocation();
-        assert!(less.clients > given.clients && less.clients < all.clients, "it is still there");
-        new.update_peer_usage(held); // nothing is taken away again
+        let increased = new.allocation();
+        assert!(
+            increased.clients > allocated.clients && increased.clients < all.clients,
+            "the other process still holds some"
+        );
+        new.update_peer_usage(held); // an allocation never shrinks
         new.update_peer_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
         assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
-        let _all = busy(&new.client_slots, all.clients).await;
+        let _all = acquire_busy(&new.client_slots, all.clients).await;
         assert_eq!(
             (new.client_slots.taken(), new.body_memory_kib.available_permits()),
             (all.clients, all.bodies_kib)
@@ -97,16 +104,16 @@
     }
 }
 
-/// Protects discovery while it is overbooked: together all nodes ask seldom, never in step, and less and less.
+/// Guards discovery under overload: the nodes together call seldom, not at the same times, and ever less often.
 #[test]
-fn pauses_grow_with_the_cluster_and_with_each_rejection() {
-    let cluster = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
+fn pauses_grow_with_the_fleet_size_and_with_each_rejection() {
+    let fleet = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
     for n in [1, 4, 100, 300] {
-        let calls: f64 = cluster(n).map(|mut backoff| 1.0 / backoff.rejected().as_secs_f64()).sum();
-        assert!(calls < 150.0, "{n} nodes ask {calls} times a second");
+        let calls: f64 = fleet(n).map(|mut backoff| 1.0 / backoff.rejected().as_secs_f64()).sum();
+        assert!(calls < 150.0, "{n} nodes make {calls} calls a second");
     }
-    let firsts: BTreeSet<_> = cluster(100).map(|mut backoff| backoff.rejected()).collect();
-    assert!(firsts.len() > 90, "they are not in step");
+    let firsts: BTreeSet<_> = fleet(100).map(|mut backoff| backoff.rejected()).collect();
+    assert!(firsts.len() > 90, "pauses differ between nodes");
     let mut backoff = Backoff::new(100, true, 7);
     let mut last = Duration::ZERO;
     for _ in 0..10 {
@@ -114,13 +121,13 @@
     }
     assert!(last >= PAUSE_MAX / 2 && last <= PAUSE_MAX);
     backoff.reset();
-    assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer ends it");
+    assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer resets the backoff");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_client_beyond_the_descriptor_budget_is_refused_at_once() {
     let worker = Worker::start().await;
-    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 6 to use, 4 of them for clients
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 6 usable, 4 of them for clients
     let mut clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
@@ -136,7 +143,7 @@
     assert!(got.head.to_lowercase().contains("retry-after"));
     assert!(beyond.read_answer().await.is_none(), "and closed");
     assert_eq!((node.counters.rejected_early.get(), node.counters.requests_accepted.get()), (1, 4));
-    // Room that is given up serves again.
+    // Released capacity is available again.
     clients.clear();
     while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
@@ -144,7 +151,7 @@
     assert_eq!(Client::connect(&node).await.exchange(UP).await.status, 200);
 }
 
-/// Protects the memory limit from many large bodies at once, also unfinished ones.
+/// Guards the memory limit against many large bodies at once, including incomplete ones.
 #[tokio::test(start_paused = true)]
 async fn a_body_beyond_the_memory_budget_is_refused_and_small_requests_are_served() {
     let worker = Worker::start().await;
@@ -168,7 +175,7 @@
     while node.counters.requests_accepted.get() < 5 {
         tokio::task::yield_now().await;
     }
-    // Room that is given up serves again.
+    // Released capacity is available again.
     large.clear();
     while node.counters.client_left.get() < 4 {
         tokio::task::yield_now().await;
@@ -180,16 +187,16 @@
     }
 }
 
-/// Protects usual clients from connections that hold every descriptor and say nothing, or nothing more: a
-/// newcomer takes the place of one that asked for nothing, then of the one between requests for longest.
+/// Guards clients against connections that hold all descriptors and are silent or idle: a new connection replaces first one that
+/// has sent no request, then the one that has been idle for longest.
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_is_evicted_for_a_new_one_and_a_busy_one_is_not() {
     let worker = Worker::start().await;
     let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 4 for clients
     let mut busy = Client::connect(&node).await;
     busy.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    let mut seen = worker.receive_request().await;
-    seen.begin_response().await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
     let mut served = Vec::new();
     for _ in 0..2 {
         let mut client = Client::connect(&node).await;
@@ -201,13 +208,13 @@
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(300)).await;
-    for gone in [&mut silent, &mut served[0]] {
+    for evicted in [&mut silent, &mut served[0]] {
         let mut new = Client::connect(&node).await;
         assert_eq!(new.exchange(UP).await.status, 200);
-        assert!(gone.read_answer().await.is_none(), "closed");
-        *gone = new;
+        assert!(evicted.read_answer().await.is_none(), "closed");
+        *evicted = new;
     }
     assert_eq!(served[1].exchange(UP).await.status, 200);
-    seen.send_update(json!({"state": "done", "result": "r"})).await;
+    received.send_update(json!({"state": "done", "result": "r"})).await;
     assert_eq!(busy.read_answer().await.unwrap().body, "r");
 }
