--- a/node/tests/client_disconnects.rs
+++ b/node/tests/client_disconnects.rs
@@ -1,5 +1,6 @@
-//! A request whose client has left is not sent to a worker. A client leaves when its sending side ends, by a close, a half-close
-//! or a reset, with or without further bytes after the request. The tests check what the worker's stand-in received.
+//! A request whose client has left is not sent to a worker. A client leaves when its sending side ends, by a
+//! close, a half-close or a reset, with or without further bytes after the request. The tests check what the
+//! worker's stand-in received.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -114,7 +115,7 @@
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&request("check", LEFT_ID, 60.0, "x")).await;
         wait_for_accepted(&node, 1).await;
-        let _kept = leave(client, departure).await;
+        let _half_closed = leave(client, departure).await;
         assert!(is_dropped(&node, 1).await, "{departure:?}: still queued");
         node.assert_nothing_open().await;
         node.apply_list(2, vec![worker.list_entry("s-1", "in_service")]).await;
@@ -143,7 +144,7 @@
         while node.counters.acknowledged.get() < 1 {
             yield_now().await;
         }
-        let _kept = leave(client, departure).await;
+        let _half_closed = leave(client, departure).await;
         assert!(is_dropped(&node, 1).await, "{departure:?}");
         assert!(received.next_request().await.is_none(), "{departure:?}: its connection is closed");
         node.assert_nothing_open().await;
@@ -172,7 +173,7 @@
         while node.counters.rejected.get() < 1 {
             yield_now().await;
         }
-        let _kept = leave(client, departure).await;
+        let _half_closed = leave(client, departure).await;
         assert!(is_dropped(&node, 1).await, "{departure:?}: still queued");
         node.assert_nothing_open().await;
         let other = Worker::start().await;
@@ -185,7 +186,8 @@
     }
 }
 
-/// The client leaves while the connection to the worker is being established, with and without cancellation allowed.
+/// The client leaves while the connection to the worker is being established, with and without cancellation
+/// allowed.
 #[tokio::test(start_paused = true)]
 async fn a_request_is_not_written_to_a_connection_established_after_its_client_left() {
     for cancelling in [true, false] {
@@ -220,8 +222,8 @@
     std::env::temp_dir().join(format!("molevale-leaving-{}-{name}", std::process::id()))
 }
 
-/// During a process handover the predecessor keeps the waiting request and the successor adopts the one in flight; each drops its
-/// request when the client leaves.
+/// During a process handover the predecessor keeps the waiting request and the successor adopts the one in
+/// flight; each drops its request when the client leaves.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_leaves_during_a_handover_is_noticed_by_the_process_with_its_request() {
     let handover_path = handover_path("over");
@@ -273,7 +275,8 @@
     std::fs::remove_file(handover_path).unwrap();
 }
 
-/// The client leaves while its request is offered to a successor that rejects it: this process notices once it continues.
+/// The client leaves while its request is offered to a successor that rejects it: this process notices once
+/// it continues.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_leaves_while_its_request_is_frozen_is_noticed_after_the_thaw() {
     for departure in [Departure::Close, Departure::Reset, Departure::HalfClose] {
@@ -295,7 +298,7 @@
         else {
             panic!("no predecessor is serving")
         };
-        let (_, remains) = predecessor.take_over().await;
+        let (_, predecessor_link) = predecessor.take_over().await;
         let (offer, mut offered) = tokio::sync::mpsc::unbounded_channel();
         let (client, counters) = (std::sync::Mutex::new(Some(client)), old.counters.clone());
         let adopt = move |_: &str, _| {
@@ -309,7 +312,7 @@
             offer.send(()).unwrap();
             false
         };
-        let follow = tokio::spawn(remains.run(|_| {}, adopt));
+        let follow = tokio::spawn(predecessor_link.run(|_| {}, adopt));
         offered.recv().await.unwrap();
         assert!(is_dropped(&old, 1).await, "{departure:?}");
         assert!(received.next_request().await.is_none(), "cancelled");
@@ -340,8 +343,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_leaves_right_after_its_request_reaches_no_worker() {
     // Text that does not fit into a single write keeps the client connected for a while.
-    for departure in
-        DEPARTURES.into_iter().filter(|w| !matches!(w, Departure::LongRequest | Departure::LongRequestReset))
+    for departure in DEPARTURES
+        .into_iter()
+        .filter(|departure| !matches!(departure, Departure::LongRequest | Departure::LongRequestReset))
     {
         let worker = Worker::start().await;
         let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 1024).await;
@@ -357,7 +361,7 @@
         advance(Duration::from_millis(100)).await;
         let mut client = Client::connect(&node).await;
         client.send(&(request("check", LEFT_ID, 60.0, "x") + &bytes_after_request(departure))).await;
-        let _kept = close(client, departure).await;
+        let _half_closed = close(client, departure).await;
         is_dropped(&node, 1).await;
         assert_eq!(
             node.counters.client_left.get(),
@@ -398,7 +402,7 @@
             } else {
                 node.phases.drain();
             }
-            let _kept = leave(client, departure).await;
+            let _half_closed = leave(client, departure).await;
             assert!(is_dropped(&node, 1).await, "{departure:?} {closing}: still queued");
             node.assert_nothing_open().await;
             assert_eq!(node.counters.attempts_sent.get(), 0);
--- a/node/tests/client_disconnects_in_handover.rs
+++ b/node/tests/client_disconnects_in_handover.rs
@@ -1,6 +1,6 @@
-//! No attempt begins for a client that has left, even if the process could not notice it then, because the client's socket was
-//! frozen for a transfer to another process, or was being transferred. In each test the worker returns the request meanwhile, so
-//! that a further attempt is due at once.
+//! No attempt begins for a client that has left, even if the process could not notice it then, because the
+//! client's socket was frozen for a transfer to another process, or was being transferred. In each test the
+//! worker returns the request meanwhile, so that a further attempt is due at once.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -125,8 +125,8 @@
     }
 }
 
-/// The successor holds the offered request for a while and then rejects it. This process continues it, with a client that left
-/// long before, and in the same instant reads that the worker has returned it.
+/// The successor holds the offered request for a while and then rejects it. This process continues it, with a
+/// client that left long before, and in the same instant reads that the worker has returned it.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_thaws_after_its_client_left_is_not_retried() {
     for departure in DEPARTURES {
@@ -136,7 +136,7 @@
         else {
             panic!("no predecessor is serving")
         };
-        let (_, remains) = predecessor.take_over().await;
+        let (_, predecessor_link) = predecessor.take_over().await;
         let (tell_offered, mut offered) = unbounded_channel();
         let (decide, decided) = mpsc::channel::<()>();
         let adopt = move |_: &str, _| {
@@ -147,7 +147,7 @@
         let runtime = tokio::runtime::Handle::current();
         // On a thread of its own, so that it can hold back its decision while the clock advances here.
         let other = std::thread::spawn(move || {
-            let follow = remains.run(|_| {}, adopt);
+            let follow = predecessor_link.run(|_| {}, adopt);
             let _ = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(60), follow).await });
         });
         offered.recv().await.unwrap();
@@ -213,8 +213,8 @@
     }
 }
 
-/// Bytes after the request are known and still unread when the client closes. The close must still be noticed in time, and at once
-/// if a further attempt is due.
+/// Bytes after the request are known and still unread when the client closes. The close must still be noticed
+/// in time, and at once if a further attempt is due.
 #[tokio::test(start_paused = true)]
 async fn a_close_after_unread_bytes_is_noticed_in_time() {
     for departure in [Departure::PartialRequest, Departure::FurtherRequest, Departure::LongRequest] {
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -34,15 +34,17 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(size, 0x6d6f_6c65)).tests(tests)
 }
 
-/// Runs a future to its end in a new runtime with a paused clock; the result is that of a property that holds.
+/// Runs a future to its end in a new runtime with a paused clock; the result is that of a property that
+/// holds.
 pub fn run_paused(future: impl std::future::Future<Output = ()>) -> bool {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     runtime.enable_all().start_paused(true).build().unwrap().block_on(future);
     true
 }
 
-/// Stops the paused clock from advancing on its own while all tasks wait for sockets, until the result is dropped.
-/// Only what a test advances passes, so no verdict depends on the machine's speed. A test that hangs ends the run.
+/// Stops the paused clock from advancing on its own while all tasks wait for sockets, until the result is
+/// dropped. Only what a test advances passes, so no verdict depends on the machine's speed. A test that hangs
+/// ends the run.
 pub fn freeze_clock() -> std::sync::mpsc::Sender<()> {
     let (hold, held) = std::sync::mpsc::channel();
     tokio::task::spawn_blocking(move || {
@@ -281,8 +283,8 @@
     }
 }
 
-/// A worker whose connections are established late: its backlog is full until the connection that fills it is accepted,
-/// and the kernel then retries the handshake a second later.
+/// A worker whose connections are established late: its backlog is full until the connection that fills it is
+/// accepted, and the kernel then retries the handshake a second later.
 pub async fn worker_with_full_backlog() -> (Worker, TcpStream) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -488,8 +490,9 @@
         }
     }
 
-    /// Checks that every request had exactly one end and every attempt one outcome, and that all resources are released:
-    /// no entry, id, body, busy descriptor or attempt's connection is left, and only the module's own timers.
+    /// Checks that every request had exactly one end and every attempt one outcome, and that all resources
+    /// are released: no entry, id, body, busy descriptor or attempt's connection is left, and only the
+    /// module's own timers.
     pub async fn assert_nothing_open(&self) {
         self.assert_only_ids_open(0).await;
     }
--- a/node/tests/discovery_polling.rs
+++ b/node/tests/discovery_polling.rs
@@ -1,5 +1,5 @@
-//! Discovery that is one service for all nodes and is polled (`Discovery` is `ask`): it rejects calls, fails and recovers; and
-//! a node that starts with a stale list, none of whose workers can be reached.
+//! Discovery that is one service for all nodes and is polled (`Discovery` is `ask`): it rejects calls, fails
+//! and recovers; and a node that starts with a stale list, none of whose workers can be reached.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -28,8 +28,8 @@
     head
 }
 
-/// Rejected polls back off and ask for changes since the known version. A truncated answer and a missing one are followed by
-/// another poll, and the list that discovery sends once it has recovered applies at once.
+/// Rejected polls back off and ask for changes since the known version. A truncated answer and a missing one
+/// are followed by another poll, and the list that discovery sends once it has recovered applies at once.
 #[tokio::test(start_paused = true)]
 async fn rejected_polls_back_off_and_a_recovered_discovery_is_followed() {
     let (old, new) = (Worker::start().await, Worker::start().await);
@@ -63,7 +63,8 @@
     node.assert_nothing_open().await;
 }
 
-/// No worker of the last list can be reached: a request waits until a list names a reachable worker, and is executed once.
+/// No worker of the last list can be reached: a request waits until a list names a reachable worker, and is
+/// executed once.
 #[tokio::test(start_paused = true)]
 async fn node_serves_once_discovery_names_reachable_workers() {
     let (unreachable, reachable) = (Worker::start().await, Worker::start().await);
--- a/node/tests/discovery_recovery.rs
+++ b/node/tests/discovery_recovery.rs
@@ -1,7 +1,7 @@
-//! A change of the list reaches the node within 6 s of when discovery has it and can be reached, whatever became of the
-//! calls before: refused, reset, cut, half an answer, a bad one, none at all, a watch that fell silent, discovery that moved, another
-//! process that took over, a start with an old list. The change is there in the worst moment: right after the call that
-//! was lost.
+//! A change of the endpoint list reaches the node within 6 s once discovery has it and can be reached,
+//! whatever happened to earlier calls: rejected, closed, truncated, stalled, malformed, never answered; also
+//! after discovery has moved, a process handover or a start with an old list. The change comes at the worst
+//! moment: right after the call that failed.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -20,25 +20,32 @@
 use tokio::task::yield_now;
 use tokio::time::{advance, sleep, timeout, Instant};
 
-/// After which a change counts as told.
-const TOLD: Duration = Duration::from_secs(6);
-/// Of this, what is left for the answer to come and to be taken.
-const MARGIN: Duration = Duration::from_millis(200);
-/// How many nodes there are.
-const FLEETS: [u32; 4] = [1, 33, 350, 1024];
+/// The time within which a change must reach the node.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+/// The part of it that is reserved for the answer to arrive and to be applied.
+const ANSWER_MARGIN: Duration = Duration::from_millis(200);
+/// Numbers of nodes in the fleet.
+const FLEET_SIZES: [u32; 4] = [1, 33, 350, 1024];
 
-/// What becomes of a call.
+/// How a call to discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Loss {
-    Refused,
-    Reset,
-    Cut,
-    Half,
-    Bad,
-    Silent,
+enum CallFailure {
+    Rejected,
+    Closed,
+    Truncated,
+    Stalled,
+    Malformed,
+    Unanswered,
 }
 
-const LOSSES: [Loss; 6] = [Loss::Refused, Loss::Reset, Loss::Cut, Loss::Half, Loss::Bad, Loss::Silent];
+const CALL_FAILURES: [CallFailure; 6] = [
+    CallFailure::Rejected,
+    CallFailure::Closed,
+    CallFailure::Truncated,
+    CallFailure::Stalled,
+    CallFailure::Malformed,
+    CallFailure::Unanswered,
+];
 
 fn settings(discovery: &str, nodes: u32) -> Value {
     let mut settings = common::settings(true, 60_000_000);
@@ -47,100 +54,101 @@
     settings
 }
 
-/// The call that has come is lost.
-fn lose(node: &PlatformNode, loss: Loss) {
-    match loss {
-        Loss::Refused => node.reject_discovery_call(),
-        Loss::Reset => node.close_discovery_call(),
-        Loss::Cut => node.truncate_discovery_answer(),
-        Loss::Half => node.stall_discovery_answer(),
-        Loss::Bad => node.answer_discovery_call("{}"),
-        Loss::Silent => {}
+/// Makes the call that has arrived fail.
+fn fail_call(node: &PlatformNode, failure: CallFailure) {
+    match failure {
+        CallFailure::Rejected => node.reject_discovery_call(),
+        CallFailure::Closed => node.close_discovery_call(),
+        CallFailure::Truncated => node.truncate_discovery_answer(),
+        CallFailure::Stalled => node.stall_discovery_answer(),
+        CallFailure::Malformed => node.answer_discovery_call("{}"),
+        CallFailure::Unanswered => {}
     }
 }
 
-/// The next call comes in time to be told what counts as told 6 s after `since`.
-async fn next_call(node: &mut PlatformNode, since: Instant, what: &str) -> String {
+/// The head of the next call, which must come early enough that a change reaches the node within 6 s of
+/// `since`.
+async fn expect_next_call(node: &mut PlatformNode, since: Instant, what: &str) -> String {
     let head = node.next_discovery_call().await;
     let after = since.elapsed();
-    assert!(after <= TOLD - MARGIN, "{what}: called again after {after:?}");
+    assert!(after <= UPDATE_DEADLINE - ANSWER_MARGIN, "{what}: called again after {after:?}");
     head
 }
 
-/// Tells a list of this version, and sees it taken.
-async fn tell(node: &PlatformNode, worker: &Worker, revision: u64) {
+/// Answers with a list of this version, and waits until it is applied.
+async fn answer_with_list(node: &PlatformNode, worker: &Worker, revision: u64) {
     let lists = node.counters.endpoint_lists_applied.get();
     node.answer_discovery_call(
         json!({"revision": revision, "complete": true, "members": [worker.list_entry("s-1", "in_service")]}),
     );
-    advance_until("the list is taken", Duration::from_millis(1), || {
+    advance_until("the list is applied", Duration::from_millis(1), || {
         node.counters.endpoint_lists_applied.get() == lists + 1
     })
     .await;
 }
 
-/// Each loss of a watch, of the call after it, and of one that silence follows on.
+/// Each failure of a watch, of the call after it, and of a call that is followed by an unanswered one.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_told_in_time_after_any_lost_call() {
+async fn a_change_arrives_in_time_after_any_failed_call() {
     for discovery in ["ask", "push"] {
-        for nodes in FLEETS {
+        for nodes in FLEET_SIZES {
             let worker = Worker::start().await;
             let known = [worker.list_entry("s-1", "in_service")];
             let parts = json!({"settings": settings(discovery, nodes), "known": known});
             let mut node = PlatformNode::start_with_config(parts).await;
             node.next_discovery_call().await;
-            for (n, loss) in LOSSES.into_iter().enumerate() {
-                let (what, revision) = (format!("{discovery}, {nodes} nodes, {loss:?}"), 2 * n as u64 + 2);
-                tell(&node, &worker, revision).await;
-                node.next_discovery_call().await; // a watch as long as they get
-                lose(&node, loss);
-                next_call(&mut node, Instant::now(), &format!("{what}: a watch")).await;
-                // The pause is as long as pauses get, and the call behind it falls silent.
+            for (n, failure) in CALL_FAILURES.into_iter().enumerate() {
+                let (what, revision) = (format!("{discovery}, {nodes} nodes, {failure:?}"), 2 * n as u64 + 2);
+                answer_with_list(&node, &worker, revision).await;
+                node.next_discovery_call().await; // a watch of the longest wait
+                fail_call(&node, failure);
+                expect_next_call(&mut node, Instant::now(), &format!("{what}: a watch")).await;
+                // The pause has its longest length, and the call after it is not answered.
                 for _ in 0..8 {
                     node.reject_discovery_call();
                     node.next_discovery_call().await;
                 }
                 let since = Instant::now();
-                lose(&node, loss);
-                next_call(&mut node, since, &format!("{what}: once more")).await;
-                tell(&node, &worker, revision + 1).await;
+                fail_call(&node, failure);
+                expect_next_call(&mut node, since, &format!("{what}: second failure")).await;
+                answer_with_list(&node, &worker, revision + 1).await;
                 node.next_discovery_call().await;
                 node.reject_discovery_call();
                 let since = Instant::now();
-                node.next_discovery_call().await; // it falls silent
-                next_call(&mut node, since, &format!("{what}: refused, then silent")).await;
+                node.next_discovery_call().await; // this call is not answered
+                expect_next_call(&mut node, since, &format!("{what}: rejected, then unanswered")).await;
             }
         }
     }
 }
 
-/// A start with an old list: what becomes of the first call.
+/// After a start with an old list, the first call fails.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_told_in_time_after_a_start_with_an_old_list() {
+async fn a_change_arrives_in_time_after_a_start_with_an_old_list() {
     for discovery in ["ask", "push"] {
-        for nodes in FLEETS {
-            for loss in LOSSES {
+        for nodes in FLEET_SIZES {
+            for failure in CALL_FAILURES {
                 let worker = Worker::start().await;
                 let known = [worker.list_entry("s-1", "terminating")];
                 let parts = json!({"settings": settings(discovery, nodes), "known": known});
                 let mut node = PlatformNode::start_with_config(parts).await;
                 let since = Instant::now();
                 let head = node.next_discovery_call().await;
-                assert!(head.contains("?index=1&"), "from the list that was known: {head}");
-                lose(&node, loss);
-                next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {loss:?}")).await;
-                tell(&node, &worker, 2).await;
+                assert!(head.contains("?index=1&"), "changes since the known list: {head}");
+                fail_call(&node, failure);
+                expect_next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {failure:?}")).await;
+                answer_with_list(&node, &worker, 2).await;
             }
         }
     }
 }
 
-/// Discovery moves: what becomes of the first call at the new address.
+/// After discovery has moved, the first call to the new address fails.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_told_in_time_after_discovery_moved() {
+async fn a_change_arrives_in_time_after_discovery_moved() {
     for discovery in ["ask", "push"] {
-        for nodes in FLEETS {
-            for loss in LOSSES {
+        for nodes in FLEET_SIZES {
+            for failure in CALL_FAILURES {
                 let worker = Worker::start().await;
                 let known = [worker.list_entry("s-1", "in_service")];
                 let parts = json!({"settings": settings(discovery, nodes), "known": known});
@@ -149,88 +157,91 @@
                 let since = Instant::now();
                 node.follow_moved_discovery().await;
                 let head = node.next_discovery_call().await;
-                assert!(!head.contains("index="), "the whole list: {head}");
-                lose(&node, loss);
-                next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {loss:?}")).await;
-                tell(&node, &worker, 2).await;
+                assert!(!head.contains("index="), "the complete list: {head}");
+                fail_call(&node, failure);
+                expect_next_call(&mut node, since, &format!("{discovery}, {nodes} nodes, {failure:?}")).await;
+                answer_with_list(&node, &worker, 2).await;
             }
         }
     }
 }
 
-/// Another process takes over: what becomes of its first call.
+/// After another process has taken over, its first call fails.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_told_in_time_after_another_process_took_over() {
+async fn a_change_arrives_in_time_after_a_process_handover() {
     for discovery in ["ask", "push"] {
-        for loss in LOSSES {
-            let place: PathBuf = std::env::temp_dir()
-                .join(format!("molevale-told-{}-{discovery}-{loss:?}", std::process::id()));
+        for failure in CALL_FAILURES {
+            let handover_path: PathBuf = std::env::temp_dir()
+                .join(format!("molevale-told-{}-{discovery}-{failure:?}", std::process::id()));
             let worker = Worker::start().await;
             let known = [worker.list_entry("s-1", "in_service")];
             let parts = json!({"settings": settings(discovery, 350), "known": known});
             let _old = PlatformNode::start_with_config_and_handover(
                 parts.clone(),
-                Some(place.clone()),
+                Some(handover_path.clone()),
                 256,
                 32,
                 None,
             )
             .await;
-            while !place.exists() {
+            while !handover_path.exists() {
                 yield_now().await;
             }
-            let PredecessorLookup::Serving(listener, before) = Predecessor::look_up(&place).await else {
-                panic!("nobody")
+            let PredecessorLookup::Serving(listener, predecessor) =
+                Predecessor::look_up(&handover_path).await
+            else {
+                panic!("no predecessor is serving")
             };
             let mut new = PlatformNode::start_with_config_and_handover(
                 parts,
-                Some(place.clone()),
+                Some(handover_path.clone()),
                 256,
                 32,
-                Some((listener, before)),
+                Some((listener, predecessor)),
             )
             .await;
             let since = Instant::now();
             new.next_discovery_call().await;
-            lose(&new, loss);
-            next_call(&mut new, since, &format!("{discovery}, {loss:?}")).await;
-            tell(&new, &worker, 2).await;
-            std::fs::remove_file(place).unwrap();
+            fail_call(&new, failure);
+            expect_next_call(&mut new, since, &format!("{discovery}, {failure:?}")).await;
+            answer_with_list(&new, &worker, 2).await;
+            std::fs::remove_file(handover_path).unwrap();
         }
     }
 }
 
-/// One service for all nodes, which works through calls in turn.
+/// A discovery service for all nodes, which processes one call at a time.
 #[derive(Clone)]
 struct Service {
     list: String,
     pace: Pace,
-    /// Whose turn it is.
-    turn: Arc<Semaphore>,
-    /// Calls that it has not answered: it was down, and did not say so.
-    lost: Arc<AtomicU32>,
-    /// Set once it answers.
+    /// Held by the call that is being processed.
+    processing: Arc<Semaphore>,
+    /// Calls that were never answered, because they came before the service was up.
+    unanswered: Arc<AtomicU32>,
+    /// Has a permit once the service answers.
     up: Arc<Semaphore>,
-    /// Calls since it is up.
+    /// Calls since then.
     calls: Arc<AtomicU32>,
 }
 
-/// How quick the service is.
+/// How fast the service is.
 #[derive(Clone, Copy)]
 struct Pace {
-    /// For which it works at one call, whether or not its caller still waits.
-    work: Duration,
-    /// A call that waited so long for its turn is turned away.
-    turn_max: Duration,
+    /// The processing time of a call, whether or not its caller still waits.
+    processing_time: Duration,
+    /// A call that has waited this long is rejected.
+    queue_timeout: Duration,
 }
 
 impl Service {
     fn new(list: String, pace: Pace) -> Service {
-        let (up, turn) = (Arc::new(Semaphore::new(0)), Arc::new(Semaphore::new(1)));
-        Service { list, pace, up, turn, lost: Arc::default(), calls: Arc::default() }
+        let (up, processing) = (Arc::new(Semaphore::new(0)), Arc::new(Semaphore::new(1)));
+        Service { list, pace, up, processing, unanswered: Arc::default(), calls: Arc::default() }
     }
 
-    /// An address for one node: the kernel may hold fewer new connections at one address than there are nodes.
+    /// An address for one node: the kernel may hold fewer new connections at one address than there are
+    /// nodes.
     async fn listen(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (own, address) = (self.clone(), listener.local_addr().unwrap());
@@ -247,13 +258,13 @@
         loop {
             testbed::wire::head(&mut stream).await?;
             if self.up.available_permits() == 0 {
-                self.lost.fetch_add(1, Ordering::Relaxed);
+                self.unanswered.fetch_add(1, Ordering::Relaxed);
                 std::future::pending::<()>().await;
             }
             self.calls.fetch_add(1, Ordering::Relaxed);
-            let (status, body) = match timeout(self.pace.turn_max, self.turn.acquire()).await {
+            let (status, body) = match timeout(self.pace.queue_timeout, self.processing.acquire()).await {
                 Ok(_turn) => {
-                    sleep(self.pace.work).await;
+                    sleep(self.pace.processing_time).await;
                     ("200 OK", self.list.as_str())
                 }
                 Err(_) => ("503 Service Unavailable", ""),
@@ -261,62 +272,74 @@
             let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             stream.write_all(text.as_bytes()).await.ok()?;
             if status.starts_with("200") {
-                std::future::pending::<()>().await; // the watch that comes next falls silent
+                std::future::pending::<()>().await; // the watch that comes next is not answered
             }
         }
     }
 }
 
-/// How many nodes ask one service.
+/// The number of nodes that call one service.
 const NODES: usize = 350;
 
-/// So many nodes, and the service that was silent when all of them called and answers from now on.
-async fn many(pace: Pace) -> (Vec<PlatformNode>, Service, Instant) {
+/// Starts the nodes with a service that answers none of their first calls, and then all later ones.
+async fn start_nodes(pace: Pace) -> (Vec<PlatformNode>, Service, Instant) {
     let worker = Worker::start().await;
-    let line = worker.list_entry("s-1", "in_service");
-    let list = json!({"revision": 2, "complete": true, "members": [line]}).to_string();
+    let entry = worker.list_entry("s-1", "in_service");
+    let list = json!({"revision": 2, "complete": true, "members": [entry]}).to_string();
     let service = Service::new(list, pace);
     let mut nodes = Vec::with_capacity(NODES);
     for n in 0..NODES {
-        let parts = json!({"settings": settings("ask", NODES as u32), "known": [line], "seed": n.to_string(),
+        let parts = json!({"settings": settings("ask", NODES as u32), "known": [entry], "seed": n.to_string(),
             "discovery": service.listen().await.to_string()});
         nodes.push(PlatformNode::start_with_config(parts).await);
     }
-    let lost = || service.lost.load(Ordering::Relaxed) as usize;
-    advance_until("all have called in vain", Duration::from_millis(1), || lost() >= NODES).await;
+    let unanswered = || service.unanswered.load(Ordering::Relaxed) as usize;
+    advance_until("every node has made a call that is not answered", Duration::from_millis(1), || {
+        unanswered() >= NODES
+    })
+    .await;
     service.up.add_permits(1);
     (nodes, service, Instant::now())
 }
 
-/// How many nodes have been told so often within this time.
-async fn told(nodes: &[PlatformNode], times: u64, since: Instant, within: Duration) -> usize {
-    let told = || nodes.iter().filter(|node| node.counters.endpoint_lists_applied.get() >= times).count();
-    while since.elapsed() < within && told() < nodes.len() {
+/// The number of nodes that have applied this many lists within this time.
+async fn count_updated(nodes: &[PlatformNode], lists: u64, since: Instant, within: Duration) -> usize {
+    let updated = || nodes.iter().filter(|node| node.counters.endpoint_lists_applied.get() >= lists).count();
+    while since.elapsed() < within && updated() < nodes.len() {
         advance(Duration::from_millis(1)).await;
     }
     for _ in 0..1000 {
         yield_now().await;
     }
-    told()
+    updated()
 }
 
-/// Of 350 nodes that ask one service, which was silent when they started, each has the change in time; and again when the
-/// watches of all of them fall silent.
+/// 350 nodes call one service that does not answer when they start: each receives the change in time, and
+/// again after the watches of all of them go unanswered.
 #[tokio::test(start_paused = true)]
-async fn each_of_350_nodes_that_ask_one_service_is_told_in_time() {
-    let pace = Pace { work: Duration::from_millis(2), turn_max: Duration::from_secs(2) };
-    let (nodes, _service, since) = many(pace).await;
-    assert_eq!(told(&nodes, 1, since, TOLD).await, NODES, "after silence at the start");
+async fn each_of_350_nodes_of_one_service_receives_a_change_in_time() {
+    let pace = Pace { processing_time: Duration::from_millis(2), queue_timeout: Duration::from_secs(2) };
+    let (nodes, _service, since) = start_nodes(pace).await;
+    assert_eq!(
+        count_updated(&nodes, 1, since, UPDATE_DEADLINE).await,
+        NODES,
+        "after unanswered calls at the start"
+    );
     let since = Instant::now();
-    assert_eq!(told(&nodes, 2, since, TOLD).await, NODES, "after watches that fell silent");
+    assert_eq!(count_updated(&nodes, 2, since, UPDATE_DEADLINE).await, NODES, "after unanswered watches");
 }
 
-/// A service that is three seconds behind with its calls: no node gives its call up before the answer could come, for a call
-/// that is made anew has to be worked at like the first.
+/// A service is three seconds behind with its calls: no node abandons a call before the answer could come,
+/// since a repeated call has to be processed like the first.
 #[tokio::test(start_paused = true)]
-async fn a_service_that_is_behind_is_not_asked_again_meanwhile() {
-    let pace = Pace { work: Duration::from_millis(7), turn_max: Duration::from_secs(60) };
-    let (nodes, service, since) = many(pace).await;
-    assert_eq!(told(&nodes, 1, since, 2 * TOLD).await, NODES, "after {:?}", since.elapsed());
-    assert!(service.calls.load(Ordering::Relaxed) <= NODES as u32 + 10, "calls were made anew");
+async fn calls_to_an_overloaded_service_are_not_repeated() {
+    let pace = Pace { processing_time: Duration::from_millis(7), queue_timeout: Duration::from_secs(60) };
+    let (nodes, service, since) = start_nodes(pace).await;
+    assert_eq!(
+        count_updated(&nodes, 1, since, 2 * UPDATE_DEADLINE).await,
+        NODES,
+        "after {:?}",
+        since.elapsed()
+    );
+    assert!(service.calls.load(Ordering::Relaxed) <= NODES as u32 + 10, "calls were repeated");
 }
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -136,7 +136,8 @@
             }
             Step::ClientLeft(n) if !requests.is_empty() => {
                 let request_id = usize::from(n) % requests.len();
-                // A client that has left must get no answer; one that already has its answer can no longer leave.
+                // A client that has left must get no answer; one that already has its answer can no longer
+                // leave.
                 if !record.lock().unwrap().answers.contains_key(&(request_id as u64)) {
                     handle.client_left(requests[request_id]);
                     left += 1;
@@ -146,13 +147,15 @@
             }
             Step::ClientLeft(_) => {}
             Step::Transfer(n) => {
-                // An attempt in flight is transferred to another process, which then answers; this one must not.
+                // An attempt in flight is transferred to another process, which then answers; this one must
+                // not.
                 let mut record = record.lock().unwrap();
                 let request_id =
                     record.in_flight.keys().copied().nth(usize::from(n) % record.in_flight.len().max(1));
                 if let Some((attempt_id, _)) = request_id.and_then(|id| record.in_flight.get(&id).copied()) {
                     handle.transferred(attempt_id);
-                    record.answers.insert(request_id.unwrap(), Answer::Failed); // an answer from here would be a second one
+                    // An answer from here would be a second one.
+                    record.answers.insert(request_id.unwrap(), Answer::Failed);
                 }
             }
             Step::UpdateList(second, drains) => {
--- a/node/tests/endpoint_list.rs
+++ b/node/tests/endpoint_list.rs
@@ -2,8 +2,8 @@
 
 use molevale::endpoint_list::EndpointList;
 
-/// Operators see this text when the list in a configuration is malformed. It was recorded before the types had their current
-/// names, and must not follow a renamed type.
+/// Operators see this text when the list in a configuration is malformed. It was recorded before the types
+/// had their current names, and must not follow a renamed type.
 #[test]
 fn parse_errors_keep_the_published_names_of_types_and_fields() {
     let error = |text: &str| serde_json::from_str::<EndpointList>(text).unwrap_err().to_string();
--- a/node/tests/endpoint_list_faults.rs
+++ b/node/tests/endpoint_list_faults.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists and drains at bad moments: a worker told to drain while a connection to it comes up, a watch that falls
-//! silent, discovery that forgets who called, a list older than the one before.
+//! Endpoint lists and drains under faults: a worker drains while a connection to it is being established, a
+//! watch is never answered, discovery forgets its callers, an older list arrives after a newer one.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -13,14 +13,16 @@
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
-/// A worker is told to drain while a connection to it comes up: within the settings' time the request may still be
-/// written, after it it goes elsewhere, though the settings give connections far longer.
+/// A worker starts to drain while a connection to it is being established. Within the drain grace the request
+/// may still be written; after it the request goes to another worker, although the connect timeout is far
+/// longer.
 #[tokio::test(start_paused = true)]
 async fn connection_established_after_the_drain_grace_gets_no_request() {
-    // Less what a process may be held up between the look and the write, 0.15 s.
+    // The grace is reduced by 0.15 s, for which a process may be delayed between the check and the write.
     for (after_ms, grace_us, late) in [(90, 250_000, false), (110, 250_000, true), (340, 500_000, false)] {
-        let ((slow, _fills), other) = (worker_with_full_backlog().await, Worker::start().await);
-        // No calling off: a job without word is called off sooner than these drains end.
+        let ((slow, _backlog_filler), other) = (worker_with_full_backlog().await, Worker::start().await);
+        // Cancellation is off, as otherwise an attempt without a response is cancelled before these grace
+        // periods end.
         let mut settings = common::settings(false, 60_000_000);
         settings["Limits"]["ConnectTimeoutUs"] = 60_000_000.into();
         settings["Invariants"] = json!({"DrainGraceUs": grace_us});
@@ -37,18 +39,18 @@
         )
         .await;
         advance(Duration::from_millis(after_ms)).await;
-        drop(slow.0.accept().await.unwrap()); // there is room now
-        let (mut came, _) = slow.0.accept().await.unwrap();
+        drop(slow.0.accept().await.unwrap()); // frees the backlog
+        let (mut connection, _) = slow.0.accept().await.unwrap();
         if late {
             let mut bytes = Vec::new();
-            came.read_to_end(&mut bytes).await.unwrap();
-            assert_eq!(String::from_utf8_lossy(&bytes), "", "{after_ms} ms after the drain was told");
-            let mut seen = other.receive_request().await;
-            assert_eq!(seen.header("x-request-id"), ID);
-            seen.complete("r").await;
+            connection.read_to_end(&mut bytes).await.unwrap();
+            assert_eq!(String::from_utf8_lossy(&bytes), "", "{after_ms} ms after the drain was announced");
+            let mut received = other.receive_request().await;
+            assert_eq!(received.header("x-request-id"), ID);
+            received.complete("r").await;
         } else {
-            let mut seen = common::ReceivedRequest::read_first(came).await;
-            seen.complete("r").await;
+            let mut received = common::ReceivedRequest::read_first(connection).await;
+            received.complete("r").await;
         }
         assert_eq!(client.read_answer().await.unwrap().body, "r");
         node.assert_nothing_open().await;
@@ -56,26 +58,24 @@
     }
 }
 
-/// Guards drains against pauses that grow: where lists are pushed, what the agent has counts as told at once, also behind
-/// calls that it turned away.
+/// Guards drains against growing pauses: where lists are pushed, a change takes effect soon after the agent
+/// has it, even if the agent rejected calls before.
 #[tokio::test(start_paused = true)]
 async fn pushed_discovery_is_polled_soon_after_a_rejection() {
     let (_worker, mut node, _client) = common::start_node_with_worker().await;
     node.next_discovery_call().await;
     for n in 0..12 {
         node.reject_discovery_call();
-        let turned_away = Instant::now();
+        let rejected_at = Instant::now();
         node.next_discovery_call().await;
-        let pause = turned_away.elapsed();
-        assert!(
-            pause <= Duration::from_millis(250),
-            "{pause:?} after {n} calls that were turned away before"
-        );
+        let pause = rejected_at.elapsed();
+        assert!(pause <= Duration::from_millis(250), "{pause:?} after {n} earlier rejections");
     }
 }
 
-/// A watch that falls silent at once after start is made anew, soon and short, until one is answered; then it
-/// waits as ever. The agent may have forgotten every call made while it was down.
+/// A watch that is not answered right after the start is repeated soon and with short waits until one is
+/// answered; then the waits are as long as usual again. The agent may have forgotten every call made while it
+/// was down.
 #[tokio::test(start_paused = true)]
 async fn unanswered_watches_are_repeated_with_short_waits() {
     let worker = Worker::start().await;
@@ -93,7 +93,7 @@
         assert!(from.elapsed() <= Duration::from_millis(if n == 0 { 2600 } else { 1700 }), "{n}");
     }
     assert!(start.elapsed() < Duration::from_secs(8));
-    // It is back, and tells of a drain.
+    // Discovery has recovered, and announces a drain.
     let other = Worker::start().await;
     node.apply_list(2, vec![worker.list_entry("s-1", "terminating"), other.list_entry("s-2", "in_service")])
         .await;
@@ -105,8 +105,8 @@
     assert_eq!(client.read_answer().await.unwrap().body, "r");
 }
 
-/// An answer that ends in the middle of a list, and one with an older list: what was told stays told. A whole list that
-/// was asked for counts whatever its version: discovery may have begun anew.
+/// An older list or a truncated answer does not revert a drain. A complete list that the node asked for
+/// applies whatever its version, since discovery may have restarted.
 #[tokio::test(start_paused = true)]
 async fn older_endpoint_list_reverts_no_drain() {
     let (old, new) = (Worker::start().await, Worker::start().await);
@@ -121,22 +121,25 @@
     node.answer_discovery_call(json!({"revision": 6, "complete": true, "members": [old.list_entry("s-1", "in_service"), new.list_entry("s-2", "in_service")]}));
     assert!(
         node.next_discovery_call().await.starts_with("GET /discovery/hosts HTTP/1.1"),
-        "the whole list is asked for"
+        "the node asks for the complete list"
+    );
+    node.truncate_discovery_answer(); // the answer ends in the middle of the list
+    assert!(
+        node.next_discovery_call().await.starts_with("GET /discovery/hosts HTTP/1.1"),
+        "the node asks again"
     );
-    node.truncate_discovery_answer(); // an answer that ends in the middle
-    assert!(node.next_discovery_call().await.starts_with("GET /discovery/hosts HTTP/1.1"), "once more");
     for n in 0..3 {
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
-        let mut seen = tokio::select! {
-            seen = new.receive_request() => seen,
-            _ = old.receive_request() => panic!("a drain was taken back"),
+        let mut received = tokio::select! {
+            received = new.receive_request() => received,
+            _ = old.receive_request() => panic!("a drain was reverted"),
         };
-        seen.begin_response().await;
-        seen.send_update(json!({"state": "done", "result": "r"})).await;
+        received.begin_response().await;
+        received.send_update(json!({"state": "done", "result": "r"})).await;
         assert_eq!(client.read_answer().await.unwrap().body, "r");
     }
-    // Indented, and of a discovery that began anew: as a whole list that was asked for it counts.
+    // An indented list of a restarted discovery: complete and asked for, so it applies.
     let lists = node.counters.endpoint_lists_applied.get();
     let list = json!({"revision": 1, "complete": true, "members": [old.list_entry("s-1", "in_service")]});
     node.answer_discovery_call(serde_json::to_string_pretty(&list).unwrap());
--- a/node/tests/endpoint_watch.rs
+++ b/node/tests/endpoint_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of discovery's endpoint list: drains, malformed lists, rejected calls, and a discovery that moves. The clock
-//! is paused and advances only where a test advances it.
+//! The watch of discovery's endpoint list: drains, malformed lists, rejected calls, and a discovery that
+//! moves. The clock is paused and advances only where a test advances it.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -60,8 +60,8 @@
     assert_eq!(client.read_answer().await.unwrap().body, "back");
 }
 
-/// Guards discovery against the load of all nodes starting at once: each asks only for the changes since the list it knows, and
-/// after a rejection repeats that call on the same connection.
+/// Guards discovery against the load of all nodes starting at once: each asks only for the changes since the
+/// list it knows, and after a rejection repeats that call on the same connection.
 #[tokio::test(start_paused = true)]
 async fn a_rejected_watch_asks_again_for_changes_since_the_known_list() {
     let worker = Worker::start().await;
@@ -78,8 +78,8 @@
     assert_eq!(node.counters.endpoint_lists_applied.get(), 1);
 }
 
-/// Guards node and discovery against lists that stay unreadable or are huge: the previous list stays in force, and calls for a
-/// new one back off.
+/// Guards node and discovery against lists that stay unreadable or are huge: the previous list stays in
+/// force, and calls for a new one back off.
 #[tokio::test(start_paused = true)]
 async fn malformed_lists_leave_the_previous_one_in_force_and_polls_back_off() {
     let worker = Worker::start().await;
@@ -102,8 +102,8 @@
     }
 }
 
-/// Guards against lost lists and drains while discovery moves: the previous address is followed until the new one has sent a
-/// complete list, and is ignored after that.
+/// Guards against lost lists and drains while discovery moves: the previous address is followed until the new
+/// one has sent a complete list, and is ignored after that.
 #[tokio::test(start_paused = true)]
 async fn a_move_of_discovery_loses_neither_the_list_nor_a_drain() {
     let (old, new) = (Worker::start().await, Worker::start().await);
@@ -114,7 +114,8 @@
         calls.recv().await.unwrap().starts_with("GET /discovery/hosts HTTP/1.1"),
         "the complete list first"
     );
-    // The new address is still silent: the list stays in force, and the previous address can still announce a drain.
+    // The new address is still silent: the list stays in force, and the previous address can still announce a
+    // drain.
     client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
     old.receive_request().await.complete("a").await;
     assert_eq!(client.read_answer().await.unwrap().body, "a");
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the platform frontend: connection slots for clients, the budget of descriptors and memory that two processes
-//! share, and the backoff of calls to discovery.
+//! Limits of the platform frontend: connection slots for clients, the budget of descriptors and memory that
+//! two processes share, and the backoff of calls to discovery.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -21,8 +21,8 @@
 use std::time::Duration;
 use tokio::time::{advance, timeout, Instant};
 
-/// Guards active clients when connections are scarce: silent connections are evicted before those that are writing, and of the
-/// latter the one that has paused for longest.
+/// Guards active clients when connections are scarce: silent connections are evicted before those that are
+/// writing, and of the latter the one that has paused for longest.
 #[tokio::test(start_paused = true)]
 async fn silent_connections_are_evicted_before_those_that_write() {
     let now = Instant::now() + Duration::from_secs(9);
@@ -55,7 +55,8 @@
     all
 }
 
-/// Guards the limits of a node during a process handover: both processes together never hold more than one may.
+/// Guards the limits of a node during a process handover: both processes together never hold more than one
+/// may.
 #[tokio::test(start_paused = true)]
 async fn what_another_process_holds_is_not_allocated_until_it_is_released() {
     for (sockets, memory_mb) in [(128, 16), (256, 32), (1024, 192)] {
@@ -104,7 +105,8 @@
     }
 }
 
-/// Guards discovery under overload: the nodes together call seldom, not at the same times, and ever less often.
+/// Guards discovery under overload: the nodes together call seldom, not at the same times, and ever less
+/// often.
 #[test]
 fn pauses_grow_with_the_fleet_size_and_with_each_rejection() {
     let fleet = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
@@ -127,7 +129,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_beyond_the_descriptor_budget_is_refused_at_once() {
     let worker = Worker::start().await;
-    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 6 usable, 4 of them for clients
+    // 6 usable, 4 of them for clients.
+    let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await;
     let mut clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
@@ -155,7 +158,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_body_beyond_the_memory_budget_is_refused_and_small_requests_are_served() {
     let worker = Worker::start().await;
-    let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await; // 256 KiB for bodies
+    // 256 KiB for bodies.
+    let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await;
     let body = "x".repeat(64 * 1024);
     let mut large = Vec::new();
     for n in 0..4 {
@@ -187,8 +191,8 @@
     }
 }
 
-/// Guards clients against connections that hold all descriptors and are silent or idle: a new connection replaces first one that
-/// has sent no request, then the one that has been idle for longest.
+/// Guards clients against connections that hold all descriptors and are silent or idle: a new connection
+/// replaces first one that has sent no request, then the one that has been idle for longest.
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_is_evicted_for_a_new_one_and_a_busy_one_is_not() {
     let worker = Worker::start().await;
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -1,4 +1,4 @@
-//! Where operators call, and the phases that their calls and signals go through.
+//! The management interface for operators, and the phase changes that its calls and signals cause.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{advance, Instant};
 
-async fn management() -> (SocketAddr, Phases, watch::Sender<bool>) {
+async fn start_management() -> (SocketAddr, Phases, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let (phases, (ready, follow)) = (Phases::default(), watch::channel(false));
@@ -25,21 +25,21 @@
     (at, phases, ready)
 }
 
-/// One call on a connection of its own: the status; the connection has to end with the answer.
+/// Makes one call on a new connection, which must end with the answer; returns the status.
 async fn call(at: SocketAddr, method: &str, path: &str) -> u16 {
     let mut socket = TcpStream::connect(at).await.unwrap();
     let text = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     socket.write_all(text.as_bytes()).await.unwrap();
-    let mut got = String::new();
-    socket.read_to_string(&mut got).await.unwrap();
-    got.split(' ').nth(1).expect(&got).parse().unwrap()
+    let mut answer = String::new();
+    socket.read_to_string(&mut answer).await.unwrap();
+    answer.split(' ').nth(1).expect(&answer).parse().unwrap()
 }
 
 #[tokio::test(start_paused = true)]
 async fn calls_report_and_change_the_phase_and_unknown_ones_are_rejected() {
     let _time = common::freeze_clock();
-    let (at, phases, ready) = management().await;
-    assert_eq!(call(at, "GET", "/healthcheck").await, 503, "it can't serve yet");
+    let (at, phases, ready) = start_management().await;
+    assert_eq!(call(at, "GET", "/healthcheck").await, 503, "not ready to serve yet");
     ready.send_replace(true);
     assert_eq!(call(at, "GET", "/healthcheck").await, 200);
     let phase = phases.subscribe();
@@ -61,15 +61,16 @@
     call(at, "POST", "/healthcheck/fail").await;
     stop_until_closing(&phases).await;
     assert_eq!(call(at, "POST", "/healthcheck/fail").await, 200);
-    assert_eq!(call(at, "POST", "/healthcheck/ok").await, 503, "it does not come back");
+    assert_eq!(call(at, "POST", "/healthcheck/ok").await, 503, "a closing process does not resume");
     assert_eq!(*phase.borrow(), Phase::Closing);
 }
 
-/// Guards calls against callers that connect and finish none: they neither hold up others nor stay.
+/// Guards against callers that connect and never complete a call: they delay no other call, and are
+/// disconnected.
 #[tokio::test(start_paused = true)]
 async fn silent_callers_delay_no_other_call_and_are_closed() {
     let _time = common::freeze_clock();
-    let (at, _phases, ready) = management().await;
+    let (at, _phases, ready) = start_management().await;
     ready.send_replace(true);
     let mut silent = Vec::new();
     for n in 0..2 * MAX_CONNECTIONS {
@@ -81,9 +82,10 @@
     assert_eq!(call(at, "GET", "/healthcheck").await, 200, "no time has passed");
     for (n, mut socket) in silent.into_iter().enumerate() {
         if n == MAX_CONNECTIONS {
-            advance(Duration::from_secs(2)).await; // the first ones made way, these have had their time
+            // The earlier ones were evicted, these have reached the timeout.
+            advance(Duration::from_secs(2)).await;
         }
-        let _ = socket.read_to_end(&mut Vec::new()).await; // a reset is an end too
+        let _ = socket.read_to_end(&mut Vec::new()).await; // a reset also counts as closed
     }
 }
 
@@ -93,7 +95,7 @@
     Resume,
     Stop,
     HandOver,
-    TakeBack,
+    UndoHandOver,
     Wait(u8),
 }
 
@@ -104,65 +106,74 @@
             3..=4 => Step::Resume,
             5 => Step::Stop,
             6 => Step::HandOver,
-            7 => Step::TakeBack,
+            7 => Step::UndoHandOver,
             _ => Step::Wait(u8::arbitrary(g)),
         }
     }
 }
 
-async fn walk(steps: Vec<Step>) {
+async fn run_steps(steps: Vec<Step>) {
     let phases = Phases::default();
-    let (mut draining, mut over, mut before, mut stopped) = (false, false, None, None::<Instant>);
+    let (mut draining, mut handed_over, mut previous_phase, mut stopped) =
+        (false, false, None, None::<Instant>);
     for step in steps {
-        let last = stopped.is_some_and(|at| at.elapsed().as_millis() >= 720);
+        let is_closing = stopped.is_some_and(|at| at.elapsed().as_millis() >= 720);
         match step {
             Step::Drain => {
                 assert!(phases.drain());
-                draining |= !over;
+                draining |= !handed_over;
             }
             Step::Resume => {
-                assert_eq!(phases.resume(), stopped.is_none() && !over);
-                draining &= over;
+                assert_eq!(phases.resume(), stopped.is_none() && !handed_over);
+                draining &= handed_over;
             }
             Step::Stop => {
-                // Where another process serves, nothing is left to take: it is in its last phase at once.
+                // A process that has handed over accepts nothing more, so it closes at once.
                 tokio::spawn({
                     let phases = phases.clone();
                     async move { phases.stop().await }
                 });
                 tokio::task::yield_now().await;
                 let now = Instant::now();
-                stopped = if over { Some(now - Duration::from_secs(1)) } else { stopped.or(Some(now)) };
+                stopped =
+                    if handed_over { Some(now - Duration::from_secs(1)) } else { stopped.or(Some(now)) };
             }
-            Step::HandOver if before.is_none() => {
-                (before, over) = (Some(phases.hand_over()), !last);
+            Step::HandOver if previous_phase.is_none() => {
+                (previous_phase, handed_over) = (Some(phases.hand_over()), !is_closing);
             }
             Step::HandOver => {}
-            Step::TakeBack => {
-                before.take().into_iter().for_each(|before| phases.undo_hand_over(before));
-                over = false;
+            Step::UndoHandOver => {
+                previous_phase
+                    .take()
+                    .into_iter()
+                    .for_each(|previous_phase| phases.undo_hand_over(previous_phase));
+                handed_over = false;
             }
             Step::Wait(n) => tokio::time::sleep(Duration::from_millis(u64::from(n) * 4)).await,
         }
-        let (phase, late) = (*phases.subscribe().borrow(), stopped.map(|at| at.elapsed().as_millis()));
-        if late > Some(722) {
-            over = false; // no way back from the end; a timer may be a little late
+        let (phase, stopped_for_ms) =
+            (*phases.subscribe().borrow(), stopped.map(|at| at.elapsed().as_millis()));
+        if stopped_for_ms > Some(722) {
+            handed_over = false; // a closing process does not resume; a timer may be a little late
         }
-        assert!(phase == Phase::Closing || late <= Some(722));
-        assert_eq!(phase.is_serving(), !draining && !over && late.is_none());
+        assert!(phase == Phase::Closing || stopped_for_ms <= Some(722));
+        assert_eq!(phase.is_serving(), !draining && !handed_over && stopped_for_ms.is_none());
         assert_eq!(
             phase.accepts_connections(),
-            !over && late.is_none_or(|late| late < 720),
-            "{phase:?} {late:?}"
+            !handed_over && stopped_for_ms.is_none_or(|stopped_for_ms| stopped_for_ms < 720),
+            "{phase:?} {stopped_for_ms:?}"
+        );
+        assert_eq!(
+            phase.closes_connections(),
+            !phase.accepts_connections() || stopped_for_ms.is_none() && draining
         );
-        assert_eq!(phase.closes_connections(), !phase.accepts_connections() || late.is_none() && draining);
     }
 }
 
 #[test]
 fn a_stopping_process_never_serves_again_after_random_calls_and_signals() {
     fn property(steps: Vec<Step>) -> bool {
-        run_paused(walk(steps))
+        run_paused(run_steps(steps))
     }
     seeded_quickcheck(100, 30).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's front on loopback, with stand-ins for clients, workers and discovery. Time stands
-//! still but where a test advances it: each step follows on what a socket or a counter shows.
+//! The platform frontend on loopback, with stand-ins for clients, workers and discovery. The clock is paused
+//! and advances only where a test advances it: each step waits for a socket or a counter.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -13,21 +13,21 @@
 use tokio::time::advance;
 
 #[tokio::test(start_paused = true)]
-async fn a_job_is_forwarded_unchanged_and_answered_with_its_result() {
+async fn a_request_is_forwarded_unchanged_and_answered_with_its_result() {
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("lodge", "9b1f03aa5c7e2d41", 60.0, "{\"a\" : 1}")).await;
-    let mut seen = worker.receive_request().await;
-    assert!(seen.head.starts_with("POST /lodge?user=00ff&x=a%20b HTTP/1.1\r\n"), "{}", seen.head);
+    let mut received = worker.receive_request().await;
+    assert!(received.head.starts_with("POST /lodge?user=00ff&x=a%20b HTTP/1.1\r\n"), "{}", received.head);
     assert_eq!(
-        (seen.header("x-request-id").as_str(), seen.body.as_slice()),
+        (received.header("x-request-id").as_str(), received.body.as_slice()),
         ("9b1f03aa5c7e2d41", &b"{\"a\" : 1}"[..])
     );
-    assert_eq!(seen.header("idempotency-key"), "k1");
-    let left: f64 = seen.header("x-deadline").parse().unwrap();
+    assert_eq!(received.header("idempotency-key"), "k1");
+    let left: f64 = received.header("x-deadline").parse().unwrap();
     assert!(left > 0.0 && left <= 60.0);
-    seen.complete("a \"result\"").await;
-    let got = client.read_answer().await.unwrap();
-    assert_eq!((got.status, got.body.as_str()), (200, "a \"result\""));
+    received.complete("a \"result\"").await;
+    let answer = client.read_answer().await.unwrap();
+    assert_eq!((answer.status, answer.body.as_str()), (200, "a \"result\""));
     let c = &node.counters;
     assert_eq!(
         (c.requests_accepted.get(), c.served.get(), c.attempts_sent.get(), c.worker_connections_opened.get()),
@@ -39,7 +39,7 @@
 async fn malformed_requests_are_answered_and_closed_and_reach_no_worker() {
     let (_worker, node, mut client) = start_node_with_worker().await;
     let good = request("lodge", "9b1f03aa5c7e2d41", 60.0, "");
-    let without = |line: &str| good.replace(&format!("{line}\r\n"), "");
+    let without = |header: &str| good.replace(&format!("{header}\r\n"), "");
     let cases = [
         (good.replace("X-Class: lodge", "X-Class: render"), 400),
         (good.replace("X-Class: lodge", "X-Class: check"), 400),
@@ -56,10 +56,10 @@
         (request("check", "9b1f03aa5c7e2d41", 60.0, &"x".repeat(64 * 1024 + 1)), 413),
     ];
     for (text, status) in &cases {
-        let got = client.exchange(text).await;
-        assert_eq!(got.status, *status, "{text:.200}");
-        // Protects descriptors from who asks wrongly and stays.
-        assert!(got.head.to_lowercase().contains("connection: close"), "{got:?}");
+        let answer = client.exchange(text).await;
+        assert_eq!(answer.status, *status, "{text:.200}");
+        // Guards descriptors against clients that send a malformed request and stay connected.
+        assert!(answer.head.to_lowercase().contains("connection: close"), "{answer:?}");
         client = Client::connect(&node).await;
     }
     assert_eq!(client.exchange(UP).await.status, 200);
@@ -70,36 +70,38 @@
     );
 }
 
-/// Plays what a worker does with a request and returns how the attempt was counted.
-async fn outcome(case: &str) -> Outcome {
+/// Lets a worker respond as the case says, and returns how the attempt was counted.
+async fn outcome_of(case: &str) -> Outcome {
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "x")).await;
-    let mut seen = worker.receive_request().await;
+    let mut received = worker.receive_request().await;
     match case {
         "failed" | "returned" | "lost" => {
-            seen.begin_response().await;
-            seen.send_update(json!({"state": case})).await;
-            seen.write("0\r\n\r\n").await;
+            received.begin_response().await;
+            received.send_update(json!({"state": case})).await;
+            received.write("0\r\n\r\n").await;
         }
-        "another's line" => {
-            seen.begin_response().await;
-            seen.write("2a\r\n{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}\n\r\n").await;
+        "other id" => {
+            received.begin_response().await;
+            received.write("2a\r\n{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}\n\r\n").await;
         }
-        "no line" => {
-            seen.begin_response().await;
-            seen.write("5\r\nhello\r\n0\r\n\r\n").await;
+        "malformed update" => {
+            received.begin_response().await;
+            received.write("5\r\nhello\r\n0\r\n\r\n").await;
         }
-        "no last line" => {
-            seen.begin_response().await;
-            seen.send_update(json!({"state": "started"})).await;
-            seen.write("0\r\n\r\n").await;
+        "no final update" => {
+            received.begin_response().await;
+            received.send_update(json!({"state": "started"})).await;
+            received.write("0\r\n\r\n").await;
         }
-        "closed" => drop(seen),
-        "not run" => {
-            seen.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nX-Load: x0=0\r\nContent-Length: 0\r\n\r\n").await
+        "closed" => drop(received),
+        "not executed" => {
+            received
+                .write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nX-Load: x0=0\r\nContent-Length: 0\r\n\r\n")
+                .await
         }
-        "503" => seen.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await,
-        _ => seen.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").await,
+        "503" => received.write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await,
+        _ => received.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").await,
     }
     let c = node.counters.clone();
     let all = [
@@ -121,20 +123,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_answer_of_a_worker_decides_the_outcome_of_its_attempt() {
+async fn the_response_of_a_worker_decides_the_outcome_of_its_attempt() {
     for (case, want) in [
         ("failed", Outcome::Error),
         ("500", Outcome::Error),
         ("503", Outcome::Error),
         ("returned", Outcome::Rejected),
-        ("not run", Outcome::Rejected),
+        ("not executed", Outcome::Rejected),
         ("lost", Outcome::ConnectionLost),
         ("closed", Outcome::ConnectionLost),
-        ("another's line", Outcome::ConnectionLost),
-        ("no line", Outcome::ConnectionLost),
-        ("no last line", Outcome::ConnectionLost),
+        ("other id", Outcome::ConnectionLost),
+        ("malformed update", Outcome::ConnectionLost),
+        ("no final update", Outcome::ConnectionLost),
     ] {
-        assert_eq!(outcome(case).await, want, "{case}");
+        assert_eq!(outcome_of(case).await, want, "{case}");
     }
 }
 
@@ -142,9 +144,9 @@
 async fn an_attempt_is_closed_when_its_client_leaves() {
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
-    let seen = worker.receive_request().await;
+    let received = worker.receive_request().await;
     drop(client);
-    assert!(seen.next_request().await.is_none(), "the worker sees the connection end");
+    assert!(received.next_request().await.is_none(), "the worker sees the connection end");
     assert_eq!((node.counters.client_left.get(), node.counters.requests_accepted.get()), (1, 1));
 }
 
@@ -152,28 +154,28 @@
 async fn an_attempt_that_times_out_is_closed_and_its_request_answered() {
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("lodge", "9b1f03aa5c7e2d41", 0.2, "")).await;
-    let seen = worker.receive_request().await;
+    let received = worker.receive_request().await;
     advance(Duration::from_millis(200)).await;
-    let got = client.read_answer().await.expect("an answer");
-    assert_eq!(got.status, 503, "{got:?}");
-    assert!(got.head.to_lowercase().contains("retry-after"), "{got:?}");
-    assert!(seen.next_request().await.is_none());
+    let answer = client.read_answer().await.expect("an answer");
+    assert_eq!(answer.status, 503, "{answer:?}");
+    assert!(answer.head.to_lowercase().contains("retry-after"), "{answer:?}");
+    assert!(received.next_request().await.is_none());
     assert_eq!((node.counters.timed_out.get(), node.counters.attempts_sent.get()), (1, 1));
 }
 
-/// Protects names that hold what the flat form of settings parts by, or more than ASCII: they are compared as the
-/// settings wrote them.
+/// Guards names that contain separators of the flat form of settings or non-ASCII characters: they are
+/// compared as the settings spell them.
 #[tokio::test(start_paused = true)]
-async fn names_of_classes_and_tenants_are_compared_as_the_settings_wrote_them() {
+async fn names_of_classes_and_tenants_are_compared_as_the_settings_spell_them() {
     let worker = Worker::start().await;
     let mut named = common::settings(true, 60_000_000);
     named["Profiles"][0]["Name"] = "quick, \"look\"".into();
     named["Profiles"][1]["Name"] = "größe".into();
     named["Parties"][0]["Name"] = "soil & water, süd".into();
     named["Azs"] = json!(["east wing"]);
-    let mut line = worker.list_entry("s-1", "in_service");
-    line["locality"] = "east wing".into();
-    let node = PlatformNode::start_with_settings(named, vec![line]).await;
+    let mut entry = worker.list_entry("s-1", "in_service");
+    entry["locality"] = "east wing".into();
+    let node = PlatformNode::start_with_settings(named, vec![entry]).await;
     for (n, (class, path)) in
         [("quick, \"look\"", "quick,%20\"look%22"), ("größe", "größe"), ("größe", "gr%C3%B6%c3%9fe")]
             .into_iter()
@@ -184,25 +186,25 @@
         let text = text.replace("POST /lodge", &format!("POST /{path}"));
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&text.replace("X-Class: lodge", &format!("X-Class: {class}"))).await;
-        let mut seen = tokio::select! {
-            seen = worker.receive_request() => seen,
-            got = client.read_answer() => panic!("{got:?}"),
+        let mut received = tokio::select! {
+            received = worker.receive_request() => received,
+            answer = client.read_answer() => panic!("{answer:?}"),
         };
         assert!(
-            seen.head.starts_with(&format!("POST /{path}?user=00ff&x=a%20b HTTP/1.1\r\n")),
+            received.head.starts_with(&format!("POST /{path}?user=00ff&x=a%20b HTTP/1.1\r\n")),
             "{}",
-            seen.head
+            received.head
         );
-        seen.begin_response().await;
-        seen.send_update(json!({"state": "done", "result": "r"})).await;
+        received.begin_response().await;
+        received.send_update(json!({"state": "done", "result": "r"})).await;
         assert_eq!(client.read_answer().await.unwrap().status, 200);
     }
 }
 
-/// Protects clients while settings change: a class that is offered no more is not found, a new one is served under
-/// its own rules, and a job that is open goes on under the old ones.
+/// Guards clients during a reload: a removed class is rejected, a new one is served under its own settings,
+/// and an open request keeps the previous ones.
 #[tokio::test(start_paused = true)]
-async fn new_settings_apply_to_new_jobs_and_the_old_ones_to_jobs_in_flight() {
+async fn new_settings_apply_to_new_requests_and_the_previous_ones_to_open_requests() {
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
     let mut open = worker.receive_request().await;
@@ -218,65 +220,66 @@
     let mut fresh = Client::connect(&node).await;
     fresh.send_after_pause(&request("audit", "9b1f03aa5c7e2d43", 60.0, "")).await;
     let mut audit = worker.receive_request().await;
-    for seen in [&mut open, &mut audit] {
-        seen.begin_response().await;
-        seen.send_update(json!({"state": "failed"})).await; // no end: its connection is not kept
+    for received in [&mut open, &mut audit] {
+        received.begin_response().await;
+        // The response is not ended, so its connection is not reused.
+        received.send_update(json!({"state": "failed"})).await;
     }
-    assert_eq!(fresh.read_answer().await.unwrap().status, 502, "unsafe: it may have run");
-    let taken = worker.receive_request();
-    tokio::pin!(taken);
-    let mut again = loop {
+    assert_eq!(fresh.read_answer().await.unwrap().status, 502, "unsafe: it may have been executed");
+    let next_attempt = worker.receive_request();
+    tokio::pin!(next_attempt);
+    let mut retry = loop {
         tokio::select! {
             biased;
-            again = taken.as_mut() => break again,
-            () = tokio::task::yield_now() => advance(Duration::from_millis(50)).await, // the worker is in doubt
+            retry = next_attempt.as_mut() => break retry,
+            () = tokio::task::yield_now() => advance(Duration::from_millis(50)).await, // the worker is avoided for a while
         }
         assert_eq!(node.counters.shed.get(), 0, "it has attempts left");
     };
-    assert_eq!(again.header("x-request-id"), "9b1f03aa5c7e2d41");
-    again.complete("r").await;
+    assert_eq!(retry.header("x-request-id"), "9b1f03aa5c7e2d41");
+    retry.complete("r").await;
     assert_eq!(client.read_answer().await.unwrap().body, "r");
 }
 
-/// Protects the first of two requests that share an id: workers know a request by it.
+/// Guards the first of two requests with the same id, since workers identify a request by its id.
 #[tokio::test(start_paused = true)]
-async fn a_second_request_with_an_id_in_flight_is_refused_and_the_first_untouched() {
+async fn a_second_request_with_an_open_id_is_refused_and_the_first_unaffected() {
     let (worker, node, mut first) = start_node_with_worker().await;
     let text = request("lodge", "9b1f03aa5c7e2d41", 60.0, "a");
     first.send_after_pause(&text).await;
-    let mut seen = worker.receive_request().await;
+    let mut received = worker.receive_request().await;
     let mut second = Client::connect(&node).await;
     assert_eq!(second.exchange(&text).await.status, 409);
-    assert!(second.read_answer().await.is_none(), "and closed");
+    assert!(second.read_answer().await.is_none(), "the connection is closed");
     assert_eq!((node.counters.requests_accepted.get(), node.counters.attempts_sent.get()), (1, 1));
-    seen.complete("r").await;
+    received.complete("r").await;
     assert_eq!(first.read_answer().await.unwrap().body, "r");
-    // Answered, it is open no more.
+    // Once it is answered, its id may be used again.
     first.send_after_pause(&text).await;
-    let mut seen = tokio::select! {
-        next = seen.next_request() => next.unwrap(),
+    let mut received = tokio::select! {
+        next = received.next_request() => next.unwrap(),
         new = worker.receive_request() => new,
     };
-    seen.complete("s").await;
+    received.complete("s").await;
     assert_eq!(first.read_answer().await.unwrap().body, "s");
 }
 
-/// Protects from a request hidden in another's body: nothing is passed on and the connection is closed.
+/// Guards against request smuggling: nothing is forwarded, and the connection is closed.
 #[tokio::test(start_paused = true)]
 async fn a_request_with_both_framings_is_refused_and_nothing_after_it_is_read() {
     let (_worker, node, mut client) = start_node_with_worker().await;
-    let hidden = request("check", "9b1f03aa5c7e2d42", 60.0, "");
+    let smuggled = request("check", "9b1f03aa5c7e2d42", 60.0, "");
     let good = request("check", "9b1f03aa5c7e2d41", 60.0, "");
     let both = good.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked");
     client.send_after_pause(UP).await;
-    client.send_after_pause(&format!("{both}0\r\n\r\n{hidden}")).await;
+    client.send_after_pause(&format!("{both}0\r\n\r\n{smuggled}")).await;
     assert_eq!(client.read_answer().await.unwrap().status, 200);
     assert_eq!(client.read_answer().await.unwrap().status, 400);
     assert!(client.read_answer().await.is_none(), "closed");
     assert_eq!((node.counters.requests_accepted.get(), node.counters.rejected_early.get()), (0, 1));
 }
 
-/// What follows a chunked request is not looked into: it is served, and its connection closed.
+/// A chunked request is served and its connection closed; bytes after it are not read.
 #[tokio::test(start_paused = true)]
 async fn a_chunked_request_is_served_and_nothing_after_it_is_read() {
     let (worker, node, mut client) = start_node_with_worker().await;
@@ -284,9 +287,9 @@
     let both = good.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked");
     let chunks = good.replace("Content-Length: 0", "Transfer-Encoding: chunked");
     client.send_after_pause(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n{both}0\r\n\r\n")).await;
-    let mut seen = worker.receive_request().await;
-    assert_eq!((seen.body.as_slice(), seen.header("content-length").as_str()), (&b"abc"[..], "3"));
-    seen.complete("r").await;
+    let mut received = worker.receive_request().await;
+    assert_eq!((received.body.as_slice(), received.header("content-length").as_str()), (&b"abc"[..], "3"));
+    received.complete("r").await;
     assert_eq!(client.read_answer().await.unwrap().body, "r");
     assert!(client.read_answer().await.is_none(), "closed");
     assert_eq!(node.counters.requests_accepted.get(), 1);
--- a/node/tests/request_completion.rs
+++ b/node/tests/request_completion.rs
@@ -1,5 +1,6 @@
-//! Requests that must still be completed correctly when something else ends: the node stops, a late answer arrives on a reused
-//! connection, connections are evicted or closed in bulk, a class is removed from the settings.
+//! Requests that must still be completed correctly when something else ends: the node stops, a late answer
+//! arrives on a reused connection, connections are evicted or closed in bulk, a class is removed from the
+//! settings.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
@@ -39,7 +40,8 @@
     (worker, node, client, received)
 }
 
-/// Advances the clock until this many attempts were sent: a worker may be avoided for a while after a failure.
+/// Advances the clock until this many attempts were sent: a worker may be avoided for a while after a
+/// failure.
 async fn advance_until_sent(node: &PlatformNode, n: u64) {
     for _ in 0..200 {
         for _ in 0..50 {
@@ -71,7 +73,8 @@
     assert_eq!(node.task.await.unwrap(), Ok(()));
 }
 
-/// A repeated SIGTERM, in each phase of stopping and while the node drains: an accepted request gets one answer.
+/// A repeated SIGTERM, in each phase of stopping and while the node drains: an accepted request gets one
+/// answer.
 #[tokio::test(start_paused = true)]
 async fn a_second_stop_signal_changes_nothing() {
     for drains in [false, true] {
@@ -98,8 +101,8 @@
     }
 }
 
-/// Between SIGTERM and SIGKILL clients still send on open connections. A first request on such a connection is served while there
-/// is time, and otherwise answered with a 503.
+/// Between SIGTERM and SIGKILL clients still send on open connections. A first request on such a connection
+/// is served while there is time, and otherwise answered with a 503.
 #[tokio::test(start_paused = true)]
 async fn each_request_that_arrives_after_sigterm_is_answered() {
     // The class's longest deadline, when the request is complete, and whether it is served.
@@ -152,8 +155,8 @@
     }
 }
 
-/// A late second answer arrives when its connection has been reused for the next request: it must not become that request's
-/// answer.
+/// A late second answer arrives when its connection has been reused for the next request: it must not become
+/// that request's answer.
 #[tokio::test(start_paused = true)]
 async fn a_late_second_answer_is_not_used_for_the_next_request() {
     let (worker, node, mut client, received) =
@@ -172,8 +175,9 @@
     node.assert_nothing_open().await;
 }
 
-/// A worker writes to an idle connection, or closes it, in the instant in which the next request is assigned to it. This must not
-/// count as that request's answer or failure: the request is written once, on another connection.
+/// A worker writes to an idle connection, or closes it, in the instant in which the next request is assigned
+/// to it. This must not count as that request's answer or failure: the request is written once, on another
+/// connection.
 #[tokio::test(start_paused = true)]
 async fn data_on_an_idle_connection_being_reused_is_not_used_for_the_next_request() {
     const NOT_EXECUTED: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -181,8 +185,8 @@
         let mut settings = common::settings(true, 60_000_000);
         settings["Profiles"][0]["Semantics"] = "unsafe".into();
         let (worker, node, mut client, received) = node_with_idle_connection(settings).await;
-        // A separate task runs between the server's task and the attempt's: the request is on its way to the dispatcher then,
-        // and no socket is polled in between.
+        // A separate task runs between the server's task and the attempt's: the request is on its way to the
+        // dispatcher then, and no socket is polled in between.
         let counters = node.counters.clone();
         let idle_connection = tokio::spawn(async move {
             while counters.usage().unwrap().busy_clients < 1 {
@@ -216,8 +220,8 @@
     }
 }
 
-/// A late answer without an id arrives after the next request was written on its connection: 'not executed' proves nothing about
-/// that request, unless the connection has been idle for some time before.
+/// A late answer without an id arrives after the next request was written on its connection: 'not executed'
+/// proves nothing about that request, unless the connection has been idle for some time before.
 #[tokio::test(start_paused = true)]
 async fn a_late_answer_without_an_id_proves_nothing_about_the_next_request() {
     for (semantics, idle_ms, retried) in [("unsafe", 19, false), ("unsafe", 20, true), ("safe", 19, true)] {
@@ -288,8 +292,9 @@
     }
 }
 
-/// An attempt of a request with an idempotency key breaks near the end of the deduplication window: it is retried only if the new
-/// connection, which may take as long as the connect timeout, can't deliver it after the window.
+/// An attempt of a request with an idempotency key breaks near the end of the deduplication window: it is
+/// retried only if the new connection, which may take as long as the connect timeout, can't deliver it after
+/// the window.
 #[tokio::test(start_paused = true)]
 async fn a_keyed_request_is_retried_only_if_it_must_start_within_its_window() {
     for (broke_ms, retried) in [(740, true), (760, false), (990, false)] {
@@ -333,12 +338,14 @@
     }
 }
 
-/// A connection is chosen for eviction in the instant its request arrives: it is kept and served, and another is evicted.
+/// A connection is chosen for eviction in the instant its request arrives: it is kept and served, and another
+/// is evicted.
 #[tokio::test(start_paused = true)]
 async fn a_connection_whose_request_has_just_arrived_is_not_evicted() {
     for served_before in [false, true] {
         let worker = Worker::start().await;
-        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await; // 4 for clients
+        // 4 for clients.
+        let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await;
         let mut clients = Vec::new();
         for n in 1..5 {
             let mut client = Client::connect(&node).await;
@@ -352,8 +359,8 @@
             clients.push(client);
         }
         advance(Duration::from_millis(300)).await;
-        // Without yielding: a new client connects, then the connection due for eviction writes its request. So the node
-        // chooses it before reading any of that request.
+        // Without yielding: a new client connects, then the connection due for eviction writes its request.
+        // So the node chooses it before reading any of that request.
         let new = std::net::TcpStream::connect(node.address).unwrap();
         clients[0].send(UP).await;
         let mut new = Client::from_std(new);
@@ -363,7 +370,8 @@
     }
 }
 
-/// Hundreds of clients connect, send nothing or all or part of a request, and leave: all of their resources are released.
+/// Hundreds of clients connect, send nothing or all or part of a request, and leave: all of their resources
+/// are released.
 #[tokio::test(start_paused = true)]
 async fn many_clients_that_leave_at_once_leave_no_resources_held() {
     let worker = Worker::start().await;
@@ -399,8 +407,8 @@
     assert_eq!(Client::connect(&node).await.exchange(UP).await.status, 200);
 }
 
-/// New settings remove the class of a request that is queued, in flight, or due for a retry, and allow fewer attempts than it has
-/// used. Each keeps the settings under which it was accepted.
+/// New settings remove the class of a request that is queued, in flight, or due for a retry, and allow fewer
+/// attempts than it has used. Each keeps the settings under which it was accepted.
 #[tokio::test(start_paused = true)]
 async fn requests_of_a_removed_class_keep_their_settings() {
     for case in ["queued", "in flight", "retry"] {
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Streams of the platform's frontend: boundaries of clients' messages and their time limits, the count of what was
-//! written to a worker, and sockets that move to another process.
+//! Streams of the platform frontend: message boundaries and time limits of client connections, the count of
+//! bytes written to a worker, and sockets that are transferred to another process.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use molevale::platform::counted_writes::{CountingStream, RequestProgress, SharedProgress};
@@ -15,12 +15,13 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// Random input that is the same in every run.
-fn checker(size: usize, seed: u64) -> QuickCheck {
+/// A `QuickCheck` with a fixed seed: the same random input in every run.
+fn seeded_quickcheck(size: usize, seed: u64) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(size, seed))
 }
 
-/// Calls `feed` with the bytes, cut into parts of these lengths and a rest.
+/// Calls `feed` with the bytes in parts of these lengths, then with the rest, and with the offset after each
+/// part.
 fn in_parts(bytes: &[u8], cuts: &[u8], mut feed: impl FnMut(&[u8], usize)) {
     let mut at = 0;
     for cut in cuts.iter().map(|c| usize::from(*c)).chain([bytes.len()]) {
@@ -30,7 +31,7 @@
     }
 }
 
-/// Protects from silence and unfinished heads, and the idle time of a connection that was served.
+/// Guards against silent connections and unfinished heads, without limiting the idle time between requests.
 #[tokio::test(start_paused = true)]
 async fn a_head_is_bounded_in_time_and_an_idle_connection_is_not() {
     let (mut client, node) = duplex(1024);
@@ -43,7 +44,7 @@
     client.write_all(b"TP/1.1\r\n\r\n").await.unwrap();
     assert!(stream.read(&mut buffer).await.is_ok());
     monitor.request_complete();
-    assert!(timeout(HOUR, stream.read(&mut buffer)).await.is_err(), "an answer may take its time");
+    assert!(timeout(HOUR, stream.read(&mut buffer)).await.is_err(), "an answer may take any time");
     monitor.response_sent();
     assert!(timeout(HOUR, stream.read(&mut buffer)).await.is_err(), "idle between requests");
     client.write_all(b"G").await.unwrap();
@@ -57,7 +58,7 @@
     assert!(silent.is_err() && (Instant::now() - at).as_millis() <= 10, "a timer may be some ms late");
 }
 
-/// A model of messages: each is a head with these fields, and a body of this length.
+/// A message with framing headers of this kind and a body of this length, and the framing to detect.
 fn message(kind: u8, length: u8) -> (String, Framing) {
     let (length, body) = (usize::from(length), "\r\n\r".repeat(100)[..usize::from(length)].to_string());
     let (fields, framing) = match kind % 8 {
@@ -73,9 +74,9 @@
     (format!("POST /transfer-encoding: HTTP/1.1\r\n{fields}\r\n{body}"), framing)
 }
 
-/// Protects from a hidden request: whichever way the bytes are cut, each head's framing is seen.
+/// Guards against request smuggling: however the bytes are split, the framing of each head is detected.
 #[test]
-fn framing_is_seen_however_the_bytes_are_cut() {
+fn framing_is_detected_however_the_bytes_are_split() {
     fn property(messages: Vec<(u8, u8)>, cuts: Vec<u8>) -> bool {
         let (mut bytes, mut want) = (Vec::new(), Vec::new());
         for (kind, length) in messages {
@@ -86,19 +87,19 @@
                 break;
             }
         }
-        let mut seen = MessageBoundaries::default();
-        in_parts(&bytes, &cuts, |part, _| seen.read(part));
-        let is_framed = want.iter().enumerate().all(|(i, f)| seen.framing(i as u64 + 1) == *f);
-        let is_at_end = seen.has_ended() || seen.is_between_messages();
-        is_framed && seen.heads() == want.len() as u64 && is_at_end
+        let mut boundaries = MessageBoundaries::default();
+        in_parts(&bytes, &cuts, |part, _| boundaries.read(part));
+        let is_framed = want.iter().enumerate().all(|(i, f)| boundaries.framing(i as u64 + 1) == *f);
+        let is_at_end = boundaries.has_ended() || boundaries.is_between_messages();
+        is_framed && boundaries.heads() == want.len() as u64 && is_at_end
     }
-    checker(30, 11).quickcheck(property as fn(Vec<(u8, u8)>, Vec<u8>) -> bool);
+    seeded_quickcheck(30, 11).quickcheck(property as fn(Vec<(u8, u8)>, Vec<u8>) -> bool);
 }
 
 #[test]
 fn a_request_is_complete_with_its_last_byte() {
     fn property(head: String, body: Vec<u8>, cuts: Vec<u8>) -> bool {
-        let head = head.replace('\n', "\r"); // a head's end only at its end
+        let head = head.replace('\n', "\r"); // so that no head ends early
         let mut bytes = format!("{head}\r\n\r\n").into_bytes();
         bytes.extend_from_slice(&body);
         let (mut progress, mut holds) = (RequestProgress::default(), true);
@@ -108,11 +109,11 @@
         });
         holds
     }
-    checker(100, 7).quickcheck(property as fn(String, Vec<u8>, Vec<u8>) -> bool);
+    seeded_quickcheck(100, 7).quickcheck(property as fn(String, Vec<u8>, Vec<u8>) -> bool);
 }
 
-/// Protects a worker from a job written twice: what another process wrote goes no further, the next request does, and
-/// what the worker answers is read and kept from then on.
+/// Guards a worker against receiving a request twice: the part that another process wrote is skipped, the
+/// next request is written, and the worker's response is read and kept from then on.
 #[tokio::test]
 async fn a_request_that_another_process_wrote_is_not_written_again() {
     let (socket, mut peer) = duplex(64);
@@ -122,7 +123,7 @@
     stream.write_all(b"POST / HTTP/1.1\r\n\r\nbo").await.unwrap();
     let mut four = [0; 4];
     let early = timeout(Duration::ZERO, stream.read_exact(&mut four)).await;
-    assert!(early.is_err(), "no answer before the request");
+    assert!(early.is_err(), "no response is read before the request is complete");
     stream.write_all(b"dy").await.unwrap();
     stream.read_exact(&mut four).await.unwrap();
     assert_eq!((&four, progress.lock().unwrap().response_so_far().as_deref()), (b"said", Some(&b"said"[..])));
@@ -133,7 +134,8 @@
     assert_eq!(progress.lock().unwrap().response_so_far(), None, "too much to keep");
 }
 
-/// Protects what is on its way while a socket moves: frozen, nothing is read or written; thawed, all continues.
+/// Guards data in transit while a socket is transferred: frozen, it neither reads nor writes; thawed, it
+/// continues.
 #[tokio::test(start_paused = true)]
 async fn a_frozen_socket_neither_reads_nor_writes_and_continues_where_it_stood() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
