--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -470,7 +470,7 @@
             ready,
             predecessor,
             handover_path,
-            fleet: None,
+            membership: None,
             list_sharing: None,
         };
         let serving = platform::serve(config, listener, dependencies);
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -27,7 +27,11 @@
 async fn silent_connections_are_evicted_before_those_that_write() {
     let now = Instant::now() + Duration::from_secs(9);
     let ago = |ms| now - Duration::from_millis(ms);
-    let idle = |has_begun, is_answered, ms| IdleState { has_begun, is_answered, since: ago(ms) };
+    let idle = |has_partial_message, was_answered, ms| IdleState {
+        has_partial_message,
+        was_answered,
+        last_activity: ago(ms),
+    };
     let in_order = [
         idle(false, false, 2000),
         idle(false, false, 300),
@@ -87,19 +91,19 @@
         );
         drop((clients, bodies));
         assert!(timeout(Duration::ZERO, last.as_mut()).await.is_ok());
-        new.update_peer_usage(old.held_resources());
+        new.update_other_process_usage(old.held_resources());
         let increased = new.allocation();
         assert!(
             increased.clients > allocated.clients && increased.clients < all.clients,
             "the other process still holds some"
         );
-        new.update_peer_usage(held); // an allocation never shrinks
-        new.update_peer_usage(HeldResources::default());
+        new.update_other_process_usage(held); // an allocation never shrinks
+        new.update_other_process_usage(HeldResources::default());
         assert_eq!(new.allocation(), all);
-        assert_eq!(new.client_slots.taken() + new.worker_connections(), 0);
+        assert_eq!(new.client_slots.in_use() + new.worker_connections(), 0);
         let _all = acquire_busy(&new.client_slots, all.clients).await;
         assert_eq!(
-            (new.client_slots.taken(), new.body_memory_kib.available_permits()),
+            (new.client_slots.in_use(), new.body_memory_kib.available_permits()),
             (all.clients, all.bodies_kib)
         );
     }
@@ -111,19 +115,20 @@
 fn pauses_grow_with_the_fleet_size_and_with_each_rejection() {
     let fleet = |n: u32| (0..u64::from(n)).map(move |seed| Backoff::new(n, true, seed));
     for n in [1, 4, 100, 300] {
-        let calls: f64 = fleet(n).map(|mut backoff| 1.0 / backoff.rejected().as_secs_f64()).sum();
+        let calls: f64 =
+            fleet(n).map(|mut backoff| 1.0 / backoff.pause_after_rejection().as_secs_f64()).sum();
         assert!(calls < 150.0, "{n} nodes make {calls} calls a second");
     }
-    let firsts: BTreeSet<_> = fleet(100).map(|mut backoff| backoff.rejected()).collect();
+    let firsts: BTreeSet<_> = fleet(100).map(|mut backoff| backoff.pause_after_rejection()).collect();
     assert!(firsts.len() > 90, "pauses differ between nodes");
     let mut backoff = Backoff::new(100, true, 7);
     let mut last = Duration::ZERO;
     for _ in 0..10 {
-        last = backoff.rejected();
+        last = backoff.pause_after_rejection();
     }
     assert!(last >= PAUSE_MAX / 2 && last <= PAUSE_MAX);
     backoff.reset();
-    assert!(backoff.rejected() <= PAUSE_MIN / 4 * 100, "an answer resets the backoff");
+    assert!(backoff.pause_after_rejection() <= PAUSE_MIN / 4 * 100, "an answer resets the backoff");
 }
 
 #[tokio::test(start_paused = true)]
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -2,9 +2,9 @@
 //! bytes written to a worker, and sockets that are transferred to another process.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
-use molevale::platform::counted_writes::{CountingStream, RequestProgress, SharedProgress};
 use molevale::platform::framing::{Framing, MessageBoundaries};
 use molevale::platform::monitored_stream::{MonitoredStream, MESSAGE_TIMEOUT};
+use molevale::platform::request_progress::{CountingStream, RequestProgress, SharedProgress};
 use molevale::platform::socket::Socket;
 use quickcheck::{Gen, QuickCheck};
 use std::io;
@@ -62,14 +62,14 @@
 fn message(kind: u8, length: u8) -> (String, Framing) {
     let (length, body) = (usize::from(length), "\r\n\r".repeat(100)[..usize::from(length)].to_string());
     let (fields, framing) = match kind % 8 {
-        0 => ("Transfer-Encoding: chunked\r\n".to_string(), Framing::Chunks),
-        1 => (format!("content-length: {length}\r\ntransfer-encoding:chunked\r\n"), Framing::Both),
-        2 => (format!("TRANSFER-ENCODING: chunked\nContent-Length:{length}\n"), Framing::Both),
+        0 => ("Transfer-Encoding: chunked\r\n".to_string(), Framing::Chunked),
+        1 => (format!("content-length: {length}\r\ntransfer-encoding:chunked\r\n"), Framing::Conflicting),
+        2 => (format!("TRANSFER-ENCODING: chunked\nContent-Length:{length}\n"), Framing::Conflicting),
         3 => {
             let long = "x".repeat(200);
-            return (format!("GET /up HTTP/1.1\r\nX-Long: {long}\r\n\r\n"), Framing::Length);
+            return (format!("GET /up HTTP/1.1\r\nX-Long: {long}\r\n\r\n"), Framing::ContentLength);
         }
-        _ => (format!("Host: x\r\nContent-Length:  {length} \r\n"), Framing::Length),
+        _ => (format!("Host: x\r\nContent-Length:  {length} \r\n"), Framing::ContentLength),
     };
     (format!("POST /transfer-encoding: HTTP/1.1\r\n{fields}\r\n{body}"), framing)
 }
@@ -83,15 +83,15 @@
             let (text, framing) = message(kind, length);
             bytes.extend_from_slice(text.as_bytes());
             want.push(framing);
-            if framing != Framing::Length {
+            if framing != Framing::ContentLength {
                 break;
             }
         }
         let mut boundaries = MessageBoundaries::default();
         in_parts(&bytes, &cuts, |part, _| boundaries.read(part));
         let is_framed = want.iter().enumerate().all(|(i, f)| boundaries.framing(i as u64 + 1) == *f);
-        let is_at_end = boundaries.has_ended() || boundaries.is_between_messages();
-        is_framed && boundaries.heads() == want.len() as u64 && is_at_end
+        let is_at_end = boundaries.is_tracking_finished() || boundaries.is_between_messages();
+        is_framed && boundaries.head_count() == want.len() as u64 && is_at_end
     }
     seeded_quickcheck(30, 11).quickcheck(property as fn(Vec<(u8, u8)>, Vec<u8>) -> bool);
 }
@@ -118,7 +118,7 @@
 async fn a_request_that_another_process_wrote_is_not_written_again() {
     let (socket, mut peer) = duplex(64);
     let progress = SharedProgress::default();
-    let mut stream = CountingStream::already_written(socket, progress.clone(), 4);
+    let mut stream = CountingStream::with_request_written(socket, progress.clone(), 4);
     peer.write_all(b"said").await.unwrap();
     stream.write_all(b"POST / HTTP/1.1\r\n\r\nbo").await.unwrap();
     let mut four = [0; 4];
