--- a/node/tests/client_disconnects_in_handover.rs
+++ b/node/tests/client_disconnects_in_handover.rs
@@ -137,18 +137,18 @@
             panic!("no predecessor is serving")
         };
         let (_, predecessor_link) = predecessor.take_over().await;
-        let (tell_offered, mut offered) = unbounded_channel();
+        let (offer, mut offered) = unbounded_channel();
         let (decide, decided) = mpsc::channel::<()>();
         let adopt = move |_: &str, _| {
-            tell_offered.send(()).unwrap();
+            offer.send(()).unwrap();
             decided.recv().unwrap();
             false
         };
         let runtime = tokio::runtime::Handle::current();
         // On a thread of its own, so that it can hold back its decision while the clock advances here.
-        let other = std::thread::spawn(move || {
-            let follow = predecessor_link.run(|_| {}, adopt);
-            let _ = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(60), follow).await });
+        let successor = std::thread::spawn(move || {
+            let run = predecessor_link.run(|_| {}, adopt);
+            let _ = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(60), run).await });
         });
         offered.recv().await.unwrap();
         let _half_closed = leave(client, departure).await;
@@ -175,7 +175,7 @@
         );
         drop(workers);
         advance(Duration::from_secs(60)).await;
-        other.join().unwrap();
+        successor.join().unwrap();
         std::fs::remove_file(handover_path).unwrap();
     }
 }
@@ -186,11 +186,16 @@
     for departure in DEPARTURES {
         for steps in (0..60).step_by(3) {
             let setup = HandoverSetup::start(&format!("over-{departure:?}-{steps}")).await;
-            let found = setup.find_predecessor().await;
+            let predecessor = setup.find_predecessor().await;
             let HandoverSetup { handover_path, old, client, received, workers } = setup;
-            let new =
-                PlatformNode::start_with_handover(Some(handover_path.clone()), vec![], 256, 32, Some(found))
-                    .await;
+            let new = PlatformNode::start_with_handover(
+                Some(handover_path.clone()),
+                vec![],
+                256,
+                32,
+                Some(predecessor),
+            )
+            .await;
             for _ in 0..steps {
                 yield_now().await;
             }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -46,14 +46,14 @@
 /// dropped. Only what a test advances passes, so no verdict depends on the machine's speed. A test that hangs
 /// ends the run.
 pub fn freeze_clock() -> std::sync::mpsc::Sender<()> {
-    let (hold, held) = std::sync::mpsc::channel();
+    let (guard, is_dropped) = std::sync::mpsc::channel();
     tokio::task::spawn_blocking(move || {
-        if let Err(RecvTimeoutError::Timeout) = held.recv_timeout(HANG_TIMEOUT) {
+        if let Err(RecvTimeoutError::Timeout) = is_dropped.recv_timeout(HANG_TIMEOUT) {
             eprintln!("a test hangs: what it waits for did not happen in {HANG_TIMEOUT:?}");
             std::process::exit(101);
         }
     });
-    hold
+    guard
 }
 
 /// Lets every ready task run once. Unlike `yield_now`, it does not poll sockets.
--- a/node/tests/dispatcher.rs
+++ b/node/tests/dispatcher.rs
@@ -77,10 +77,10 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         use Outcome::*;
-        let ends = [Success, Success, Success, Error, Rejected, ConnectionLost, ConnectFailed];
+        let outcomes = [Success, Success, Success, Error, Rejected, ConnectionLost, ConnectFailed];
         match u8::arbitrary(g) % 10 {
             0..=3 => Step::Accept(bool::arbitrary(g)),
-            4..=6 => Step::EndAttempt(u8::arbitrary(g), *g.choose(&ends).unwrap()),
+            4..=6 => Step::EndAttempt(u8::arbitrary(g), *g.choose(&outcomes).unwrap()),
             7 if bool::arbitrary(g) => Step::ClientLeft(u8::arbitrary(g)),
             7 => Step::Transfer(u8::arbitrary(g)),
             8 => Step::UpdateList(bool::arbitrary(g), bool::arbitrary(g)),
@@ -118,11 +118,11 @@
         Dispatcher::new(settings, 7, RecordingFrontend(record.clone()), counters.clone()).unwrap();
     let task = tokio::spawn(dispatcher.run(inbox));
     handle.update_endpoints(vec![endpoint(1, Availability::Ready), endpoint(2, Availability::Ready)], true);
-    let (mut requests, mut left) = (Vec::new(), 0);
+    let (mut requests, mut clients_left) = (Vec::new(), 0);
     for step in steps {
         match step {
-            Step::Accept(lodge) => {
-                let class = usize::from(lodge);
+            Step::Accept(is_lodge) => {
+                let class = usize::from(is_lodge);
                 let request = Request { class, time_left_us: 5_000_000, ..Request::default() };
                 requests.push(handle.submit(request, requests.len() as u64));
             }
@@ -140,7 +140,7 @@
                 // leave.
                 if !record.lock().unwrap().answers.contains_key(&(request_id as u64)) {
                     handle.client_left(requests[request_id]);
-                    left += 1;
+                    clients_left += 1;
                     settle(&handle, &record).await;
                     record.lock().unwrap().answers.entry(request_id as u64).or_insert(Answer::Failed);
                 }
@@ -158,12 +158,12 @@
                     record.answers.insert(request_id.unwrap(), Answer::Failed);
                 }
             }
-            Step::UpdateList(second, drains) => {
+            Step::UpdateList(second, is_draining) => {
                 let worker = 1 + u64::from(second);
-                let state = if drains { Availability::Draining } else { Availability::Ready };
+                let state = if is_draining { Availability::Draining } else { Availability::Ready };
                 handle.update_endpoints(vec![endpoint(worker, state)], false);
                 let mut record = record.lock().unwrap();
-                if drains {
+                if is_draining {
                     record.draining.entry(WorkerId(worker)).or_insert_with(Instant::now);
                 } else {
                     record.draining.remove(&WorkerId(worker));
@@ -185,7 +185,7 @@
         c.requests_accepted.get(),
         c.served.get() + c.shed.get() + c.failed.get() + c.client_left.get() + c.transferred_out.get()
     );
-    assert_eq!(c.client_left.get(), left);
+    assert_eq!(c.client_left.get(), clients_left);
     assert!(!task.is_finished(), "the dispatcher has ended");
 }
 
--- a/node/tests/limits.rs
+++ b/node/tests/limits.rs
@@ -145,11 +145,11 @@
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
-    let mut beyond = Client::connect(&node).await;
-    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    assert_eq!(got.status, 503);
-    assert!(got.head.to_lowercase().contains("retry-after"));
-    assert!(beyond.read_answer().await.is_none(), "and closed");
+    let mut refused_client = Client::connect(&node).await;
+    let answer = refused_client.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    assert_eq!(answer.status, 503);
+    assert!(answer.head.to_lowercase().contains("retry-after"));
+    assert!(refused_client.read_answer().await.is_none(), "and closed");
     assert_eq!((node.counters.rejected_early.get(), node.counters.requests_accepted.get()), (1, 4));
     // Released capacity is available again.
     clients.clear();
@@ -175,10 +175,10 @@
     while node.counters.requests_accepted.get() < 4 {
         tokio::task::yield_now().await;
     }
-    let mut beyond = Client::connect(&node).await;
-    let got = beyond.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    assert_eq!((got.status, node.counters.requests_accepted.get()), (503, 4));
-    assert!(got.head.to_lowercase().contains("retry-after"));
+    let mut refused_client = Client::connect(&node).await;
+    let answer = refused_client.exchange(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    assert_eq!((answer.status, node.counters.requests_accepted.get()), (503, 4));
+    assert!(answer.head.to_lowercase().contains("retry-after"));
     let mut small = Client::connect(&node).await;
     small.send_after_pause(&request("check", "9b1f03aa5c7e2d46", 60.0, "")).await;
     while node.counters.requests_accepted.get() < 5 {
--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -37,7 +37,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn calls_report_and_change_the_phase_and_unknown_ones_are_rejected() {
-    let _time = common::freeze_clock();
+    let _frozen_clock = common::freeze_clock();
     let (at, phases, ready) = start_management().await;
     assert_eq!(call(at, "GET", "/healthcheck").await, 503, "not ready to serve yet");
     ready.send_replace(true);
@@ -69,7 +69,7 @@
 /// disconnected.
 #[tokio::test(start_paused = true)]
 async fn silent_callers_delay_no_other_call_and_are_closed() {
-    let _time = common::freeze_clock();
+    let _frozen_clock = common::freeze_clock();
     let (at, _phases, ready) = start_management().await;
     ready.send_replace(true);
     let mut silent = Vec::new();
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -215,17 +215,17 @@
     let (settings, names) = parse_settings(&newer).unwrap();
     node.effective_settings
         .send_modify(|running| *running = running.merged_with(&EffectiveSettings { settings, names }));
-    let mut fresh = Client::connect(&node).await;
-    assert_eq!(fresh.exchange(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await.status, 400);
-    let mut fresh = Client::connect(&node).await;
-    fresh.send_after_pause(&request("audit", "9b1f03aa5c7e2d43", 60.0, "")).await;
+    let mut new_client = Client::connect(&node).await;
+    assert_eq!(new_client.exchange(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await.status, 400);
+    let mut new_client = Client::connect(&node).await;
+    new_client.send_after_pause(&request("audit", "9b1f03aa5c7e2d43", 60.0, "")).await;
     let mut audit = worker.receive_request().await;
     for received in [&mut open, &mut audit] {
         received.begin_response().await;
         // The response is not ended, so its connection is not reused.
         received.send_update(json!({"state": "failed"})).await;
     }
-    assert_eq!(fresh.read_answer().await.unwrap().status, 502, "unsafe: it may have been executed");
+    assert_eq!(new_client.read_answer().await.unwrap().status, 502, "unsafe: it may have been executed");
     let next_attempt = worker.receive_request();
     tokio::pin!(next_attempt);
     let mut retry = loop {
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -111,7 +111,7 @@
     assert_eq!(idle.exchange(UP).await.status, 200);
     client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
     let mut before = worker.receive_request().await;
-    let mut fresh = Client::connect(&node).await;
+    let mut new_client = Client::connect(&node).await;
     while node.counters.connections_accepted.get() < 3 {
         tokio::task::yield_now().await;
     }
@@ -120,9 +120,9 @@
     let mut late = Client::connect(&node).await;
     assert_eq!(late.exchange(UP).await.status, 503, "the listener stays open, and the health check fails");
     assert!(late.read_answer().await.is_none(), "the connection is closed");
-    fresh.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
+    new_client.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
     let mut after = worker.receive_request().await;
-    for (received, client, result) in [(&mut before, &mut client, "a"), (&mut after, &mut fresh, "b")] {
+    for (received, client, result) in [(&mut before, &mut client, "a"), (&mut after, &mut new_client, "b")] {
         received.complete(result).await;
         let answer = client.read_answer().await.unwrap();
         assert_eq!((answer.status, answer.body.as_str()), (200, result));
--- a/node/tests/streams.rs
+++ b/node/tests/streams.rs
@@ -148,14 +148,14 @@
     assert!(timeout(HOUR, socket.read_exact(&mut four)).await.is_err());
     assert!(timeout(HOUR, socket.write_all(b"pong")).await.is_err());
     assert!(timeout(HOUR, socket.shutdown()).await.is_err());
-    let reads = tokio::spawn(async move {
+    let reader = tokio::spawn(async move {
         socket.read_exact(&mut four).await.unwrap();
         socket.write_all(b"pong").await.unwrap();
         four
     });
     tokio::task::yield_now().await;
     socket_handle.thaw();
-    assert_eq!(&reads.await.unwrap(), b"ping");
+    assert_eq!(&reader.await.unwrap(), b"ping");
     peer.read_exact(&mut four).await.unwrap();
     assert_eq!(&four, b"pong");
 }
