--- a/node/tests/management.rs
+++ b/node/tests/management.rs
@@ -114,8 +114,7 @@
 
 async fn run_steps(steps: Vec<Step>) {
     let phases = Phases::default();
-    let (mut draining, mut handed_over, mut previous_phase, mut stopped) =
-        (false, false, None, None::<Instant>);
+    let (mut draining, mut handed_over, mut previous, mut stopped) = (false, false, None, None::<Instant>);
     for step in steps {
         let is_closing = stopped.is_some_and(|at| at.elapsed().as_millis() >= 720);
         match step {
@@ -138,35 +137,28 @@
                 stopped =
                     if handed_over { Some(now - Duration::from_secs(1)) } else { stopped.or(Some(now)) };
             }
-            Step::HandOver if previous_phase.is_none() => {
-                (previous_phase, handed_over) = (Some(phases.hand_over()), !is_closing);
+            Step::HandOver if previous.is_none() => {
+                (previous, handed_over) = (Some(phases.hand_over()), !is_closing);
             }
             Step::HandOver => {}
             Step::UndoHandOver => {
-                previous_phase
-                    .take()
-                    .into_iter()
-                    .for_each(|previous_phase| phases.undo_hand_over(previous_phase));
+                previous.take().into_iter().for_each(|phase| phases.undo_hand_over(phase));
                 handed_over = false;
             }
             Step::Wait(n) => tokio::time::sleep(Duration::from_millis(u64::from(n) * 4)).await,
         }
-        let (phase, stopped_for_ms) =
-            (*phases.subscribe().borrow(), stopped.map(|at| at.elapsed().as_millis()));
-        if stopped_for_ms > Some(722) {
+        let (phase, elapsed) = (*phases.subscribe().borrow(), stopped.map(|at| at.elapsed().as_millis()));
+        if elapsed > Some(722) {
             handed_over = false; // a closing process does not resume; a timer may be a little late
         }
-        assert!(phase == Phase::Closing || stopped_for_ms <= Some(722));
-        assert_eq!(phase.is_serving(), !draining && !handed_over && stopped_for_ms.is_none());
+        assert!(phase == Phase::Closing || elapsed <= Some(722));
+        assert_eq!(phase.is_serving(), !draining && !handed_over && elapsed.is_none());
         assert_eq!(
             phase.accepts_connections(),
-            !handed_over && stopped_for_ms.is_none_or(|stopped_for_ms| stopped_for_ms < 720),
-            "{phase:?} {stopped_for_ms:?}"
-        );
-        assert_eq!(
-            phase.closes_connections(),
-            !phase.accepts_connections() || stopped_for_ms.is_none() && draining
+            !handed_over && elapsed.is_none_or(|elapsed| elapsed < 720),
+            "{phase:?} {elapsed:?}"
         );
+        assert_eq!(phase.closes_connections(), !phase.accepts_connections() || elapsed.is_none() && draining);
     }
 }
 
