--- a/node/tests/discovery_recovery.rs
+++ b/node/tests/discovery_recovery.rs
@@ -263,7 +263,7 @@
             }
             self.calls.fetch_add(1, Ordering::Relaxed);
             let (status, body) = match timeout(self.pace.queue_timeout, self.processing.acquire()).await {
-                Ok(_turn) => {
+                Ok(_permit) => {
                     sleep(self.pace.processing_time).await;
                     ("200 OK", self.list.as_str())
                 }
--- a/node/tests/endpoint_list_faults.rs
+++ b/node/tests/endpoint_list_faults.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Guards drains against growing pauses: where lists are pushed, a change takes effect soon after the agent
-/// has it, even if the agent rejected calls before.
+/// Guards drains against growing pauses: where lists are pushed, a change counts as announced as soon as the
+/// agent has it, also after calls that it rejected.
 #[tokio::test(start_paused = true)]
 async fn pushed_discovery_is_polled_soon_after_a_rejection() {
     let (_worker, mut node, _client) = common::start_node_with_worker().await;
