--- a/node/src/coordination/client_host.rs
+++ b/node/src/coordination/client_host.rs
@@ -1,4 +1,4 @@
-//! Actions of the client: requests to voters, and leases acquired and lost.
+//! Execution of the client's actions: requests to voters, and leases that were acquired or lost.
 
 use super::clock::boottime;
 use super::message::NodeMessage;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Task {
-    /// Carries out the actions of the client.
+    /// Executes the client's actions.
     pub(super) fn drive_client(&mut self) {
         while let Some(action) = self.client.next_action() {
             match action {
@@ -53,7 +53,7 @@
 
     pub(super) fn send(&self, to: SocketAddr, message: &NodeMessage) {
         match postcard::to_stdvec(message) {
-            Ok(bytes) => self.dependencies.fleet.send_message(to, bytes),
+            Ok(bytes) => self.dependencies.membership.send_message(to, bytes),
             Err(error) => {
                 log::error!(event = "message_not_encoded", to:% = to, error:% = error;
                     "message can't be encoded");
