--- a/node/tests/program.rs
+++ b/node/tests/program.rs
@@ -72,9 +72,9 @@
     let key = "current 00112233445566778899aabbccddeeff\n";
     for (more, keys, said) in [
         ("nodes = 3\n", key, "fleet.toml: line 4: unknown field"),
-        ("seeds = [\n\"here\"]\n", key, "fleet.toml: line 5: an address"),
-        ("[timing]\nprobe_ms = 1\n", key, "fleet.toml: line 5: 100 to"),
-        ("", "# none\nprevious 00\n", "fleet.key: line 2: a key is"),
+        ("seeds = [\n\"here\"]\n", key, "fleet.toml: line 5: expected an IP address and a port"),
+        ("[timing]\nprobe_ms = 1\n", key, "fleet.toml: line 5: expected a value from 100 to"),
+        ("", "# none\nprevious 00\n", "fleet.key: line 2: expected a key of 16 to 64 bytes"),
         ("key_file = \"other\"\n", key, "fleet.toml: line 4: duplicate key"),
         ("listen = ", key, "fleet.toml: line 4: "),
     ] {
