--- /dev/null
+++ b/node/tests/process_handover.rs
@@ -0,0 +1,256 @@
+//! Process handover: predecessor and successor run in one process here, connected by a Unix socket.
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
+
+mod common;
+
+use common::{request, Client, PlatformNode, Worker};
+use molevale::phase::Phase;
+use molevale::platform::listen;
+use molevale::process_handover::{Predecessor, PredecessorLookup};
+use serde_json::json;
+use std::path::{Path, PathBuf};
+use tokio::net::{TcpListener, UnixListener};
+use tokio::task::yield_now;
+use tokio::time::{advance, Duration};
+
+const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+
+fn handover_path(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("molevale-test-{}-{name}", std::process::id()))
+}
+
+/// Looks up the serving process; returns its listener and the connection to it.
+async fn look_up(path: &Path) -> Option<(TcpListener, Predecessor)> {
+    match Predecessor::look_up(path).await {
+        PredecessorLookup::Serving(listener, predecessor) => Some((listener, predecessor)),
+        PredecessorLookup::Unresponsive | PredecessorLookup::Absent => None,
+    }
+}
+
+async fn start_predecessor(path: &Path) -> (Worker, PlatformNode) {
+    let worker = Worker::start().await;
+    let known = vec![worker.list_entry("s-1", "in_service")];
+    let predecessor = PlatformNode::start_with_handover(Some(path.to_path_buf()), known, 256, 32, None).await;
+    while !path.exists() {
+        yield_now().await;
+    }
+    (worker, predecessor)
+}
+
+/// Guards clients during an upgrade: no connection is refused or reset, open requests are answered, new ones go to the
+/// successor, which knows the workers, and the predecessor exits by itself.
+#[tokio::test(start_paused = true)]
+async fn a_successor_takes_over_and_open_requests_are_answered() {
+    let path = handover_path("over");
+    let (worker, predecessor) = start_predecessor(&path).await;
+    let mut idle = Client::connect(&predecessor).await;
+    assert_eq!(idle.exchange(UP).await.status, 200);
+    let mut busy = Client::connect(&predecessor).await;
+    let text = request("lodge", "9b1f03aa5c7e2d41", 60.0, "");
+    busy.send_after_pause(&text).await;
+    let mut transferred = worker.receive_request().await;
+    transferred.begin_response().await;
+    transferred.send_update(json!({"state": "started"})).await;
+    while predecessor.counters.acknowledged.get() < 1 {
+        yield_now().await;
+    }
+    transferred.write("38\r\n{\"id\":\"9b1f03aa").await; // the first part of a line, which spans the handover
+    let lookup = look_up(&path).await.expect("the predecessor answers");
+    assert!(
+        predecessor.phases.subscribe().borrow().is_serving(),
+        "the predecessor serves until the successor does"
+    );
+    let successor =
+        PlatformNode::start_with_handover(Some(path.clone()), vec![], 256, 32, Some(lookup)).await;
+    assert_eq!(successor.address, predecessor.address);
+    assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
+    let mut late = Client::connect(&predecessor).await;
+    late.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
+    let mut received = worker.receive_request().await; // only the predecessor told the successor of this worker
+    assert_eq!(
+        (successor.counters.requests_accepted.get(), predecessor.counters.requests_accepted.get()),
+        (1, 1)
+    );
+    received.begin_response().await;
+    let mut duplicate = Client::connect(&predecessor).await;
+    assert_eq!(duplicate.exchange(&text).await.status, 409, "the id is open in the predecessor");
+    transferred.write("5c7e2d41\",\"state\":\"running\",\"share\":0.5}\n\r\n").await;
+    for (received, client, result) in [(&mut transferred, &mut busy, "a"), (&mut received, &mut late, "b")] {
+        received.send_update(json!({"state": "done", "result": result})).await;
+        assert_eq!(client.read_answer().await.unwrap().body, result);
+    }
+    assert_eq!(
+        (predecessor.counters.transferred_out.get(), successor.counters.transferred_in.get()),
+        (1, 1),
+        "the job was transferred to the successor"
+    );
+    assert_eq!(
+        (predecessor.counters.attempts_sent.get(), successor.counters.attempts_sent.get()),
+        (1, 1),
+        "no attempt was sent again"
+    );
+    assert_eq!(busy.exchange(UP).await.status, 200, "the connection was transferred to the successor");
+    advance(Duration::from_secs(5)).await;
+    assert_eq!(predecessor.task.await.unwrap(), Ok(()), "the predecessor has exited");
+    assert_eq!(late.exchange(UP).await.status, 200);
+    // The socket belongs to the successor now.
+    assert!(look_up(&path).await.is_some());
+    std::fs::remove_file(path).unwrap();
+}
+
+/// Guards the node against a successor that fails before or after it takes over.
+#[tokio::test(start_paused = true)]
+async fn the_predecessor_continues_to_serve_if_the_successor_fails() {
+    let path = handover_path("fails");
+    let (worker, predecessor) = start_predecessor(&path).await;
+    drop(look_up(&path).await.expect("the predecessor answers"));
+    assert_eq!(Client::connect(&predecessor).await.exchange(UP).await.status, 200);
+    let (listener, link) = look_up(&path).await.expect("the predecessor answers again");
+    let (held, remaining) = link.take_over().await;
+    assert!(held.descriptors > 0);
+    let mut phase = predecessor.phases.subscribe();
+    assert_eq!(*phase.borrow(), Phase::HandedOver);
+    let mut client = Client::connect(&predecessor).await;
+    client.send_after_pause(&request("check", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    drop((listener, remaining));
+    phase.wait_for(|p| *p == Phase::Serving).await.unwrap();
+    worker.receive_request().await.complete("r").await; // the request that waited in the backlog is not lost
+    assert_eq!(client.read_answer().await.unwrap().body, "r");
+    std::fs::remove_file(path).unwrap();
+}
+
+/// A running job that the successor does not adopt is completed by the predecessor.
+#[tokio::test(start_paused = true)]
+async fn a_job_that_is_not_adopted_is_answered_by_the_predecessor() {
+    let path = handover_path("stays");
+    let (worker, predecessor) = start_predecessor(&path).await;
+    let mut client = Client::connect(&predecessor).await;
+    client.send_after_pause(&request("lodge", "9b1f03aa5c7e2d41", 60.0, "")).await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
+    while predecessor.counters.acknowledged.get() < 1 {
+        yield_now().await;
+    }
+    let (_listener, link) = look_up(&path).await.unwrap();
+    let (_, remaining) = link.take_over().await;
+    let (offers, mut received_offers) = tokio::sync::mpsc::unbounded_channel();
+    let adopt = move |text: &str, _| {
+        offers.send(text.to_string()).unwrap();
+        false
+    };
+    let task = tokio::spawn(remaining.run(|_| {}, adopt));
+    assert!(received_offers.recv().await.unwrap().contains("9b1f03aa5c7e2d41"));
+    received.send_update(json!({"state": "done", "result": "r"})).await;
+    let answer = client.read_answer().await.unwrap();
+    assert_eq!(
+        (answer.status, answer.body.as_str(), predecessor.counters.transferred_out.get()),
+        (200, "r", 0)
+    );
+    task.abort();
+    std::fs::remove_file(path).unwrap();
+}
+
+/// Guards the start of a process whose predecessor has exited or hangs.
+#[tokio::test(start_paused = true)]
+async fn a_stale_socket_file_or_a_hung_predecessor_does_not_block_a_start() {
+    let path = handover_path("stale");
+    drop(UnixListener::bind(&path).unwrap());
+    assert!(path.exists() && look_up(&path).await.is_none());
+    let (worker, node) = start_predecessor(&path).await; // its socket file replaces the stale one
+    while look_up(&path).await.is_none() {
+        yield_now().await;
+    }
+    drop((worker, node));
+    std::fs::remove_file(&path).unwrap();
+    let _unresponsive = UnixListener::bind(&path).unwrap();
+    let lookup = tokio::spawn({
+        let path = path.clone();
+        async move { matches!(Predecessor::look_up(&path).await, PredecessorLookup::Unresponsive) }
+    });
+    for _ in 0..11 {
+        yield_now().await;
+        advance(Duration::from_millis(100)).await;
+    }
+    assert!(lookup.await.unwrap());
+    std::fs::remove_file(path).unwrap();
+}
+
+/// An address in use is shared only beside a hung process of the same node.
+#[tokio::test]
+async fn an_address_is_shared_only_if_requested() {
+    let first = listen("127.0.0.1:0".parse().unwrap(), false).unwrap();
+    let address = first.local_addr().unwrap();
+    assert!(listen(address, false).is_err());
+    assert!(listen(address, true).is_ok());
+}
+
+/// The successor's connection to its predecessor, on which a byte with descriptors or a line is received.
+struct Link(tokio::net::UnixStream);
+
+impl Link {
+    async fn receive_descriptors(&self) {
+        use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvFlags};
+        let receive = || {
+            let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+            let mut control = RecvAncillaryBuffer::new(&mut space);
+            let mut byte = [0];
+            let mut parts = [std::io::IoSliceMut::new(&mut byte)];
+            Ok(recvmsg(&self.0, &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC).map(drop)?)
+        };
+        self.0.async_io(tokio::io::Interest::READABLE, receive).await.unwrap();
+    }
+
+    async fn read_line(&mut self) -> String {
+        use tokio::io::AsyncReadExt;
+        let mut line = Vec::new();
+        while line.last() != Some(&b'\n') {
+            line.push(self.0.read_u8().await.unwrap());
+        }
+        String::from_utf8(line).unwrap()
+    }
+
+    async fn send_text(&mut self, text: &str) {
+        use tokio::io::AsyncWriteExt;
+        self.0.write_all(text.as_bytes()).await.unwrap();
+    }
+}
+
+/// Jobs are transferred one after another: the remaining wait of a client is that at the transfer of its own job, not of
+/// the first one.
+#[tokio::test(start_paused = true)]
+async fn the_time_spent_on_the_handover_is_subtracted_from_each_jobs_remaining_wait() {
+    let path = handover_path("late");
+    let (worker, predecessor) = start_predecessor(&path).await;
+    let mut clients = Vec::new();
+    let mut received = Vec::new();
+    for n in 0..2 {
+        let mut client = Client::connect(&predecessor).await;
+        client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "")).await;
+        let mut request_at_worker = worker.receive_request().await;
+        request_at_worker.begin_response().await;
+        clients.push(client);
+        received.push(request_at_worker);
+    }
+    while predecessor.counters.acknowledged.get() < 2 {
+        yield_now().await;
+    }
+    let mut link = Link(tokio::net::UnixStream::connect(&path).await.unwrap());
+    link.receive_descriptors().await;
+    link.read_line().await;
+    link.send_text("serving\n").await;
+    link.read_line().await;
+    link.send_text("ready\n").await;
+    let remaining_wait = |text: &str| {
+        let job: serde_json::Value = serde_json::from_str(text).unwrap();
+        let nanos = job["left"]["nanos"].as_u64().unwrap();
+        Duration::new(job["left"]["secs"].as_u64().unwrap(), nanos as u32)
+    };
+    link.receive_descriptors().await;
+    let first = remaining_wait(&link.read_line().await);
+    advance(Duration::from_millis(600)).await;
+    link.send_text("no\n").await;
+    link.receive_descriptors().await;
+    let second = remaining_wait(&link.read_line().await);
+    assert!(second <= Duration::from_millis(59_400), "{first:?} left, then {second:?} after 0.6 s");
+    link.send_text("no\n").await;
+}
