--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -1,4 +1,4 @@
-//! The Faktory front, with stand-in clients and workers.
+//! The Faktory frontend, with stand-ins for clients and workers.
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
@@ -33,7 +33,7 @@
     assert_eq!(client.job_state("job-00001").await, "working");
     assert_eq!(worker.ack("job-00001").await, "+OK");
     assert_eq!(client.job_state("job-00001").await, "served");
-    assert!(worker.ack("job-00001").await.starts_with("-ERR"), "a second ACK is stale");
+    assert!(worker.ack("job-00001").await.starts_with("-ERR"), "a second ACK is rejected");
     assert_eq!(
         (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
         (1, 1, 1)
@@ -73,31 +73,31 @@
 async fn waiting_fetch_of_a_draining_worker_ends_without_a_job() {
     let (node, _, _phase) = start_faktory(None);
     let mut client = FaktoryConnection::connect_client(&node).await;
-    let (mut waits, mut beats) = (
+    let (mut fetching, mut reporting) = (
         FaktoryConnection::connect_worker(&node, "w1").await,
         FaktoryConnection::connect_worker(&node, "w1").await,
     );
-    waits.send_line("FETCH lodge").await;
-    beats.send_command("BEAT {\"wid\":\"w1\",\"current_state\":\"terminate\"}").await;
-    assert_eq!(waits.read_reply().await, "$-1");
+    fetching.send_line("FETCH lodge").await;
+    reporting.send_command("BEAT {\"wid\":\"w1\",\"current_state\":\"terminate\"}").await;
+    assert_eq!(fetching.read_reply().await, "$-1");
     client.push("lodge", "job-00001", "a").await;
-    assert_eq!(waits.fetch().await, None);
+    assert_eq!(fetching.fetch().await, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn closed_connection_with_a_waiting_fetch_takes_no_job() {
     let (node, counters, _phase) = start_faktory(None);
     let mut client = FaktoryConnection::connect_client(&node).await;
-    let (mut goes, mut stays) = (
+    let (mut closing, mut remaining) = (
         FaktoryConnection::connect_worker(&node, "w1").await,
         FaktoryConnection::connect_worker(&node, "w1").await,
     );
-    goes.send_line("FETCH lodge").await;
-    drop(goes);
-    stays.send_line("FETCH lodge").await;
+    closing.send_line("FETCH lodge").await;
+    drop(closing);
+    remaining.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(stays.read_reply().await.contains("job-00001"));
-    assert_eq!(stays.ack("job-00001").await, "+OK");
+    assert!(remaining.read_reply().await.contains("job-00001"));
+    assert_eq!(remaining.ack("job-00001").await, "+OK");
     assert_eq!(
         (counters.attempts_sent.get(), counters.succeeded.get(), counters.connection_lost.get()),
         (1, 1, 0)
@@ -130,9 +130,9 @@
     );
     assert_eq!(again.push("lodge", "job-00002", "consignment").await, "+OK");
     let fetched = worker.fetch().await.unwrap();
-    assert_eq!(again.push("lodge", "job-00001", "consignment").await, "+OK", "while it runs");
+    assert_eq!(again.push("lodge", "job-00001", "consignment").await, "+OK", "while the job runs");
     assert_eq!(worker.ack(&fetched).await, "+OK");
-    assert_eq!(again.push("lodge", "job-00003", "consignment").await, "+OK", "after its end");
+    assert_eq!(again.push("lodge", "job-00003", "consignment").await, "+OK", "after the job has ended");
     assert_eq!(worker.fetch().await, None);
     for jid in ["job-00001", "job-00002", "job-00003"] {
         assert_eq!(again.job_state(jid).await, "served");
@@ -141,7 +141,7 @@
         (counters.requests_accepted.get(), counters.served.get(), counters.attempts_sent.get()),
         (1, 1, 1)
     );
-    // The record stays for the window and not for ever.
+    // The record is kept for the deduplication window only.
     advance(Duration::from_secs(61)).await;
     assert!(again.job_state("job-00001").await.starts_with("-ERR"));
 }
@@ -187,15 +187,15 @@
 async fn worker_keeps_its_leases_while_one_connection_remains() {
     let (node, counters, _phase) = start_faktory(None);
     let mut client = FaktoryConnection::connect_client(&node).await;
-    let (mut fetches, mut stays) = (
+    let (mut fetching, mut remaining) = (
         FaktoryConnection::connect_worker(&node, "w1").await,
         FaktoryConnection::connect_worker(&node, "w1").await,
     );
-    fetches.send_line("FETCH lodge").await;
+    fetching.send_line("FETCH lodge").await;
     client.push("lodge", "job-00001", "a").await;
-    assert!(fetches.read_reply().await.contains("job-00001"));
-    drop(fetches);
-    assert_eq!(stays.ack("job-00001").await, "+OK");
+    assert!(fetching.read_reply().await.contains("job-00001"));
+    drop(fetching);
+    assert_eq!(remaining.ack("job-00001").await, "+OK");
     assert_eq!((counters.connection_lost.get(), counters.succeeded.get()), (0, 1));
 }
 
@@ -216,16 +216,16 @@
         "+OK"
     );
     assert!(two.read_reply().await.contains("job-00001"));
-    assert!(one.ack("job-00001").await.starts_with("-ERR"), "its attempt is over");
+    assert!(one.ack("job-00001").await.starts_with("-ERR"), "its attempt has ended");
     assert_eq!(two.ack("job-00001").await, "+OK");
     assert_eq!(client.job_state("job-00001").await, "served");
     assert_eq!((counters.errors.get(), counters.succeeded.get(), counters.served.get()), (1, 1, 1));
 }
 
-/// A job that may have run waits for no FETCH that may come after its key's window.
+/// A job that may have been executed is not offered again if a FETCH could come only after its deduplication window.
 #[tokio::test(start_paused = true)]
 async fn failed_keyed_job_is_retried_only_within_its_window() {
-    for (failed_ms, again) in [(1_700, true), (1_800, false)] {
+    for (failed_ms, is_retried) in [(1_700, true), (1_800, false)] {
         let mut settings = common::settings(false, 6_000_000);
         settings["Profiles"][1]["RepeatWindowUs"] = 2_000_000.into();
         let (counters, phases) = (Arc::new(Counters::default()), Phases::default());
@@ -247,9 +247,9 @@
         let mut two = FaktoryConnection::connect_worker(&node, "two").await;
         sleep(Duration::from_millis(failed_ms)).await;
         one.send_command("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}").await;
-        sleep(Duration::from_millis(240)).await; // within which a job that was offered is given to a FETCH
-        assert_eq!(two.fetch().await.is_some(), again, "failed after {failed_ms} ms");
-        assert_eq!(counters.attempts_sent.get(), 1 + u64::from(again));
+        sleep(Duration::from_millis(240)).await; // time within which an offered job is given to a FETCH
+        assert_eq!(two.fetch().await.is_some(), is_retried, "failed after {failed_ms} ms");
+        assert_eq!(counters.attempts_sent.get(), 1 + u64::from(is_retried));
     }
 }
 
@@ -269,7 +269,7 @@
     let end = client.job_state("job-00001").await;
     assert!(end == "refused" || end == "failed", "{end}");
     assert!(worker.ack("job-00001").await.starts_with("-ERR"));
-    // It may have run: a repeat within the window joins it and is not sent out.
+    // It may have been executed: a duplicate within the window shares its end and is not sent.
     assert_eq!(client.push("lodge", "job-00002", "a").await, "+OK");
     assert_eq!(worker.fetch().await, None);
     assert_eq!(client.job_state("job-00002").await, end);
@@ -314,7 +314,7 @@
 #[tokio::test(start_paused = true)]
 async fn wrong_password_is_rejected() {
     let (node, _, _phase) = start_faktory(Some("secret"));
-    for (right, want) in [(true, "+OK"), (false, "-ERR invalid password")] {
+    for (is_correct, want) in [(true, "+OK"), (false, "-ERR invalid password")] {
         let (near, far) = tokio::io::duplex(4096);
         let node = node.clone();
         tokio::spawn(async move { node.serve_connection(far).await });
@@ -322,7 +322,7 @@
         let hi = peer.read_reply().await;
         let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
         let (salt, rounds) = (hi["s"].as_str().unwrap(), hi["i"].as_u64().unwrap());
-        let secret = if right { "secret" } else { "guess" };
+        let secret = if is_correct { "secret" } else { "guess" };
         let mut hash = <sha2::Sha256 as sha2::Digest>::digest(format!("{secret}{salt}"));
         for _ in 1..rounds {
             hash = <sha2::Sha256 as sha2::Digest>::digest(hash);
@@ -341,18 +341,18 @@
     sleep(Duration::from_secs(50)).await;
     assert_eq!(worker.fetch().await, None);
     sleep(Duration::from_secs(70)).await;
-    assert_eq!(worker.read_reply().await, "", "its session was ended");
+    assert_eq!(worker.read_reply().await, "", "the session has ended");
     let mut client = FaktoryConnection::connect_client(&node).await;
     assert!(client.send_command("INFO").await.contains("\"workers\":0"));
 }
 
-const MS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// On loopback: many jobs, repeats pushed on new connections, one answer for each and no double lodging.
+/// Over loopback sockets: every job is pushed twice on new connections, has one final state and is executed at most once.
 #[tokio::test(start_paused = true)]
 #[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
-async fn every_job_over_loopback_has_one_answer_and_runs_at_most_once() {
-    let _time = freeze_clock();
+async fn every_job_over_loopback_has_one_final_state_and_runs_at_most_once() {
+    let _frozen_clock = freeze_clock();
     let phases = Phases::default();
     let counters = Arc::new(Counters::default());
     let node = Server::start(&faktory_config(60_000_000), 7, None, counters, phases.subscribe()).unwrap();
@@ -369,21 +369,21 @@
         assert_eq!(peer.send_command(&format!("HELLO {hello}")).await, "+OK");
         peer
     };
-    let mut works = Vec::new();
-    let (lodged, mut log) = tokio::sync::mpsc::unbounded_channel();
+    let mut worker_tasks = Vec::new();
+    let (executed, mut executions) = tokio::sync::mpsc::unbounded_channel();
     for w in 0..4 {
         let mut worker = connect(format!("{{\"v\":2,\"wid\":\"w{w}\"}}")).await;
-        let lodged = lodged.clone();
-        works.push(tokio::spawn(async move {
+        let executed = executed.clone();
+        worker_tasks.push(tokio::spawn(async move {
             loop {
                 if let Some(jid) = worker.fetch().await {
-                    lodged.send(jid.clone()).unwrap();
+                    executed.send(jid.clone()).unwrap();
                     assert_eq!(worker.ack(&jid).await, "+OK");
                 }
             }
         }));
     }
-    drop(lodged);
+    drop(executed);
     for n in 0..20 {
         for _ in 0..2 {
             let mut client = connect("{\"v\":2}".to_string()).await; // a new connection for each push
@@ -396,7 +396,7 @@
         let jid = format!("job-{n:05}");
         let end = loop {
             match client.job_state(&jid).await {
-                s if s == "enqueued" || s == "working" => tokio::time::advance(MS).await,
+                s if s == "enqueued" || s == "working" => tokio::time::advance(MILLISECOND).await,
                 end => break end,
             }
         };
@@ -405,14 +405,15 @@
     }
     stop_until_closing(&phases).await;
     server.await.unwrap().unwrap();
-    works.iter().for_each(|w| w.abort());
+    worker_tasks.iter().for_each(|w| w.abort());
     let mut seen = BTreeSet::new();
-    while let Some(jid) = log.recv().await {
-        assert!(seen.insert(jid.clone()), "{jid} was lodged twice");
+    while let Some(jid) = executions.recv().await {
+        assert!(seen.insert(jid.clone()), "{jid} was executed twice");
     }
     assert!(served > 0 && seen.len() >= served, "{served} of {seen:?}");
 }
 
+/// A step of a random sequence; the flag selects one of two workers.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Push(u8),
@@ -437,7 +438,7 @@
     }
 }
 
-/// What is known of a worker's connection: the jobs that it holds, and whether it drains.
+/// Expected state of a worker: the jobs that it holds, each with the end of its lease, and whether it drains.
 #[derive(Default)]
 struct Model {
     held: Vec<(String, tokio::time::Instant)>,
@@ -445,7 +446,7 @@
 }
 
 #[allow(clippy::too_many_lines, reason = "one scenario, step by step")]
-async fn walk(steps: Vec<Step>) {
+async fn run_steps(steps: Vec<Step>) {
     let (node, _, _phase) = start_faktory(None);
     let mut client = FaktoryConnection::connect_client(&node).await;
     let mut workers = Vec::new();
@@ -456,53 +457,53 @@
             0,
         ));
     }
-    let mut taken = BTreeMap::new();
+    let mut accepted = BTreeMap::new();
     for step in steps {
         match step {
             Step::Push(n) => {
                 let jid = format!("job-0000{n}");
                 if client.push("lodge", &jid, &jid).await == "+OK" {
-                    taken.insert(jid, String::new());
+                    accepted.insert(jid, String::new());
                 }
             }
             Step::Fetch(w) => {
                 let (peer, model, _) = &mut workers[usize::from(w)];
                 if let Some(jid) = peer.fetch().await {
-                    assert!(!model.draining, "{jid} was sent to a worker that drains");
-                    assert!(taken.contains_key(&jid));
-                    let until = tokio::time::Instant::now() + Duration::from_secs(8);
-                    model.held.push((jid.clone(), until));
-                    let live = |m: &Model| m.held.iter().filter(|(j, _)| *j == jid).count();
-                    let all: usize = workers.iter().map(|(_, m, _)| live(m)).sum();
-                    assert_eq!(all, 1, "{jid} is out twice");
+                    assert!(!model.draining, "{jid} was sent to a draining worker");
+                    assert!(accepted.contains_key(&jid));
+                    let expiry = tokio::time::Instant::now() + Duration::from_secs(8);
+                    model.held.push((jid.clone(), expiry));
+                    let count_held = |m: &Model| m.held.iter().filter(|(j, _)| *j == jid).count();
+                    let held: usize = workers.iter().map(|(_, m, _)| count_held(m)).sum();
+                    assert_eq!(held, 1, "{jid} is leased twice");
                 }
             }
             Step::Ack(w) => {
                 let (peer, model, _) = &mut workers[usize::from(w)];
-                if let Some((jid, until)) = model.held.pop() {
+                if let Some((jid, expiry)) = model.held.pop() {
                     let reply = peer.ack(&jid).await;
                     if reply == "+OK" {
-                        assert!(tokio::time::Instant::now() < until, "{jid}'s lease was over");
+                        assert!(tokio::time::Instant::now() < expiry, "the lease of {jid} had expired");
                         assert_eq!(client.job_state(&jid).await, "served");
                     }
-                    assert!(peer.ack(&jid).await.starts_with("-ERR"), "{jid} was done twice");
+                    assert!(peer.ack(&jid).await.starts_with("-ERR"), "{jid} was acknowledged twice");
                 }
             }
             Step::Quiet(w) => {
-                let (peer, model, life) = &mut workers[usize::from(w)];
-                let wid = format!("w{}-{life}", u8::from(w));
+                let (peer, model, generation) = &mut workers[usize::from(w)];
+                let wid = format!("w{}-{generation}", u8::from(w));
                 peer.send_command(&format!("BEAT {{\"wid\":\"{wid}\",\"current_state\":\"quiet\"}}")).await;
                 model.draining = true;
             }
             Step::Drop(w) => {
-                let life = workers[usize::from(w)].2 + 1;
+                let generation = workers[usize::from(w)].2 + 1;
                 let peer =
-                    FaktoryConnection::connect_worker(&node, &format!("w{}-{life}", u8::from(w))).await;
-                workers[usize::from(w)] = (peer, Model::default(), life);
+                    FaktoryConnection::connect_worker(&node, &format!("w{}-{generation}", u8::from(w))).await;
+                workers[usize::from(w)] = (peer, Model::default(), generation);
             }
             Step::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 20)).await,
         }
-        for (jid, end) in &mut taken {
+        for (jid, end) in &mut accepted {
             let now = client.job_state(jid).await;
             let ended = ["served", "failed"].contains(&end.as_str());
             assert!(!ended || *end == now || now.starts_with("-ERR"), "{jid}: {end} became {now}");
@@ -510,16 +511,16 @@
         }
     }
     sleep(Duration::from_secs(9)).await;
-    for jid in taken.keys() {
+    for jid in accepted.keys() {
         let end = client.job_state(jid).await;
-        assert!(!["enqueued", "working"].contains(&end.as_str()), "{jid} has no end state: {end}");
+        assert!(!["enqueued", "working"].contains(&end.as_str()), "{jid} has no final state: {end}");
     }
 }
 
 #[test]
 fn random_steps_keep_one_lease_and_one_final_state_per_job() {
     fn property(steps: Vec<Step>) -> bool {
-        run_paused(walk(steps))
+        run_paused(run_steps(steps))
     }
     seeded_quickcheck(60, 100).quickcheck(property as fn(Vec<Step>) -> bool);
 }
--- a/node/tests/faktory_leases.rs
+++ b/node/tests/faktory_leases.rs
@@ -1,4 +1,4 @@
-//! Lease table of the Faktory front, driven as the dispatcher and the sessions drive it.
+//! The lease table of the Faktory frontend, called as the dispatcher and the sessions call it.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use bytes::Bytes;
@@ -8,8 +8,8 @@
 use molevale::names::Names;
 use std::time::Duration;
 
-/// An ACK names only a jid: if the job were leased to this worker again, the late ACK of the attempt that it lost would
-/// end the new one.
+/// An ACK names only a jid: if the job were leased to the same worker again, a late ACK of the lost attempt would end the
+/// new one.
 #[tokio::test]
 async fn worker_that_lost_a_lease_is_not_offered_the_job_again() {
     let (dispatcher, _inbox) = queue();
@@ -33,7 +33,7 @@
     let (_, mut again) = leases.fetch("one", &queues);
     leases.offer(attempt(1), number, worker("one"));
     assert!(again.try_recv().is_err(), "the same worker");
-    assert!(leases.finish("one", "job-00001", Outcome::Success).is_err(), "its late ACK");
+    assert!(leases.finish("one", "job-00001", Outcome::Success).is_err(), "a late ACK of the lost attempt");
     leases.session_opened("two");
     let (_, mut other) = leases.fetch("two", &queues);
     leases.offer(attempt(2), number, worker("two"));
