--- a/node/tests/golden_coordination.rs
+++ b/node/tests/golden_coordination.rs
@@ -1,5 +1,5 @@
-//! Bytes between nodes about coordination, and the status that operators see, compared with those recorded from version
-//! 6e5c6e9. `GOLDEN_RECORD=1` writes the file anew and fails.
+//! Encoded coordination messages between nodes, and the status that operators see, compared with files recorded from
+//! version 6e5c6e9. `GOLDEN_RECORD=1` records the files again and fails.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
@@ -16,14 +16,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Far in the future: what it is ago is cut to zero, whenever the test runs.
-const NEVER_MS: u64 = 1 << 53;
+/// A time in the far future: the time elapsed since then saturates at zero, whenever the test runs.
+const FUTURE_MS: u64 = 1 << 53;
 
-fn compare(file: &str, text: &str) {
+fn assert_golden(file: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     if std::env::var_os("GOLDEN_RECORD").is_some() {
         std::fs::write(&path, text).unwrap();
-        panic!("{} was recorded anew: nothing was compared", path.display());
+        panic!("{} was recorded again: nothing was compared", path.display());
     }
     assert_eq!(text, std::fs::read_to_string(&path).unwrap(), "{file}");
 }
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn messages_between_nodes_encode_to_recorded_bytes_and_decode_to_the_same_kind() {
-    let answer = Response { request_id: 7, process_id: 300, voter: "v0".into(), outcome: Outcome::Done };
+fn messages_between_nodes_encode_to_recorded_bytes_and_round_trip() {
+    let response = Response { request_id: 7, process_id: 300, voter: "v0".into(), outcome: Outcome::Done };
     let messages = [
-        ("duties", NodeMessage::Coordination(Message::Response(answer))),
+        ("duties", NodeMessage::Coordination(Message::Response(response))),
         ("lists", NodeMessage::Lists(BroadcastMessage::Fetch { source: 300, version: 41 })),
         (
             "roll/begin",
@@ -63,30 +63,30 @@
     let mut text = String::new();
     for (name, message) in messages {
         let bytes = postcard::to_stdvec(&message).unwrap();
-        let again: NodeMessage = postcard::from_bytes(&bytes).unwrap();
-        assert_eq!(postcard::to_stdvec(&again).unwrap(), bytes, "{name}");
+        let decoded: NodeMessage = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(postcard::to_stdvec(&decoded).unwrap(), bytes, "{name}");
         text += &format!("{name} {}\n", hex(&bytes));
     }
-    compare("coordination-messages.txt", &text);
+    assert_golden("coordination-messages.txt", &text);
 }
 
-fn told(roll: Option<RestartProgress>) -> ClusterStatus {
+fn cluster_status(restart: Option<RestartProgress>) -> ClusterStatus {
     let holder = |name: &str| Some(Holder { name: name.into(), process_id: 9 });
-    let held = |holder, token, left| LeaseRecord { holder, token, granted_at_ms: NEVER_MS, state: left };
-    let left = roll.map(|progress| postcard::to_stdvec(&progress).unwrap()).unwrap_or_default();
-    let change = |what, token| coordination::LeaseChange {
+    let lease = |holder, token, state| LeaseRecord { holder, token, granted_at_ms: FUTURE_MS, state };
+    let saved_state = restart.map(|progress| postcard::to_stdvec(&progress).unwrap()).unwrap_or_default();
+    let change = |kind, token| coordination::LeaseChange {
         lease: "lists/z".into(),
-        kind: what,
+        kind,
         holder: "node-1".into(),
         token,
-        at_ms: NEVER_MS,
+        at_ms: FUTURE_MS,
     };
     let table = LeaseTable {
         last_token: 302,
         leases: BTreeMap::from([
-            ("errand/a".to_string(), held(holder("node-1"), 300, vec![1])),
-            ("lists/z".to_string(), held(None, 301, vec![])),
-            ("roll".to_string(), held(holder("node-2"), 302, left)),
+            ("errand/a".to_string(), lease(holder("node-1"), 300, vec![1])),
+            ("lists/z".to_string(), lease(None, 301, vec![])),
+            ("roll".to_string(), lease(holder("node-2"), 302, saved_state)),
         ]),
         voters: BTreeMap::from([
             (1, VoterMember { name: "v0".into(), address: SocketAddr::from(([127, 0, 0, 1], 7000)) }),
@@ -102,21 +102,21 @@
     }
 }
 
-fn progress(end: Option<coordination::RestartOutcome>) -> RestartProgress {
-    let under_way = vec![("node-3".into(), 33), ("node-4".into(), 44)];
+fn progress(outcome: Option<coordination::RestartOutcome>) -> RestartProgress {
+    let in_progress = vec![("node-3".into(), 33), ("node-4".into(), 44)];
     RestartProgress {
         id: 5,
         max_unavailable: 2,
         cursor: "node-4".into(),
-        in_progress: under_way,
+        in_progress,
         total: 60,
         completed: 2,
-        outcome: end,
+        outcome,
     }
 }
 
 fn statuses() -> Vec<Status> {
-    let status = |voter, here, lists, told| Status {
+    let status = |voter, held, lists, cluster| Status {
         node: "node-1".into(),
         voter,
         metrics: VoterMetrics {
@@ -127,42 +127,42 @@
             elections: 5,
             rejected: 6,
         },
-        held: here,
+        held,
         lists,
         rejected_calls: 7,
-        cluster: told,
+        cluster,
     };
-    let counts = BroadcastMetrics { sent: 1, applied: 2, holder_timeouts: 3, stale_messages: 4 };
-    let lists = Some(ListBroadcastStatus { polls_discovery: true, version: 41, metrics: counts });
-    let here = vec![("errand/a".to_string(), 300, 8_000), ("roll".to_string(), 302, 1)];
-    let broken = VoterState::StorageFailed("the disk refuses: full".into());
-    let other_standings =
+    let metrics = BroadcastMetrics { sent: 1, applied: 2, holder_timeouts: 3, stale_messages: 4 };
+    let lists = Some(ListBroadcastStatus { polls_discovery: true, version: 41, metrics });
+    let held = vec![("errand/a".to_string(), 300, 8_000), ("roll".to_string(), 302, 1)];
+    let failed = VoterState::StorageFailed("the disk refuses: full".into());
+    let other_states =
         [VoterState::Waiting, VoterState::Follower, VoterState::NotMember, VoterState::StaleCopy];
-    let ends = [
+    let outcomes = [
         coordination::RestartOutcome::Completed,
         coordination::RestartOutcome::Cancelled,
         coordination::RestartOutcome::NodeNotReturned("node-3".into()),
         coordination::RestartOutcome::RequestsFailed(2, 30),
     ];
     let mut all = vec![
-        status(Some(VoterState::Leader), here.clone(), lists, Some(told(Some(progress(None))))),
+        status(Some(VoterState::Leader), held.clone(), lists, Some(cluster_status(Some(progress(None))))),
         status(
-            Some(broken),
-            here,
+            Some(failed),
+            held,
             None,
-            Some(told(Some(progress(Some(coordination::RestartOutcome::NodesMissing(3)))))),
+            Some(cluster_status(Some(progress(Some(coordination::RestartOutcome::NodesMissing(3)))))),
         ),
-        status(Some(VoterState::Recovering), Vec::new(), None, Some(told(None))),
+        status(Some(VoterState::Recovering), Vec::new(), None, Some(cluster_status(None))),
         status(None, Vec::new(), None, None),
     ];
-    all.extend(other_standings.into_iter().map(|standing| status(Some(standing), Vec::new(), None, None)));
-    let ended = |end| status(None, Vec::new(), None, Some(told(Some(progress(Some(end))))));
-    all.extend(ends.into_iter().map(ended));
+    all.extend(other_states.into_iter().map(|state| status(Some(state), Vec::new(), None, None)));
+    let ended = |outcome| status(None, Vec::new(), None, Some(cluster_status(Some(progress(Some(outcome))))));
+    all.extend(outcomes.into_iter().map(ended));
     all
 }
 
-/// What the command `fleet duties` prints of this JSON.
-async fn printed(body: &str, json: bool) -> String {
+/// Output of the command `fleet duties` for this JSON.
+async fn command_output(body: &str, json: bool) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let answer =
@@ -174,20 +174,20 @@
         socket.write_all(answer.as_bytes()).await.unwrap();
         String::from_utf8_lossy(&head[..length]).lines().next().unwrap_or_default().to_string()
     };
-    let (asked, printed) = tokio::join!(serve, fetch_status(address, json));
-    assert_eq!(asked, "GET /fleet/duties HTTP/1.1");
+    let (request_line, printed) = tokio::join!(serve, fetch_status(address, json));
+    assert_eq!(request_line, "GET /fleet/duties HTTP/1.1");
     printed.unwrap()
 }
 
 #[tokio::test]
-async fn status_json_and_its_text_are_as_recorded() {
+async fn status_json_and_printed_text_are_as_recorded() {
     let mut text = String::new();
     for status in statuses() {
         let json = serde_json::to_string(&status).unwrap();
-        let again: Status = serde_json::from_str(&json).unwrap();
-        assert_eq!(serde_json::to_string(&again).unwrap(), json);
-        assert_eq!(printed(&json, true).await, json);
-        text += &format!("{json}\n{}\n", printed(&json, false).await);
+        let decoded: Status = serde_json::from_str(&json).unwrap();
+        assert_eq!(serde_json::to_string(&decoded).unwrap(), json);
+        assert_eq!(command_output(&json, true).await, json);
+        text += &format!("{json}\n{}\n", command_output(&json, false).await);
     }
-    compare("coordination-status.txt", &text);
+    assert_golden("coordination-status.txt", &text);
 }
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -1,7 +1,7 @@
-//! Every reply of the Faktory front, byte for byte, recorded once: the greeting, each command's result and each error,
-//! jobs as workers receive them, job states and the server's information.
+//! Replies of the Faktory frontend, compared byte for byte with recorded files: the greeting, the result and the errors of
+//! each command, jobs as workers receive them, job states and the server's information.
 //!
-//! `GOLDEN_RECORD=1` writes the files anew.
+//! `GOLDEN_RECORD=1` records the files again.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -26,27 +26,27 @@
     assert_eq!(text, golden, "{name}");
 }
 
-/// What goes over several connections, in order, each line with the name of its connection.
+/// Lines sent over several connections, in order, each with the name of its connection and its direction.
 #[derive(Default)]
 struct Transcript(String);
 
 impl Transcript {
-    fn note(&mut self, name: &str, way: char, bytes: &[u8]) {
+    fn record(&mut self, name: &str, direction: char, bytes: &[u8]) {
         let shown = match bytes.len() {
             0..=2000 => bytes.escape_ascii().to_string(),
             length => format!("{}... {length} bytes", bytes[..40].escape_ascii()),
         };
-        self.0 += &format!("{name}{way} {shown}\n");
+        self.0 += &format!("{name}{direction} {shown}\n");
     }
 
-    async fn tell(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
-        self.note(name, '>', line.as_ref());
+    async fn send(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
+        self.record(name, '>', line.as_ref());
         peer.0.write_all(line.as_ref()).await.unwrap();
         peer.0.write_all(b"\r\n").await.unwrap();
     }
 
-    /// Reads one whole reply with its line ends; nothing at the end of the connection.
-    async fn reply(&mut self, (name, peer): (&str, &mut FaktoryConnection)) -> Vec<u8> {
+    /// Reads one whole reply with its line ends; empty at the end of the connection.
+    async fn read_reply(&mut self, (name, peer): (&str, &mut FaktoryConnection)) -> Vec<u8> {
         let mut bytes = Vec::new();
         peer.0.read_until(b'\n', &mut bytes).await.unwrap();
         let head = String::from_utf8_lossy(&bytes).into_owned();
@@ -55,24 +55,24 @@
             peer.0.read_exact(&mut body).await.unwrap();
             bytes.extend(body);
         }
-        self.note(name, '<', &bytes);
+        self.record(name, '<', &bytes);
         bytes
     }
 
-    async fn ask(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
-        self.tell((name, &mut *peer), line).await;
-        self.reply((name, peer)).await;
+    async fn send_command(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
+        self.send((name, &mut *peer), line).await;
+        self.read_reply((name, peer)).await;
     }
 
     /// Opens a connection and reads the greeting.
-    async fn open(&mut self, node: &Server, name: &str) -> FaktoryConnection {
+    async fn connect(&mut self, node: &Server, name: &str) -> FaktoryConnection {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.serve_connection(far).await });
         let mut peer = FaktoryConnection(BufReader::new(Box::new(near)));
         let before = self.0.len();
-        let greeting = self.reply((name, &mut peer)).await;
-        // The salt is drawn at random.
+        let greeting = self.read_reply((name, &mut peer)).await;
+        // The salt is random.
         let greeting = String::from_utf8(greeting).unwrap();
         if let Some(salt) = greeting.split("\"s\":\"").nth(1).and_then(|rest| rest.split('"').next()) {
             assert!(salt.len() == 16 && salt.bytes().all(|b| b.is_ascii_hexdigit()), "{salt}");
@@ -82,19 +82,19 @@
         peer
     }
 
-    async fn hello(&mut self, node: &Server, name: &str, hello: &str) -> FaktoryConnection {
-        let mut peer = self.open(node, name).await;
-        self.ask((name, &mut peer), format!("HELLO {hello}")).await;
+    async fn connect_with_hello(&mut self, node: &Server, name: &str, hello: &str) -> FaktoryConnection {
+        let mut peer = self.connect(node, name).await;
+        self.send_command((name, &mut peer), format!("HELLO {hello}")).await;
         peer
     }
 }
 
-async fn greetings(t: &mut Transcript) {
+async fn record_greetings(t: &mut Transcript) {
     let (node, _, _phases) = start_faktory(Some("secret"));
     for hello in ["HELLO {\"v\":2}", "HELLO {\"v\":2,\"pwdhash\":\"00\"}"] {
-        let mut peer = t.open(&node, "password").await;
-        t.ask(("password", &mut peer), hello).await;
-        t.reply(("password", &mut peer)).await;
+        let mut peer = t.connect(&node, "password").await;
+        t.send_command(("password", &mut peer), hello).await;
+        t.read_reply(("password", &mut peer)).await;
     }
     let (node, _, _phases) = start_faktory(None);
     let long = format!("HELLO {{\"v\":2,\"wid\":\"{}\"}}", "w".repeat(257));
@@ -111,13 +111,13 @@
         "NONSENSE",
         "END",
     ] {
-        let mut peer = t.open(&node, "first").await;
-        t.ask(("first", &mut peer), first).await;
-        t.reply(("first", &mut peer)).await;
+        let mut peer = t.connect(&node, "first").await;
+        t.send_command(("first", &mut peer), first).await;
+        t.read_reply(("first", &mut peer)).await;
     }
 }
 
-async fn errors_of_clients(t: &mut Transcript, client: &mut FaktoryConnection) {
+async fn record_client_errors(t: &mut Transcript, client: &mut FaktoryConnection) {
     let good = faktory_job("lodge", "job-00009", "k");
     let custom = |fields: &str| good.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
     let many: String = (0..65).map(|n| format!(" q{n}")).collect();
@@ -163,98 +163,103 @@
         "HELLO {\"v\":2}".into(),
     ];
     for line in lines {
-        t.ask(("client", &mut *client), line).await;
+        t.send_command(("client", &mut *client), line).await;
     }
-    t.ask(("client", &mut *client), b"PUSH \xff\xfe").await;
+    t.send_command(("client", &mut *client), b"PUSH \xff\xfe").await;
 }
 
-async fn life_of_jobs(t: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
-    let mut w1 = t.hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
-    t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
-    t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    t.ask(("w1", &mut w1), "FETCH").await;
-    t.ask(("w1", &mut w1), "FETCH check nobody").await;
-    // One that is served, pushed as spaced by its client.
-    t.tell(("w1", &mut w1), "FETCH check").await;
+async fn record_job_lifecycles(t: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
+    let mut w1 = t.connect_with_hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
+    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    t.send_command(("w1", &mut w1), "FETCH").await;
+    t.send_command(("w1", &mut w1), "FETCH check nobody").await;
+    // A job that is served; its JSON keeps the spaces of its client.
+    t.send(("w1", &mut w1), "FETCH check").await;
     let spaced = faktory_job("check", "job-00001", "a").replace(',', " , ");
-    t.ask(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
-    t.reply(("w1", &mut w1)).await;
-    t.ask(("client", &mut *client), "TRACK GET job-00001").await;
-    t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.ask(("client", &mut *client), "TRACK GET job-00001").await;
-    // One that waits, its repeats, and a jid that stands for another job.
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b"))).await;
-    t.ask(("client", &mut *client), "TRACK GET job-00002").await;
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b"))).await;
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c"))).await;
-    t.ask(("w1", &mut w1), "FETCH lodge").await;
-    t.ask(("client", &mut *client), "TRACK GET job-00003").await;
-    t.ask(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
-    t.ask(("client", &mut *client), "INFO").await;
-    // It fails until no attempt is left, or is left to its deadline.
-    t.ask(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}").await;
-    t.ask(("w1", &mut w1), "FETCH lodge").await;
+    t.send_command(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
+    t.read_reply(("w1", &mut w1)).await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00001").await;
+    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00001").await;
+    // A waiting job, duplicates of it, and a jid in use for another job.
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b")))
+        .await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00002").await;
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b")))
+        .await;
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c")))
+        .await;
+    t.send_command(("w1", &mut w1), "FETCH lodge").await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00003").await;
+    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
+    t.send_command(("client", &mut *client), "INFO").await;
+    // Fails until no attempt is left or its deadline passes.
+    t.send_command(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}").await;
+    t.send_command(("w1", &mut w1), "FETCH lodge").await;
     sleep(Duration::from_secs(9)).await;
-    t.ask(("client", &mut *client), "TRACK GET job-00002").await;
-    t.ask(("client", &mut *client), "TRACK GET job-00003").await;
-    // A worker that is about to stop.
-    t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
-    t.ask(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    t.ask(("w1", &mut w1), "FETCH lodge").await;
-    // Nobody takes it before its deadline.
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d"))).await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00002").await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00003").await;
+    // A draining worker.
+    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
+    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    t.send_command(("w1", &mut w1), "FETCH lodge").await;
+    // No worker fetches it before its deadline.
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d")))
+        .await;
     sleep(Duration::from_secs(9)).await;
-    t.ask(("client", &mut *client), "TRACK GET job-00004").await;
+    t.send_command(("client", &mut *client), "TRACK GET job-00004").await;
     for n in 0..70 {
         client.push("lodge", &format!("job-100{n:02}"), "e").await;
     }
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e"))).await;
-    t.tell(("w1", &mut w1), "END").await;
-    t.reply(("w1", &mut w1)).await;
-    t.ask(("client", &mut *client), "INFO").await;
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e")))
+        .await;
+    t.send(("w1", &mut w1), "END").await;
+    t.read_reply(("w1", &mut w1)).await;
+    t.send_command(("client", &mut *client), "INFO").await;
 }
 
-async fn end(t: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
+async fn record_drain(t: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
     assert!(phases.drain());
-    t.ask(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f"))).await;
-    t.tell(("client", &mut *client), "END").await;
-    t.reply(("client", client)).await;
+    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f")))
+        .await;
+    t.send(("client", &mut *client), "END").await;
+    t.read_reply(("client", client)).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_reply_keeps_its_bytes() {
+async fn each_reply_is_as_recorded() {
     let mut t = Transcript::default();
-    greetings(&mut t).await;
+    record_greetings(&mut t).await;
     let (node, _, phases) = start_faktory(None);
-    let mut client = t.hello(&node, "client", "{\"v\":2}").await;
-    errors_of_clients(&mut t, &mut client).await;
-    life_of_jobs(&mut t, &node, &mut client).await;
-    end(&mut t, &mut client, &phases).await;
+    let mut client = t.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    record_client_errors(&mut t, &mut client).await;
+    record_job_lifecycles(&mut t, &node, &mut client).await;
+    record_drain(&mut t, &mut client, &phases).await;
     assert_golden("session.txt", &t.0);
 }
 
-/// A push that can't be served in its time is refused at once, with the time to wait.
+/// A push that can't be served before its deadline is shed at once, with the time to wait before a retry.
 #[tokio::test(start_paused = true)]
-async fn a_refused_push_names_its_wait() {
+async fn a_shed_push_names_the_time_to_wait() {
     let mut t = Transcript::default();
     let (node, _, _phases) = start_faktory(None);
-    let mut client = t.hello(&node, "client", "{\"v\":2}").await;
-    let _worker = t.hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    let mut client = t.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    let _worker = t.connect_with_hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     for deadline in ["1e-9", "0.001", "0.02"] {
         let custom = format!("\"custom\":{{\"deadline\":{deadline},");
         let push = faktory_job("check", "job-00001", "k").replace("\"custom\":{", &custom);
-        t.ask(("client", &mut client), format!("PUSH {push}")).await;
-        t.ask(("client", &mut client), "TRACK GET job-00001").await;
+        t.send_command(("client", &mut client), format!("PUSH {push}")).await;
+        t.send_command(("client", &mut client), "TRACK GET job-00001").await;
     }
-    assert!(t.0.contains("-ERR refused: try again in "), "none was refused");
+    assert!(t.0.contains("-ERR refused: try again in "), "no push was shed");
     assert_golden("refused.txt", &t.0);
 }
 
-/// The texts of errors in the operator's file.
 #[test]
-fn errors_in_the_operators_file_keep_their_texts() {
+fn errors_in_the_faktory_file_are_as_recorded() {
     let good = "listen = \"127.0.0.1:7419\"\n";
     let mut text = String::new();
     for file in [
@@ -264,9 +269,9 @@
         format!("{good}unknown = 1\n"),
         format!("{good}settings = 1\n"),
         format!("{good}[settings]\nSiblings = \"two\"\n"),
-        with_settings(good, true),
-        with_settings(&format!("{good}connections = 0\n"), false),
-        with_settings(&format!("{good}connections = -1\n"), false),
+        append_settings(good, true),
+        append_settings(&format!("{good}connections = 0\n"), false),
+        append_settings(&format!("{good}connections = -1\n"), false),
     ] {
         let Err(error) = molevale::faktory::FaktoryConfig::parse(&file) else { panic!("{file}") };
         text += &format!("{error}\n");
@@ -274,7 +279,7 @@
     assert_golden("operator_file_errors.txt", &text);
 }
 
-fn with_settings(head: &str, cancelling: bool) -> String {
+fn append_settings(head: &str, cancelling: bool) -> String {
     let settings = common::settings(cancelling, 1_000_000);
     let tail = toml::to_string(&serde_json::json!({ "settings": settings })).unwrap();
     format!("{head}{tail}")
--- a/node/tests/golden_membership.rs
+++ b/node/tests/golden_membership.rs
@@ -1,7 +1,7 @@
-//! What operators read of a node's view of the fleet, recorded once: the status as `GET /fleet` returns it, the text
-//! that `molevale fleet show` makes of it, and the counters.
+//! A node's view of the fleet as operators see it, compared with recorded files: the status that `GET /fleet` returns, the
+//! text that `molevale fleet show` prints for it, and the counters.
 //!
-//! `GOLDEN_RECORD=1` writes the files anew.
+//! `GOLDEN_RECORD=1` records the files again.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use membership::Status;
@@ -15,31 +15,31 @@
 use testbed::cluster::{Cluster, Spec};
 use testbed::process::call;
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/membership").join(name)
 }
 
 fn assert_golden(name: &str, text: &str) {
     if std::env::var_os("GOLDEN_RECORD").is_some() {
-        std::fs::write(golden(name), text).unwrap();
+        std::fs::write(golden_path(name), text).unwrap();
     }
-    assert_eq!(text, std::fs::read_to_string(golden(name)).unwrap(), "{name}");
+    assert_eq!(text, std::fs::read_to_string(golden_path(name)).unwrap(), "{name}");
 }
 
-/// Statuses: of a fleet with a member in each status, of a node that has heard of nobody, and of one that yielded.
+/// Status reports: with a member in each status, of a node that knows no other member, and of one that yielded its name.
 const STATUSES: [&str; 3] = ["status.json", "status_alone.json", "status_yielded.json"];
 
 #[test]
-fn a_status_keeps_its_keys_their_order_and_its_values() {
+fn a_status_round_trips_with_its_keys_in_order() {
     for name in STATUSES {
-        let text = std::fs::read_to_string(golden(name)).unwrap();
+        let text = std::fs::read_to_string(golden_path(name)).unwrap();
         let status: Status = serde_json::from_str(&text).unwrap();
         assert_eq!(serde_json::to_string(&status).unwrap(), text.trim_end(), "{name}");
     }
 }
 
-/// A stand-in for a node's management address, which answers one call with this text.
-fn answer_once(status: u16, text: String) -> SocketAddr {
+/// Starts a stand-in for a node's management address, which answers one call with this text.
+fn serve_once(status: u16, text: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -60,7 +60,7 @@
 }
 
 /// Exit code, output and error output of the command; the address is replaced by `ADDRESS`.
-fn show(address: SocketAddr, arguments: &[&str]) -> String {
+fn fleet_show(address: SocketAddr, arguments: &[&str]) -> String {
     let out = Command::new(env!("CARGO_BIN_EXE_molevale"))
         .args(["fleet", "show", &address.to_string()])
         .args(arguments)
@@ -73,23 +73,25 @@
 #[test]
 fn fleet_show_prints_the_recorded_text() {
     for name in STATUSES {
-        let status = std::fs::read_to_string(golden(name)).unwrap();
-        let shown = show(answer_once(200, status.clone()), &[]);
+        let status = std::fs::read_to_string(golden_path(name)).unwrap();
+        let shown = fleet_show(serve_once(200, status.clone()), &[]);
         assert_golden(&name.replace(".json", ".txt"), &shown);
-        let json = show(answer_once(200, status.clone()), &["--json"]);
+        let json = fleet_show(serve_once(200, status.clone()), &["--json"]);
         assert_eq!(json, format!("exit Some(0)\n{status}---\n"), "{name}");
     }
-    assert_golden("refused.txt", &show(answer_once(404, "this node talks to no other\n".into()), &[]));
-    assert_golden("unreadable.txt", &show(answer_once(200, "{}".into()), &[]));
+    assert_golden("refused.txt", &fleet_show(serve_once(404, "this node talks to no other\n".into()), &[]));
+    assert_golden("unreadable.txt", &fleet_show(serve_once(200, "{}".into()), &[]));
 }
 
-/// The keys of a value, in order, each with the type of what it holds; of a list, its first element.
-fn shape(value: &Value, path: &str, lines: &mut String) {
+/// Appends each key path of a value with its type, in order; of a list, those of its first element.
+fn append_types(value: &Value, path: &str, lines: &mut String) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(key, value)| shape(value, &format!("{path}.{key}"), lines))
+            fields.iter().for_each(|(key, value)| append_types(value, &format!("{path}.{key}"), lines))
+        }
+        Value::Array(items) => {
+            items.iter().take(1).for_each(|item| append_types(item, &format!("{path}[]"), lines))
         }
-        Value::Array(items) => items.iter().take(1).for_each(|item| shape(item, &format!("{path}[]"), lines)),
         Value::Null => *lines += &format!("{path} null\n"),
         Value::Bool(_) => *lines += &format!("{path} bool\n"),
         Value::Number(_) => *lines += &format!("{path} number\n"),
@@ -104,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_running_node_serves_a_status_of_the_recorded_shape() {
+async fn a_running_node_serves_a_status_with_the_recorded_keys_and_types() {
     let cluster = Cluster::start(Spec::new(env!("CARGO_BIN_EXE_molevale"), 1)).await.unwrap();
     cluster.settled(&Cluster::expected_views([0]), Duration::from_secs(60)).await.unwrap();
     let at = cluster.nodes[0].as_ref().unwrap().management;
@@ -112,11 +114,11 @@
     assert_eq!(code, 200);
     let text = String::from_utf8(body.to_vec()).unwrap();
     let mut lines = format!("{}\n", keys_in_order(&text).join(" "));
-    shape(&serde_json::from_str(&text).unwrap(), "", &mut lines);
+    append_types(&serde_json::from_str(&text).unwrap(), "", &mut lines);
     assert_golden("served_shape.txt", &lines);
 }
 
-/// The line that is logged on SIGUSR1 and at the end of a process.
+/// The line that a process logs on SIGUSR1 and when it exits.
 #[test]
 fn counters_keep_their_names_and_order() {
     let counters = Counters::default();
