--- a/node/tests/golden/node/process.rs
+++ b/node/tests/golden/node/process.rs
@@ -1,4 +1,4 @@
-//! The program in a folder of its own, and the link between the two processes of a hand-over as the other one has it.
+//! Runs the program in a folder of its own, and plays the peer on the Unix socket of a process handover.
 
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -14,18 +14,18 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::{sleep, timeout};
 
-/// A wire id.
+/// The id of a request.
 pub const ID: &str = "9b1f03aa5c7e2d41";
-/// Time for a process to start or to say something, after which it is held to hang.
-const HUNG: Duration = Duration::from_secs(10);
+/// Time for a process to start or to respond, after which it counts as hung.
+const HANG_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A loopback address of this process's own.
-pub fn own_address(part: u8) -> String {
+/// A loopback address that only this test process uses.
+pub fn own_address(second_byte: u8) -> String {
     let pid = std::process::id();
-    format!("127.{part}.{}.{}", pid / 250 % 250, 1 + pid % 250)
+    format!("127.{second_byte}.{}.{}", pid / 250 % 250, 1 + pid % 250)
 }
 
-/// A folder that ends with its test.
+/// A folder that is removed when the value is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -56,8 +56,13 @@
     command
 }
 
-/// Runs the program to its end: code, standard output and standard error. One that does not end has no code.
-pub fn run(folder: &Folder, arguments: &[&str], variables: &[(&str, &str)]) -> (Option<i32>, String, String) {
+/// Runs the program until it exits; returns its exit code, standard output and standard error. One that hangs is killed
+/// and has no exit code.
+pub fn run_command(
+    folder: &Folder,
+    arguments: &[&str],
+    variables: &[(&str, &str)],
+) -> (Option<i32>, String, String) {
     let mut command = command(folder, arguments);
     command
         .envs(variables.iter().copied())
@@ -67,7 +72,7 @@
     let mut child = command.spawn().unwrap();
     let started = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        if started.elapsed() > HUNG {
+        if started.elapsed() > HANG_TIMEOUT {
             child.kill().unwrap();
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -77,27 +82,27 @@
     (out.status.code(), text(out.stdout), text(out.stderr))
 }
 
-/// A process of the program that serves; it ends with this value.
+/// A serving process of the program, killed when the value is dropped.
 pub struct Node(Child);
 
 impl Node {
-    /// Starts it on `config.json` in this folder, and waits for nothing.
+    /// Starts the program with `config.json` of this folder, without waiting until it serves.
     pub fn spawn(folder: &Folder, arguments: &[&str]) -> Node {
         let mut command = command(folder, arguments);
         command.env("RELAY_CONFIG", "config.json").env("TMPDIR", &folder.0).stdin(Stdio::null());
         Node(command.spawn().unwrap())
     }
 
-    /// The same; returns once its management address says that it serves.
+    /// Starts the program and waits until its health check succeeds.
     pub async fn start(folder: &Folder, arguments: &[&str], management: &str) -> Node {
         let node = Node::spawn(folder, arguments);
-        timeout(HUNG, async {
-            while !ready(management).await {
+        timeout(HANG_TIMEOUT, async {
+            while !is_ready(management).await {
                 sleep(Duration::from_millis(20)).await
             }
         })
         .await
-        .expect("it serves");
+        .expect("a serving node");
         node
     }
 }
@@ -109,23 +114,23 @@
     }
 }
 
-async fn ready(at: &str) -> bool {
+async fn is_ready(at: &str) -> bool {
     let Ok(mut socket) = TcpStream::connect(at).await else { return false };
     let mut answer = String::new();
-    let asked = socket.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await;
-    asked.is_ok() && socket.read_to_string(&mut answer).await.is_ok() && answer.contains(" 200 ")
+    let sent = socket.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").await;
+    sent.is_ok() && socket.read_to_string(&mut answer).await.is_ok() && answer.contains(" 200 ")
 }
 
-/// A link to a process, by its bytes and the descriptors that go along.
+/// A connection to a process on its handover socket, which carries text and descriptors.
 pub struct Link(UnixStream);
 
 impl Link {
-    pub fn of(stream: UnixStream) -> Link {
+    pub fn new(stream: UnixStream) -> Link {
         Link(stream)
     }
 
-    /// One byte, and how many descriptors came with it.
-    pub async fn receive(&self) -> (char, usize) {
+    /// Receives one byte and the number of descriptors that came with it.
+    pub async fn receive_descriptors(&self) -> (char, usize) {
         let receive = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -137,11 +142,11 @@
             });
             Ok((byte[0] as char, descriptors.sum()))
         };
-        timeout(HUNG, self.0.async_io(Interest::READABLE, receive)).await.expect("a byte").unwrap()
+        timeout(HANG_TIMEOUT, self.0.async_io(Interest::READABLE, receive)).await.expect("a byte").unwrap()
     }
 
-    /// Passes descriptors on, with the one byte that they go with.
-    pub async fn send(&self, descriptors: &[BorrowedFd<'_>]) {
+    /// Sends descriptors, with the byte that must accompany them.
+    pub async fn send_descriptors(&self, descriptors: &[BorrowedFd<'_>]) {
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
             let mut control = SendAncillaryBuffer::new(&mut space);
@@ -151,16 +156,16 @@
         assert_eq!(self.0.async_io(Interest::WRITABLE, send).await.unwrap(), 1);
     }
 
-    /// The next line, with its end.
-    pub async fn line(&mut self) -> String {
+    /// Reads the next line, with its line end.
+    pub async fn read_line(&mut self) -> String {
         let mut line = Vec::new();
         while line.last() != Some(&b'\n') {
-            line.push(timeout(HUNG, self.0.read_u8()).await.expect("a line").unwrap());
+            line.push(timeout(HANG_TIMEOUT, self.0.read_u8()).await.expect("a line").unwrap());
         }
         String::from_utf8(line).unwrap()
     }
 
-    pub async fn say(&mut self, text: &str) {
+    pub async fn send_text(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.unwrap();
     }
 }
--- a/node/tests/golden/node/record.rs
+++ b/node/tests/golden/node/record.rs
@@ -1,9 +1,9 @@
-//! Recorded texts: compared byte for byte, or written anew where `GOLDEN_RECORD` is set.
+//! Comparison with recorded texts; `GOLDEN_RECORD` records them again.
 
 use std::path::Path;
 
-/// Compares a text with the recorded file of this name and prints the first line that differs.
-pub fn check(name: &str, text: &str) {
+/// Compares a text with the recorded file of this name; panics with the first line that differs.
+pub fn assert_golden(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/node").join(name);
     if std::env::var_os("GOLDEN_RECORD").is_some() {
         std::fs::write(&path, text).unwrap();
@@ -20,14 +20,14 @@
     }
 }
 
-/// Replaces what differs from run to run: the time of day in a head.
-pub fn without_date(text: &str) -> String {
+/// Replaces the value of the `date` header, which varies from run to run.
+pub fn mask_date(text: &str) -> String {
     let line = |l: &str| if l.starts_with("date: ") { "date: DATE\r\n".to_string() } else { l.to_string() };
     text.split_inclusive('\n').map(line).collect()
 }
 
-/// Replaces what differs from run to run: the figures of a duration as `serde` writes it.
-pub fn without_durations(text: &str) -> String {
+/// Replaces the numbers in durations as `serde` writes them, which vary from run to run.
+pub fn mask_durations(text: &str) -> String {
     let mut rest = text;
     let mut out = String::new();
     while let Some((before, after)) = rest.split_once("{\"secs\":") {
@@ -41,8 +41,8 @@
     out + rest
 }
 
-/// Replaces each row of digits by one `0`.
-pub fn without_figures(text: &str) -> String {
+/// Replaces each sequence of digits by one `0`.
+pub fn mask_numbers(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
         match c {
--- a/node/tests/golden/node/rendering.rs
+++ b/node/tests/golden/node/rendering.rs
@@ -1,5 +1,5 @@
-//! Settings as text whose keys are this file's own: it stays where an item of the code has another name. All fields are
-//! taken apart one by one, so that none is left out.
+//! Renders settings as text with keys of its own, so that the recorded text stays the same when a field is renamed. Every
+//! struct is destructured without `..`, so that no field is left out.
 
 use dispatch_policy::api::{
     ClassSettings, Idempotency, KeyScope, RetryBudget, Rules, Settings, TenantSettings,
@@ -9,11 +9,11 @@
 use molevale::names::Names;
 use std::fmt::{Debug, Write};
 
-fn put(out: &mut String, key: &str, value: &dyn Debug) {
+fn write_field(out: &mut String, key: &str, value: &dyn Debug) {
     writeln!(out, "{key} = {value:?}").unwrap();
 }
 
-fn idempotency(idempotency: Idempotency) -> &'static str {
+fn idempotency_key(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "safe",
         Idempotency::WithKey(KeyScope::Fleet) => "keyed, all",
@@ -23,45 +23,46 @@
     }
 }
 
-fn class(out: &mut String, n: usize, class: &ClassSettings) {
+fn write_class(out: &mut String, n: usize, class: &ClassSettings) {
     let ClassSettings {
-        objective_us: aim_us,
-        objective_per_work: stretch,
+        objective_us,
+        objective_per_work,
         deadline_us,
-        priority_weight: worth,
-        late_weight: late_worth,
-        idempotency: effect,
-        deduplication_window_us: repeat_window_us,
-        required_kind: kind,
+        priority_weight,
+        late_weight,
+        idempotency,
+        deduplication_window_us,
+        required_kind,
     } = class;
-    let effect = idempotency(*effect);
+    let idempotency = idempotency_key(*idempotency);
     writeln!(
         out,
-        "class {n}: aim {aim_us:?} stretch {stretch:?} deadline {deadline_us:?} worth {worth:?} late {late_worth:?} \
-         effect {effect} window {repeat_window_us:?} kind {kind:?}"
+        "class {n}: aim {objective_us:?} stretch {objective_per_work:?} deadline {deadline_us:?} worth {priority_weight:?} late {late_weight:?} \
+         effect {idempotency} window {deduplication_window_us:?} kind {required_kind:?}"
     )
     .unwrap();
 }
 
-fn rules(out: &mut String, rules: &Rules) {
+fn write_rules(out: &mut String, rules: &Rules) {
     let Rules {
-        poll_interval_us: ask_every_us,
-        cold_capacity_ratio: cold_share,
+        poll_interval_us,
+        cold_capacity_ratio,
         warm_up_us,
-        overload_multiple: fall_multiple,
-        overload_window_us: fall_us,
-        retry_budget: allowance,
+        overload_multiple,
+        overload_window_us,
+        retry_budget,
         soft_removal,
     } = rules;
-    put(out, "rules ask every us", ask_every_us);
-    put(out, "rules cold share", cold_share);
-    put(out, "rules warm up us", warm_up_us);
-    put(out, "rules fall multiple", fall_multiple);
-    put(out, "rules fall us", fall_us);
-    put(out, "rules soft removal", soft_removal);
-    match allowance {
-        Some(RetryBudget { min_retries: spare, ratio, window_us: span_us }) => {
-            writeln!(out, "rules allowance: spare {spare:?} ratio {ratio:?} span us {span_us:?}").unwrap();
+    write_field(out, "rules ask every us", poll_interval_us);
+    write_field(out, "rules cold share", cold_capacity_ratio);
+    write_field(out, "rules warm up us", warm_up_us);
+    write_field(out, "rules fall multiple", overload_multiple);
+    write_field(out, "rules fall us", overload_window_us);
+    write_field(out, "rules soft removal", soft_removal);
+    match retry_budget {
+        Some(RetryBudget { min_retries, ratio, window_us }) => {
+            writeln!(out, "rules allowance: spare {min_retries:?} ratio {ratio:?} span us {window_us:?}")
+                .unwrap();
         }
         None => writeln!(out, "rules allowance: none").unwrap(),
     }
@@ -71,78 +72,78 @@
 pub fn settings(out: &mut String, settings: &Settings) {
     let Settings {
         classes,
-        retired_classes: retired,
+        retired_classes,
         tenants,
-        dispatchers: siblings,
+        dispatchers,
         ordinal,
-        max_senders: most_senders,
-        membership_epoch: order,
+        max_senders,
+        membership_epoch,
         zone,
         max_attempts,
-        can_cancel: cancelling,
-        peer_messages: peers,
+        can_cancel,
+        peer_messages,
         max_retry_after_us,
-        unmarked_retries: unmarked_repeats,
-        can_probe: probes,
-        reports_free_slots: reports_free,
-        polls_endpoints: list_asked,
+        unmarked_retries,
+        can_probe,
+        reports_free_slots,
+        polls_endpoints,
         live_weights,
-        acknowledges: tells_taken,
-        reports_start: tells_start,
-        progress_interval_us: progress_us,
+        acknowledges,
+        reports_start,
+        progress_interval_us,
         cross_zone_price,
-        peer_message_price: peer_price,
+        peer_message_price,
         handshake_price,
-        origin_fetch_price: origin_price,
-        idle_timeout_us: conn_idle_us,
-        late_penalty_weight: tail_weight,
-        accepted_late_ratio: tail_slack,
+        origin_fetch_price,
+        idle_timeout_us,
+        late_penalty_weight,
+        accepted_late_ratio,
         worst_class_weight,
-        over_quota_weight: over_share_worth,
-        clock_resolution_us: resolution_us,
-        max_send_delay_us: lag_us,
-        rules: figures,
+        over_quota_weight,
+        clock_resolution_us,
+        max_send_delay_us,
+        rules,
     } = settings;
-    classes.iter().enumerate().for_each(|(n, c)| class(out, n, c));
+    classes.iter().enumerate().for_each(|(n, c)| write_class(out, n, c));
     for (n, TenantSettings { quota_per_s, share }) in tenants.iter().enumerate() {
         writeln!(out, "tenant {n}: quota {quota_per_s:?} share {share:?}").unwrap();
     }
-    let all: [(&str, &dyn Debug); 29] = [
-        ("retired", retired),
-        ("siblings", siblings),
+    let fields: [(&str, &dyn Debug); 29] = [
+        ("retired", retired_classes),
+        ("siblings", dispatchers),
         ("ordinal", ordinal),
-        ("most senders", most_senders),
-        ("order", order),
+        ("most senders", max_senders),
+        ("order", membership_epoch),
         ("zone", zone),
         ("max attempts", max_attempts),
-        ("cancelling", cancelling),
-        ("peers", peers),
+        ("cancelling", can_cancel),
+        ("peers", peer_messages),
         ("max retry after us", max_retry_after_us),
-        ("unmarked repeats", unmarked_repeats),
-        ("probes", probes),
-        ("reports free", reports_free),
-        ("list asked", list_asked),
+        ("unmarked repeats", unmarked_retries),
+        ("probes", can_probe),
+        ("reports free", reports_free_slots),
+        ("list asked", polls_endpoints),
         ("live weights", live_weights),
-        ("tells taken", tells_taken),
-        ("tells start", tells_start),
-        ("progress us", progress_us),
+        ("tells taken", acknowledges),
+        ("tells start", reports_start),
+        ("progress us", progress_interval_us),
         ("cross zone price", cross_zone_price),
-        ("peer price", peer_price),
+        ("peer price", peer_message_price),
         ("handshake price", handshake_price),
-        ("origin price", origin_price),
-        ("conn idle us", conn_idle_us),
-        ("tail weight", tail_weight),
-        ("tail slack", tail_slack),
+        ("origin price", origin_fetch_price),
+        ("conn idle us", idle_timeout_us),
+        ("tail weight", late_penalty_weight),
+        ("tail slack", accepted_late_ratio),
         ("worst class weight", worst_class_weight),
-        ("over share worth", over_share_worth),
-        ("resolution us", resolution_us),
-        ("lag us", lag_us),
+        ("over share worth", over_quota_weight),
+        ("resolution us", clock_resolution_us),
+        ("lag us", max_send_delay_us),
     ];
-    all.into_iter().for_each(|(key, value)| put(out, key, value));
-    rules(out, figures);
+    fields.into_iter().for_each(|(key, value)| write_field(out, key, value));
+    write_rules(out, rules);
 }
 
-fn field(field: ReportField) -> &'static str {
+fn report_field_key(field: ReportField) -> &'static str {
     match field {
         ReportField::FreeSlots => "free slots",
         ReportField::FreeMemory => "free memory",
@@ -152,46 +153,47 @@
     }
 }
 
-/// The names and figures beside the module's settings.
+/// The names and durations that the node keeps beside the settings of the decision module.
 pub fn names(out: &mut String, names: &Names) {
     let Names {
         classes,
-        retired_classes: retired,
-        previous_classes: continues,
-        requires_idempotency_key: keyed,
+        retired_classes,
+        previous_classes,
+        requires_idempotency_key,
         tenants,
-        retired_tenants: gone_tenants,
+        retired_tenants,
         zones,
         kinds,
         report,
         connect_timeout,
-        worker_idle_timeout: conn_idle,
+        worker_idle_timeout,
         drain_grace,
-        longest_deadline: longest,
+        longest_deadline,
     } = names;
-    let report: Vec<String> = report.iter().map(|(name, f)| format!("{name}: {}", field(*f))).collect();
-    let all: [(&str, &dyn Debug); 13] = [
+    let report: Vec<String> =
+        report.iter().map(|(name, f)| format!("{name}: {}", report_field_key(*f))).collect();
+    let fields: [(&str, &dyn Debug); 13] = [
         ("classes", classes),
-        ("classes retired", retired),
-        ("classes continue", continues),
-        ("classes keyed", keyed),
+        ("classes retired", retired_classes),
+        ("classes continue", previous_classes),
+        ("classes keyed", requires_idempotency_key),
         ("tenants", tenants),
-        ("tenants gone", gone_tenants),
+        ("tenants gone", retired_tenants),
         ("zones", zones),
         ("kinds", kinds),
         ("report", &report),
         ("connect timeout", connect_timeout),
-        ("conn idle", conn_idle),
+        ("conn idle", worker_idle_timeout),
         ("drain grace", drain_grace),
-        ("longest", longest),
+        ("longest", longest_deadline),
     ];
-    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    fields.into_iter().for_each(|(key, value)| write_field(out, key, value));
 }
 
-/// The operator's file of the talk between nodes.
+/// The operator's fleet file.
 pub fn fleet_file(out: &mut String, file: &FleetFile) {
     let FleetFile { fleet, listen, advertise, zone, key_file, seeds, timing, coordination } = file;
-    let all: [(&str, &dyn Debug); 11] = [
+    let fields: [(&str, &dyn Debug); 11] = [
         ("fleet", fleet),
         ("listen", listen),
         ("advertise", advertise),
@@ -204,9 +206,9 @@
         ("contact", &timing.reconnect_interval),
         ("forget", &timing.remove_after),
     ];
-    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    fields.into_iter().for_each(|(key, value)| write_field(out, key, value));
     let Some(coordination) = coordination else { return writeln!(out, "duties: none").unwrap() };
-    let all: [(&str, &dyn Debug); 6] = [
+    let fields: [(&str, &dyn Debug); 6] = [
         ("duties state", &coordination.state_directory),
         ("duties voters", &coordination.voters),
         ("duties lease", &coordination.lease_duration),
@@ -214,7 +216,7 @@
         ("duties lists", &coordination.list_broadcast),
         ("duties roll", &coordination.rolling_restart),
     ];
-    all.into_iter().for_each(|(key, value)| put(out, key, value));
+    fields.into_iter().for_each(|(key, value)| write_field(out, key, value));
     for call in &coordination.scheduled_calls {
         writeln!(
             out,
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -1,6 +1,6 @@
-//! What others read of the program, byte for byte as it was recorded: its help, what it says of bad input, the answers of
-//! the management address, the messages between the two processes of a hand-over, and the settings that are read from the
-//! files that come with it. `GOLDEN_RECORD=1` records anew.
+//! Outputs of the program, compared byte for byte with recorded files: its help, its errors for invalid input, the answers
+//! of the management address, the messages between the two processes of a handover, and the settings read from the files
+//! in `deploy`. `GOLDEN_RECORD=1` records the files again.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 #![allow(clippy::too_many_lines, reason = "a test is a script of steps")]
 
@@ -14,8 +14,8 @@
 
 use common::deployments;
 use common::wire::{head, length};
-use process::{own_address, run, Folder, Link, Node, ID};
-use record::{check, without_date, without_durations, without_figures};
+use process::{own_address, run_command, Folder, Link, Node, ID};
+use record::{assert_golden, mask_date, mask_durations, mask_numbers};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::os::fd::AsFd;
@@ -24,13 +24,13 @@
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::{sleep, timeout};
 
-/// Time for the other end to read what was written, where it says nothing of it.
-const READ: Duration = Duration::from_millis(300);
+/// Time for the peer to read what was written, where it sends no confirmation.
+const READ_DELAY: Duration = Duration::from_millis(300);
 
 #[test]
 fn help_of_each_command_is_as_recorded() {
     let folder = Folder::new("help");
-    let mut all = String::new();
+    let mut text = String::new();
     for arguments in [
         "--help",
         "-h",
@@ -45,106 +45,109 @@
         "fleet roll --help",
     ] {
         let arguments: Vec<&str> = arguments.split(' ').collect();
-        let (code, out, err) = run(&folder, &arguments, &[]);
+        let (code, out, err) = run_command(&folder, &arguments, &[]);
         assert_eq!((code, err.as_str()), (Some(0), ""), "{arguments:?}");
-        write!(all, "$ molevale {}\n{out}\n", arguments.join(" ")).unwrap();
+        write!(text, "$ molevale {}\n{out}\n", arguments.join(" ")).unwrap();
     }
-    check("help.txt", &all);
+    assert_golden("help.txt", &text);
 }
 
-fn good() -> Value {
+fn valid_config() -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
         "settings": common::settings(true, 1_000_000)})
 }
 
-/// The good configuration with another value at this place.
-fn with(place: &str, value: Value) -> String {
-    let mut text = good();
-    let (parent, key) = place.rsplit_once('/').unwrap();
+/// The valid configuration with another value at this path.
+fn config_with(path: &str, value: Value) -> String {
+    let mut text = valid_config();
+    let (parent, key) = path.rsplit_once('/').unwrap();
     text.pointer_mut(parent).unwrap()[key] = value;
     text.to_string()
 }
 
-/// Bad configurations of the platform's front, by what is bad of each.
-fn bad_configurations() -> Vec<(&'static str, String)> {
-    let profiles = |key: &str, value: Value| with(&format!("/settings/Profiles/0/{key}"), value);
+/// Invalid configurations of the platform frontend, each with a name.
+fn invalid_configurations() -> Vec<(&'static str, String)> {
+    let profiles = |key: &str, value: Value| config_with(&format!("/settings/Profiles/0/{key}"), value);
     let same_names =
-        with("/settings/Parties", json!([{"Name": "a", "Share": 1.0}, {"Name": "a", "Share": 1.0}]));
+        config_with("/settings/Parties", json!([{"Name": "a", "Share": 1.0}, {"Name": "a", "Share": 1.0}]));
     vec![
         ("not closed", "{\n".to_string()),
         ("empty", String::new()),
         ("a list", "[]".to_string()),
         ("no settings", json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}).to_string()),
-        ("empty settings", with("/settings", json!({}))),
-        ("listen", with("/listen", "nowhere".into())),
-        ("no listen", with("/listen", Value::Null)),
-        ("discovery", with("/discovery", "nowhere".into())),
-        ("no discovery", with("/discovery", Value::Null)),
-        ("management", with("/management", "nowhere".into())),
-        ("management of no machine", with("/management", "192.0.2.1:1".into())),
-        ("listen of no machine", with("/listen", "192.0.2.1:1".into())),
-        ("peer_listen", with("/peer_listen", "nowhere".into())),
-        ("peers", with("/peers", json!(["127.0.0.1:1", "nowhere"]))),
-        ("limits", with("/limits", json!({"sockets": -1}))),
-        ("known", with("/known", json!({"revision": 1}))),
-        ("known phase", with("/known", json!({"revision": 1, "complete": true, "members": [{"id": "a"}]}))),
-        ("two lines", with("/settings/Siblings", "two\nlines".into())),
-        ("attempts", with("/settings/Limits/MaxAttempts", 0.into())),
-        ("attempts negative", with("/settings/Limits/MaxAttempts", (-1).into())),
-        ("connect timeout", with("/settings/Limits/ConnectTimeoutUs", "soon".into())),
-        ("no profiles", with("/settings/Profiles", json!([]))),
+        ("empty settings", config_with("/settings", json!({}))),
+        ("listen", config_with("/listen", "nowhere".into())),
+        ("no listen", config_with("/listen", Value::Null)),
+        ("discovery", config_with("/discovery", "nowhere".into())),
+        ("no discovery", config_with("/discovery", Value::Null)),
+        ("management", config_with("/management", "nowhere".into())),
+        ("management of no machine", config_with("/management", "192.0.2.1:1".into())),
+        ("listen of no machine", config_with("/listen", "192.0.2.1:1".into())),
+        ("peer_listen", config_with("/peer_listen", "nowhere".into())),
+        ("peers", config_with("/peers", json!(["127.0.0.1:1", "nowhere"]))),
+        ("limits", config_with("/limits", json!({"sockets": -1}))),
+        ("known", config_with("/known", json!({"revision": 1}))),
+        (
+            "known phase",
+            config_with("/known", json!({"revision": 1, "complete": true, "members": [{"id": "a"}]})),
+        ),
+        ("two lines", config_with("/settings/Siblings", "two\nlines".into())),
+        ("attempts", config_with("/settings/Limits/MaxAttempts", 0.into())),
+        ("attempts negative", config_with("/settings/Limits/MaxAttempts", (-1).into())),
+        ("connect timeout", config_with("/settings/Limits/ConnectTimeoutUs", "soon".into())),
+        ("no profiles", config_with("/settings/Profiles", json!([]))),
         ("deadline", profiles("DeadlineUs", 0.into())),
         ("worth", profiles("Worth", (-1).into())),
         ("semantics", profiles("Semantics", "perhaps".into())),
-        ("group", with("/settings/Profiles/1/Group", "some".into())),
+        ("group", config_with("/settings/Profiles/1/Group", "some".into())),
         ("no name", profiles("Name", "".into())),
         ("one name twice", profiles("Name", "lodge".into())),
         ("one tenant twice", same_names),
-        ("quota", with("/settings/Parties/0/QuotaPerS", "much".into())),
-        ("share", with("/settings/Parties/0/Share", (-1).into())),
+        ("quota", config_with("/settings/Parties/0/QuotaPerS", "much".into())),
+        ("share", config_with("/settings/Parties/0/Share", (-1).into())),
     ]
 }
 
 #[test]
-fn bad_configurations_end_the_program_as_recorded() {
+fn invalid_configurations_end_the_program_as_recorded() {
     let folder = Folder::new("configurations");
-    let mut all = String::new();
-    let mut note = |what: &str, arguments: &[&str], variables: &[(&str, &str)]| {
-        let (code, out, err) = run(&folder, arguments, variables);
+    let mut text = String::new();
+    let mut run_and_record = |what: &str, arguments: &[&str], variables: &[(&str, &str)]| {
+        let (code, out, err) = run_command(&folder, arguments, variables);
         assert_eq!(out, "", "{what}");
         assert_eq!(code, Some(2), "{what}: {err}");
-        write!(all, "{what}: {code:?}\n{err}").unwrap();
+        write!(text, "{what}: {code:?}\n{err}").unwrap();
     };
     let config = [("RELAY_CONFIG", "config.json")];
-    for (what, text) in bad_configurations() {
+    for (what, text) in invalid_configurations() {
         folder.write("config.json", &text);
-        note(what, &[], &config);
+        run_and_record(what, &[], &config);
     }
-    folder.write("config.json", &good().to_string());
+    folder.write("config.json", &valid_config().to_string());
     for name in ["RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_MANAGEMENT"] {
-        note(name, &[], &[config[0], (name, "nowhere")]);
+        run_and_record(name, &[], &[config[0], (name, "nowhere")]);
     }
-    note("no configuration", &[], &[]);
-    note("an empty variable", &[], &[("RELAY_CONFIG", "")]);
-    note("a configuration that is not there", &[], &[("RELAY_CONFIG", "none.json")]);
-    check("bad_configurations.txt", &all);
+    run_and_record("no configuration", &[], &[]);
+    run_and_record("an empty variable", &[], &[("RELAY_CONFIG", "")]);
+    run_and_record("a configuration that is not there", &[], &[("RELAY_CONFIG", "none.json")]);
+    assert_golden("bad_configurations.txt", &text);
 }
 
 const FLEET: &str = "fleet = \"f\"\nlisten = \"127.0.0.1:0\"\nkey_file = \"fleet.key\"\n";
 const KEY: &str = "current 00112233445566778899aabbccddeeff\n";
 
 #[test]
-fn bad_operators_files_and_commands_end_the_program_as_recorded() {
+fn invalid_files_and_commands_end_the_program_as_recorded() {
     let folder = Folder::new("operators");
-    let mut all = String::new();
-    let mut note = |what: &str, wanted: i32, arguments: &[&str], variables: &[(&str, &str)]| {
-        let (code, out, err) = run(&folder, arguments, variables);
+    let mut text = String::new();
+    let mut run_and_record = |what: &str, exit_code: i32, arguments: &[&str], variables: &[(&str, &str)]| {
+        let (code, out, err) = run_command(&folder, arguments, variables);
         assert_eq!(out, "", "{what}");
-        assert_eq!(code, Some(wanted), "{what}: {err}");
-        write!(all, "{what}: {code:?}\n{err}").unwrap();
+        assert_eq!(code, Some(exit_code), "{what}: {err}");
+        write!(text, "{what}: {code:?}\n{err}").unwrap();
     };
     let config = [("RELAY_CONFIG", "config.json")];
-    folder.write("config.json", &good().to_string());
+    folder.write("config.json", &valid_config().to_string());
     let faktory = include_str!("../../deploy/faktory.toml");
     for (from, to) in [
         ("Cancelling = false", "Cancelling = true"),
@@ -161,7 +164,7 @@
     ] {
         assert!(faktory.contains(from), "{from}");
         folder.write("faktory.toml", &faktory.replacen(from, to, 1));
-        note(&format!("faktory {to}"), 2, &["--faktory", "faktory.toml"], &config);
+        run_and_record(&format!("faktory {to}"), 2, &["--faktory", "faktory.toml"], &config);
     }
     folder.write("fleet.key", KEY);
     for (what, text, keys) in [
@@ -178,18 +181,18 @@
     ] {
         folder.write("fleet.toml", &text);
         folder.write("fleet.key", keys);
-        note(&format!("fleet {what}"), 2, &["--fleet", "fleet.toml"], &config);
+        run_and_record(&format!("fleet {what}"), 2, &["--fleet", "fleet.toml"], &config);
     }
     folder.write("fleet.toml", FLEET);
     folder.write("fleet.key", KEY);
-    note("fleet without a node", 2, &["--fleet", "fleet.toml"], &[]);
-    note("fleet and faktory without a node", 2, &["--fleet", "fleet.toml", "--faktory", "f"], &[]);
-    note("fleet that is not there", 2, &["--fleet", "none.toml"], &config);
-    note("faktory that is not there", 2, &["--faktory", "none.toml"], &config);
-    folder.write("config.json", &with("/name", "".into()));
-    note("fleet and a node with no name", 2, &["--fleet", "fleet.toml"], &config);
-    folder.write("config.json", &with("/name", "n".repeat(300).into()));
-    note("fleet and a node with a long name", 2, &["--fleet", "fleet.toml"], &config);
+    run_and_record("fleet without a node", 2, &["--fleet", "fleet.toml"], &[]);
+    run_and_record("fleet and faktory without a node", 2, &["--fleet", "fleet.toml", "--faktory", "f"], &[]);
+    run_and_record("fleet that is not there", 2, &["--fleet", "none.toml"], &config);
+    run_and_record("faktory that is not there", 2, &["--faktory", "none.toml"], &config);
+    folder.write("config.json", &config_with("/name", "".into()));
+    run_and_record("fleet and a node with no name", 2, &["--fleet", "fleet.toml"], &config);
+    folder.write("config.json", &config_with("/name", "n".repeat(300).into()));
+    run_and_record("fleet and a node with a long name", 2, &["--fleet", "fleet.toml"], &config);
     for arguments in [
         "--faktory",
         "--help-me",
@@ -203,7 +206,7 @@
         "fleet voter add 127.0.0.1:1 n1",
         "--fleet f fleet show 127.0.0.1:1",
     ] {
-        note(arguments, 2, &arguments.split(' ').collect::<Vec<_>>(), &[]);
+        run_and_record(arguments, 2, &arguments.split(' ').collect::<Vec<_>>(), &[]);
     }
     for arguments in [
         "fleet show 127.0.0.1:1",
@@ -214,44 +217,44 @@
         "fleet voter add 127.0.0.1:1 n1 127.0.0.1:2",
         "fleet voter remove 127.0.0.1:1 n1",
     ] {
-        note(arguments, 1, &arguments.split(' ').collect::<Vec<_>>(), &[]);
+        run_and_record(arguments, 1, &arguments.split(' ').collect::<Vec<_>>(), &[]);
     }
-    check("bad_files_and_commands.txt", &all);
+    assert_golden("bad_files_and_commands.txt", &text);
 }
 
 #[test]
-fn settings_of_the_files_that_come_along_are_as_recorded() {
-    let mut all = String::new();
-    let mut read = |name: &str, nested: &Value| {
-        let (settings, names) = molevale::names::parse_settings(nested).unwrap();
-        writeln!(all, "== {name}").unwrap();
-        rendering::settings(&mut all, &settings);
-        rendering::names(&mut all, &names);
+fn settings_of_deployed_files_are_as_recorded() {
+    let mut text = String::new();
+    let mut record = |name: &str, settings: &Value| {
+        let (settings, names) = molevale::names::parse_settings(settings).unwrap();
+        writeln!(text, "== {name}").unwrap();
+        rendering::settings(&mut text, &settings);
+        rendering::names(&mut text, &names);
     };
-    let operator: Value = toml::from_str(include_str!("../../deploy/faktory.toml")).unwrap();
-    read("faktory.toml", &operator["settings"]);
+    let faktory: Value = toml::from_str(include_str!("../../deploy/faktory.toml")).unwrap();
+    record("faktory.toml", &faktory["settings"]);
     for site in deployments::Deployment::all() {
-        read(&site.name, &site.settings());
+        record(&site.name, &site.settings());
     }
-    read("of the tests", &common::settings(true, 1_000_000));
+    record("of the tests", &common::settings(true, 1_000_000));
     let duties = "[duties]\nstate = \"state\"\nvoters = [{ name = \"n1\", at = \"127.0.0.1:1\" }, \
         { name = \"n2\", at = \"127.0.0.2:1\" }, { name = \"n3\", at = \"127.0.0.3:1\" }]\nlists = true\n\
         [[duties.errand]]\nname = \"stamp\"\nat = \"127.0.0.1:9100\"\npath = \"/stamp\"\nevery_ms = 1000\n";
-    for text in [include_str!("../../deploy/fleet.toml"), &format!("{FLEET}{duties}")] {
-        writeln!(all, "== fleet file").unwrap();
-        rendering::fleet_file(&mut all, &membership::file::FleetFile::parse(text).unwrap());
+    for file in [include_str!("../../deploy/fleet.toml"), &format!("{FLEET}{duties}")] {
+        writeln!(text, "== fleet file").unwrap();
+        rendering::fleet_file(&mut text, &membership::file::FleetFile::parse(file).unwrap());
     }
-    check("settings.txt", &all);
+    assert_golden("settings.txt", &text);
 }
 
-/// One call on a connection of its own; the whole answer.
+/// Makes one call on a new connection; returns the whole answer.
 async fn call(at: &str, method: &str, path: &str) -> String {
     let mut socket = TcpStream::connect(at).await.unwrap();
     let text = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     socket.write_all(text.as_bytes()).await.unwrap();
     let mut answer = String::new();
     socket.read_to_string(&mut answer).await.unwrap();
-    without_date(&answer)
+    mask_date(&answer)
 }
 
 const CALLS: [(&str, &str); 22] = [
@@ -281,54 +284,54 @@
 
 #[tokio::test]
 async fn answers_of_the_management_address_are_as_recorded() {
-    let own = own_address(101);
-    let at = format!("{own}:9000");
-    let mut all = String::new();
+    let ip = own_address(101);
+    let at = format!("{ip}:9000");
+    let mut text = String::new();
     let duties = format!(
-        "[duties]\nvoters = [{{ name = \"n1\", at = \"{own}:7946\" }}, {{ name = \"n2\", at = \"127.0.0.1:1\" }}, \
+        "[duties]\nvoters = [{{ name = \"n1\", at = \"{ip}:7946\" }}, {{ name = \"n2\", at = \"127.0.0.1:1\" }}, \
          {{ name = \"n3\", at = \"127.0.0.1:2\" }}]\nroll = true\n"
     );
-    let file = FLEET.replace("127.0.0.1:0", &format!("{own}:7946"));
-    for (what, text) in
+    let file = FLEET.replace("127.0.0.1:0", &format!("{ip}:7946"));
+    for (what, fleet_file) in
         [("alone", None), ("with a fleet", Some(file.clone())), ("with duties", Some(file + &duties))]
     {
         let folder = Folder::new("management");
-        let mut config = good();
-        config["listen"] = format!("{own}:8443").into();
+        let mut config = valid_config();
+        config["listen"] = format!("{ip}:8443").into();
         config["management"] = at.clone().into();
         folder.write("config.json", &config.to_string());
         folder.write("fleet.key", KEY);
-        let arguments: &[&str] = match &text {
-            Some(text) => {
-                folder.write("fleet.toml", text);
+        let arguments: &[&str] = match &fleet_file {
+            Some(fleet_file) => {
+                folder.write("fleet.toml", fleet_file);
                 &["--fleet", "fleet.toml"]
             }
             None => &[],
         };
         let _node = Node::start(&folder, arguments, &at).await;
-        writeln!(all, "== {what}").unwrap();
+        writeln!(text, "== {what}").unwrap();
         for (method, path) in CALLS {
             let answer = call(&at, method, path).await;
-            // The figures of a status are the moment's; its keys and their order are not.
+            // The numbers in a status vary from run to run; its keys and their order do not.
             let answer = match (method, path, what) {
                 ("GET", "/fleet" | "/fleet/duties", "alone") => answer,
-                ("GET", "/fleet" | "/fleet/duties", _) => without_figures(&answer),
+                ("GET", "/fleet" | "/fleet/duties", _) => mask_numbers(&answer),
                 _ => answer,
             };
-            write!(all, "{method} {path}\n{answer}").unwrap();
+            write!(text, "{method} {path}\n{answer}").unwrap();
         }
     }
-    check("management.txt", &all.replace(&own, "NODE"));
+    assert_golden("management.txt", &text.replace(&ip, "NODE"));
 }
 
-/// What a worker says of a job that it has begun.
-fn begun() -> String {
+/// A worker's response head and the update that it has started the request.
+fn started_response() -> String {
     let line = format!("{{\"id\":\"{ID}\",\"from\":\"s-1\",\"state\":\"started\"}}\n");
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n", line.len())
 }
 
-/// What it says at the job's end.
-fn done() -> String {
+/// A worker's last update, and the end of its response.
+fn final_update() -> String {
     let line = format!("{{\"id\":\"{ID}\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r\"}}\n");
     format!("{:x}\r\n{line}\r\n0\r\n\r\n", line.len())
 }
@@ -341,103 +344,106 @@
     )
 }
 
-/// The next head and body, as they came.
-async fn message(stream: &mut BufReader<TcpStream>) -> String {
+/// Reads the next head and body.
+async fn read_message(stream: &mut BufReader<TcpStream>) -> String {
     let head = timeout(Duration::from_secs(10), head(stream)).await.unwrap().expect("a message");
     let mut body = vec![0; length(&head)];
     stream.read_exact(&mut body).await.unwrap();
-    without_date(&head) + &String::from_utf8(body).unwrap()
+    mask_date(&head) + &String::from_utf8(body).unwrap()
 }
 
-fn node_config(own: &str) -> Value {
-    let mut config = good();
-    config["listen"] = format!("{own}:8443").into();
-    config["management"] = format!("{own}:9000").into();
-    let member = common::wire::endpoint_entry("s-1", format!("{own}:8500").parse().unwrap(), "in_service", 0);
+fn node_config(ip: &str) -> Value {
+    let mut config = valid_config();
+    config["listen"] = format!("{ip}:8443").into();
+    config["management"] = format!("{ip}:9000").into();
+    let member = common::wire::endpoint_entry("s-1", format!("{ip}:8500").parse().unwrap(), "in_service", 0);
     config["known"] = json!({"revision": 1, "complete": true, "members": [member]});
     config
 }
 
 #[tokio::test]
-async fn messages_of_a_process_that_hands_over_are_as_recorded() {
-    let own = own_address(102);
+async fn messages_of_a_predecessor_are_as_recorded() {
+    let ip = own_address(102);
     let folder = Folder::new("hands-over");
-    folder.write("config.json", &node_config(&own).to_string());
-    let worker = TcpListener::bind(format!("{own}:8500")).await.unwrap();
-    let _node = Node::start(&folder, &[], &format!("{own}:9000")).await;
-    let mut client = BufReader::new(TcpStream::connect(format!("{own}:8443")).await.unwrap());
+    folder.write("config.json", &node_config(&ip).to_string());
+    let worker = TcpListener::bind(format!("{ip}:8500")).await.unwrap();
+    let _node = Node::start(&folder, &[], &format!("{ip}:9000")).await;
+    let mut client = BufReader::new(TcpStream::connect(format!("{ip}:8443")).await.unwrap());
     client.get_mut().write_all(request().as_bytes()).await.unwrap();
     let (socket, _) = worker.accept().await.unwrap();
     let mut at_worker = BufReader::new(socket);
-    let asked = message(&mut at_worker).await;
-    at_worker.get_mut().write_all(begun().as_bytes()).await.unwrap();
-    sleep(READ).await;
-    let (deadline, rest) = asked.split_once("x-deadline: 7.").expect("what is left of 7.5 s");
+    let received = read_message(&mut at_worker).await;
+    at_worker.get_mut().write_all(started_response().as_bytes()).await.unwrap();
+    sleep(READ_DELAY).await;
+    let (deadline, rest) = received.split_once("x-deadline: 7.").expect("a deadline below 7.5 s");
     let rest = rest.split_once('\r').unwrap().1;
-    let mut all = format!("== to the worker\n{deadline}x-deadline: 7.x\r{rest}\n");
-    let place = folder.path(&format!("molevale-{own}:8443"));
-    let mut link = Link::of(UnixStream::connect(place).await.unwrap());
-    let (byte, descriptors) = link.receive().await;
-    write!(all, "== {byte}, {descriptors} descriptors\n{}", link.line().await).unwrap();
-    link.say("serving\n").await;
-    write!(all, "== after 'serving'\n{}", link.line().await).unwrap();
-    link.say("ready\n").await;
-    let (byte, descriptors) = link.receive().await;
-    let job = link.line().await;
-    let left = serde_json::from_str::<Value>(&job).unwrap()["left"]["secs"].as_u64().unwrap();
-    assert!(left < 8, "{job}");
-    write!(all, "== after 'ready': {byte}, {descriptors} descriptors\n{}", without_durations(&job)).unwrap();
-    link.say("no\n").await;
-    write!(all, "== after 'no', again and again\n{}{}", link.line().await, link.line().await).unwrap();
-    at_worker.get_mut().write_all(done().as_bytes()).await.unwrap();
-    write!(all, "== to the client\n{}\n", message(&mut client).await).unwrap();
+    let mut text = format!("== to the worker\n{deadline}x-deadline: 7.x\r{rest}\n");
+    let path = folder.path(&format!("molevale-{ip}:8443"));
+    let mut link = Link::new(UnixStream::connect(path).await.unwrap());
+    let (byte, descriptors) = link.receive_descriptors().await;
+    write!(text, "== {byte}, {descriptors} descriptors\n{}", link.read_line().await).unwrap();
+    link.send_text("serving\n").await;
+    write!(text, "== after 'serving'\n{}", link.read_line().await).unwrap();
+    link.send_text("ready\n").await;
+    let (byte, descriptors) = link.receive_descriptors().await;
+    let transferred_job = link.read_line().await;
+    let left = serde_json::from_str::<Value>(&transferred_job).unwrap()["left"]["secs"].as_u64().unwrap();
+    assert!(left < 8, "{transferred_job}");
+    write!(text, "== after 'ready': {byte}, {descriptors} descriptors\n{}", mask_durations(&transferred_job))
+        .unwrap();
+    link.send_text("no\n").await;
+    write!(text, "== after 'no', again and again\n{}{}", link.read_line().await, link.read_line().await)
+        .unwrap();
+    at_worker.get_mut().write_all(final_update().as_bytes()).await.unwrap();
+    write!(text, "== to the client\n{}\n", read_message(&mut client).await).unwrap();
     let mut last = String::new();
     while !last.contains("\"bodies_kib\":0") {
-        last = link.line().await;
+        last = link.read_line().await;
     }
-    write!(all, "== once nothing is left\n{last}").unwrap();
-    check("hands_over.txt", &all.replace(&own, "NODE"));
+    write!(text, "== once nothing is left\n{last}").unwrap();
+    assert_golden("hands_over.txt", &text.replace(&ip, "NODE"));
 }
 
 #[tokio::test]
-async fn a_process_that_takes_over_reads_and_answers_as_recorded() {
-    let own = own_address(103);
+async fn a_successor_accepts_and_sends_the_recorded_messages() {
+    let ip = own_address(103);
     let folder = Folder::new("takes-over");
-    folder.write("config.json", &node_config(&own).to_string());
-    let worker = TcpListener::bind(format!("{own}:8500")).await.unwrap();
-    let listener = TcpListener::bind(format!("{own}:8443")).await.unwrap();
-    let before = UnixListener::bind(folder.path(&format!("molevale-{own}:8443"))).unwrap();
-    // The job of the process before: what is left there are these two connections.
-    let mut client = BufReader::new(TcpStream::connect(format!("{own}:8443")).await.unwrap());
+    folder.write("config.json", &node_config(&ip).to_string());
+    let worker = TcpListener::bind(format!("{ip}:8500")).await.unwrap();
+    let listener = TcpListener::bind(format!("{ip}:8443")).await.unwrap();
+    let predecessor = UnixListener::bind(folder.path(&format!("molevale-{ip}:8443"))).unwrap();
+    // The connections of a job that the predecessor transfers.
+    let mut client = BufReader::new(TcpStream::connect(format!("{ip}:8443")).await.unwrap());
     let (to_client, _) = listener.accept().await.unwrap();
-    let to_worker = TcpStream::connect(format!("{own}:8500")).await.unwrap();
+    let to_worker = TcpStream::connect(format!("{ip}:8500")).await.unwrap();
     let (mut at_worker, _) = worker.accept().await.unwrap();
-    let starting = Node::spawn(&folder, &[]);
-    let mut link =
-        Link::of(timeout(Duration::from_secs(10), before.accept()).await.expect("a new process").unwrap().0);
-    let mut all = String::new();
-    link.send(&[listener.as_fd()]).await;
-    let other = "9b1f03aa5c7e2d42";
-    let state = json!({"known": node_config(&own)["known"], "ids": [ID, other]});
-    link.say(&format!("{state}\n")).await;
-    write!(all, "== once it has the listener and the state\n{}", link.line().await).unwrap();
-    link.say("{\"descriptors\":4,\"bodies_kib\":64}\n").await;
-    write!(all, "== once it is told what is held\n{}", link.line().await).unwrap();
-    link.send(&[to_client.as_fd(), to_worker.as_fd()]).await;
+    let successor = Node::spawn(&folder, &[]);
+    let mut link = Link::new(
+        timeout(Duration::from_secs(10), predecessor.accept()).await.expect("a successor").unwrap().0,
+    );
+    let mut text = String::new();
+    link.send_descriptors(&[listener.as_fd()]).await;
+    let other_id = "9b1f03aa5c7e2d42";
+    let state = json!({"known": node_config(&ip)["known"], "ids": [ID, other_id]});
+    link.send_text(&format!("{state}\n")).await;
+    write!(text, "== once it has the listener and the state\n{}", link.read_line().await).unwrap();
+    link.send_text("{\"descriptors\":4,\"bodies_kib\":64}\n").await;
+    write!(text, "== once it is told what is held\n{}", link.read_line().await).unwrap();
+    link.send_descriptors(&[to_client.as_fd(), to_worker.as_fd()]).await;
     drop((to_client, to_worker));
-    let job = include_str!("golden/node/job.json").replace("NODE", &own);
-    link.say(&job).await;
-    write!(all, "== once it has a job\n{}", link.line().await).unwrap();
-    link.say("H{\"descriptors\":2,\"bodies_kib\":0}\n").await;
-    // An id that is open in the process before is turned away; one in a job that came over ends here.
-    let mut again = BufReader::new(TcpStream::connect(format!("{own}:8443")).await.unwrap());
-    again.get_mut().write_all(request().replace(ID, other).as_bytes()).await.unwrap();
-    write!(all, "== an id that is open\n{}\n", message(&mut again).await).unwrap();
-    at_worker.write_all(done().as_bytes()).await.unwrap();
-    write!(all, "== to the client\n{}\n", message(&mut client).await).unwrap();
+    let transferred_job = include_str!("golden/node/job.json").replace("NODE", &ip);
+    link.send_text(&transferred_job).await;
+    write!(text, "== once it has a job\n{}", link.read_line().await).unwrap();
+    link.send_text("H{\"descriptors\":2,\"bodies_kib\":0}\n").await;
+    // A request with an id that is open in the predecessor is rejected; a transferred job completes here.
+    let mut second_client = BufReader::new(TcpStream::connect(format!("{ip}:8443")).await.unwrap());
+    second_client.get_mut().write_all(request().replace(ID, other_id).as_bytes()).await.unwrap();
+    write!(text, "== an id that is open\n{}\n", read_message(&mut second_client).await).unwrap();
+    at_worker.write_all(final_update().as_bytes()).await.unwrap();
+    write!(text, "== to the client\n{}\n", read_message(&mut client).await).unwrap();
     let mut bytes = [0; 1];
-    let got = timeout(READ, at_worker.read(&mut bytes)).await;
-    assert!(!matches!(got, Ok(Ok(1))), "nothing goes to the worker again");
-    drop(starting);
-    check("takes_over.txt", &all.replace(&own, "NODE"));
+    let read = timeout(READ_DELAY, at_worker.read(&mut bytes)).await;
+    assert!(!matches!(read, Ok(Ok(1))), "the request was sent to the worker again");
+    drop(successor);
+    assert_golden("takes_over.txt", &text.replace(&ip, "NODE"));
 }
