--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -1,8 +1,8 @@
-//! Bytes of the platform's wires, as they are on real sockets: answers to clients, requests to workers and discovery,
-//! probes and datagrams between nodes, compared with the files in `golden/platform`.
+//! Bytes that the platform frontend sends on real sockets: answers to clients, requests to workers and discovery, probes
+//! and datagrams between nodes, compared with the files in `golden/platform`.
 //!
-//! What varies from run to run (date, port, the rest of a deadline, a clock) is replaced by a mark. To write the files
-//! anew, run with `GOLDEN_WRITE=1`; a change of them is a change of the protocol.
+//! What varies from run to run (date, port, the remaining deadline, a clock) is replaced by a placeholder. To record the
+//! files again, run with `GOLDEN_WRITE=1`; a changed file is a changed protocol.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 mod common;
@@ -19,10 +19,10 @@
 use tokio::time::advance;
 
 const ID: &str = "9b1f03aa5c7e2d41";
-/// Virtual time between two looks.
-const STEP: Duration = Duration::from_millis(20);
+/// Virtual time between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What was seen, in order: a title, then the bytes with one line a line.
+/// Received messages in order: a title each, then the bytes, split at line ends.
 #[derive(Default)]
 struct Transcript(String);
 
@@ -30,7 +30,7 @@
     fn add(&mut self, title: &str, bytes: &str) {
         self.0 += &format!("# {title}\n");
         for line in bytes.split_inclusive('\n') {
-            self.0 += &format!("{}\n", masked(line).escape_debug());
+            self.0 += &format!("{}\n", mask_line(line).escape_debug());
         }
         self.0.push('\n');
     }
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Compares with the file, and shows the first line that differs.
-    fn is_golden(&self, name: &str) {
+    /// Compares with the recorded file; panics with the first line that differs.
+    fn assert_golden(&self, name: &str) {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/platform").join(name);
         if std::env::var_os("GOLDEN_WRITE").is_some() {
             std::fs::write(&file, &self.0).unwrap();
@@ -58,11 +58,11 @@
     }
 }
 
-/// A line with marks in place of what varies.
-fn masked(line: &str) -> String {
+/// A line with placeholders for what varies from run to run.
+fn mask_line(line: &str) -> String {
     let end = line.trim_end_matches(['\r', '\n']).len();
     let (text, ending) = line.split_at(end);
-    let marked = match text.split_once(": ") {
+    let masked = match text.split_once(": ") {
         Some((name, _)) if name.eq_ignore_ascii_case("date") => format!("{name}: <date>"),
         Some((name, value)) if name == "x-deadline" => {
             let whole = value.split_once('.').map_or(value, |(whole, _)| whole);
@@ -77,53 +77,54 @@
         }
         _ => text.to_string(),
     };
-    marked + ending
+    masked + ending
 }
 
-async fn until_taken(node: &PlatformNode, n: u64) {
-    advance_until("requests are taken", Duration::ZERO, || node.counters.requests_accepted.get() >= n).await;
+async fn wait_until_accepted(node: &PlatformNode, count: u64) {
+    advance_until("requests are accepted", Duration::ZERO, || node.counters.requests_accepted.get() >= count)
+        .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_to_jobs_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn answers_to_requests_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("lodge", ID, 60.0, "{\"a\" : 1}")).await;
     worker.receive_request().await.complete("a \"result\" \u{fc}").await;
-    seen.add_answer("served", &mut client).await;
+    transcript.add_answer("served", &mut client).await;
 
     client.send_after_pause(&request("check", ID, 60.0, "")).await;
-    let mut job = worker.receive_request().await;
-    job.begin_response().await;
-    job.send_update(json!({"state": "started"})).await;
-    job.send_update(json!({"state": "running", "share": 0.5})).await;
-    job.send_update(json!({"state": "done", "result": {"sum": [1, 2.50]}})).await;
-    seen.add_answer("served, with progress and a result that is no string", &mut client).await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
+    received.send_update(json!({"state": "started"})).await;
+    received.send_update(json!({"state": "running", "share": 0.5})).await;
+    received.send_update(json!({"state": "done", "result": {"sum": [1, 2.50]}})).await;
+    transcript.add_answer("served, with progress and a result that is no string", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     let chunks = request("check", ID, 60.0, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     client.send_after_pause(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n")).await;
     worker.receive_request().await.complete("").await;
-    seen.add_answer("served, of a chunked request and with an empty result", &mut client).await;
-    seen.add_answer("and after that", &mut client).await;
+    transcript.add_answer("served, of a chunked request and with an empty result", &mut client).await;
+    transcript.add_answer("and after that", &mut client).await;
 
     let mut client = Client::connect(&node).await;
-    let old = request("check", ID, 60.0, "").replace("HTTP/1.1", "HTTP/1.0");
-    client.send_after_pause(&old).await;
+    let http_1_0 = request("check", ID, 60.0, "").replace("HTTP/1.1", "HTTP/1.0");
+    client.send_after_pause(&http_1_0).await;
     worker.receive_request().await.complete("r").await;
-    seen.add_answer("served, of HTTP/1.0", &mut client).await;
+    transcript.add_answer("served, of HTTP/1.0", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("lodge", ID, 0.2, "")).await;
-    let _job = worker.receive_request().await;
+    let _received = worker.receive_request().await;
     advance(Duration::from_millis(200)).await;
-    seen.add_answer("no time left for another attempt", &mut client).await;
-    seen.is_golden("answers_to_jobs.txt");
+    transcript.add_answer("no time left for another attempt", &mut client).await;
+    transcript.assert_golden("answers_to_jobs.txt");
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_to_failed_and_refused_jobs_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn answers_to_failed_and_shed_requests_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let worker = Worker::start().await;
     let mut settings = common::settings(true, 60_000_000);
     settings["Profiles"][0]["Semantics"] = "unsafe".into();
@@ -131,35 +132,36 @@
         PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "")).await;
-    let mut job = worker.receive_request().await;
-    job.begin_response().await;
-    job.send_update(json!({"state": "failed"})).await;
-    seen.add_answer("failed, and it must not run twice", &mut client).await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
+    received.send_update(json!({"state": "failed"})).await;
+    transcript.add_answer("failed, and it must not run twice", &mut client).await;
 
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("check", ID, 0.2, "")).await;
-    let mut job = worker.receive_request().await;
-    job.begin_response().await;
-    advance_until("it runs", Duration::ZERO, || node.counters.acknowledged.get() == 1).await;
+    let mut received = worker.receive_request().await;
+    received.begin_response().await;
+    advance_until("the request is acknowledged", Duration::ZERO, || node.counters.acknowledged.get() == 1)
+        .await;
     advance(Duration::from_millis(200)).await;
-    seen.add_answer("its deadline has passed while it ran", &mut client).await;
+    transcript.add_answer("its deadline has passed while it ran", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "").replace("60.000", "0.0000001")).await;
-    seen.add_answer("less than a microsecond is left", &mut client).await;
+    transcript.add_answer("less than a microsecond is left", &mut client).await;
 
     let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await;
     let body = "x".repeat(64 * 1024);
-    let mut large = Vec::new();
+    let mut large_clients = Vec::new();
     for n in 0..4 {
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, &body)).await;
-        large.push(client);
+        large_clients.push(client);
     }
-    until_taken(&node, 4).await;
-    let mut beyond = Client::connect(&node).await;
-    beyond.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    seen.add_answer("no memory for its body", &mut beyond).await;
+    wait_until_accepted(&node, 4).await;
+    let mut excess = Client::connect(&node).await;
+    excess.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    transcript.add_answer("no memory for its body", &mut excess).await;
 
     let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await;
     let mut clients = Vec::new();
@@ -168,18 +170,18 @@
         client.send_after_pause(&request("check", &format!("9b1f03aa5c7e2d4{n}"), 60.0, "x")).await;
         clients.push(client);
     }
-    until_taken(&node, 4).await;
-    let mut beyond = Client::connect(&node).await;
-    beyond.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    seen.add_answer("no descriptor for its connection", &mut beyond).await;
-    seen.add_answer("and after that", &mut beyond).await;
-    let mut beyond = Client::connect(&node).await;
-    beyond.send_after_pause("nonsense\r\n\r\n").await;
-    seen.add_answer("no descriptor, and it is no HTTP", &mut beyond).await;
-    seen.is_golden("answers_to_failed_and_refused_jobs.txt");
+    wait_until_accepted(&node, 4).await;
+    let mut excess = Client::connect(&node).await;
+    excess.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
+    transcript.add_answer("no descriptor for its connection", &mut excess).await;
+    transcript.add_answer("and after that", &mut excess).await;
+    let mut excess = Client::connect(&node).await;
+    excess.send_after_pause("nonsense\r\n\r\n").await;
+    transcript.add_answer("no descriptor, and it is no HTTP", &mut excess).await;
+    transcript.assert_golden("answers_to_failed_and_refused_jobs.txt");
 }
 
-/// Each malformed request, by what is wrong with it.
+/// Malformed requests, each with what is wrong with it.
 fn malformed_requests() -> Vec<(&'static str, String)> {
     let good = request("lodge", ID, 60.0, "");
     let without = |line: &str| good.replace(&format!("{line}\r\n"), "");
@@ -228,116 +230,133 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_to_malformed_requests_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn answers_to_malformed_requests_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let (worker, node, _) = start_node_with_worker().await;
     for (title, text) in malformed_requests() {
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&text).await;
-        seen.add_answer(title, &mut client).await;
+        transcript.add_answer(title, &mut client).await;
     }
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "x")).await;
-    let _job = worker.receive_request().await;
+    let _received = worker.receive_request().await;
     let mut second = Client::connect(&node).await;
     second.send_after_pause(&request("check", ID, 60.0, "x")).await;
-    seen.add_answer("an id that is open", &mut second).await;
+    transcript.add_answer("an id that is open", &mut second).await;
 
     let mut slow = Client::connect(&node).await;
     slow.send_after_pause(
         &request("check", "9b1f03aa5c7e2d42", 60.0, "x").replace("Content-Length: 1", "Content-Length: 2"),
     )
     .await;
-    advance_until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() >= 30).await;
+    advance_until("the connection is accepted", Duration::ZERO, || {
+        node.counters.connections_accepted.get() >= 30
+    })
+    .await;
     for _ in 0..50 {
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(2500)).await;
-    seen.add_answer("a body that does not come", &mut slow).await;
-    seen.is_golden("answers_to_malformed_requests.txt");
+    transcript.add_answer("a body that does not come", &mut slow).await;
+    transcript.assert_golden("answers_to_malformed_requests.txt");
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_about_the_state_keep_their_bytes_in_each_phase() {
-    let mut seen = Transcript::default();
+async fn health_answers_of_each_phase_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(UP).await;
-    seen.add_answer("serving", &mut client).await;
+    transcript.add_answer("serving", &mut client).await;
 
     let mut fresh = Client::connect(&node).await;
-    let mut job = Client::connect(&node).await;
-    advance_until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 3)
-        .await;
+    let mut busy = Client::connect(&node).await;
+    advance_until("the connections are accepted", Duration::ZERO, || {
+        node.counters.connections_accepted.get() == 3
+    })
+    .await;
     node.phases.drain();
     fresh.send_after_pause(UP).await;
-    seen.add_answer("draining", &mut fresh).await;
-    seen.add_answer("and after that", &mut fresh).await;
-    job.send_after_pause(&request("check", ID, 60.0, "")).await;
+    transcript.add_answer("draining", &mut fresh).await;
+    transcript.add_answer("and after that", &mut fresh).await;
+    busy.send_after_pause(&request("check", ID, 60.0, "")).await;
     worker.receive_request().await.complete("r").await;
-    seen.add_answer("a job while draining", &mut job).await;
-    seen.add_answer("and after that", &mut job).await;
+    transcript.add_answer("a job while draining", &mut busy).await;
+    transcript.add_answer("and after that", &mut busy).await;
     assert!(node.phases.resume());
 
     let mut fresh = Client::connect(&node).await;
-    advance_until("it is accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 4).await;
+    advance_until("the connection is accepted", Duration::ZERO, || {
+        node.counters.connections_accepted.get() == 4
+    })
+    .await;
     let before = node.phases.hand_over();
     fresh.send_after_pause(UP).await;
-    seen.add_answer("handed over", &mut fresh).await;
+    transcript.add_answer("handed over", &mut fresh).await;
     node.phases.undo_hand_over(before);
 
     let mut fresh = Client::connect(&node).await;
     let mut late = Client::connect(&node).await;
-    advance_until("they are accepted", Duration::ZERO, || node.counters.connections_accepted.get() == 6)
-        .await;
+    advance_until("the connections are accepted", Duration::ZERO, || {
+        node.counters.connections_accepted.get() == 6
+    })
+    .await;
     begin_stop(&node.phases).await;
     fresh.send_after_pause(UP).await;
-    seen.add_answer("stopping", &mut fresh).await;
+    transcript.add_answer("stopping", &mut fresh).await;
     stop_until_closing(&node.phases).await;
     fresh.send_after_pause(UP).await;
-    seen.add_answer("and after that", &mut fresh).await;
+    transcript.add_answer("and after that", &mut fresh).await;
     late.send_after_pause(UP).await;
-    seen.add_answer("closing", &mut late).await;
-    seen.is_golden("answers_about_the_state.txt");
+    transcript.add_answer("closing", &mut late).await;
+    transcript.assert_golden("answers_about_the_state.txt");
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_to_workers_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn requests_to_workers_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let (worker, _node, mut client) = start_node_with_worker().await;
-    let all = request("lodge", ID, 60.0, "{\"a\" : 1}");
-    let more =
+    let text = request("lodge", ID, 60.0, "{\"a\" : 1}");
+    let headers =
         "X-Cost-Hint: 900\r\nX-Retry: 1\r\nX-Extras: slots=2,memory=1.5\r\nX-Other: o\r\nContent-Length";
-    client.send_after_pause(&all.replace("Content-Length", more)).await;
-    let mut job = worker.receive_request().await;
-    seen.add("a job with a key", &(job.head.clone() + std::str::from_utf8(&job.body).unwrap()));
-    job.complete("r").await;
+    client.send_after_pause(&text.replace("Content-Length", headers)).await;
+    let mut received = worker.receive_request().await;
+    transcript
+        .add("a job with a key", &(received.head.clone() + std::str::from_utf8(&received.body).unwrap()));
+    received.complete("r").await;
     assert_eq!(client.read_answer().await.unwrap().status, 200);
 
     let (worker, node, mut client) = start_node_with_worker().await;
     let plain = request("check", "UPPER lower", 60.0, "").replace("?user=00ff&x=a%20b", "");
     client.send_after_pause(&plain).await;
-    let mut job = worker.receive_request().await;
-    seen.add("a job without a key or a body", &(job.head.clone() + std::str::from_utf8(&job.body).unwrap()));
-    // Its connection is closed, so that the next attempt comes on a new one.
-    job.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
-    drop(job);
-    let taken = worker.receive_request();
-    tokio::pin!(taken);
-    let again = loop {
-        assert!(node.counters.shed.get() == 0, "it has attempts left");
+    let mut received = worker.receive_request().await;
+    transcript.add(
+        "a job without a key or a body",
+        &(received.head.clone() + std::str::from_utf8(&received.body).unwrap()),
+    );
+    // The connection is closed, so that the next attempt uses a new one.
+    received.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").await;
+    drop(received);
+    let next = worker.receive_request();
+    tokio::pin!(next);
+    let second_attempt = loop {
+        assert!(node.counters.shed.get() == 0, "the request was shed with attempts left");
         tokio::select! {
             biased;
-            new = taken.as_mut() => break new,
-            () = tokio::task::yield_now() => advance(STEP).await,
+            new = next.as_mut() => break new,
+            () = tokio::task::yield_now() => advance(POLL_INTERVAL).await,
         }
     };
-    seen.add("its next attempt", &(again.head.clone() + std::str::from_utf8(&again.body).unwrap()));
-    seen.is_golden("requests_to_workers.txt");
+    transcript.add(
+        "its next attempt",
+        &(second_attempt.head.clone() + std::str::from_utf8(&second_attempt.body).unwrap()),
+    );
+    transcript.assert_golden("requests_to_workers.txt");
 }
 
 #[tokio::test(start_paused = true)]
-async fn probes_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn probes_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let mut settings = common::settings(true, 60_000_000);
     settings["FamilyInfo"]["TellsStart"] = false.into();
     settings["Limits"]["Probes"] = true.into();
@@ -347,35 +366,35 @@
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "x")).await;
     let probe = worker.receive_request().await;
-    seen.add("a probe", &(probe.head.clone() + std::str::from_utf8(&probe.body).unwrap()));
-    seen.is_golden("probes.txt");
+    transcript.add("a probe", &(probe.head.clone() + std::str::from_utf8(&probe.body).unwrap()));
+    transcript.assert_golden("probes.txt");
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_to_discovery_keep_their_bytes() {
-    let mut seen = Transcript::default();
+async fn calls_to_discovery_are_as_recorded() {
+    let mut transcript = Transcript::default();
     let worker = Worker::start().await;
-    for how in ["ask", "push"] {
+    for mode in ["ask", "push"] {
         let mut settings = common::settings(true, 60_000_000);
-        settings["Discovery"] = how.into();
+        settings["Discovery"] = mode.into();
         let mut node =
             PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
-        seen.add(&format!("{how}: a watch since the known list"), &node.next_discovery_call().await);
+        transcript.add(&format!("{mode}: a watch since the known list"), &node.next_discovery_call().await);
         node.answer_discovery_call(json!({"revision": 7, "complete": false, "members": []}));
-        seen.add(&format!("{how}: a watch after an answer"), &node.next_discovery_call().await);
+        transcript.add(&format!("{mode}: a watch after an answer"), &node.next_discovery_call().await);
         node.answer_discovery_call("[]");
-        seen.add(&format!("{how}: the whole list after a bad one"), &node.next_discovery_call().await);
+        transcript.add(&format!("{mode}: the whole list after a bad one"), &node.next_discovery_call().await);
         node.answer_discovery_call(
             json!({"revision": 9, "complete": true, "members": [worker.list_entry("s-1", "in_service")]}),
         );
-        seen.add(&format!("{how}: a watch after the whole list"), &node.next_discovery_call().await);
+        transcript.add(&format!("{mode}: a watch after the whole list"), &node.next_discovery_call().await);
         let mut calls = node.move_discovery().await;
-        seen.add(&format!("{how}: the first call after a move"), &calls.recv().await.unwrap());
+        transcript.add(&format!("{mode}: the first call after a move"), &calls.recv().await.unwrap());
     }
-    seen.is_golden("calls_to_discovery.txt");
+    transcript.assert_golden("calls_to_discovery.txt");
 }
 
-/// A socket on an address that the node may bind too.
+/// A socket on an address that the node can bind as well.
 fn shared_socket() -> UdpSocket {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = socket_with(AddressFamily::INET, SocketType::DGRAM, flags, None).unwrap();
@@ -385,27 +404,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn datagrams_between_nodes_keep_their_bytes() {
+async fn datagrams_between_nodes_are_as_recorded() {
     let (own, other, worker) = (shared_socket(), shared_socket(), Worker::start().await);
     let mut settings = common::settings(true, 60_000_000);
     settings["Limits"]["Peers"] = true.into();
     settings["Siblings"] = 2.into();
     settings["Ordinal"] = 0.into();
-    let at = |s: &UdpSocket| s.local_addr().unwrap().to_string();
+    let address = |s: &UdpSocket| s.local_addr().unwrap().to_string();
     let _node = PlatformNode::start_with_config(json!({
         "settings": settings, "known": [worker.list_entry("s-1", "in_service")],
-        "peer_listen": at(&own), "peers": [at(&own), at(&other)],
+        "peer_listen": address(&own), "peers": [address(&own), address(&other)],
     }))
     .await;
     let (mut buffer, mut length) = ([0; 2048], 0);
-    advance_until("it sends", STEP, || {
+    advance_until("the node sends a datagram", POLL_INTERVAL, || {
         length = other.recv_from(&mut buffer).map_or(0, |(n, _)| n);
         length > 0
     })
     .await;
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let mut seen = Transcript::default();
+    let mut transcript = Transcript::default();
     let (head, rates) = (hex(&buffer[..5]), hex(&buffer[9..length]));
-    seen.add("version, tenants, time in ms, rates", &format!("{head} <4 bytes> {rates}"));
-    seen.is_golden("datagrams_between_nodes.txt");
+    transcript.add("version, tenants, time in ms, rates", &format!("{head} <4 bytes> {rates}"));
+    transcript.assert_golden("datagrams_between_nodes.txt");
 }
