--- a/node/tests/logger.rs
+++ b/node/tests/logger.rs
@@ -1,4 +1,4 @@
-//! Lines of the log.
+//! Rendering of log records.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use log::kv::Value;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-fn line(format: Format) -> String {
+fn render_record(format: Format) -> String {
     let fields = [("member", Value::from("n 2")), ("count", Value::from(3)), ("node", Value::from("x"))];
     let mut record = Record::builder();
     record.level(Level::Warn).key_values(&fields);
@@ -16,9 +16,9 @@
 
 #[test]
 fn a_record_is_one_line_with_its_fields() {
-    assert_eq!(line(Format::Text), "1.002 n1 WARN a \"member\" member=\"n 2\" count=3 node=x");
-    let read: serde_json::Value = serde_json::from_str(&line(Format::Json)).unwrap();
+    assert_eq!(render_record(Format::Text), "1.002 n1 WARN a \"member\" member=\"n 2\" count=3 node=x");
+    let parsed: serde_json::Value = serde_json::from_str(&render_record(Format::Json)).unwrap();
     let want = json!({"at_ms": 1002, "node": "n1", "level": "WARN", "message": "a \"member\"",
         "member": "n 2", "count": 3});
-    assert_eq!(read, want, "a field can't take another's place");
+    assert_eq!(parsed, want, "a field can't replace a field of the record");
 }
--- a/node/tests/settings_merge.rs
+++ b/node/tests/settings_merge.rs
@@ -1,4 +1,4 @@
-//! New settings over the running ones: a number keeps its meaning, and a missing key is named.
+//! Merging of new settings into the effective ones: a class or tenant keeps its number, and a missing key is named.
 
 use dispatch_policy::api::{ClassSettings, Idempotency, KeyScope, Settings, TenantSettings};
 use molevale::names::Names;
@@ -7,17 +7,16 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Settings that offer these classes: a name and which of three effects.
+/// Settings with these classes, each a name and one of three kinds of idempotency.
 fn effective_settings(classes: &BTreeMap<u8, u8>, zones: [&str; 2]) -> EffectiveSettings {
-    let effects =
-        [Idempotency::Idempotent, Idempotency::WithKey(KeyScope::Fleet), Idempotency::NotIdempotent];
-    let class = |effect: &u8| ClassSettings {
+    let kinds = [Idempotency::Idempotent, Idempotency::WithKey(KeyScope::Fleet), Idempotency::NotIdempotent];
+    let class = |kind: &u8| ClassSettings {
         objective_us: 1,
         objective_per_work: 0.0,
-        deadline_us: 1 + u64::from(*effect),
+        deadline_us: 1 + u64::from(*kind),
         priority_weight: 1.0,
         late_weight: 0.0,
-        idempotency: effects[usize::from(*effect)],
+        idempotency: kinds[usize::from(*kind)],
         deduplication_window_us: 0,
         required_kind: None,
     };
@@ -37,10 +36,10 @@
     EffectiveSettings { settings, names }
 }
 
-/// Guards jobs that are open: whatever settings come, a number keeps its rules, and a name is looked up under
-/// the newest ones.
+/// Open requests refer to a class by its number: whatever settings are loaded, a number keeps its settings, and a name
+/// is looked up in the newest ones.
 #[test]
-fn random_settings_never_change_what_a_number_means() {
+fn random_settings_never_change_the_class_of_a_number() {
     fn property(steps: Vec<Vec<(u8, u8)>>) -> bool {
         let model = |step: &Vec<(u8, u8)>| -> BTreeMap<u8, u8> {
             step.iter().map(|(n, e)| (n % 4, e % 3)).chain([(9, 0)]).collect()
@@ -50,26 +49,26 @@
             let wanted = model(step);
             let new = running.merged_with(&effective_settings(&wanted, ["b", "c"]));
             let (old, now) = (&running.settings.classes, &new.settings.classes);
-            assert_eq!(old[..], now[..old.len()], "numbers keep their rules");
+            assert_eq!(old[..], now[..old.len()], "numbers keep their settings");
             for name in 0..10_u8 {
                 let number = new.names.class(&name.to_string());
-                let effect = number.map(|n| (now[n].deadline_us - 1) as u8);
-                assert_eq!(effect, wanted.get(&name).copied());
+                let kind = number.map(|n| (now[n].deadline_us - 1) as u8);
+                assert_eq!(kind, wanted.get(&name).copied());
                 assert!(number.is_none_or(|n| new.names.requires_idempotency_key[n] == (wanted[&name] == 1)));
             }
-            assert!(now.len() <= 1 + 4 * 3, "a class that comes back has its number again");
+            assert!(now.len() <= 1 + 4 * 3, "a class that returns gets its number again");
             assert_eq!((new.names.previous_classes.len(), new.settings.validate()), (now.len(), Ok(())));
             assert_eq!(new.names.zones[usize::from(new.settings.zone)], "c");
             running = new;
         }
         true
     }
-    let generator = Gen::from_size_and_seed(12, 5); // the same in every run
+    let generator = Gen::from_size_and_seed(12, 5); // a fixed seed
     QuickCheck::new().rng(generator).quickcheck(property as fn(Vec<Vec<(u8, u8)>>) -> bool);
 }
 
 #[test]
-fn tenants_keep_their_numbers_and_one_that_goes_has_no_share() {
+fn tenants_keep_their_numbers_and_a_removed_one_has_no_quota() {
     let with = |names: &[&str]| {
         let mut effective_settings = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
         effective_settings.names.tenants = names.iter().map(ToString::to_string).collect();
@@ -87,13 +86,13 @@
 }
 
 #[test]
-fn a_key_that_is_missing_is_named_and_one_that_only_some_items_had_is_not() {
+fn a_missing_key_is_named_unless_only_some_items_had_it() {
     let running = json!({"a": {"b": 1}, "list": [{"x": 1, "y": 1}, {"x": 2}], "plain": [1, 2]});
-    let lacking = |newer: Value| first_missing_key(&running, &newer, "c").unwrap_or_default();
-    assert_eq!(lacking(running.clone()), "");
-    assert_eq!(lacking(json!({"a": {"b": 2, "n": 1}, "list": [{"x": 5}], "plain": []})), "");
-    assert_eq!(lacking(json!({"a": {}, "list": [], "plain": []})), "c.a.b");
-    assert_eq!(lacking(json!({"a": 1, "list": [], "plain": []})), "c.a");
-    assert_eq!(lacking(json!({"a": {"b": 1}, "list": [{"x": 1}, {"y": 1}], "plain": []})), "c.list.1.x");
-    assert_eq!(lacking(json!({"a": {"b": 1}, "list": []})), "c.plain");
+    let missing = |newer: Value| first_missing_key(&running, &newer, "c").unwrap_or_default();
+    assert_eq!(missing(running.clone()), "");
+    assert_eq!(missing(json!({"a": {"b": 2, "n": 1}, "list": [{"x": 5}], "plain": []})), "");
+    assert_eq!(missing(json!({"a": {}, "list": [], "plain": []})), "c.a.b");
+    assert_eq!(missing(json!({"a": 1, "list": [], "plain": []})), "c.a");
+    assert_eq!(missing(json!({"a": {"b": 1}, "list": [{"x": 1}, {"y": 1}], "plain": []})), "c.list.1.x");
+    assert_eq!(missing(json!({"a": {"b": 1}, "list": []})), "c.plain");
 }
