--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak: real processes, overlapping faults, every rule judged. `testbed soak` runs longer ones with more seeds.
+//! A short soak test: real processes, overlapping faults, all rules checked. `testbed soak` runs longer ones with more seeds.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
 use std::time::Duration;
@@ -20,6 +20,6 @@
     let report = run(options).await.unwrap();
     assert!(report.requests > 300 && report.attempts > 300, "{report}");
     assert!(report.violations.is_empty(), "{report}\nlogs: {}", report.log_folder.display());
-    let met = report.injected.values().filter(|count| **count > 0).count();
-    assert!(met >= 3, "too few of the faults met a call: {report}");
+    let met_kinds = report.injected.values().filter(|count| **count > 0).count();
+    assert!(met_kinds >= 3, "too few kinds of faults were injected: {report}");
 }
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls of a real process fail in the ways that Linux documents, by a preloaded library: every rule holds all
-//! the same. Each test checks that the fault was met, for without that it shows nothing.
+//! A preloaded library makes system calls of a real process fail in the ways that Linux documents; every rule still holds.
+//! Each test checks that the fault was injected, since it shows nothing otherwise.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic, also in the functions that it calls")]
 
@@ -22,14 +22,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Half of all calls: some hundred calls meet it for sure, and each is made again soon.
-const HALF: u64 = 500_000;
-/// Of some ten calls, one surely meets it.
-const MOST: u64 = 750_000;
-const ALL: u64 = 1_000_000;
-const LIMIT: Duration = Duration::from_secs(10);
+/// Half of all calls fail: some hundred calls are sure to meet the fault, and each retry soon succeeds.
+const HALF_PER_MILLION: u64 = 500_000;
+/// Most calls fail: of some ten calls, one is nearly sure to meet the fault.
+const MOST_PER_MILLION: u64 = 750_000;
+/// All calls fail.
+const ALL_PER_MILLION: u64 = 1_000_000;
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_NODE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A node with faults injected into its system calls, its workers and discovery.
 struct FaultyNode {
@@ -47,18 +48,18 @@
 
 impl FaultyNode {
     async fn start(workers: usize) -> FaultyNode {
-        FaultyNode::with(workers, true, |_| {}, |_| {}).await
+        FaultyNode::start_with(workers, true, |_| {}, |_| {}).await
     }
 
-    /// Starts one that may call attempts off or not; `prepare` sets what is injected from the process's first call on, and
-    /// `meanwhile` may change it until the process is ready.
-    async fn with(
+    /// Starts a node that may or may not cancel attempts; `prepare` sets the faults that are injected from the process's
+    /// first call on, and `while_starting` may change them until the process is ready.
+    async fn start_with(
         workers: usize,
-        cancelling: bool,
+        can_cancel: bool,
         prepare: impl Fn(&Control),
-        meanwhile: impl Fn(&Control),
+        while_starting: impl Fn(&Control),
     ) -> FaultyNode {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NODE_NUMBER.fetch_add(1, Ordering::Relaxed);
         let (block, lock) = free_block(std::process::id() + number * 37).unwrap();
         let folder = std::env::temp_dir().join(format!("calls-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -85,7 +86,7 @@
             "management": block.address(0, 9000).to_string(), "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "known": {"revision": list.revision, "complete": true, "members": list.members()},
-            "settings": settings(0, 1, workers.len(), 3, cancelling)});
+            "settings": settings(0, 1, workers.len(), 3, can_cancel)});
         let variables = [("LD_PRELOAD", library.as_path()), ("SOAK_CONTROL", control.path.as_path())];
         let binary = Path::new(env!("CARGO_BIN_EXE_molevale"));
         let process = Process::start_with(binary, &folder.join("n1"), &config, &[], &variables).unwrap();
@@ -101,18 +102,18 @@
             recorder,
             _block: lock,
         };
-        node.wait_until_ready(meanwhile).await;
+        node.wait_until_ready(while_starting).await;
         node
     }
 
-    async fn wait_until_ready(&self, meanwhile: impl Fn(&Control)) {
+    async fn wait_until_ready(&self, while_starting: impl Fn(&Control)) {
         let started = Instant::now();
         while call(self.process.management, "GET", "/healthcheck")
             .await
             .is_none_or(|(status, _)| status != 200)
         {
-            assert!(started.elapsed() < LIMIT, "it is not ready: {}", self.log());
-            meanwhile(&self.control);
+            assert!(started.elapsed() < STEP_TIMEOUT, "the node is not ready: {}", self.log());
+            while_starting(&self.control);
             sleep(Duration::from_millis(10)).await;
         }
     }
@@ -126,17 +127,17 @@
     }
 
     fn assert_injected(&self, fault: Fault) {
-        assert!(self.control.injected(fault).unwrap() > 0, "{fault:?} was never met");
+        assert!(self.control.injected(fault).unwrap() > 0, "{fault:?} was never injected");
     }
 
     async fn connect(&self) -> BufReader<TcpStream> {
         BufReader::new(TcpStream::connect(self.address).await.unwrap())
     }
 
-    /// The status of one request; `None` where the connection ends without an answer.
-    async fn status_of(&self, stream: &mut BufReader<TcpStream>, id: &str) -> Option<u16> {
+    /// Sends a request and returns the answer's status; `None` if the connection ends without an answer.
+    async fn send_request(&self, stream: &mut BufReader<TcpStream>, id: &str) -> Option<u16> {
         stream.write_all(request("check", id).as_bytes()).await.ok()?;
-        answer(stream).await
+        read_status(stream).await
     }
 
     fn history(&self) -> History {
@@ -164,26 +165,26 @@
     )
 }
 
-async fn answer(stream: &mut BufReader<TcpStream>) -> Option<u16> {
-    timeout(LIMIT, async {
+async fn read_status(stream: &mut BufReader<TcpStream>) -> Option<u16> {
+    timeout(STEP_TIMEOUT, async {
         let head = wire::head(stream).await?;
         let mut body = vec![0; wire::length(&head)];
         stream.read_exact(&mut body).await.ok()?;
         wire::status(&head)
     })
     .await
-    .expect("an answer or a close")
+    .expect("an answer or the end of the connection")
 }
 
-/// Sends requests, most on kept connections, and expects an answer to each.
+/// Sends requests, most on reused connections, and expects an answer to each.
 async fn assert_each_request_is_answered(fault: Fault, per_million: u64) -> FaultyNode {
     let node = FaultyNode::start(3).await;
     node.inject(fault, per_million);
     for n in 0..12 {
         let mut stream = node.connect().await;
         for k in 0..4 {
-            let status = node.status_of(&mut stream, &format!("{fault:?}-{n}-{k}")).await;
-            // One that fails was forwarded nowhere: all workers here are well.
+            let status = node.send_request(&mut stream, &format!("{fault:?}-{n}-{k}")).await;
+            // A 503 means that the request was sent to no worker: all workers here work.
             assert!(matches!(status, Some(200 | 503)), "request {n}.{k}: {status:?}");
         }
     }
@@ -192,70 +193,70 @@
     node
 }
 
-/// Guards answers and attempts against an interrupted `send`.
+/// Guards answers and attempts against EINTR from `send`.
 #[tokio::test]
 async fn an_interrupted_send_ends_no_connection() {
-    assert_each_request_is_answered(Fault::SendEintr, HALF).await;
+    assert_each_request_is_answered(Fault::SendEintr, HALF_PER_MILLION).await;
 }
 
-/// Guards answers against a `send` for which the kernel has no memory just then.
+/// Guards answers against ENOBUFS from `send`: the kernel has no memory at that moment.
 #[tokio::test]
-async fn a_send_without_buffers_ends_no_connection() {
-    assert_each_request_is_answered(Fault::SendEnobufs, HALF).await;
+async fn a_send_without_kernel_buffers_ends_no_connection() {
+    assert_each_request_is_answered(Fault::SendEnobufs, HALF_PER_MILLION).await;
 }
 
-/// Guards requests against an interrupted `recv`.
+/// Guards requests against EINTR from `recv`.
 #[tokio::test]
 async fn an_interrupted_read_ends_no_connection() {
-    assert_each_request_is_answered(Fault::RecvEintr, HALF).await;
+    assert_each_request_is_answered(Fault::RecvEintr, HALF_PER_MILLION).await;
 }
 
-/// Guards requests against an interrupted look ahead, which is no client that leaves.
+/// Guards requests against EINTR from a peek, which must not count as a disconnect of the client.
 #[tokio::test]
 async fn an_interrupted_peek_is_not_taken_for_the_end_of_a_connection() {
-    assert_each_request_is_answered(Fault::PeekEintr, HALF).await;
+    assert_each_request_is_answered(Fault::PeekEintr, HALF_PER_MILLION).await;
 }
 
-/// Guards requests against reads and writes of single bytes.
+/// Guards requests against reads and writes that transfer single bytes.
 #[tokio::test]
 async fn short_reads_and_writes_lose_nothing() {
-    assert_each_request_is_answered(Fault::RecvShort, ALL).await;
-    assert_each_request_is_answered(Fault::SendShort, ALL).await;
+    assert_each_request_is_answered(Fault::RecvShort, ALL_PER_MILLION).await;
+    assert_each_request_is_answered(Fault::SendShort, ALL_PER_MILLION).await;
 }
 
-/// Guards the process against an interrupted read of its own signal pipe.
+/// Guards the process against EINTR while it reads its own signal pipe.
 #[tokio::test]
 async fn signals_are_received_while_reads_are_interrupted() {
     let mut node = FaultyNode::start(1).await;
-    node.inject(Fault::RecvEintr, HALF);
+    node.inject(Fault::RecvEintr, HALF_PER_MILLION);
     for _ in 0..30 {
         node.process.signal(Signal::HUP);
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(node.process.exit_status().is_none(), "it ended: {}", node.log());
+    assert!(node.process.exit_status().is_none(), "the process exited: {}", node.log());
     node.inject(Fault::RecvEintr, 0);
     node.assert_injected(Fault::RecvEintr);
-    assert!(node.log().contains("\"event\":\"configuration_"), "no signal was heard");
+    assert!(node.log().contains("\"event\":\"configuration_"), "no signal was handled");
 }
 
-/// Guards the stop against a wake-up that is lost in the signal handler.
+/// Guards the stop against a wake-up lost in the signal handler because its write fails.
 #[tokio::test]
 async fn sigterm_is_received_while_no_write_succeeds() {
     let mut node = FaultyNode::start(1).await;
-    node.inject(Fault::SendEintr, ALL);
+    node.inject(Fault::SendEintr, ALL_PER_MILLION);
     node.process.signal(Signal::TERM);
     sleep(Duration::from_millis(500)).await;
     node.inject(Fault::SendEintr, 0);
     let started = Instant::now();
     while node.process.exit_status().is_none() {
-        assert!(started.elapsed() < LIMIT, "it never stopped: {}", node.log());
+        assert!(started.elapsed() < STEP_TIMEOUT, "the process did not exit: {}", node.log());
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Guards what lies in the backlog when the node closes its door against failing calls of `accept`.
+/// Guards connections that are in the backlog when the node stops accepting against failing calls of `accept`.
 #[tokio::test]
-async fn the_backlog_is_emptied_at_the_close_while_accept_fails() {
+async fn the_backlog_is_drained_at_the_stop_while_accept_fails() {
     for fault in [Fault::AcceptEconnaborted, Fault::AcceptEnfile, Fault::AcceptEintr] {
         let mut node = FaultyNode::start(3).await;
         node.process.signal(Signal::TERM);
@@ -267,22 +268,23 @@
             stream.write_all(request("check", &format!("{fault:?}-{n}")).as_bytes()).await.unwrap();
             streams.push(stream);
         }
-        node.inject(fault, MOST);
+        node.inject(fault, MOST_PER_MILLION);
         sleep(Duration::from_millis(400)).await;
         node.process.resume();
         for (n, stream) in streams.iter_mut().enumerate() {
-            assert!(answer(stream).await.is_some(), "{fault:?}: request {n} had no answer");
+            assert!(read_status(stream).await.is_some(), "{fault:?}: request {n} had no answer");
         }
         node.assert_injected(fault);
     }
 }
 
-/// Guards the deadline that workers are told against the time in a backlog that could not be accepted.
+/// Guards the deadline that is sent to workers: it must not include the time that a request waited in the backlog while
+/// `accept` failed.
 #[tokio::test]
 async fn time_in_the_backlog_is_subtracted_from_the_deadline() {
     let node = FaultyNode::start(1).await;
-    // Seen to be empty before: what is accepted first has waited no longer than since then.
-    node.inject(Fault::AcceptEnfile, ALL);
+    // The backlog is empty before this, so that the first connection has waited no longer than since now.
+    node.inject(Fault::AcceptEnfile, ALL_PER_MILLION);
     let mut first = node.connect().await;
     first.write_all(request("check", "first").as_bytes()).await.unwrap();
     let mut second = node.connect().await;
@@ -290,18 +292,22 @@
     let sent = node.recorder.now();
     sleep(Duration::from_millis(600)).await;
     node.inject(Fault::AcceptEnfile, 0);
-    assert_eq!((answer(&mut first).await, answer(&mut second).await), (Some(200), Some(200)));
+    assert_eq!((read_status(&mut first).await, read_status(&mut second).await), (Some(200), Some(200)));
     node.assert_injected(Fault::AcceptEnfile);
     for attempt in node.history().attempts {
         let left = (sent + Duration::from_millis(1_500)).saturating_sub(attempt.first_byte).as_secs_f64();
-        let told = attempt.sent_deadline.unwrap();
-        assert!(told <= left + 0.15, "{} was told {told:.3} s with {left:.3} s left", attempt.id);
+        let sent_deadline = attempt.sent_deadline.unwrap();
+        assert!(
+            sent_deadline <= left + 0.15,
+            "{} was sent a deadline of {sent_deadline:.3} s with {left:.3} s left",
+            attempt.id
+        );
     }
 }
 
-/// Guards workers against errors of this machine: they are no failure of the worker, and use no attempt up.
+/// Local errors are no failures of a worker, and use up no attempt.
 #[tokio::test]
-async fn errors_of_this_machine_are_not_held_against_workers() {
+async fn local_errors_do_not_count_against_workers() {
     let faults = [
         Fault::ConnectEaddrnotavail,
         Fault::ConnectEnobufs,
@@ -311,15 +317,15 @@
     ];
     for fault in faults {
         let mut node = FaultyNode::start(2).await;
-        node.inject(fault, HALF);
+        node.inject(fault, HALF_PER_MILLION);
         for worker in &node.workers {
-            worker.set_mode(WorkerMode::ClosingIdle); // so that most requests need a new connection
+            worker.set_mode(WorkerMode::ClosingIdle); // most requests need a new connection then
         }
         let mut n = 0;
         while node.control.injected(fault).unwrap() < 3 {
-            assert!(n < 200, "{fault:?} was not met three times");
+            assert!(n < 200, "{fault:?} was not injected three times");
             let mut stream = node.connect().await;
-            let status = node.status_of(&mut stream, &format!("{fault:?}-{n}")).await;
+            let status = node.send_request(&mut stream, &format!("{fault:?}-{n}")).await;
             assert!(status.is_some(), "{fault:?}: request {n} had no answer");
             sleep(Duration::from_millis(60)).await;
             n += 1;
@@ -328,36 +334,37 @@
         node.process.signal(Signal::USR1);
         sleep(Duration::from_millis(200)).await;
         let log = node.log();
-        let counters = log.lines().find(|line| line.contains("counters: platform")).expect("its counters");
+        let counters =
+            log.lines().find(|line| line.contains("counters: platform")).expect("a line with counters");
         assert!(counters.contains(" connect_failed=0 "), "{fault:?}: {counters}");
     }
 }
 
-/// Guards a start against a machine that has no descriptor or buffer for a moment.
+/// Guards the start against a temporary lack of descriptors or kernel buffers.
 #[tokio::test]
-async fn a_start_succeeds_after_a_moment_without_descriptors() {
+async fn a_start_succeeds_after_a_temporary_lack_of_descriptors() {
     for fault in [Fault::SocketEnfile, Fault::SocketEnobufs] {
-        let fails = |control: &Control| control.set_rate(fault, ALL).unwrap();
-        let passes = |control: &Control| {
+        let inject_all = |control: &Control| control.set_rate(fault, ALL_PER_MILLION).unwrap();
+        let clear_after_three = |control: &Control| {
             if control.injected(fault).unwrap() >= 3 {
                 control.set_rate(fault, 0).unwrap();
             }
         };
-        let node = FaultyNode::with(1, true, fails, passes).await;
+        let node = FaultyNode::start_with(1, true, inject_all, clear_after_three).await;
         node.assert_injected(fault);
         let mut stream = node.connect().await;
-        assert_eq!(node.status_of(&mut stream, "after").await, Some(200));
+        assert_eq!(node.send_request(&mut stream, "after").await, Some(200));
     }
 }
 
-/// Guards the drain's grace against a standstill between the look at the clock and the write: the connection comes up
-/// within the grace, and the process is held up then.
+/// Guards the drain grace period against a stall between the check of the clock and the write: the connection is
+/// established within the grace period, and the process is stalled at that moment.
 #[tokio::test]
 async fn no_request_goes_to_a_draining_worker_after_a_stall() {
-    let mut node = FaultyNode::with(0, false, |_| {}, |_| {}).await;
+    let mut node = FaultyNode::start_with(0, false, |_| {}, |_| {}).await;
     node.control.set_stall(Duration::from_millis(150)).unwrap();
-    // A worker whose connections come up a second after they are asked for.
-    let (listener, fills) = late_listener();
+    // A worker whose connections are established a second after they are requested.
+    let (listener, backlog_filler) = listener_with_full_backlog();
     let at = listener.local_addr().unwrap();
     node.list.set("late", wire::endpoint_entry("late", at, "in_service", 0), false);
     node.agent.set_list(Arc::new(node.list.clone()));
@@ -366,48 +373,51 @@
     client.write_all(request("check", "late").as_bytes()).await.unwrap();
     sleep(Duration::from_millis(530)).await;
     node.list.set("late", wire::endpoint_entry("late", at, "terminating", 0), false);
-    let told = Instant::now();
+    let drained_at = Instant::now();
     node.agent.set_list(Arc::new(node.list.clone()));
-    drop(fills);
-    // Heard by now: the next thing that it writes is the request.
+    drop(backlog_filler);
+    // The node knows of the drain by now: its next write is the request.
     sleep(Duration::from_millis(100)).await;
-    node.inject(Fault::StallBeforeSend, ALL);
+    node.inject(Fault::StallBeforeSend, ALL_PER_MILLION);
     let accepted = timeout(Duration::from_secs(2), async {
         let listener = tokio::net::TcpListener::from_std(listener).unwrap();
         loop {
             let (mut socket, _) = listener.accept().await.unwrap();
             let mut byte = [0; 1];
             if socket.read(&mut byte).await.is_ok_and(|n| n > 0) {
-                return told.elapsed();
+                return drained_at.elapsed();
             }
         }
     });
     if let Ok(after) = accepted.await {
-        assert!(after < Duration::from_millis(550), "it was sent {after:?} after the drain was told");
+        assert!(
+            after < Duration::from_millis(550),
+            "the request was sent {after:?} after the drain was published"
+        );
     }
     assert!(node.process.exit_status().is_none());
     let _ = &node.config;
 }
 
-/// A listener whose backlog is full until what fills it is dropped; the kernel tries a connection again after a second.
-fn late_listener() -> (std::net::TcpListener, std::net::TcpStream) {
+/// A listener whose backlog is full until the returned connection is dropped; the kernel retries a handshake after a second.
+fn listener_with_full_backlog() -> (std::net::TcpListener, std::net::TcpStream) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(0).unwrap().into_std().unwrap();
-    let fills = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (listener, fills)
+    let backlog_filler = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (listener, backlog_filler)
 }
 
-/// Guards jobs against a log that nobody reads: its pipe is full, and the node serves on.
+/// Guards requests against a log pipe that is full because nobody reads it: the node continues to serve.
 #[tokio::test]
 async fn a_log_that_nobody_reads_blocks_no_request() {
     let node = FaultyNode::start(1).await;
     let folder = node.folder.join("n2");
     std::fs::create_dir_all(&folder).unwrap();
     let mut config = node.config.clone();
-    let place = |port| SocketAddr::from((node.address.ip(), port));
-    config["listen"] = place(8002).to_string().into();
-    config["management"] = place(9002).to_string().into();
+    let address = |port| SocketAddr::from((node.address.ip(), port));
+    config["listen"] = address(8002).to_string().into();
+    config["management"] = address(9002).to_string().into();
     let file = folder.join("config.json");
     std::fs::write(&file, config.to_string()).unwrap();
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_molevale"))
@@ -417,20 +427,20 @@
         .spawn()
         .unwrap();
     let started = Instant::now();
-    while call(place(9002), "GET", "/healthcheck").await.is_none_or(|(status, _)| status != 200) {
-        assert!(started.elapsed() < LIMIT, "it is not ready");
+    while call(address(9002), "GET", "/healthcheck").await.is_none_or(|(status, _)| status != 200) {
+        assert!(started.elapsed() < STEP_TIMEOUT, "the node is not ready");
         sleep(Duration::from_millis(10)).await;
     }
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
-    // Each prints some hundred bytes; a pipe holds 64 KiB.
+    // Each signal logs some hundred bytes; a pipe holds 64 KiB.
     for _ in 0..250 {
         rustix::process::kill_process(pid, Signal::USR1).unwrap();
         sleep(Duration::from_millis(2)).await;
     }
-    let mut stream = BufReader::new(TcpStream::connect(place(8002)).await.unwrap());
+    let mut stream = BufReader::new(TcpStream::connect(address(8002)).await.unwrap());
     stream.write_all(request("check", "with-a-full-log").as_bytes()).await.unwrap();
-    let status = timeout(Duration::from_secs(3), answer(&mut stream)).await;
+    let status = timeout(Duration::from_secs(3), read_status(&mut stream)).await;
     child.kill().unwrap();
     child.wait().unwrap();
-    assert_eq!(status.ok().flatten(), Some(200), "the node stands still");
+    assert_eq!(status.ok().flatten(), Some(200), "the node blocked");
 }
--- a/node/tests/transient.rs
+++ b/node/tests/transient.rs
@@ -1,4 +1,4 @@
-//! Errors of system calls that pass, and the backoff of calls that meet them.
+//! Transient errors of system calls, and the backoff after them.
 
 use molevale::transient::{
     accept_retry, is_local, transfer_retry, FailureBackoff, Retry, IMMEDIATE_RETRIES, RETRY_PAUSE,
@@ -23,29 +23,32 @@
     assert!(!is_local(&error(Errno::CONNREFUSED)));
 }
 
-/// Time that a backoff asks to wait before the next call.
-async fn wait(backoff: &mut FailureBackoff) -> std::time::Duration {
+/// Waits until the backoff permits the next call; returns the time waited.
+async fn wait_for_backoff(backoff: &mut FailureBackoff) -> std::time::Duration {
     let started = Instant::now();
     poll_fn(|context| backoff.poll_ready(context)).await;
     started.elapsed()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pause_follows_many_failures_in_a_row_or_one_for_want_of_a_resource() {
+async fn a_pause_follows_many_consecutive_failures_or_one_exhausted_resource() {
     let mut backoff = FailureBackoff::default();
     for _ in 0..2 {
         for _ in 1..IMMEDIATE_RETRIES {
             assert!(!backoff.record_failure(Retry::Immediately, RETRY_PAUSE));
-            assert!(wait(&mut backoff).await.is_zero());
+            assert!(wait_for_backoff(&mut backoff).await.is_zero());
         }
         backoff.reset();
     }
     for _ in 1..IMMEDIATE_RETRIES {
         assert!(!backoff.record_failure(Retry::Immediately, RETRY_PAUSE));
     }
-    assert!(backoff.record_failure(Retry::Immediately, RETRY_PAUSE), "so many in a row");
-    assert!(wait(&mut backoff).await >= RETRY_PAUSE);
-    assert!(wait(&mut backoff).await.is_zero(), "one pause only");
+    assert!(
+        backoff.record_failure(Retry::Immediately, RETRY_PAUSE),
+        "a pause after this many consecutive failures"
+    );
+    assert!(wait_for_backoff(&mut backoff).await >= RETRY_PAUSE);
+    assert!(wait_for_backoff(&mut backoff).await.is_zero(), "one pause only");
     assert!(backoff.record_failure(Retry::AfterPause, RETRY_PAUSE));
-    assert!(wait(&mut backoff).await >= RETRY_PAUSE);
+    assert!(wait_for_backoff(&mut backoff).await >= RETRY_PAUSE);
 }
