--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -270,7 +270,7 @@
     for v in killed {
         fixture.cluster.start_node(v).unwrap();
     }
-    // Possibly with the same token, if the lease was granted to nobody else meanwhile.
+    // Possibly with the same token, if no other node was granted the lease meanwhile.
     fixture.wait_until("operations resume", async || fixture.resource.operations().len() > before).await;
     fixture.assert_no_violations();
 }
@@ -325,7 +325,7 @@
             matches!(fixture.voter_state(2).await.as_deref(), Some("voting" | "leading"))
         })
         .await;
-    // A copied file at the same path: detected without an operator.
+    // A copy of the store in a new file at the same path: detected without an operator.
     fixture.cluster.kill(2);
     let copy = std::fs::read(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -318,8 +318,8 @@
         let (near, far) = tokio::io::duplex(4096);
         let node = node.clone();
         tokio::spawn(async move { node.serve_connection(far).await });
-        let mut peer = FaktoryConnection(BufReader::new(Box::new(near)));
-        let hi = peer.read_reply().await;
+        let mut connection = FaktoryConnection(BufReader::new(Box::new(near)));
+        let hi = connection.read_reply().await;
         let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
         let (salt, rounds) = (hi["s"].as_str().unwrap(), hi["i"].as_u64().unwrap());
         let secret = if is_correct { "secret" } else { "guess" };
@@ -328,7 +328,7 @@
             hash = <sha2::Sha256 as sha2::Digest>::digest(hash);
         }
         let hash: String = hash.iter().map(|b| format!("{b:02x}")).collect();
-        assert_eq!(peer.send_command(&format!("HELLO {{\"v\":2,\"pwdhash\":\"{hash}\"}}")).await, want);
+        assert_eq!(connection.send_command(&format!("HELLO {{\"v\":2,\"pwdhash\":\"{hash}\"}}")).await, want);
     }
 }
 
@@ -363,11 +363,11 @@
         async move { node.serve(listener, 64).await }
     });
     let connect = |hello: String| async move {
-        let mut peer =
+        let mut connection =
             FaktoryConnection(BufReader::new(Box::new(TcpStream::connect(address).await.unwrap())));
-        peer.read_reply().await;
-        assert_eq!(peer.send_command(&format!("HELLO {hello}")).await, "+OK");
-        peer
+        connection.read_reply().await;
+        assert_eq!(connection.send_command(&format!("HELLO {hello}")).await, "+OK");
+        connection
     };
     let mut worker_tasks = Vec::new();
     let (executed, mut executions) = tokio::sync::mpsc::unbounded_channel();
@@ -467,8 +467,8 @@
                 }
             }
             Step::Fetch(w) => {
-                let (peer, model, _) = &mut workers[usize::from(w)];
-                if let Some(jid) = peer.fetch().await {
+                let (connection, model, _) = &mut workers[usize::from(w)];
+                if let Some(jid) = connection.fetch().await {
                     assert!(!model.draining, "{jid} was sent to a draining worker");
                     assert!(accepted.contains_key(&jid));
                     let expiry = tokio::time::Instant::now() + Duration::from_secs(8);
@@ -479,35 +479,40 @@
                 }
             }
             Step::Ack(w) => {
-                let (peer, model, _) = &mut workers[usize::from(w)];
+                let (connection, model, _) = &mut workers[usize::from(w)];
                 if let Some((jid, expiry)) = model.held.pop() {
-                    let reply = peer.ack(&jid).await;
+                    let reply = connection.ack(&jid).await;
                     if reply == "+OK" {
                         assert!(tokio::time::Instant::now() < expiry, "the lease of {jid} had expired");
                         assert_eq!(client.job_state(&jid).await, "served");
                     }
-                    assert!(peer.ack(&jid).await.starts_with("-ERR"), "{jid} was acknowledged twice");
+                    assert!(connection.ack(&jid).await.starts_with("-ERR"), "{jid} was acknowledged twice");
                 }
             }
             Step::Quiet(w) => {
-                let (peer, model, generation) = &mut workers[usize::from(w)];
+                let (connection, model, generation) = &mut workers[usize::from(w)];
                 let wid = format!("w{}-{generation}", u8::from(w));
-                peer.send_command(&format!("BEAT {{\"wid\":\"{wid}\",\"current_state\":\"quiet\"}}")).await;
+                connection
+                    .send_command(&format!("BEAT {{\"wid\":\"{wid}\",\"current_state\":\"quiet\"}}"))
+                    .await;
                 model.draining = true;
             }
             Step::Drop(w) => {
                 let generation = workers[usize::from(w)].2 + 1;
-                let peer =
+                let connection =
                     FaktoryConnection::connect_worker(&node, &format!("w{}-{generation}", u8::from(w))).await;
-                workers[usize::from(w)] = (peer, Model::default(), generation);
+                workers[usize::from(w)] = (connection, Model::default(), generation);
             }
             Step::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 20)).await,
         }
-        for (jid, end) in &mut accepted {
-            let now = client.job_state(jid).await;
-            let ended = ["served", "failed"].contains(&end.as_str());
-            assert!(!ended || *end == now || now.starts_with("-ERR"), "{jid}: {end} became {now}");
-            *end = now;
+        for (jid, last_state) in &mut accepted {
+            let state = client.job_state(jid).await;
+            let is_final = ["served", "failed"].contains(&last_state.as_str());
+            assert!(
+                !is_final || *last_state == state || state.starts_with("-ERR"),
+                "{jid}: {last_state} became {state}"
+            );
+            *last_state = state;
         }
     }
     sleep(Duration::from_secs(9)).await;
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -39,29 +39,33 @@
         self.0 += &format!("{name}{direction} {shown}\n");
     }
 
-    async fn send(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
+    async fn send(&mut self, (name, connection): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
         self.record(name, '>', line.as_ref());
-        peer.0.write_all(line.as_ref()).await.unwrap();
-        peer.0.write_all(b"\r\n").await.unwrap();
+        connection.0.write_all(line.as_ref()).await.unwrap();
+        connection.0.write_all(b"\r\n").await.unwrap();
     }
 
     /// Reads one whole reply with its line ends; empty at the end of the connection.
-    async fn read_reply(&mut self, (name, peer): (&str, &mut FaktoryConnection)) -> Vec<u8> {
+    async fn read_reply(&mut self, (name, connection): (&str, &mut FaktoryConnection)) -> Vec<u8> {
         let mut bytes = Vec::new();
-        peer.0.read_until(b'\n', &mut bytes).await.unwrap();
+        connection.0.read_until(b'\n', &mut bytes).await.unwrap();
         let head = String::from_utf8_lossy(&bytes).into_owned();
         if let Some(length) = head.strip_prefix('$').and_then(|n| n.trim_end().parse::<usize>().ok()) {
             let mut body = vec![0; length + 2];
-            peer.0.read_exact(&mut body).await.unwrap();
+            connection.0.read_exact(&mut body).await.unwrap();
             bytes.extend(body);
         }
         self.record(name, '<', &bytes);
         bytes
     }
 
-    async fn send_command(&mut self, (name, peer): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
-        self.send((name, &mut *peer), line).await;
-        self.read_reply((name, peer)).await;
+    async fn send_command(
+        &mut self,
+        (name, connection): (&str, &mut FaktoryConnection),
+        line: impl AsRef<[u8]>,
+    ) {
+        self.send((name, &mut *connection), line).await;
+        self.read_reply((name, connection)).await;
     }
 
     /// Opens a connection and reads the greeting.
@@ -69,9 +73,9 @@
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
         tokio::spawn(async move { node.serve_connection(far).await });
-        let mut peer = FaktoryConnection(BufReader::new(Box::new(near)));
+        let mut connection = FaktoryConnection(BufReader::new(Box::new(near)));
         let before = self.0.len();
-        let greeting = self.read_reply((name, &mut peer)).await;
+        let greeting = self.read_reply((name, &mut connection)).await;
         // The salt is random.
         let greeting = String::from_utf8(greeting).unwrap();
         if let Some(salt) = greeting.split("\"s\":\"").nth(1).and_then(|rest| rest.split('"').next()) {
@@ -79,22 +83,22 @@
             let masked = self.0[before..].replace(salt, "SALT");
             self.0.replace_range(before.., &masked);
         }
-        peer
+        connection
     }
 
     async fn connect_with_hello(&mut self, node: &Server, name: &str, hello: &str) -> FaktoryConnection {
-        let mut peer = self.connect(node, name).await;
-        self.send_command((name, &mut peer), format!("HELLO {hello}")).await;
-        peer
+        let mut connection = self.connect(node, name).await;
+        self.send_command((name, &mut connection), format!("HELLO {hello}")).await;
+        connection
     }
 }
 
-async fn record_greetings(t: &mut Transcript) {
+async fn record_greetings(transcript: &mut Transcript) {
     let (node, _, _phases) = start_faktory(Some("secret"));
     for hello in ["HELLO {\"v\":2}", "HELLO {\"v\":2,\"pwdhash\":\"00\"}"] {
-        let mut peer = t.connect(&node, "password").await;
-        t.send_command(("password", &mut peer), hello).await;
-        t.read_reply(("password", &mut peer)).await;
+        let mut connection = transcript.connect(&node, "password").await;
+        transcript.send_command(("password", &mut connection), hello).await;
+        transcript.read_reply(("password", &mut connection)).await;
     }
     let (node, _, _phases) = start_faktory(None);
     let long = format!("HELLO {{\"v\":2,\"wid\":\"{}\"}}", "w".repeat(257));
@@ -111,13 +115,13 @@
         "NONSENSE",
         "END",
     ] {
-        let mut peer = t.connect(&node, "first").await;
-        t.send_command(("first", &mut peer), first).await;
-        t.read_reply(("first", &mut peer)).await;
+        let mut connection = transcript.connect(&node, "first").await;
+        transcript.send_command(("first", &mut connection), first).await;
+        transcript.read_reply(("first", &mut connection)).await;
     }
 }
 
-async fn record_client_errors(t: &mut Transcript, client: &mut FaktoryConnection) {
+async fn record_client_errors(transcript: &mut Transcript, client: &mut FaktoryConnection) {
     let good = faktory_job("lodge", "job-00009", "k");
     let custom = |fields: &str| good.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
     let many: String = (0..65).map(|n| format!(" q{n}")).collect();
@@ -163,99 +167,107 @@
         "HELLO {\"v\":2}".into(),
     ];
     for line in lines {
-        t.send_command(("client", &mut *client), line).await;
+        transcript.send_command(("client", &mut *client), line).await;
     }
-    t.send_command(("client", &mut *client), b"PUSH \xff\xfe").await;
+    transcript.send_command(("client", &mut *client), b"PUSH \xff\xfe").await;
 }
 
-async fn record_job_lifecycles(t: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
-    let mut w1 = t.connect_with_hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
-    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
-    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    t.send_command(("w1", &mut w1), "FETCH").await;
-    t.send_command(("w1", &mut w1), "FETCH check nobody").await;
+async fn record_job_lifecycles(transcript: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
+    let mut w1 = transcript.connect_with_hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
+    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    transcript.send_command(("w1", &mut w1), "FETCH").await;
+    transcript.send_command(("w1", &mut w1), "FETCH check nobody").await;
     // A job that is served; its JSON keeps the spaces of its client.
-    t.send(("w1", &mut w1), "FETCH check").await;
+    transcript.send(("w1", &mut w1), "FETCH check").await;
     let spaced = faktory_job("check", "job-00001", "a").replace(',', " , ");
-    t.send_command(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
-    t.read_reply(("w1", &mut w1)).await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00001").await;
-    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00001").await;
+    transcript.send_command(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
+    transcript.read_reply(("w1", &mut w1)).await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00001").await;
+    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00001").await;
     // A waiting job, duplicates of it, and a jid in use for another job.
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b")))
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b")))
         .await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00002").await;
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b")))
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00002").await;
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b")))
         .await;
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c")))
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c")))
         .await;
-    t.send_command(("w1", &mut w1), "FETCH lodge").await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00003").await;
-    t.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
-    t.send_command(("client", &mut *client), "INFO").await;
+    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00003").await;
+    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
+    transcript.send_command(("client", &mut *client), "INFO").await;
     // Fails until no attempt is left or its deadline passes.
-    t.send_command(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}").await;
-    t.send_command(("w1", &mut w1), "FETCH lodge").await;
+    transcript
+        .send_command(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}")
+        .await;
+    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
     sleep(Duration::from_secs(9)).await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00002").await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00003").await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00002").await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00003").await;
     // A draining worker.
-    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
-    t.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    t.send_command(("w1", &mut w1), "FETCH lodge").await;
+    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
+    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
     // No worker fetches it before its deadline.
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d")))
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d")))
         .await;
     sleep(Duration::from_secs(9)).await;
-    t.send_command(("client", &mut *client), "TRACK GET job-00004").await;
+    transcript.send_command(("client", &mut *client), "TRACK GET job-00004").await;
     for n in 0..70 {
         client.push("lodge", &format!("job-100{n:02}"), "e").await;
     }
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e")))
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e")))
         .await;
-    t.send(("w1", &mut w1), "END").await;
-    t.read_reply(("w1", &mut w1)).await;
-    t.send_command(("client", &mut *client), "INFO").await;
+    transcript.send(("w1", &mut w1), "END").await;
+    transcript.read_reply(("w1", &mut w1)).await;
+    transcript.send_command(("client", &mut *client), "INFO").await;
 }
 
-async fn record_drain(t: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
+async fn record_drain(transcript: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
     assert!(phases.drain());
-    t.send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f")))
+    transcript
+        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f")))
         .await;
-    t.send(("client", &mut *client), "END").await;
-    t.read_reply(("client", client)).await;
+    transcript.send(("client", &mut *client), "END").await;
+    transcript.read_reply(("client", client)).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn each_reply_is_as_recorded() {
-    let mut t = Transcript::default();
-    record_greetings(&mut t).await;
+    let mut transcript = Transcript::default();
+    record_greetings(&mut transcript).await;
     let (node, _, phases) = start_faktory(None);
-    let mut client = t.connect_with_hello(&node, "client", "{\"v\":2}").await;
-    record_client_errors(&mut t, &mut client).await;
-    record_job_lifecycles(&mut t, &node, &mut client).await;
-    record_drain(&mut t, &mut client, &phases).await;
-    assert_golden("session.txt", &t.0);
+    let mut client = transcript.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    record_client_errors(&mut transcript, &mut client).await;
+    record_job_lifecycles(&mut transcript, &node, &mut client).await;
+    record_drain(&mut transcript, &mut client, &phases).await;
+    assert_golden("session.txt", &transcript.0);
 }
 
 /// A push that can't be served before its deadline is shed at once, with the time to wait before a retry.
 #[tokio::test(start_paused = true)]
 async fn a_shed_push_names_the_time_to_wait() {
-    let mut t = Transcript::default();
+    let mut transcript = Transcript::default();
     let (node, _, _phases) = start_faktory(None);
-    let mut client = t.connect_with_hello(&node, "client", "{\"v\":2}").await;
-    let _worker = t.connect_with_hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    let mut client = transcript.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    let _worker = transcript.connect_with_hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     for deadline in ["1e-9", "0.001", "0.02"] {
         let custom = format!("\"custom\":{{\"deadline\":{deadline},");
         let push = faktory_job("check", "job-00001", "k").replace("\"custom\":{", &custom);
-        t.send_command(("client", &mut client), format!("PUSH {push}")).await;
-        t.send_command(("client", &mut client), "TRACK GET job-00001").await;
+        transcript.send_command(("client", &mut client), format!("PUSH {push}")).await;
+        transcript.send_command(("client", &mut client), "TRACK GET job-00001").await;
     }
-    assert!(t.0.contains("-ERR refused: try again in "), "no push was shed");
-    assert_golden("refused.txt", &t.0);
+    assert!(transcript.0.contains("-ERR refused: try again in "), "no push was shed");
+    assert_golden("refused.txt", &transcript.0);
 }
 
 #[test]
--- a/node/tests/golden_node.rs
+++ b/node/tests/golden_node.rs
@@ -24,7 +24,7 @@
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::{sleep, timeout};
 
-/// Time for the peer to read what was written, where it sends no confirmation.
+/// Time for the peer to read case was written, where it sends no confirmation.
 const READ_DELAY: Duration = Duration::from_millis(300);
 
 #[test]
@@ -45,9 +45,9 @@
         "fleet roll --help",
     ] {
         let arguments: Vec<&str> = arguments.split(' ').collect();
-        let (code, out, err) = run_command(&folder, &arguments, &[]);
-        assert_eq!((code, err.as_str()), (Some(0), ""), "{arguments:?}");
-        write!(text, "$ molevale {}\n{out}\n", arguments.join(" ")).unwrap();
+        let (code, stdout, stderr) = run_command(&folder, &arguments, &[]);
+        assert_eq!((code, stderr.as_str()), (Some(0), ""), "{arguments:?}");
+        write!(text, "$ molevale {}\n{stdout}\n", arguments.join(" ")).unwrap();
     }
     assert_golden("help.txt", &text);
 }
@@ -112,16 +112,16 @@
 fn invalid_configurations_end_the_program_as_recorded() {
     let folder = Folder::new("configurations");
     let mut text = String::new();
-    let mut run_and_record = |what: &str, arguments: &[&str], variables: &[(&str, &str)]| {
-        let (code, out, err) = run_command(&folder, arguments, variables);
-        assert_eq!(out, "", "{what}");
-        assert_eq!(code, Some(2), "{what}: {err}");
-        write!(text, "{what}: {code:?}\n{err}").unwrap();
+    let mut run_and_record = |case: &str, arguments: &[&str], variables: &[(&str, &str)]| {
+        let (code, stdout, stderr) = run_command(&folder, arguments, variables);
+        assert_eq!(stdout, "", "{case}");
+        assert_eq!(code, Some(2), "{case}: {stderr}");
+        write!(text, "{case}: {code:?}\n{stderr}").unwrap();
     };
     let config = [("RELAY_CONFIG", "config.json")];
-    for (what, text) in invalid_configurations() {
+    for (case, text) in invalid_configurations() {
         folder.write("config.json", &text);
-        run_and_record(what, &[], &config);
+        run_and_record(case, &[], &config);
     }
     folder.write("config.json", &valid_config().to_string());
     for name in ["RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_MANAGEMENT"] {
@@ -140,11 +140,11 @@
 fn invalid_files_and_commands_end_the_program_as_recorded() {
     let folder = Folder::new("operators");
     let mut text = String::new();
-    let mut run_and_record = |what: &str, exit_code: i32, arguments: &[&str], variables: &[(&str, &str)]| {
-        let (code, out, err) = run_command(&folder, arguments, variables);
-        assert_eq!(out, "", "{what}");
-        assert_eq!(code, Some(exit_code), "{what}: {err}");
-        write!(text, "{what}: {code:?}\n{err}").unwrap();
+    let mut run_and_record = |case: &str, exit_code: i32, arguments: &[&str], variables: &[(&str, &str)]| {
+        let (code, stdout, stderr) = run_command(&folder, arguments, variables);
+        assert_eq!(stdout, "", "{case}");
+        assert_eq!(code, Some(exit_code), "{case}: {stderr}");
+        write!(text, "{case}: {code:?}\n{stderr}").unwrap();
     };
     let config = [("RELAY_CONFIG", "config.json")];
     folder.write("config.json", &valid_config().to_string());
@@ -167,7 +167,7 @@
         run_and_record(&format!("faktory {to}"), 2, &["--faktory", "faktory.toml"], &config);
     }
     folder.write("fleet.key", KEY);
-    for (what, text, keys) in [
+    for (case, text, keys) in [
         ("unknown field", format!("{FLEET}nodes = 3\n"), KEY),
         ("seeds", format!("{FLEET}seeds = [\n\"here\"]\n"), KEY),
         ("timing", format!("{FLEET}[timing]\nprobe_ms = 1\n"), KEY),
@@ -181,7 +181,7 @@
     ] {
         folder.write("fleet.toml", &text);
         folder.write("fleet.key", keys);
-        run_and_record(&format!("fleet {what}"), 2, &["--fleet", "fleet.toml"], &config);
+        run_and_record(&format!("fleet {case}"), 2, &["--fleet", "fleet.toml"], &config);
     }
     folder.write("fleet.toml", FLEET);
     folder.write("fleet.key", KEY);
@@ -292,7 +292,7 @@
          {{ name = \"n3\", at = \"127.0.0.1:2\" }}]\nroll = true\n"
     );
     let file = FLEET.replace("127.0.0.1:0", &format!("{ip}:7946"));
-    for (what, fleet_file) in
+    for (case, fleet_file) in
         [("alone", None), ("with a fleet", Some(file.clone())), ("with duties", Some(file + &duties))]
     {
         let folder = Folder::new("management");
@@ -309,11 +309,11 @@
             None => &[],
         };
         let _node = Node::start(&folder, arguments, &at).await;
-        writeln!(text, "== {what}").unwrap();
+        writeln!(text, "== {case}").unwrap();
         for (method, path) in CALLS {
             let answer = call(&at, method, path).await;
             // The numbers in a status vary from run to run; its keys and their order do not.
-            let answer = match (method, path, what) {
+            let answer = match (method, path, case) {
                 ("GET", "/fleet" | "/fleet/duties", "alone") => answer,
                 ("GET", "/fleet" | "/fleet/duties", _) => mask_numbers(&answer),
                 _ => answer,
--- a/node/tests/process_handover.rs
+++ b/node/tests/process_handover.rs
@@ -66,7 +66,7 @@
     assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
     let mut late = Client::connect(&predecessor).await;
     late.send_after_pause(&request("check", "9b1f03aa5c7e2d42", 60.0, "")).await;
-    let mut received = worker.receive_request().await; // only the predecessor told the successor of this worker
+    let mut received = worker.receive_request().await; // the successor knows this worker only from the predecessor
     assert_eq!(
         (successor.counters.requests_accepted.get(), predecessor.counters.requests_accepted.get()),
         (1, 1)
@@ -215,8 +215,8 @@
     }
 }
 
-/// Jobs are transferred one after another: the remaining wait of a client is that at the transfer of its own job, not of
-/// the first one.
+/// Jobs are transferred one after another: the remaining wait of each client is measured when its own
+/// job is transferred, not when the first one is.
 #[tokio::test(start_paused = true)]
 async fn the_time_spent_on_the_handover_is_subtracted_from_each_jobs_remaining_wait() {
     let path = handover_path("late");
--- a/node/tests/process_limits.rs
+++ b/node/tests/process_limits.rs
@@ -218,7 +218,7 @@
     let (first, second) = (Worker::start().await, Worker::start().await);
     let known = vec![first.list_entry("s-1", "in_service")];
     let later = vec![first.list_entry("s-1", "terminating"), second.list_entry("s-2", "in_service")];
-    let (node, at) = start_limited(&folder, 1, known).await;
+    let (node, discovery_address) = start_limited(&folder, 1, known).await;
     let idle = IdleClients::start(3 * DESCRIPTOR_LIMIT, node.listen);
     idle.wait_until_full(&node).await;
     serve_all(first);
@@ -226,7 +226,7 @@
         assert!(node.is_ready().await, "the management address answers");
         node.wait_until_served(&format!("9b1f03aa5c7e2e{n:02}")).await;
     }
-    let _discovery = start_discovery(at, later).await;
+    let _discovery = start_discovery(discovery_address, later).await;
     let served = async { second.receive_request().await.complete("r").await };
     let request = async { tokio::join!(node.send_request(ID), served) };
     let (status, ()) = timeout(STEP_TIMEOUT, request).await.expect("a request at the new worker");
@@ -243,7 +243,7 @@
     const MIN_IN_FLIGHT: usize = 21;
     let (folder, workers) = (Folder::new("jobs"), WorkerGroup::start().await);
     let endpoints = workers.list_entries(REQUESTS, |_| "in_service");
-    let (node, at) = start_limited(&folder, 4, endpoints.clone()).await;
+    let (node, discovery_address) = start_limited(&folder, 4, endpoints.clone()).await;
     let (permits, in_flight) = (Arc::new(Semaphore::new(0)), Arc::<AtomicUsize>::default());
     tokio::spawn(workers.hold_requests(permits.clone(), in_flight.clone()));
     let node = Arc::new(node);
@@ -259,7 +259,7 @@
     let idle = IdleClients::start(3 * DESCRIPTOR_LIMIT, node.listen);
     idle.wait_until_full(&node).await;
     assert!(node.is_ready().await, "the management address answers");
-    let _discovery = start_discovery(at, endpoints).await;
+    let _discovery = start_discovery(discovery_address, endpoints).await;
     assert!(node.is_ready().await, "the management address answers");
     let in_flight = in_flight.load(Ordering::Relaxed);
     permits.add_permits(REQUESTS);
@@ -274,7 +274,7 @@
 /// How an unavailable discovery treats its callers.
 #[derive(Clone, Copy, Debug)]
 enum DiscoveryFault {
-    /// Nobody listens there.
+    /// No process listens at its address.
     Down,
     /// It accepts calls and never answers.
     Silent,
@@ -489,12 +489,12 @@
         };
         (membership::Machine::new(config, process_start, now), address)
     };
-    let (mut first, at) = create(0);
+    let (mut first, first_address) = create(0);
     let mut answer = None;
     for n in 1..COUNT {
         let (mut other, _) = create(n);
         let challenge = first.generate_nonce();
-        let (nonce, state) = other.request_sync(now, at, challenge);
+        let (nonce, state) = other.request_sync(now, first_address, challenge);
         answer = first.respond_to_sync(now, challenge, &state).map(|state| (other, nonce, state));
         while first.next_action().is_some() {} // gossip to the other nodes, which don't run here
     }
--- a/node/tests/settings_merge.rs
+++ b/node/tests/settings_merge.rs
@@ -28,7 +28,7 @@
     };
     let names = Names {
         classes: classes.keys().map(u8::to_string).collect(),
-        requires_idempotency_key: classes.values().map(|e| *e == 1).collect(),
+        requires_idempotency_key: classes.values().map(|kind| *kind == 1).collect(),
         previous_classes: vec![None; classes.len()],
         zones: zones.map(String::from).to_vec(),
         ..Names::default()
@@ -41,12 +41,12 @@
 #[test]
 fn random_settings_never_change_the_class_of_a_number() {
     fn property(steps: Vec<Vec<(u8, u8)>>) -> bool {
-        let model = |step: &Vec<(u8, u8)>| -> BTreeMap<u8, u8> {
-            step.iter().map(|(n, e)| (n % 4, e % 3)).chain([(9, 0)]).collect()
+        let classes_of = |step: &Vec<(u8, u8)>| -> BTreeMap<u8, u8> {
+            step.iter().map(|(name, kind)| (name % 4, kind % 3)).chain([(9, 0)]).collect()
         };
         let mut running = effective_settings(&BTreeMap::from([(9, 0)]), ["a", "b"]);
         for step in &steps {
-            let wanted = model(step);
+            let wanted = classes_of(step);
             let new = running.merged_with(&effective_settings(&wanted, ["b", "c"]));
             let (old, now) = (&running.settings.classes, &new.settings.classes);
             assert_eq!(old[..], now[..old.len()], "numbers keep their settings");
--- a/node/tests/system_calls.rs
+++ b/node/tests/system_calls.rs
@@ -408,9 +408,9 @@
     (listener, backlog_filler)
 }
 
-/// Guards requests against a log pipe that is full because nobody reads it: the node continues to serve.
+/// Guards requests against a log pipe that is full because no process reads it: the node continues to serve.
 #[tokio::test]
-async fn a_log_that_nobody_reads_blocks_no_request() {
+async fn a_full_log_pipe_blocks_no_request() {
     let node = FaultyNode::start(1).await;
     let folder = node.folder.join("n2");
     std::fs::create_dir_all(&folder).unwrap();
