--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -127,11 +127,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn voters_vote_again_once_their_disks_can_be_written() {
     let _place = place().await;
-    let stage = stage_with(4, 3, |cluster| cluster.with_shims().unwrap()).await;
+    let stage = stage_with(4, 3, |cluster| cluster.enable_fault_shims().unwrap()).await;
     for fault in [Fault::SyncEio, Fault::WriteEnospc] {
         let (holder, token) = stage.last();
-        let injected = |voter: usize| stage.yard.control(voter).injected(fault).unwrap();
-        (0..3).for_each(|voter| stage.yard.control(voter).set_rate(fault, 1_000_000).unwrap());
+        let injected = |voter: usize| stage.yard.fault_control(voter).injected(fault).unwrap();
+        (0..3).for_each(|voter| stage.yard.fault_control(voter).set_rate(fault, 1_000_000).unwrap());
         // The duty is to be granted anew, which has to be written.
         let at = stage.yard.nodes[holder].as_ref().unwrap().management;
         assert_eq!(call(at, "POST", "/healthcheck/fail").await.map(|a| a.0), Some(200));
@@ -139,7 +139,7 @@
             .until("a majority could not write", async || (0..3).filter(|v| injected(*v) > 0).count() >= 2)
             .await;
         sleep(S).await;
-        (0..3).for_each(|voter| stage.yard.control(voter).set_rate(fault, 0).unwrap());
+        (0..3).for_each(|voter| stage.yard.fault_control(voter).set_rate(fault, 0).unwrap());
         stage.acts_after(token).await;
         call(at, "POST", "/healthcheck/ok").await;
         stage
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -429,8 +429,8 @@
     // Keys change under SIGHUP, one step after the other, with all in one fleet at each.
     let new = "5a".repeat(32);
     let steps = [
-        format!("{}previous {new}\n", testbed::cluster::KEY),
-        format!("current {new}\n{}", testbed::cluster::KEY.replace("current", "previous")),
+        format!("{}previous {new}\n", testbed::cluster::KEY_FILE_TEXT),
+        format!("current {new}\n{}", testbed::cluster::KEY_FILE_TEXT.replace("current", "previous")),
         format!("current {new}\n"),
     ];
     for keys in steps {
--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -14,7 +14,7 @@
 
 impl ExpectedViews {
     /// Returns the expected views of nodes that all reach each other.
-    pub fn whole<'a>(names: impl IntoIterator<Item = &'a str>) -> ExpectedViews {
+    pub fn unpartitioned<'a>(names: impl IntoIterator<Item = &'a str>) -> ExpectedViews {
         ExpectedViews { partitions: names.into_iter().map(|name| (name.to_string(), 0)).collect() }
     }
 
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, Instant};
 
 /// Content of the key file of all clusters under test.
-pub const KEY: &str = "current 0f1e2d3c4b5a69788796a5b4c3d2e1f00f1e2d3c4b5a69788796a5b4c3d2e1f0\n";
+pub const KEY_FILE_TEXT: &str = "current 0f1e2d3c4b5a69788796a5b4c3d2e1f00f1e2d3c4b5a69788796a5b4c3d2e1f0\n";
 /// Maximum number of nodes: a block has an address for each node and each proxy.
 pub const NODES_MAX: usize = 100;
 /// Interval at which the views are polled.
@@ -98,7 +98,7 @@
         let (block, _lock) = free_block(std::process::id().wrapping_mul(97).wrapping_add(number * 7919))?;
         let folder = std::env::temp_dir().join(format!("testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("fleet.key"), KEY)?;
+        std::fs::write(folder.join("fleet.key"), KEY_FILE_TEXT)?;
         let proxy_addresses: Vec<SocketAddr> =
             (0..spec.nodes).map(|i| block.address(PROXY_HOST + i, GOSSIP_PORT)).collect();
         let node_addresses: Vec<SocketAddr> =
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// If the library can't be built, or a control file can't be created.
-    pub fn with_shims(&mut self) -> io::Result<()> {
+    pub fn enable_fault_shims(&mut self) -> io::Result<()> {
         let library = shim::build(&self.folder)?;
         let control = |i| Control::create(self.folder.join(format!("control-{i}")));
         let controls = (0..self.spec.nodes).map(control).collect::<io::Result<_>>()?;
@@ -142,8 +142,8 @@
     ///
     /// # Panics
     /// If the nodes run without the library.
-    pub fn control(&self, i: usize) -> &Control {
-        &self.shims.as_ref().expect("with_shims was called").controls[i]
+    pub fn fault_control(&self, i: usize) -> &Control {
+        &self.shims.as_ref().expect("enable_fault_shims was called").controls[i]
     }
 
     /// Returns the name of a node.
--- a/testbed/src/emulated.rs
+++ b/testbed/src/emulated.rs
@@ -299,7 +299,7 @@
     /// All that run, in one part.
     pub fn expected_views(&self) -> ExpectedViews {
         let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.runs(*i)).map(name).collect();
-        ExpectedViews::whole(names.iter().map(String::as_str))
+        ExpectedViews::unpartitioned(names.iter().map(String::as_str))
     }
 
     /// A node's view; `None` where it does not run.
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -279,8 +279,11 @@
             }
             send_request(BufReader::new(TcpStream::connect(node).await.ok()?), &text).await
         };
-        let left = (self.due + self.class.deadline + LOST_AFTER).saturating_duration_since(Instant::now());
-        let Ok(Some((status, stream))) = timeout(left, exchange).await else { return Outcome::Lost { node } };
+        let time_left =
+            (self.due + self.class.deadline + LOST_AFTER).saturating_duration_since(Instant::now());
+        let Ok(Some((status, stream))) = timeout(time_left, exchange).await else {
+            return Outcome::Lost { node };
+        };
         let mut pool = lock(pool);
         let idle = pool.entry(node).or_default();
         if let Some(stream) = stream.filter(|_| idle.len() < IDLE_CONNECTIONS_MAX) {
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -31,7 +31,8 @@
         node: PathBuf,
     },
     /// Executes a fault plan.
-    Play {
+    #[command(name = "play")]
+    RunPlan {
         /// Fault plan (TOML).
         plan: PathBuf,
         /// Path of the node program.
@@ -48,22 +49,24 @@
         views: Option<PathBuf>,
     },
     /// Measures membership in emulated time.
-    Measure {
+    #[command(name = "measure")]
+    Membership {
         /// Number of nodes.
         #[arg(long, num_args = 1.., default_values_t = [10, 100, 1000])]
         nodes: Vec<usize>,
         /// Runs per number of nodes.
-        #[arg(long, default_value_t = 20)]
-        plays: u64,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 20)]
+        runs: u64,
     },
     /// Measures coordination in emulated time: how long a lease is vacant, and what the list broadcast costs.
-    Duties {
+    #[command(name = "duties")]
+    Coordination {
         /// Number of nodes in a zone.
         #[arg(long, num_args = 1.., default_values_t = [10, 100, 1000])]
         nodes: Vec<usize>,
         /// Runs per number of nodes.
-        #[arg(long, default_value_t = 200)]
-        plays: u64,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 200)]
+        runs: u64,
     },
     /// Measures each role at growing sizes, and generates the capacity page from the results.
     Scale(scale::Arguments),
@@ -88,20 +91,21 @@
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
         /// Seconds from the start without faults.
-        #[arg(long, default_value_t = 1.0)]
-        quiet: f64,
+        #[arg(long = "quiet", value_name = "QUIET", default_value_t = 1.0)]
+        fault_free_s: f64,
         /// Requests per second, over all nodes.
         #[arg(long, default_value_t = 150.0)]
         requests: f64,
         /// Faults that begin per second.
-        #[arg(long, default_value_t = 3.0)]
-        troubles: f64,
+        #[arg(long = "troubles", value_name = "TROUBLES", default_value_t = 3.0)]
+        faults_per_second: f64,
         /// Prints the fault schedules.
         #[arg(long)]
         verbose: bool,
     },
     /// Measures membership of real processes that are otherwise idle.
-    Idle {
+    #[command(name = "idle")]
+    IdleCluster {
         /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
         node: PathBuf,
@@ -109,8 +113,8 @@
         #[arg(long, default_value_t = 10)]
         nodes: usize,
         /// Number of kills.
-        #[arg(long, default_value_t = 10)]
-        plays: u64,
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 10)]
+        runs: u64,
     },
 }
 
@@ -152,34 +156,45 @@
 fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Demo { node } => block_on(async move { Ok(demo::run(&node).await?) }),
-        Command::Measure { nodes, plays } => {
-            nodes.iter().for_each(|n| println!("{}", measure::emulated_membership(*n, plays)));
+        Command::Membership { nodes, runs } => {
+            nodes.iter().for_each(|n| println!("{}", measure::emulated_membership(*n, runs)));
             Ok(())
         }
-        Command::Duties { nodes, plays } => {
-            measure_coordination(&nodes, plays);
+        Command::Coordination { nodes, runs } => {
+            measure_coordination(&nodes, runs);
             Ok(())
         }
-        Command::Play { plan, node, times, paired, views } => {
+        Command::RunPlan { plan, node, times, paired, views } => {
             block_on(run_plan(plan, node, times, paired, views))
         }
         Command::Scale(arguments) => Ok(scale::run(&arguments, &ALLOCATOR)?),
-        Command::Soak { node, seed, times, nodes, workers, seconds, quiet, requests, troubles, verbose } => {
+        Command::Soak {
+            node,
+            seed,
+            times,
+            nodes,
+            workers,
+            seconds,
+            fault_free_s,
+            requests,
+            faults_per_second,
+            verbose,
+        } => {
             let options = soak::Options {
                 binary: node,
                 nodes,
                 workers,
                 load_duration: Duration::from_secs_f64(seconds),
-                fault_free: Duration::from_secs_f64(quiet),
+                fault_free: Duration::from_secs_f64(fault_free_s),
                 requests_per_second: requests,
-                faults_per_second: troubles,
+                faults_per_second,
                 seed,
                 verbose,
             };
             block_on(run_soaks(options, times))
         }
-        Command::Idle { node, nodes, plays } => block_on(async move {
-            println!("{}", measure::real_membership(&node, nodes, plays).await?);
+        Command::IdleCluster { node, nodes, runs } => block_on(async move {
+            println!("{}", measure::real_membership(&node, nodes, runs).await?);
             Ok(())
         }),
     }
@@ -190,12 +205,12 @@
     runtime.map_err(CommandError::Runtime)?.block_on(task)
 }
 
-fn measure_coordination(nodes: &[usize], plays: u64) {
-    measure::lease_vacancies(plays).iter().for_each(|line| println!("{line}"));
+fn measure_coordination(nodes: &[usize], runs: u64) {
+    measure::lease_vacancies(runs).iter().for_each(|line| println!("{line}"));
     for nodes in nodes {
         // Runs of larger zones take longer and vary less, so fewer are made.
-        let plays = (plays * 10 / *nodes as u64).clamp(1, 20);
-        measure::list_broadcast(*nodes, plays).iter().for_each(|line| println!("{line}"));
+        let runs = (runs * 10 / *nodes as u64).clamp(1, 20);
+        measure::list_broadcast(*nodes, runs).iter().for_each(|line| println!("{line}"));
     }
 }
 
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -148,7 +148,7 @@
             Some(us),
             &body,
         );
-        // Requests of one user are held back together if some of them fail, so each gets its own user.
+        // A node holds back requests of a user after some of them fail, so each request gets a random user.
         let text = text.replacen("user=00ff", &format!("user={:x}", rng.random::<u32>()), 1);
         let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
         let reused_connection = stream.is_some();
--- a/testbed/tests/check.rs
+++ b/testbed/tests/check.rs
@@ -28,7 +28,7 @@
 #[test]
 fn injected_view_faults_are_reported() {
     use MemberStatus::*;
-    let expected = ExpectedViews::whole(["a", "b", "c"]);
+    let expected = ExpectedViews::unpartitioned(["a", "b", "c"]);
     let correct = [("a", Alive, 1), ("b", Suspect, 1), ("c", Draining, 1), ("d", Dead, 1)];
     let faults_after = |change: &dyn Fn(&mut Vec<View>)| {
         let mut all = ["a", "b", "c"].map(|n| view(n, &correct)).to_vec();
@@ -70,15 +70,15 @@
 #[test]
 fn partitioned_nodes_are_expected_to_list_their_own_partition() {
     use MemberStatus::*;
-    let mut expected = ExpectedViews::whole(["a", "b"]);
+    let mut expected = ExpectedViews::unpartitioned(["a", "b"]);
     expected.partitions.insert("c".into(), 1);
     let majority_view = [("a", Alive, 1), ("b", Alive, 1), ("c", Dead, 1)];
     let minority_view = [("a", Dead, 1), ("b", Dead, 1), ("c", Alive, 7)];
     let all = views(vec![view("a", &majority_view), view("b", &majority_view), view("c", &minority_view)]);
     assert_eq!(view_faults(&expected, &all), []);
-    let whole = ExpectedViews::whole(["a", "b", "c"]);
+    let unpartitioned = ExpectedViews::unpartitioned(["a", "b", "c"]);
     assert_eq!(
-        view_faults(&whole, &all).len(),
+        view_faults(&unpartitioned, &all).len(),
         4,
         "if all nodes are expected to reach each other, each view lacks some"
     );
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -290,7 +290,7 @@
     (0..7).for_each(|i| world.start(i));
     world.run(10 * S);
     let names: Vec<String> = (0..6).map(name).collect();
-    let expected = ExpectedViews::whole(names.iter().map(String::as_str));
+    let expected = ExpectedViews::unpartitioned(names.iter().map(String::as_str));
     world.until(10 * S, &expected).unwrap();
     let refused = |world: &World| (0..6).map(|i| world.counters(i).rejected.unauthenticated).sum::<u64>();
     assert!(refused(&world) > 0, "what the one with the wrong key sends");
