--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -132,7 +132,7 @@
     pub async fn connect(node: &Server, hello: &str) -> FaktoryConnection {
         let (near, far) = duplex(1 << 17);
         let node = node.clone();
-        tokio::spawn(async move { node.session(far).await });
+        tokio::spawn(async move { node.serve_connection(far).await });
         let mut connection = FaktoryConnection(BufReader::new(Box::new(near)));
         assert_eq!(connection.read_reply().await, "+HI {\"v\":2}");
         assert_eq!(connection.send_command(&format!("HELLO {hello}")).await, "+OK");
