--- a/testbed/shim/faults.c
+++ b/testbed/shim/faults.c
@@ -3,8 +3,8 @@
  * Linux documents.
  *
  * The file named by SOAK_CONTROL is mapped and shared with the test driver. It holds three arrays of 64-bit numbers:
- * the rate of each fault in parts per million (written by the driver), the number of injections of each fault (written
- * here), and parameters (see enum parameter). testbed/src/soak/shim.rs repeats the numbering.
+ * the rate of each fault in parts per million (written by the driver), the number of injections of each fault
+ * (written here), and parameters (see enum parameter). testbed/src/soak/shim.rs repeats the numbering.
  *
  * Socket faults affect only sockets, disk faults only regular files.
  */
@@ -144,7 +144,7 @@
     }
     if (fails(RECV_EINTR, EINTR)) return -1;
     if (is_tcp(fd)) {
-        /* The kernel ends such a connection. Only outgoing ones: a client's connection would end without owing an answer. */
+        /* The kernel ends such a connection. Not for accepted ones: their client would be owed no answer. */
         int error = strikes(RECV_ETIMEDOUT) ? ETIMEDOUT : strikes(RECV_EHOSTUNREACH) ? EHOSTUNREACH : 0;
         if (error != 0 && is_outgoing(fd)) {
             shutdown(fd, SHUT_RDWR);
--- a/testbed/src/check.rs
+++ b/testbed/src/check.rs
@@ -1,5 +1,5 @@
-//! Checker of membership views: compares the views of many nodes with the expected ones. It does not depend on how nodes
-//! compute their views.
+//! Checker of membership views: compares the views of many nodes with the expected ones. It does not depend
+//! on how nodes compute their views.
 
 use membership::View;
 use std::collections::{BTreeMap, BTreeSet};
--- a/testbed/src/cluster/configuration.rs
+++ b/testbed/src/cluster/configuration.rs
@@ -58,7 +58,8 @@
         json!({"name": name, "listen": self.listen(i).to_string(), "discovery": self.discovery.address.to_string(),
             "management": self.block.address(i, 9000 + self.starts).to_string(), "seed": format!("{:x}", i + 1),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"revision": 0, "complete": true, "members": self.endpoint_entries()}, "settings": self.settings(i)})
+            "known": {"revision": 0, "complete": true, "members": self.endpoint_entries()},
+            "settings": self.settings(i)})
     }
 
     fn settings(&self, i: usize) -> Value {
--- a/testbed/src/cluster/mod.rs
+++ b/testbed/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Cluster under test: real processes on their own loopback addresses, with workers, discovery, and fault proxies between
-//! the nodes. Dropping it ends all processes.
+//! Cluster under test: real processes on their own loopback addresses, with workers, discovery, and fault
+//! proxies between the nodes. Dropping it ends all processes.
 
 mod addresses;
 mod configuration;
@@ -303,7 +303,8 @@
         ExpectedViews { partitions: running.into_iter().map(|i| (Cluster::name(i), 0)).collect() }
     }
 
-    /// Waits until the views have been equal and as expected for [`Spec::settle_time`]. Returns the time until they were.
+    /// Waits until the views have been equal and as expected for [`Spec::settle_time`]. Returns the time
+    /// until they were.
     ///
     /// # Errors
     /// Returns the last faults if the views do not settle within `bound`.
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -80,8 +80,8 @@
     settle(&cluster, "the partition is healed and the killed node restarted", &all).await?;
     let report = load.await?;
     println!(
-        "Load: {} requests due, {} in time, {} late, {} shed, {} failed, {} lost with the killed node or sent to it before \
-         the health check failed. Priority weight served in time: {:.2}.",
+        "Load: {} requests due, {} in time, {} late, {} shed, {} failed, {} lost with the killed node or \
+         sent to it before the health check failed. Priority weight served in time: {:.2}.",
         report.due,
         report.in_time,
         report.late,
--- a/testbed/src/emulated_broadcast.rs
+++ b/testbed/src/emulated_broadcast.rs
@@ -1,5 +1,5 @@
-//! List broadcast within one zone in emulated time: measures the calls to discovery and how long a change takes to reach
-//! the last node, if one node polls discovery for all or each node polls.
+//! List broadcast within one zone in emulated time: measures the calls to discovery and how long a change
+//! takes to reach the last node, if one node polls discovery for all or each node polls.
 
 use crate::emulated_network::{node_address, EventQueue};
 use ::coordination::{BroadcastAction, BroadcastMessage, ListBroadcast, ListDelta, ListEntry};
--- a/testbed/src/fault_proxy.rs
+++ b/testbed/src/fault_proxy.rs
@@ -1,7 +1,8 @@
-//! Fault proxies between nodes: forward datagrams and streams with loss, delay, duplication, corruption and cuts.
+//! Fault proxies between nodes: forward datagrams and streams with loss, delay, duplication, corruption and
+//! cuts.
 //!
-//! Each node advertises its proxy's address. The proxy identifies the sending node by its address and applies the rule of
-//! that pair and direction.
+//! Each node advertises its proxy's address. The proxy identifies the sending node by its address and applies
+//! the rule of that pair and direction.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -127,7 +128,8 @@
 }
 
 impl FaultProxies {
-    /// Starts a proxy at `proxies[i]` for the node that listens at `nodes[i]`; random choices depend on the seed.
+    /// Starts a proxy at `proxies[i]` for the node that listens at `nodes[i]`; random choices depend on the
+    /// seed.
     ///
     /// # Errors
     /// If an address can't be bound.
--- a/testbed/src/history_check.rs
+++ b/testbed/src/history_check.rs
@@ -1,5 +1,5 @@
-//! History checker: finds violations of mutual exclusion in a history of operations under fencing tokens. It does not
-//! depend on how leases are granted.
+//! History checker: finds violations of mutual exclusion in a history of operations under fencing tokens. It
+//! does not depend on how leases are granted.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,12 +1,14 @@
-//! Test bed: runs many processes of the program on loopback addresses, with stand-ins for workers and discovery, an
-//! open-loop load, and fault injection; and runs the same state machines in emulated time. No node links this crate.
+//! Test bed: runs many processes of the program on loopback addresses, with stand-ins for workers and
+//! discovery, an open-loop load, and fault injection; and runs the same state machines in emulated time. No
+//! node links this crate.
 //!
-//! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] sends requests; [`plan`]
-//!   executes a fault plan; [`soak`] injects overlapping random faults and checks the protocol's rules.
-//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases, [`emulated_broadcast`] the
-//!   list broadcast; [`scale`] measures all of them at growing sizes.
-//! - Checkers: [`check`] compares the nodes' membership views with the expected ones; [`history_check`] and [`resource`]
-//!   check the operations of lease holders.
+//! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] sends
+//!   requests; [`plan`] executes a fault plan; [`soak`] injects overlapping random faults and checks the
+//!   protocol's rules.
+//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases,
+//!   [`emulated_broadcast`] the list broadcast; [`scale`] measures all of them at growing sizes.
+//! - Checkers: [`check`] compares the nodes' membership views with the expected ones; [`history_check`] and
+//!   [`resource`] check the operations of lease holders.
 //!
 //! A fault plan is a TOML file. A parse error reports the line:
 //!
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: each request is due at a random time whether or not earlier ones have ended, and its latency counts
-//! from when it was due.
+//! Open-loop load: each request is due at a random time whether or not earlier ones have ended, and its
+//! latency counts from when it was due.
 
 use crate::wire::{head, length, request_with_fields, status};
 use hdrhistogram::Histogram;
@@ -24,8 +24,8 @@
 const LOST_AFTER: Duration = Duration::from_millis(500);
 /// Maximum number of idle connections to each node.
 const IDLE_CONNECTIONS_MAX: usize = 64;
-/// Mean and deviation of the logarithm of a request's work, relative to its class: the standard deviation of the work is
-/// about half of its mean.
+/// Mean and deviation of the logarithm of a request's work, relative to its class: the standard deviation of
+/// the work is about half of its mean.
 const WORK_LOG_MEAN: f64 = -0.1;
 const WORK_LOG_DEVIATION: f64 = 0.45;
 /// Bounds of a request's work, relative to its class.
@@ -123,8 +123,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "weight in time {:.3}; {} due, {} in time, {} late, {} shed, {} failed, {} lost, {} without node; median {:.0} ms, \
-             99% {:.0} ms",
+            "weight in time {:.3}; {} due, {} in time, {} late, {} shed, {} failed, {} lost, {} without node; \
+             median {:.0} ms, 99% {:.0} ms",
             self.weight_in_time,
             self.due,
             self.in_time,
@@ -187,7 +187,8 @@
     choice: u64,
 }
 
-/// Runs a load against these nodes, as through a load balancer that skips nodes whose last health check failed.
+/// Runs a load against these nodes, as through a load balancer that skips nodes whose last health check
+/// failed.
 ///
 /// # Panics
 /// If the rate is not above zero, or there is no tenant.
@@ -318,7 +319,7 @@
         if class.keyed {
             *self.report.answers_by_key.entry(request.id.clone()).or_default() += 1;
         }
-        let _ = self.report.latencies.record(took.as_micros() as u64); // cannot fail: the histogram resizes itself
+        let _ = self.report.latencies.record(took.as_micros() as u64); // the histogram resizes itself
         if took <= class.latency_objective + request.work.mul_f64(class.stretch) {
             self.report.in_time += 1;
             self.weight_in_time += weight;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! Command line of the test bed: fault plans and soak runs against real processes, and measurements in emulated time.
+//! Command line of the test bed: fault plans and soak runs against real processes, and measurements in
+//! emulated time.
 
 use clap::{Parser, Subcommand};
 use std::future::Future;
@@ -70,7 +71,8 @@
     },
     /// Measures each role at growing sizes, and generates the capacity page from the results.
     Scale(scale::Arguments),
-    /// Injects overlapping random faults into real processes, and checks the protocol's rules, for many seeds.
+    /// Injects overlapping random faults into real processes, and checks the protocol's rules, for many
+    /// seeds.
     Soak {
         /// Path of the node program.
         #[arg(long, default_value = "target/release/molevale")]
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measurements of membership and coordination: how long changes take to propagate, and what the protocols cost.
+//! Measurements of membership and coordination: how long changes take to propagate, and what the protocols
+//! cost.
 
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
@@ -37,8 +38,8 @@
         };
         write!(
             f,
-            "{} nodes, {}, {} runs: first detection {}, all {}, joined {} (median / worst); {} false deaths; per node: \
-             {:.1} messages/s, {:.0} bytes/s, {:.3}% of a core",
+            "{} nodes, {}, {} runs: first detection {}, all {}, joined {} (median / worst); {} false deaths; \
+             per node: {:.1} messages/s, {:.0} bytes/s, {:.3}% of a core",
             self.nodes,
             self.environment,
             self.runs,
@@ -176,8 +177,8 @@
     Ok(measurement)
 }
 
-/// Measures in emulated time, with the default timing of a node, how long a lease is vacant for each way in which its
-/// holder fails, and what holding it costs. Returns a line for each measurement.
+/// Measures in emulated time, with the default timing of a node, how long a lease is vacant for each way in
+/// which its holder fails, and what holding it costs. Returns a line for each measurement.
 ///
 /// # Panics
 /// If nobody holds the lease in time.
@@ -232,8 +233,8 @@
     lines
 }
 
-/// Measures the calls to discovery and how long a change takes to reach the last node of a zone. Returns a line for each
-/// way in which nodes receive the list.
+/// Measures the calls to discovery and how long a change takes to reach the last node of a zone. Returns a
+/// line for each way in which nodes receive the list.
 ///
 /// # Panics
 /// If a node lags by more than the last change at the end.
@@ -264,8 +265,8 @@
             _ => format!("one node polls, {:.0}% loss", loss * 100.0),
         };
         lines.push(format!(
-            "{nodes} nodes, {way}: {} calls a minute; a change reaches the last node after {} / {} ms (median / worst); \
-             {:.1} messages per second and node, {most:.1} at most",
+            "{nodes} nodes, {way}: {} calls a minute; a change reaches the last node after {} / {} ms \
+             (median / worst); {:.1} messages per second and node, {most:.1} at most",
             calls / runs,
             spans.value_at_quantile(0.5),
             spans.max(),
--- a/testbed/src/process.rs
+++ b/testbed/src/process.rs
@@ -1,4 +1,5 @@
-//! Process of the program under test: start, signals, resource use and management calls. It is killed on drop.
+//! Process of the program under test: start, signals, resource use and management calls. It is killed on
+//! drop.
 
 use membership::Status;
 use rustix::process::{kill_process, Pid, Signal};
@@ -44,7 +45,8 @@
     /// Starts the program at `binary` in its own folder, with this configuration and these arguments.
     ///
     /// # Errors
-    /// If the configuration has no valid management address, a file can't be written, or the program can't be started.
+    /// If the configuration has no valid management address, a file can't be written, or the program can't be
+    /// started.
     pub fn start(binary: &Path, folder: &Path, config: &Value, arguments: &[&str]) -> io::Result<Process> {
         Process::start_with(binary, folder, config, arguments, &[])
     }
--- a/testbed/src/resource.rs
+++ b/testbed/src/resource.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a resource on which only one node may operate at a time: accepts calls with a fencing token, rejects
-//! tokens lower than the highest_token so far, and records all calls.
+//! Stand-in for a resource on which only one node may operate at a time: accepts calls with a fencing token,
+//! rejects tokens lower than the highest so far, and records all calls.
 
 use crate::history_check::FencedOperation;
 use crate::wire::{field, head};
@@ -56,8 +56,8 @@
         Ok(Resource { address, state, task })
     }
 
-    /// Returns all calls in the order of their arrival. Their start times are not known here: an accepted call counts as
-    /// started on arrival, a rejected one as started at time zero.
+    /// Returns all calls in the order of their arrival. Their start times are not known here: an accepted
+    /// call counts as started on arrival, a rejected one as started at time zero.
     pub fn operations(&self) -> Vec<FencedOperation> {
         lock(&self.state).operations.clone()
     }
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak run: an open-loop load in which some clients disconnect, stall within a request, write slowly or
-//! have a very short deadline.
+//! Clients of a soak run: an open-loop load in which some clients disconnect, stall within a request, write
+//! slowly or have a very short deadline.
 
 use super::history::{Recorder, RequestEnd, RequestRecord};
 use super::settings::{Class, CLASSES, MEAN_WORK};
@@ -276,7 +276,8 @@
             if reset {
                 let _ = stream.get_ref().set_zero_linger();
             }
-            // Recorded just before the caller closes the connection, so that no attempt after the close precedes this time.
+            // Recorded just before the caller closes the connection, so that no attempt after the close
+            // precedes this time.
             let now = recorder.now();
             recorder.history().requests[index].disconnected = Some(now);
             return None;
@@ -320,8 +321,9 @@
     }
 }
 
-/// Whether the other end resets the connection, which shows that it closed it with the request unread. Without a reset it
-/// has read the request: bytes that arrive after a close, or are unread at a close, cause a reset.
+/// Whether the other end resets the connection, which shows that it closed it with the request unread.
+/// Without a reset it has read the request: bytes that arrive after a close, or are unread at a close, cause
+/// a reset.
 async fn is_reset(stream: &mut Stream) -> bool {
     let until = Instant::now() + RESET_WAIT;
     loop {
--- a/testbed/src/soak/cold_load.rs
+++ b/testbed/src/soak/cold_load.rs
@@ -17,7 +17,8 @@
         ColdLoad { started: Instant::now(), recent_work: VecDeque::new(), is_overloaded: false }
     }
 
-    /// Adds the work of a request, in multiples of the mean. Returns the received and the allowed work on the first overload.
+    /// Adds the work of a request, in multiples of the mean. Returns the received and the allowed work on the
+    /// first overload.
     pub(super) fn add(&mut self, work: f64) -> Option<(f64, f64)> {
         let now = Instant::now();
         self.recent_work.push_back((now, work));
--- a/testbed/src/soak/discovery.rs
+++ b/testbed/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-in for discovery in a soak run: one agent for each node, all serving one list, each with its own faults.
+//! Stand-in for discovery in a soak run: one agent for each node, all serving one list, each with its own
+//! faults.
 
 use crate::wire::head;
 use serde_json::{json, Value};
--- a/testbed/src/soak/driver/endpoints.rs
+++ b/testbed/src/soak/driver/endpoints.rs
@@ -1,4 +1,5 @@
-//! Workers of the run and the endpoint list, with the time from which each node is assumed to know each change.
+//! Workers of the run and the endpoint list, with the time from which each node is assumed to know each
+//! change.
 
 use super::super::discovery::AgentMode;
 use super::super::history::{Time, Withdrawal};
@@ -13,7 +14,8 @@
 
 /// Time after SIGHUP until a node is assumed to know the list at discovery's new address.
 const KNOWN_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// Time after discovery is reachable again until a node is assumed to know a change, whatever happened to its calls.
+/// Time after discovery is reachable again until a node is assumed to know a change, whatever happened to its
+/// calls.
 const KNOWN_AFTER_RECOVERY: Duration = Duration::from_secs(6);
 /// Minimum number of workers that stay in service.
 const WORKERS_MIN: usize = 3;
@@ -73,7 +75,8 @@
         (1 + in_service.count() > WORKERS_MIN).then_some(oldest)
     }
 
-    /// Publishes the list to each node's discovery agent. A node with a faulty agent is assumed to know a withdrawal later.
+    /// Publishes the list to each node's discovery agent. A node with a faulty agent is assumed to know a
+    /// withdrawal later.
     pub(super) fn publish(&mut self, withdrawn: Option<usize>, now: Time) {
         let list = Arc::new(self.list.clone());
         for i in 0..self.nodes.len() {
@@ -101,7 +104,8 @@
             }
             node.agent.set_list(list);
             node.agent.set_mode(AgentMode::Normal);
-            // Calls that waited while it was down are answered now; after failed calls the node may ask some seconds later.
+            // Calls that waited while it was down are answered now; after failed calls the node may ask some
+            // seconds later.
             let known_at = if was_down { now } else { now + KNOWN_AFTER_RECOVERY };
             pending.into_iter().for_each(|worker| self.record_withdrawal(i, worker, known_at));
             let mut history = self.recorder.history();
--- a/testbed/src/soak/driver/execution.rs
+++ b/testbed/src/soak/driver/execution.rs
@@ -71,7 +71,8 @@
         Ok(())
     }
 
-    /// Starts a fault. One that ends or replaces a process is skipped if the node is shutting down or not ready yet.
+    /// Starts a fault. One that ends or replaces a process is skipped if the node is shutting down or not
+    /// ready yet.
     fn begin(&mut self, planned: PlannedFault, now: Time) -> io::Result<()> {
         let end = now + planned.span;
         match planned.kind {
--- a/testbed/src/soak/driver/mod.rs
+++ b/testbed/src/soak/driver/mod.rs
@@ -1,7 +1,9 @@
-//! Driver of one soak run: starts processes and stand-ins, runs the load, injects faults, and has the history checked.
+//! Driver of one soak run: starts processes and stand-ins, runs the load, injects faults, and has the history
+//! checked.
 //!
-//! `Driver` owns all state and runs on one task. `processes` starts, ends and watches the nodes' processes, `execution`
-//! executes the schedule, `endpoints` replaces workers and updates discovery, `report` collects the outcome.
+//! `Driver` owns all state and runs on one task. `processes` starts, ends and watches the nodes' processes,
+//! `execution` executes the schedule, `endpoints` replaces workers and updates discovery, `report` collects
+//! the outcome.
 
 mod endpoints;
 mod execution;
@@ -96,8 +98,8 @@
 /// Executes one soak run.
 ///
 /// # Errors
-/// If the stand-ins or processes can't be started, or a file of the run can't be read or written. Faults of the program
-/// are in the report.
+/// If the stand-ins or processes can't be started, or a file of the run can't be read or written. Faults of
+/// the program are in the report.
 pub async fn run(options: Options) -> io::Result<Report> {
     let spec = ScheduleSpec {
         nodes: options.nodes,
@@ -189,7 +191,8 @@
         self.finish().await
     }
 
-    /// Whether the time for open requests is over, and all faults are undone or the time for that is over too.
+    /// Whether the time for open requests is over, and all faults are undone or the time for that is over
+    /// too.
     fn is_over(&self) -> bool {
         let (now, load_duration) = (self.recorder.now(), self.options.load_duration);
         let settled = self.pending_actions.is_empty() && self.nodes.iter().all(Node::has_no_planned_restart);
--- a/testbed/src/soak/driver/processes.rs
+++ b/testbed/src/soak/driver/processes.rs
@@ -158,7 +158,7 @@
             while !is_ready(management).await {
                 sleep(POLL_INTERVAL).await;
             }
-            let _ = sender.send(ProcessReady { record, at: recorder.now() }); // the receiver is dropped once the run is over
+            let _ = sender.send(ProcessReady { record, at: recorder.now() }); // fails once the run is over
         });
     }
 
@@ -224,7 +224,8 @@
         self.recorder.history().processes[record].terminated = Some(now);
     }
 
-    /// Kills a process that is taking over, unless its predecessor has been sent SIGTERM; the predecessor continues.
+    /// Kills a process that is taking over, unless its predecessor has been sent SIGTERM; the predecessor
+    /// continues.
     pub(super) fn kill_successor(&mut self, i: usize, record: usize) {
         let node = &mut self.nodes[i];
         let predecessor_continues =
@@ -300,7 +301,8 @@
     process.kill();
 }
 
-/// Fails a node's health check for this time, so that clients avoid it. Errors are ignored, as the process may have ended.
+/// Fails a node's health check for this time, so that clients avoid it. Errors are ignored, as the process
+/// may have ended.
 pub(super) async fn drain_clients(management: SocketAddr, span: Duration) {
     call(management, "POST", "/healthcheck/fail").await;
     sleep(span).await;
--- a/testbed/src/soak/driver/report.rs
+++ b/testbed/src/soak/driver/report.rs
@@ -1,4 +1,5 @@
-//! Outcome of a run: rule violations, errors that processes logged, and counts of requests and injected faults.
+//! Outcome of a run: rule violations, errors that processes logged, and counts of requests and injected
+//! faults.
 
 use super::super::history::RequestEnd;
 use super::super::oracle::{check_history, Limits, Violation};
@@ -40,7 +41,8 @@
         let Report { requests, attempts, answers, injected, stand_in_lag, .. } = self;
         write!(
             f,
-            "{requests} requests, {attempts} attempts, answers {answers:?}, stand-in lag {stand_in_lag:.0?}; injected"
+            "{requests} requests, {attempts} attempts, answers {answers:?}, stand-in lag {stand_in_lag:.0?}; \
+             injected"
         )?;
         for (fault, count) in injected {
             write!(f, " {fault:?}={count}")?;
--- a/testbed/src/soak/history.rs
+++ b/testbed/src/soak/history.rs
@@ -111,7 +111,8 @@
     pub started: Time,
     /// When it first reported that it is ready.
     pub ready: Option<Time>,
-    /// Time from which it is assumed to know the list of discovery; `None` while discovery has been faulty throughout.
+    /// Time from which it is assumed to know the list of discovery; `None` while discovery has been faulty
+    /// throughout.
     pub list_from: Option<Time>,
     /// When it was sent SIGTERM.
     pub terminated: Option<Time>,
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! Randomized fault soak: runs real processes of the program on loopback with stand-ins for clients, workers and
-//! discovery that misbehave, with signals, and with a shim that makes system calls fail. An oracle checks the protocol's
-//! rules using only what the stand-ins observed.
+//! Randomized fault soak: runs real processes of the program on loopback with stand-ins for clients, workers
+//! and discovery that misbehave, with signals, and with a shim that makes system calls fail. An oracle checks
+//! the protocol's rules using only what the stand-ins observed.
 //!
-//! All random choices follow from one seed ([`schedule`]); faults overlap. The operating system still orders the events,
-//! so a seed determines the faults but not the run.
+//! All random choices follow from one seed ([`schedule`]); faults overlap. The operating system still orders
+//! the events, so a seed determines the faults but not the run.
 
 pub mod client;
 mod cold_load;
--- a/testbed/src/soak/oracle.rs
+++ b/testbed/src/soak/oracle.rs
@@ -329,8 +329,8 @@
     is_late.then(|| Violation::Drained { id: request.id.clone(), node, worker, known_at: from, late })
 }
 
-/// Checks that two attempts are not in flight at once, and that a request that may have been executed is sent again only
-/// if its class allows it.
+/// Checks that two attempts are not in flight at once, and that a request that may have been executed is sent
+/// again only if its class allows it.
 fn check_pair(
     request: &RequestRecord,
     earlier: &AttemptRecord,
@@ -341,7 +341,8 @@
     // An attempt counts once its last byte has arrived.
     let last_byte = earlier.last_byte?;
     let in_flight = earlier.ended.is_none_or(|at| at > later.first_byte + tolerance);
-    // Bytes in a worker's backlog were written before the connection was closed, at a time that was not observed.
+    // Bytes in a worker's backlog were written before the connection was closed, at a time that was not
+    // observed.
     if in_flight && last_byte < later.first_byte && !later.late_read && !earlier.late_read {
         let (id, node) = (request.id.clone(), request.node);
         return Some(Violation::Overlap { id, node, earlier: earlier.clone(), later: later.clone() });
--- a/testbed/src/soak/schedule.rs
+++ b/testbed/src/soak/schedule.rs
@@ -1,4 +1,5 @@
-//! Fault schedule of a run, generated from its seed. Faults overlap: several begin each second, and most last for seconds.
+//! Fault schedule of a run, generated from its seed. Faults overlap: several begin each second, and most last
+//! for seconds.
 
 use super::discovery::AgentMode;
 use super::shim::Fault;
@@ -165,7 +166,8 @@
     }
 }
 
-/// Draws one to four kinds of system-call faults, with rates between a tenth of their maximum and the maximum.
+/// Draws one to four kinds of system-call faults, with rates between a tenth of their maximum and the
+/// maximum.
 fn draw_call_faults(rng: &mut SmallRng) -> Vec<(Fault, u64)> {
     let socket_faults = Fault::ALL.iter().filter(|fault| **fault < Fault::WriteEnospc);
     let all: Vec<Fault> = socket_faults.copied().collect();
--- a/testbed/src/soak/settings.rs
+++ b/testbed/src/soak/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a soak run: short deadlines, a request class for each kind of retry semantics, and spare worker capacity.
+//! Settings of a soak run: short deadlines, a request class for each kind of retry semantics, and spare
+//! worker capacity.
 
 use super::history::Semantics;
 use crate::wire;
@@ -74,7 +75,8 @@
                 Semantics::Unsafe => "unsafe",
             };
             json!({"Name": class.name, "AimUs": 500_000, "DeadlineUs": us(class.deadline), "Worth": 2.0,
-                "LateWorth": 0.2, "Semantics": semantics, "Group": "all", "RepeatWindowUs": us(DEDUPLICATION_WINDOW)})
+                "LateWorth": 0.2, "Semantics": semantics, "Group": "all",
+                "RepeatWindowUs": us(DEDUPLICATION_WINDOW)})
         })
         .collect();
     settings
--- a/testbed/src/soak/shim.rs
+++ b/testbed/src/soak/shim.rs
@@ -1,7 +1,8 @@
-//! Control of the system-call shim of a process under test: rates of faults, and the number of injections of each.
+//! Control of the system-call shim of a process under test: rates of faults, and the number of injections of
+//! each.
 //!
-//! The library is `testbed/shim/faults.c`; it shares a file with this module. A run that never injected a scheduled fault
-//! is no evidence about that fault, so the counts are part of each report.
+//! The library is `testbed/shim/faults.c`; it shares a file with this module. A run that never injected a
+//! scheduled fault is no evidence about that fault, so the counts are part of each report.
 
 use std::fs::File;
 use std::io;
@@ -121,7 +122,8 @@
 }
 
 impl Control {
-    /// Creates a control file for a process that listens at [`CLIENT_PORT`]: no faults, no clock offset, stalls of 0.15 s.
+    /// Creates a control file for a process that listens at [`CLIENT_PORT`]: no faults, no clock offset,
+    /// stalls of 0.15 s.
     ///
     /// # Errors
     /// If the file can't be created or written.
--- a/testbed/src/soak/worker.rs
+++ b/testbed/src/soak/worker.rs
@@ -78,7 +78,8 @@
 }
 
 impl SoakWorker {
-    /// Starts a worker, warm or cold. With `short_backlog` the kernel drops connections while it does not accept.
+    /// Starts a worker, warm or cold. With `short_backlog` the kernel drops connections while it does not
+    /// accept.
     ///
     /// # Errors
     /// If the address can't be bound.
--- a/testbed/src/worker.rs
+++ b/testbed/src/worker.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform's workers: slots, a bounded queue, cold start, failure under overload, and a record of the
-//! requests received from each address.
+//! Stand-in for the platform's workers: slots, a bounded queue, cold start, failure under overload, and a
+//! record of the requests received from each address.
 
 use crate::wire::{field, head, length};
 use serde_json::json;
@@ -77,7 +77,7 @@
     cold_since: Option<Instant>,
     /// Work received within the overload window, in seconds of a warm slot.
     recent_work: VecDeque<(Instant, f64)>,
-    held_requests: usize,
+    held: usize,
     record: WorkerRecord,
     overload_failure: watch::Sender<bool>,
 }
@@ -108,7 +108,8 @@
         (self.profile.cold_share + (1.0 - self.profile.cold_share) * warm_up_progress).min(1.0)
     }
 
-    /// Adds a request's work, in seconds of a warm slot. A worker that is warming up fails if this overloads it.
+    /// Adds a request's work, in seconds of a warm slot. A worker that is warming up fails if this overloads
+    /// it.
     fn add_load(&mut self, now: Instant, work: f64) {
         let warm_share = self.warm_share(now);
         self.recent_work.push_back((now, work));
@@ -142,7 +143,7 @@
             profile,
             cold_since: cold.then(Instant::now),
             recent_work: VecDeque::new(),
-            held_requests: 0,
+            held: 0,
             record: WorkerRecord::default(),
             overload_failure,
         };
@@ -163,7 +164,7 @@
 
 impl Drop for HeldRequest {
     fn drop(&mut self) {
-        lock(&self.0).held_requests -= 1;
+        lock(&self.0).held -= 1;
     }
 }
 
@@ -223,11 +224,11 @@
     let mut s = lock(state);
     s.add_load(Instant::now(), work);
     *s.record.received.entry(from).or_default() += 1;
-    if s.held_requests >= s.profile.slots + s.profile.queue {
+    if s.held >= s.profile.slots + s.profile.queue {
         s.record.rejected += 1;
         return None;
     }
-    s.held_requests += 1;
+    s.held += 1;
     Some(HeldRequest(state.clone()))
 }
 
@@ -264,7 +265,7 @@
     if let Some(key) = key {
         *s.record.executions_by_key.entry(key).or_default() += 1;
     }
-    json!({"x0": s.profile.slots.saturating_sub(s.held_requests), "depth": s.held_requests.saturating_sub(s.profile.slots)})
+    json!({"x0": s.profile.slots.saturating_sub(s.held), "depth": s.held.saturating_sub(s.profile.slots)})
 }
 
 /// Formats a line of a response as a chunk.
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak's oracle reports each kind of rule violation, and accepts what the protocol excuses. A seed determines the
-//! schedule.
+//! The soak's oracle reports each kind of rule violation, and accepts what the protocol excuses. A seed
+//! determines the schedule.
 
 use std::time::Duration;
 use testbed::soak::history::{
@@ -169,7 +169,8 @@
     assert_eq!(violated_rules(&ignored), ["ignored"]);
 }
 
-/// The same seed gives the same faults, none of which begins in the fault-free time; the kinds below all occur.
+/// The same seed gives the same faults, none of which begins in the fault-free time; the kinds below all
+/// occur.
 #[test]
 fn seed_determines_the_schedule() {
     let load_duration = ms(400_000);
