--- a/testbed/src/cluster/spec.rs
+++ b/testbed/src/cluster/spec.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the time for which views must be correct before they count as settled: longer than a suspicion
+    /// Returns the time for which views must be correct before they count as settled: as long as a suspicion
     /// may take.
     pub fn settle_time(&self) -> Duration {
         Duration::from_millis(self.probe_ms * SETTLE_PROBES)
--- a/testbed/src/emulated_broadcast.rs
+++ b/testbed/src/emulated_broadcast.rs
@@ -19,7 +19,7 @@
 const LEASE_GRANTED: Duration = Duration::from_millis(500);
 /// Time at which the lease holder is killed, in runs with a kill.
 const HOLDER_KILLED: Duration = Duration::from_millis(30_100);
-/// Middle of a run, at which the vacancy begins; the next lease is granted [`VACANCY`] later.
+/// Middle of a run; after a kill, the next lease is granted [`VACANCY`] later.
 const MIDDLE: Duration = Duration::from_secs(30);
 /// Time without a lease holder after a kill: a lease and an election with the default timing of a node.
 const VACANCY: Duration = Duration::from_millis(11_500);
