--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -150,14 +150,14 @@
         );
         // A node holds back requests of a user after some of them fail, so each request gets a random user.
         let text = text.replacen("user=00ff", &format!("user={:x}", rng.random::<u32>()), 1);
-        let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
+        let exchange = Exchange { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
         let reused_connection = stream.is_some();
-        let end = attempt.run(stream, &mut rng).await;
+        let end = exchange.run(stream, &mut rng).await;
         if reused_connection
             && end == RequestEnd::ClosedUnread
             && self.targets[node].accepts.load(Ordering::Relaxed)
         {
-            attempt.run(None, &mut rng).await;
+            exchange.run(None, &mut rng).await;
         }
     }
 }
@@ -187,7 +187,7 @@
     }
 }
 
-struct Attempt<'a> {
+struct Exchange<'a> {
     clients: &'a Clients,
     node: usize,
     class: &'static Class,
@@ -197,7 +197,7 @@
     text: &'a str,
 }
 
-impl Attempt<'_> {
+impl Exchange<'_> {
     async fn run(&self, stream: Option<Stream>, rng: &mut SmallRng) -> RequestEnd {
         let (recorder, target) = (&self.clients.recorder, &self.clients.targets[self.node]);
         let reused_connection = stream.is_some();
