--- a/node/tests/coordination.rs
+++ b/node/tests/coordination.rs
@@ -129,11 +129,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn voters_resume_after_all_disks_failed_for_a_while() {
     let _slot = cluster_slot().await;
-    let fixture = start_fixture_with(4, 3, |cluster| cluster.with_shims().unwrap()).await;
+    let fixture = start_fixture_with(4, 3, |cluster| cluster.enable_fault_shims().unwrap()).await;
     for fault in [Fault::SyncEio, Fault::WriteEnospc] {
         let (holder, token) = fixture.last_operation();
-        let injected = |voter: usize| fixture.cluster.control(voter).injected(fault).unwrap();
-        (0..3).for_each(|voter| fixture.cluster.control(voter).set_rate(fault, 1_000_000).unwrap());
+        let injected = |voter: usize| fixture.cluster.fault_control(voter).injected(fault).unwrap();
+        (0..3).for_each(|voter| fixture.cluster.fault_control(voter).set_rate(fault, 1_000_000).unwrap());
         // The lease has to be granted again, and the grant has to be written.
         let at = fixture.cluster.nodes[holder].as_ref().unwrap().management;
         assert_eq!(call(at, "POST", "/healthcheck/fail").await.map(|a| a.0), Some(200));
@@ -143,7 +143,7 @@
             })
             .await;
         sleep(SECOND).await;
-        (0..3).for_each(|voter| fixture.cluster.control(voter).set_rate(fault, 0).unwrap());
+        (0..3).for_each(|voter| fixture.cluster.fault_control(voter).set_rate(fault, 0).unwrap());
         fixture.wait_for_token_above(token).await;
         call(at, "POST", "/healthcheck/ok").await;
         fixture
--- a/node/tests/membership.rs
+++ b/node/tests/membership.rs
@@ -448,8 +448,8 @@
     // Keys are rotated by SIGHUP, step by step; all nodes stay in one fleet throughout.
     let new_key = "5a".repeat(32);
     let steps = [
-        format!("{}previous {new_key}\n", testbed::cluster::KEY),
-        format!("current {new_key}\n{}", testbed::cluster::KEY.replace("current", "previous")),
+        format!("{}previous {new_key}\n", testbed::cluster::KEY_FILE_TEXT),
+        format!("current {new_key}\n{}", testbed::cluster::KEY_FILE_TEXT.replace("current", "previous")),
         format!("current {new_key}\n"),
     ];
     for keys in steps {
--- a/testbed/src/soak/client.rs
+++ b/testbed/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak run: an open-loop load in which some clients disconnect, stall within a request, write slowly or
-//! have a very short deadline.
+//! Clients of a soak run: an open-loop load in which some clients disconnect, stall within a request, write
+//! slowly or have a very short deadline.
 
 use super::history::{Recorder, RequestEnd, RequestRecord};
 use super::settings::{Class, CLASSES, MEAN_WORK};
@@ -148,16 +148,16 @@
             Some(us),
             &body,
         );
-        // Requests of one user are held back together if some of them fail, so each gets its own user.
+        // A node holds back requests of a user after some of them fail, so each request gets a random user.
         let text = text.replacen("user=00ff", &format!("user={:x}", rng.random::<u32>()), 1);
-        let attempt = Attempt { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
+        let exchange = Exchange { clients: &self, node, class, id: &id, deadline, behavior, text: &text };
         let reused_connection = stream.is_some();
-        let end = attempt.run(stream, &mut rng).await;
+        let end = exchange.run(stream, &mut rng).await;
         if reused_connection
             && end == RequestEnd::ClosedUnread
             && self.targets[node].accepts.load(Ordering::Relaxed)
         {
-            attempt.run(None, &mut rng).await;
+            exchange.run(None, &mut rng).await;
         }
     }
 }
@@ -187,7 +187,7 @@
     }
 }
 
-struct Attempt<'a> {
+struct Exchange<'a> {
     clients: &'a Clients,
     node: usize,
     class: &'static Class,
@@ -197,7 +197,7 @@
     text: &'a str,
 }
 
-impl Attempt<'_> {
+impl Exchange<'_> {
     async fn run(&self, stream: Option<Stream>, rng: &mut SmallRng) -> RequestEnd {
         let (recorder, target) = (&self.clients.recorder, &self.clients.targets[self.node]);
         let reused_connection = stream.is_some();
@@ -276,7 +276,8 @@
             if reset {
                 let _ = stream.get_ref().set_zero_linger();
             }
-            // Recorded just before the caller closes the connection, so that no attempt after the close precedes this time.
+            // Recorded just before the caller closes the connection, so that no attempt after the close
+            // precedes this time.
             let now = recorder.now();
             recorder.history().requests[index].disconnected = Some(now);
             return None;
@@ -320,8 +321,9 @@
     }
 }
 
-/// Whether the other end resets the connection, which shows that it closed it with the request unread. Without a reset it
-/// has read the request: bytes that arrive after a close, or are unread at a close, cause a reset.
+/// Whether the other end resets the connection, which shows that it closed it with the request unread.
+/// Without a reset it has read the request: bytes that arrive after a close, or are unread at a close, cause
+/// a reset.
 async fn is_reset(stream: &mut Stream) -> bool {
     let until = Instant::now() + RESET_WAIT;
     loop {
