--- a/node/src/coordination/print.rs
+++ b/node/src/coordination/operator_commands.rs
@@ -1,4 +1,5 @@
-//! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: ask a node's management address and print the answer.
+//! Commands `molevale fleet duties`, `fleet roll` and `fleet voter`: calls to a node's management address, and the text
+//! of the response.
 
 use super::status::Status;
 use crate::operator_client::{call, CallError};
@@ -10,66 +11,66 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// Changes of leases that are printed.
-const CHANGES: usize = 10;
+/// Number of lease changes that are shown.
+const CHANGES_SHOWN: usize = 10;
 
 /// Why a command failed.
 #[derive(Debug, Error)]
-pub enum PrintError {
-    /// The node does not answer.
+pub enum OperatorCommandError {
+    /// The node can't be reached or does not respond.
     #[error(transparent)]
     Unreachable(#[from] CallError),
-    /// The node rejected the command, for this reason.
+    /// The node rejected the command.
     #[error("{address}: {reason}")]
     Rejected {
-        /// Management address of the node.
+        /// Management address.
         address: SocketAddr,
-        /// The node's answer.
+        /// Body of the response.
         reason: String,
     },
-    /// The node's answer can't be decoded.
-    #[error("{address}: an answer that can't be read: {source}")]
-    Malformed {
-        /// Management address of the node.
+    /// The response is not a status report.
+    #[error("{address}: invalid status report: {source}")]
+    InvalidReport {
+        /// Management address.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// JSON error.
         #[source]
         source: serde_json::Error,
     },
 }
 
-/// Returns the status of the node at this management address and of the voters, as JSON or as text.
+/// Requests the status of the node at a management address and of the voters, and returns it as JSON or as text.
 ///
 /// # Errors
 ///
-/// [`PrintError`] if the node does not answer, or not with a status.
-pub async fn print_status(address: SocketAddr, json: bool) -> Result<String, PrintError> {
+/// [`OperatorCommandError`] if the node does not respond with a status.
+pub async fn fetch_status(address: SocketAddr, json: bool) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::GET, "/fleet/duties").await;
     let (status, body) = call?;
     if status != StatusCode::OK {
         let reason = String::from_utf8_lossy(&body).trim().to_string();
-        return Err(PrintError::Rejected { address, reason });
+        return Err(OperatorCommandError::Rejected { address, reason });
     }
     if json {
         return Ok(String::from_utf8_lossy(&body).into_owned());
     }
-    let status: Status =
-        serde_json::from_slice(&body).map_err(|source| PrintError::Malformed { address, source })?;
+    let status: Status = serde_json::from_slice(&body)
+        .map_err(|source| OperatorCommandError::InvalidReport { address, source })?;
     Ok(format_status(&status))
 }
 
-/// Sends an operator's command, which `path` names; returns the node's answer.
+/// Sends the operator's command that `path` names, and returns the node's response.
 ///
 /// # Errors
 ///
-/// [`PrintError`] if the node does not answer or rejects the command.
-pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, PrintError> {
+/// [`OperatorCommandError`] if the node does not respond or rejects the command.
+pub async fn send_command(address: SocketAddr, path: &str) -> Result<String, OperatorCommandError> {
     let call = call(address, Method::POST, path).await;
     let (status, body) = call?;
-    let answer = String::from_utf8_lossy(&body).trim().to_string();
+    let text = String::from_utf8_lossy(&body).trim().to_string();
     match status {
-        StatusCode::OK => Ok(format!("{answer}\n")),
-        _ => Err(PrintError::Rejected { address, reason: answer }),
+        StatusCode::OK => Ok(format!("{text}\n")),
+        _ => Err(OperatorCommandError::Rejected { address, reason: text }),
     }
 }
 
@@ -92,7 +93,7 @@
     format!("{}: {voter}; it holds {held}\n{cluster}", status.node)
 }
 
-/// Word for a voter's state in the command's output.
+/// Name of a voter's state, as in the JSON status.
 fn state_name(state: &VoterState) -> &'static str {
     match state {
         VoterState::Waiting => "waiting",
@@ -113,8 +114,8 @@
     format!("voters: {}; term {}\n{restart}{leases}\n\n{changes}\n", voters.join(", "), cluster.term)
 }
 
-/// Time since a Unix time in milliseconds.
-fn since(unix_ms: u64) -> String {
+/// Time elapsed since a Unix time in milliseconds.
+fn elapsed_since(unix_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{:.0} s", now.saturating_sub(Duration::from_millis(unix_ms)).as_secs_f64())
 }
@@ -132,7 +133,7 @@
         };
         let remaining = format!("{:.1} s", remaining_ms as f64 / 1000.0);
         let token = record.token.to_string();
-        table.add_row([lease.clone(), holder, token, remaining, since(record.granted_at_ms)]);
+        table.add_row([lease.clone(), holder, token, remaining, elapsed_since(record.granted_at_ms)]);
     }
     table
 }
@@ -140,18 +141,18 @@
 fn change_table(leases: &LeaseTable) -> Table {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header(["AGO", "DUTY", "WHAT", "WHO", "TOKEN"]);
-    for change in leases.history.iter().rev().take(CHANGES) {
+    for change in leases.history.iter().rev().take(CHANGES_SHOWN) {
         let kind = match change.kind {
             ChangeKind::Granted => "granted",
             ChangeKind::Released => "given back",
         };
         let (lease, holder, token) = (change.lease.clone(), change.holder.clone(), change.token.to_string());
-        table.add_row([since(change.at_ms), lease, kind.to_string(), holder, token]);
+        table.add_row([elapsed_since(change.at_ms), lease, kind.to_string(), holder, token]);
     }
     table
 }
 
-/// Progress of the last rolling restart, if there was one.
+/// Progress or outcome of the latest rolling restart; empty if there was none.
 fn format_restart(leases: &LeaseTable) -> String {
     let record = leases.leases.get(super::rolling_restart::LEASE);
     let saved = record.map_or(&[][..], |record| &record.state);
--- a/testbed/src/emulated_membership.rs
+++ b/testbed/src/emulated_membership.rs
@@ -311,7 +311,7 @@
     /// Returns the expected views: all running nodes, in one partition.
     pub fn expected_views(&self) -> ExpectedViews {
         let names: Vec<String> = (0..self.nodes.len()).filter(|i| self.is_running(*i)).map(name).collect();
-        ExpectedViews::whole(names.iter().map(String::as_str))
+        ExpectedViews::unpartitioned(names.iter().map(String::as_str))
     }
 
     /// Returns a node's view, or `None` if it does not run.
--- a/testbed/tests/emulated.rs
+++ b/testbed/tests/emulated.rs
@@ -298,7 +298,7 @@
     (0..7).for_each(|i| fleet.start(i));
     fleet.run(10 * S);
     let names: Vec<String> = (0..6).map(name).collect();
-    let expected = ExpectedViews::whole(names.iter().map(String::as_str));
+    let expected = ExpectedViews::unpartitioned(names.iter().map(String::as_str));
     fleet.run_until_converged(10 * S, &expected).unwrap();
     let rejected =
         |fleet: &EmulatedFleet| (0..6).map(|i| fleet.counters(i).rejected.unauthenticated).sum::<u64>();
