--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -5,8 +5,8 @@
 //! - Real processes: [`cluster`] starts nodes, workers, discovery and [`fault_proxy`]; [`load`] sends
 //!   requests; [`plan`] executes a fault plan; [`soak`] injects overlapping random faults and checks the
 //!   protocol's rules.
-//! - Emulated time: [`emulated`] runs membership, [`mod@coordination`] voters and leases,
-//!   [`emulated_broadcast`] the list broadcast; [`scale`] measures all of them at growing sizes.
+//! - Emulated time: [`emulated_membership`] runs membership, [`mod@coordination`] voters and
+//!   leases, [`emulated_broadcast`] the list broadcast; [`scale`] measures all of them at growing sizes.
 //! - Checkers: [`check`] compares the nodes' membership views with the expected ones; [`history_check`] and
 //!   [`resource`] check the operations of lease holders.
 //!
@@ -33,8 +33,8 @@
 pub mod demo;
 pub mod discovery;
 pub mod disk;
-pub mod emulated;
 pub mod emulated_broadcast;
+pub mod emulated_membership;
 pub mod emulated_network;
 pub mod fault_proxy;
 pub mod history_check;
--- a/testbed/src/measure.rs
+++ b/testbed/src/measure.rs
@@ -3,8 +3,8 @@
 
 use crate::cluster::{self, Cluster};
 use crate::coordination as emulated;
-use crate::emulated::{name, Spec, World};
 use crate::emulated_broadcast;
+use crate::emulated_membership::{name, EmulatedFleet, Spec};
 use crate::fault_proxy::LinkRule;
 use hdrhistogram::Histogram;
 use membership::{MemberStatus, MembershipEvent};
@@ -85,13 +85,14 @@
 /// If the views do not settle after a change.
 pub fn emulated_membership(nodes: usize, runs: u64) -> MembershipMeasurement {
     let mut measurement = measurement(nodes, runs, "emulated");
-    let mut world = World::started(Spec { nodes, ..Spec::default() });
+    let mut world = EmulatedFleet::started(Spec { nodes, ..Spec::default() });
     world.run(Duration::from_secs(60));
     let expected = world.expected_views();
-    let settled = world.until(Duration::from_secs(120), &expected);
+    let settled = world.run_until_converged(Duration::from_secs(120), &expected);
     assert!(settled.is_ok(), "the fleet does not settle: {settled:?}");
-    let total =
-        |w: &World| (0..nodes).map(|i| w.counters(i)).fold((0, 0), |t, f| (t.0 + f.sent, t.1 + f.sent_bytes));
+    let total = |w: &EmulatedFleet| {
+        (0..nodes).map(|i| w.counters(i)).fold((0, 0), |t, f| (t.0 + f.sent, t.1 + f.sent_bytes))
+    };
     let (before, real, idle_time) = (total(&world), Instant::now(), Duration::from_secs(30));
     world.run(idle_time);
     let after = total(&world);
@@ -106,7 +107,7 @@
         let killed = world.now();
         world.kill(victim);
         let expected = world.expected_views();
-        let all = world.until(Duration::from_secs(120), &expected);
+        let all = world.run_until_converged(Duration::from_secs(120), &expected);
         let Ok(all) = all else { panic!("the fleet does not settle: {all:?}") };
         let down = |n: &&(Duration, usize, MembershipEvent)| matches!(&n.2, MembershipEvent::Down(id) if id.name == name(victim));
         let first = world.events.iter().find(down).map_or(all, |n| n.0 - killed);
@@ -114,7 +115,7 @@
         record(&mut measurement.all_detected, all);
         world.start(victim);
         let expected = world.expected_views();
-        let joined = world.until(Duration::from_secs(120), &expected);
+        let joined = world.run_until_converged(Duration::from_secs(120), &expected);
         let Ok(joined) = joined else { panic!("the fleet does not settle: {joined:?}") };
         record(&mut measurement.joined, joined);
         measurement.false_deaths += world
--- a/testbed/src/scale/fit.rs
+++ b/testbed/src/scale/fit.rs
@@ -1,13 +1,13 @@
-//! Least-squares fits of a figure against a size, and estimates with a prediction interval.
+//! Least-squares fits of a figure over size, and estimates with a prediction interval.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The part of new values that lies within an estimate's interval, if the model holds.
+/// Probability that a new value lies within the prediction interval, if the model holds.
 const CONFIDENCE: f64 = 0.95;
-/// Points that a fit with an interval needs at least: two parameters and one degree of freedom.
+/// Minimum number of points for a fit with an interval: two parameters and one degree of freedom.
 pub const POINTS_MIN: usize = 3;
 
-/// A figure that was measured at a size.
+/// Figure measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// The size.
@@ -16,7 +16,7 @@
     pub value: f64,
 }
 
-/// Regression model: how a figure grows with a size.
+/// Regression model of a figure over size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
     /// `intercept + slope * size`.
@@ -25,45 +25,45 @@
     Power,
 }
 
-/// A model fitted to points.
+/// Model fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// The model.
     pub model: Model,
-    /// Its intercept, on the model's own scale.
+    /// Intercept on the model's own scale.
     pub intercept: f64,
-    /// Its slope; for a power law the exponent.
+    /// Slope, or the exponent of a power law.
     pub slope: f64,
     points: f64,
     mean: f64,
-    /// The sum of squares of the sizes about their mean.
-    spread: f64,
-    /// The standard deviation of the residuals.
+    /// Sum of squared deviations of the sizes from their mean.
+    sum_of_squares: f64,
+    /// Standard deviation of the residuals.
     deviation: f64,
-    /// Squared relative errors at the points, summed.
+    /// Sum of squared relative errors at the points.
     error: f64,
 }
 
-/// A figure at a size that may not have been measured.
+/// Estimated figure at a size that may not have been measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The most likely value.
+    /// Most likely value.
     pub value: f64,
-    /// The lower end of the interval.
+    /// Lower end of the interval.
     pub low: f64,
-    /// The upper end of the interval.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
 impl Fit {
-    /// Fits the model that is closer to these points; `None` of fewer than [`POINTS_MIN`] sizes.
+    /// Fits the model that is closer to these points; `None` for fewer than [`POINTS_MIN`] sizes.
     pub fn of(points: &[Point]) -> Option<Fit> {
         let linear = Fit::with(Model::Linear, points)?;
         let power = Fit::with(Model::Power, points);
         Some(power.filter(|power| power.error < linear.error).unwrap_or(linear))
     }
 
-    /// Fits one model; `None` of too few sizes, and of a power law where a figure is not above zero.
+    /// Fits one model; `None` for too few sizes, and for a power law if a figure is not positive.
     pub fn with(model: Model, points: &[Point]) -> Option<Fit> {
         let positive = points.iter().all(|p| p.size > 0.0 && p.value > 0.0);
         if points.len() < POINTS_MIN || (model == Model::Power && !positive) {
@@ -73,30 +73,31 @@
         let count = scaled.len() as f64;
         let mean = scaled.iter().map(|p| p.size).sum::<f64>() / count;
         let mean_value = scaled.iter().map(|p| p.value).sum::<f64>() / count;
-        let spread = scaled.iter().map(|p| (p.size - mean).powi(2)).sum::<f64>();
-        if spread <= 0.0 {
+        let sum_of_squares = scaled.iter().map(|p| (p.size - mean).powi(2)).sum::<f64>();
+        if sum_of_squares <= 0.0 {
             return None;
         }
         let product = scaled.iter().map(|p| (p.size - mean) * (p.value - mean_value)).sum::<f64>();
-        let slope = product / spread;
+        let slope = product / sum_of_squares;
         let intercept = mean_value - slope * mean;
         let residual = |p: &Point| p.value - intercept - slope * p.size;
         let residuals = scaled.iter().map(|p| residual(p).powi(2)).sum::<f64>();
         let deviation = (residuals / (count - 2.0)).sqrt();
-        let mut fit = Fit { model, intercept, slope, points: count, mean, spread, deviation, error: 0.0 };
+        let mut fit =
+            Fit { model, intercept, slope, points: count, mean, sum_of_squares, deviation, error: 0.0 };
         fit.error = points.iter().map(|p| fit.relative_error(p).powi(2)).sum();
         Some(fit)
     }
 
-    /// The figure at a size, with its prediction interval.
+    /// Returns the figure at a size with its prediction interval.
     pub fn estimate(&self, size: f64) -> Estimate {
         let scaled = self.model.scale(Point { size, value: 1.0 }).size;
-        let middle = self.intercept + self.slope * scaled;
-        let distance = (scaled - self.mean).powi(2) / self.spread;
+        let center = self.intercept + self.slope * scaled;
+        let distance = (scaled - self.mean).powi(2) / self.sum_of_squares;
         let error = self.deviation * (1.0 + 1.0 / self.points + distance).sqrt();
-        let reach = student_quantile(self.points - 2.0) * error;
+        let half_width = student_quantile(self.points - 2.0) * error;
         let value = |at: f64| self.model.unscale(at);
-        Estimate { value: value(middle), low: value(middle - reach), high: value(middle + reach) }
+        Estimate { value: value(center), low: value(center - half_width), high: value(center + half_width) }
     }
 
     fn relative_error(&self, point: &Point) -> f64 {
@@ -121,8 +122,8 @@
     }
 }
 
-/// How many standard errors a prediction interval reaches to each side.
-fn student_quantile(degrees: f64) -> f64 {
-    let distribution = StudentsT::new(0.0, 1.0, degrees).expect("there is a degree of freedom");
+/// Returns the half-width of a prediction interval, in standard errors.
+fn student_quantile(degrees_of_freedom: f64) -> f64 {
+    let distribution = StudentsT::new(0.0, 1.0, degrees_of_freedom).expect("there is a degree of freedom");
     distribution.inverse_cdf(1.0 - (1.0 - CONFIDENCE) / 2.0)
 }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! Run of a scale plan, axis by axis, and the modes of the command line.
+//! Execution of a scale plan, axis by axis, and the modes of the command line.
 
 use super::arguments::Arguments;
 use super::limits::Limits;
@@ -13,43 +13,44 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The chart's file in the folder of results.
+/// File name of the chart in the results directory.
 const CHART: &str = "scale.svg";
 
 /// Error of `testbed scale`.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The plan can't be read.
+    /// The plan cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     PlanFile {
-        /// The plan.
+        /// Path of the plan.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The plan is not a good one.
+    /// The plan is invalid.
     #[error("{}: {source}", path.display())]
     Plan {
-        /// The plan.
+        /// Path of the plan.
         path: PathBuf,
-        /// Where and why.
+        /// Line and description.
         source: PlanError,
     },
-    /// Results can't be kept or read.
+    /// Results cannot be saved or read.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The chart can't be drawn.
+    /// The chart cannot be drawn.
     #[error(transparent)]
     Chart(#[from] chart::ChartError),
-    /// The page can't be written, or differs from the results.
+    /// The page cannot be written, or differs from the results.
     #[error(transparent)]
     Page(#[from] PageError),
 }
 
-/// Runs `testbed scale`: measures, writes the page, or compares it with the kept results.
+/// Runs `testbed scale`: measures, writes the page, or compares it with the saved results.
 ///
 /// # Errors
-/// Where the plan is invalid, a file can't be read or written, or the page differs from the results.
+/// [`ScaleError`] if the plan is invalid, a file cannot be read or written, or the page differs from the
+/// results.
 pub fn run(arguments: &Arguments, allocator: &'static CountingAllocator) -> Result<(), ScaleError> {
     if let Some(path) = &arguments.page {
         let runs = store::read_all(&arguments.results)?;
@@ -59,10 +60,10 @@
     if let Some(path) = &arguments.check {
         return Ok(page::check(path, &store::read_all(&arguments.results)?)?);
     }
-    measure_and_keep(arguments, Memory::new(allocator))
+    measure_and_save(arguments, Memory::new(allocator))
 }
 
-fn measure_and_keep(arguments: &Arguments, memory: Memory) -> Result<(), ScaleError> {
+fn measure_and_save(arguments: &Arguments, memory: Memory) -> Result<(), ScaleError> {
     let plan = read_plan(&arguments.plan)?;
     let wanted = |axis: &Axis| arguments.axis.is_empty() || arguments.axis.contains(axis);
     let axes: Vec<Axis> =
@@ -92,7 +93,8 @@
     progress
 }
 
-/// Measures an axis at each of its sizes, and keeps the results after each, so that a run that is ended early has some.
+/// Measures an axis at each of its sizes. Saves the results after each size, so that an aborted run keeps
+/// some.
 fn measure_axis(
     plan: &Plan,
     axis: Axis,
@@ -109,9 +111,9 @@
             took_s: started.elapsed().as_secs(),
             commit: commit.clone(),
             measurements: measurements.clone(),
-            ..describe(plan, axis, &arguments.plan)
+            ..empty_run(plan, axis, &arguments.plan)
         };
-        store::keep(&arguments.results, axis, &run)?;
+        store::save(&arguments.results, axis, &run)?;
         progress.inc(1);
     }
     Ok(())
@@ -145,13 +147,13 @@
         nodes: nodes as usize,
         seed: plan.seed,
         warm_up: Duration::from_secs(emulation.warm_up_s),
-        calm: Duration::from_secs(*emulation.calm_s.get_ref()),
+        steady_time: Duration::from_secs(*emulation.steady_s.get_ref()),
         crashes: *emulation.crashes.get_ref() as usize,
         zones: *emulation.member_zones.get_ref() as usize,
     }
 }
 
-/// One zone of the nodes that share lists, with the workers of all zones.
+/// Returns the parameters of one zone of the nodes with list broadcast, and the workers of all zones.
 fn zone_spec(plan: &Plan, axis: Axis, size: u64) -> broadcast::Spec {
     let load = load(plan, axis, size);
     let nodes = *plan.emulation.list_nodes.get_ref() as usize;
@@ -171,7 +173,7 @@
         _ if together => plan.largest(of, base),
         _ => base,
     };
-    let starts = match axis {
+    let requests_per_s = match axis {
         Axis::Starts => size as f64,
         _ if together => plan.largest(Axis::Starts, *base.starts.get_ref() as u64) as f64,
         _ => *base.starts.get_ref(),
@@ -181,16 +183,16 @@
         workers: size_of(Axis::Workers, *base.workers.get_ref()) as usize,
         tenants: size_of(Axis::Tenants, *base.tenants.get_ref()) as usize,
         zones: size_of(Axis::Zones, *base.zones.get_ref()) as usize,
-        starts,
-        job: Duration::from_secs_f64(*emulation.job_s.get_ref()),
+        requests_per_s,
+        run_time: Duration::from_secs_f64(*emulation.run_time_s.get_ref()),
         dispatchers: *emulation.dispatchers.get_ref() as usize,
-        length: Duration::from_secs(*emulation.dispatch_s.get_ref()),
+        duration: Duration::from_secs(*emulation.dispatch_s.get_ref()),
         seed: plan.seed,
     }
 }
 
-/// A run without measurements yet.
-fn describe(plan: &Plan, axis: Axis, path: &Path) -> Run {
+/// Returns a run without measurements.
+fn empty_run(plan: &Plan, axis: Axis, path: &Path) -> Run {
     let axis_name = format!("{axis:?}").to_lowercase();
     Run {
         format: FORMAT,
@@ -205,14 +207,15 @@
     }
 }
 
-/// The commit of the working folder, with `+` where files other than documents differ from it; `unknown` outside of a
-/// repository.
+/// Returns the commit of the working directory, with `+` if files other than documents differ from it, or
+/// `unknown` outside of a repository.
 fn commit() -> String {
     let git = |arguments: &[&str]| Command::new("git").args(arguments).output().ok();
     let head = git(&["rev-parse", "--short=7", "HEAD"]).filter(|output| output.status.success());
     let Some(head) = head.and_then(|output| String::from_utf8(output.stdout).ok()) else {
         return "unknown".to_string();
     };
-    let same = git(&["diff", "--quiet", "HEAD", "--", ".", ":!docs"]).is_some_and(|o| o.status.success());
-    format!("{}{}", head.trim(), if same { "" } else { "+" })
+    let is_unmodified =
+        git(&["diff", "--quiet", "HEAD", "--", ".", ":!docs"]).is_some_and(|o| o.status.success());
+    format!("{}{}", head.trim(), if is_unmodified { "" } else { "+" })
 }
--- a/testbed/src/scale/voting.rs
+++ b/testbed/src/scale/voting.rs
@@ -1,5 +1,5 @@
-//! Voters and their lease clients in emulated time: each zone has one lease, as the one to follow discovery is, and some
-//! nodes that seek it.
+//! Voters and lease clients in emulated time: each zone has one lease, like that of the list broadcast, and
+//! some nodes that request it.
 
 use super::limits::{Limits, NotRun};
 use super::network::{traffic_rates, EmulatedNetwork, TrafficCount};
@@ -16,9 +16,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Voters, of which a majority grants leases.
+/// Number of voters, a majority of which grants leases.
 const VOTERS: usize = 5;
-/// Nodes of each zone that seek its lease.
+/// Number of nodes in each zone that request its lease.
 const CLIENTS_PER_ZONE: usize = 3;
 /// Duration of one write of a voter's store.
 const STORE_WRITE: Duration = Duration::from_millis(3);
@@ -27,23 +27,23 @@
 /// Emulated time before traffic is counted.
 const WARM_UP: Duration = Duration::from_secs(30);
 /// Emulated time for which traffic is counted.
-const COUNTED: Duration = Duration::from_secs(60);
-/// Interval between two looks at who holds which lease.
+const MEASURED_TIME: Duration = Duration::from_secs(60);
+/// Interval between two checks of the lease holders.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Wall clock at the start, in Unix milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
 /// Second byte of the processes' addresses.
 const NETWORK: u8 = 5;
 
-/// The conditions that [`measure`] records.
-pub const CONDITIONS: [Condition; 2] = [Condition::Calm, Condition::Crashes];
+/// Conditions that [`measure`] records.
+pub const CONDITIONS: [Condition; 2] = [Condition::Steady, Condition::Crashes];
 
 /// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Zones, each with a lease.
+    /// Number of zones, each with a lease.
     pub zones: usize,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -59,12 +59,12 @@
     group.run_until_all_held(limits)?;
     group.run(WARM_UP, limits)?;
     group.reset_counts();
-    group.run(COUNTED, limits)?;
-    let mut calm = group.figures(COUNTED);
+    group.run(MEASURED_TIME, limits)?;
+    let mut steady = group.figures(MEASURED_TIME);
     let crash = group.crash(limits)?;
     let state = group.voter_state(limits);
-    calm.extend(state.map(|state| (Quantity::StateBytes, state)));
-    recorder.measured(Role::Voter, Condition::Calm, calm);
+    steady.extend(state.map(|state| (Quantity::StateBytes, state)));
+    recorder.measured(Role::Voter, Condition::Steady, steady);
     recorder.measured(Role::Voter, Condition::Crashes, crash);
     Ok(())
 }
@@ -82,14 +82,14 @@
 }
 
 struct Process {
-    /// `None` once it has crashed.
+    /// `None` after a crash.
     machine: Option<Machine>,
     next_tick: Option<Duration>,
     traffic: TrafficCount,
     processor: Duration,
 }
 
-/// All voters, then the clients of each zone, with the network between them.
+/// All voters, then the clients of each zone, and the network between them.
 struct VotingGroup {
     zones: usize,
     queue: EventQueue<Event>,
@@ -160,7 +160,7 @@
             network: EmulatedNetwork::new((0..total).map(address), rng),
             processes,
         };
-        (0..total).for_each(|i| group.carry_out_actions(i));
+        (0..total).for_each(|i| group.execute_actions(i));
         group
     }
 
@@ -177,14 +177,14 @@
         Ok(())
     }
 
-    /// Lets a process handle one input, counts its processor time and carries out its actions.
+    /// Lets a process handle one input, counts its processor time and executes its actions.
     fn with_machine(&mut self, i: usize, handle: impl FnOnce(&mut Machine, Duration)) {
         let now = self.queue.now();
         let process = &mut self.processes[i];
         let Some(machine) = &mut process.machine else { return };
         let ((), time) = timed(|| handle(machine, now));
         process.processor += time;
-        self.carry_out_actions(i);
+        self.execute_actions(i);
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
@@ -216,11 +216,11 @@
         });
     }
 
-    fn carry_out_actions(&mut self, i: usize) {
+    fn execute_actions(&mut self, i: usize) {
         let Some(mut machine) = self.processes[i].machine.take() else { return };
         let due = match &mut machine {
             Machine::Voter(voter, store) => {
-                self.carry_out_voter_actions(i, voter, store);
+                self.execute_voter_actions(i, voter, store);
                 voter.next_tick()
             }
             Machine::Client(client) => {
@@ -236,12 +236,12 @@
         self.schedule_tick(i, due);
     }
 
-    fn carry_out_voter_actions(&mut self, i: usize, voter: &mut Voter, store: &Store) {
+    fn execute_voter_actions(&mut self, i: usize, voter: &mut Voter, store: &Store) {
         while let Some(action) = voter.next_action() {
             match action {
                 VoterAction::Send { to, message } => self.send(i, to, message),
                 VoterAction::Write(batch) => {
-                    store.write(&batch).expect("a disk in memory takes every write");
+                    store.write(&batch).expect("a disk in memory accepts every write");
                     let done = Event::WriteDone { voter: i, number: batch.number };
                     self.queue.schedule(STORE_WRITE, done);
                 }
@@ -262,14 +262,14 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let Some(to) = self.network.process_at(to) else { return };
-        let size = self.network.sealed_size(&message);
+        let size = self.network.wire_size(&message);
         self.processes[from].traffic.record_sent(size);
         self.processes[to].traffic.record_received(size);
         let delay = self.network.draw_delay();
         self.queue.schedule(delay, Event::Message { from, to, message });
     }
 
-    /// The process that holds a zone's lease now.
+    /// Returns the process that holds a zone's lease.
     fn lease_holder(&self, zone: usize) -> Option<usize> {
         let first = VOTERS + zone * CLIENTS_PER_ZONE;
         let holds = |i: &usize| match &self.processes[*i].machine {
@@ -289,19 +289,23 @@
         (0..VOTERS).find(leads)
     }
 
-    /// Runs until all leases are held; returns when each was held first, from now on, in milliseconds.
+    /// Runs until all leases are held; returns the delay until each was first held, in milliseconds.
     fn run_until_all_held(&mut self, limits: &Limits) -> Result<Vec<f64>, NotRun> {
         let start = self.queue.now();
         let mut held_at: Vec<Option<f64>> = vec![None; self.zones];
         while held_at.iter().any(Option::is_none) {
             if self.queue.now() - start > ALL_HELD_MAX {
                 let reached = held_at.iter().flatten().count();
-                return Err(NotRun::NotInForce { reached, of: self.zones, after_s: ALL_HELD_MAX.as_secs() });
+                return Err(NotRun::NotInForce {
+                    reached,
+                    expected: self.zones,
+                    after_s: ALL_HELD_MAX.as_secs(),
+                });
             }
             self.run(POLL_INTERVAL, limits)?;
-            let passed = (self.queue.now() - start).as_secs_f64() * 1e3;
+            let elapsed = (self.queue.now() - start).as_secs_f64() * 1e3;
             for (zone, held_at) in held_at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
-                *held_at = self.lease_holder(zone).map(|_| passed);
+                *held_at = self.lease_holder(zone).map(|_| elapsed);
             }
         }
         Ok(held_at.into_iter().flatten().collect())
@@ -326,7 +330,7 @@
         }
     }
 
-    /// Traffic and processor time of the voters that run.
+    /// Returns traffic and processor time of the running voters.
     fn figures(&self, span: Duration) -> Figures {
         let running = || self.processes.iter().take(VOTERS).filter(|process| process.machine.is_some());
         let traffic: Vec<TrafficCount> = running().map(|process| process.traffic).collect();
@@ -337,7 +341,7 @@
         figures
     }
 
-    /// Heap memory of each voter that runs, without its store.
+    /// Returns the heap memory of each running voter, without its store.
     fn voter_state(mut self, limits: &Limits) -> Option<Value> {
         let memory = limits.memory();
         let mut freed = Vec::new();
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: the plan's checks, the fit, the page against its results, and a small fixed run whose counts stay within
-//! bounds. Times are not judged.
+//! Scale runs: validation of the plan, the fit, the page against its results, and a small fixed run whose
+//! counts stay within bounds. Times are not checked.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,21 +16,21 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = counting();
 
-/// One measurement of memory at a time: the allocator counts for all threads.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Allows one measurement of memory at a time: the allocator counts for all threads.
+static MEASUREMENT_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_measurement() -> MutexGuard<'static, ()> {
+    MEASUREMENT_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 const PLAN: &str = include_str!("../plans/scale-ci.toml");
 
-fn plan() -> Plan {
-    Plan::parse(PLAN).expect("the plan of CI is a good one")
+fn ci_plan() -> Plan {
+    Plan::parse(PLAN).expect("the plan of CI is valid")
 }
 
 fn measured(axis: Axis) -> Vec<Measurement> {
-    measured_by(&plan(), axis)
+    measured_by(&ci_plan(), axis)
 }
 
 fn measured_by(plan: &Plan, axis: Axis) -> Vec<Measurement> {
@@ -38,7 +38,7 @@
     plan.sizes(axis).iter().flat_map(measure).collect()
 }
 
-/// The worst process' figure at each size, in the order of the sizes.
+/// Returns the worst process' figure at each size, in the order of the sizes.
 fn worst(measurements: &[Measurement], role: Role, condition: Condition, quantity: Quantity) -> Vec<f64> {
     let wanted = measurements.iter().filter(|m| m.role == role && m.condition == condition);
     let figure = |m: &Measurement| match &m.outcome {
@@ -48,17 +48,18 @@
     wanted.map(figure).collect()
 }
 
-/// Each figure lies within its bound.
-fn within(what: &str, figures: &[f64], bounds: [f64; 3]) {
-    assert_eq!(figures.len(), bounds.len(), "{what}: {figures:?}");
-    let right = figures.iter().zip(bounds).all(|(figure, bound)| *figure <= bound);
-    assert!(right, "{what}: {figures:?} within {bounds:?}");
+/// Checks that each figure lies within its bound.
+fn assert_within(name: &str, figures: &[f64], bounds: [f64; 3]) {
+    assert_eq!(figures.len(), bounds.len(), "{name}: {figures:?}");
+    let is_expected = figures.iter().zip(bounds).all(|(figure, bound)| *figure <= bound);
+    assert!(is_expected, "{name}: {figures:?} within {bounds:?}");
 }
 
-/// Nine tenths of the bounds were measured; the rest is room for allocators and libraries that differ a little.
+/// Measured values are nine tenths of the bounds; the margin allows for small differences of allocators and
+/// libraries.
 mod bounds {
-    pub const MEMBER_CALM_MESSAGES: [f64; 3] = [2.7, 3.3, 5.5];
-    pub const MEMBER_CALM_BYTES: [f64; 3] = [341.0, 436.0, 644.0];
+    pub const MEMBER_STEADY_MESSAGES: [f64; 3] = [2.7, 3.3, 5.5];
+    pub const MEMBER_STEADY_BYTES: [f64; 3] = [341.0, 436.0, 644.0];
     pub const MEMBER_STATE: [f64; 3] = [32_710.0, 59_640.0, 97_380.0];
     pub const MEMBER_CHANGE_MESSAGES: [f64; 3] = [4.6, 5.2, 8.3];
     pub const MEMBER_ZONE_LOST_BYTES: [f64; 3] = [2_721.0, 3_868.0, 6_000.0];
@@ -77,59 +78,67 @@
 
 #[test]
 fn membership_of_a_small_fleet_stays_within_its_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Nodes);
     let member = |condition, quantity| worst(&found, Role::Member, condition, quantity);
-    within("messages", &member(Condition::Calm, Quantity::MessagesOut), bounds::MEMBER_CALM_MESSAGES);
-    within("bytes", &member(Condition::Calm, Quantity::BytesOut), bounds::MEMBER_CALM_BYTES);
-    within("state", &member(Condition::Calm, Quantity::StateBytes), bounds::MEMBER_STATE);
-    within("zone lost", &member(Condition::ZoneLost, Quantity::BytesOut), bounds::MEMBER_ZONE_LOST_BYTES);
-    let news = member(Condition::PhaseChange, Quantity::MessagesOut);
-    within("messages of one change", &news, bounds::MEMBER_CHANGE_MESSAGES);
-    within("phase", &member(Condition::PhaseChange, Quantity::InForceMs), bounds::IN_FORCE_MS);
+    assert_within(
+        "messages",
+        &member(Condition::Steady, Quantity::MessagesOut),
+        bounds::MEMBER_STEADY_MESSAGES,
+    );
+    assert_within("bytes", &member(Condition::Steady, Quantity::BytesOut), bounds::MEMBER_STEADY_BYTES);
+    assert_within("state", &member(Condition::Steady, Quantity::StateBytes), bounds::MEMBER_STATE);
+    assert_within(
+        "zone lost",
+        &member(Condition::ZoneLost, Quantity::BytesOut),
+        bounds::MEMBER_ZONE_LOST_BYTES,
+    );
+    let phase_change = member(Condition::PhaseChange, Quantity::MessagesOut);
+    assert_within("messages of one change", &phase_change, bounds::MEMBER_CHANGE_MESSAGES);
+    assert_within("phase", &member(Condition::PhaseChange, Quantity::InForceMs), bounds::IN_FORCE_MS);
 }
 
 #[test]
 fn decision_module_and_endpoint_list_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Workers);
     let dispatcher = |quantity| worst(&found, Role::Dispatcher, Condition::LiveWeights, quantity);
-    within("state", &dispatcher(Quantity::StateBytes), bounds::DISPATCHER_STATE);
-    within("list", &dispatcher(Quantity::ListBytes), bounds::LIST_BYTES);
-    within("sends", &dispatcher(Quantity::Sends), bounds::SENDS);
+    assert_within("state", &dispatcher(Quantity::StateBytes), bounds::DISPATCHER_STATE);
+    assert_within("list", &dispatcher(Quantity::ListBytes), bounds::LIST_BYTES);
+    assert_within("sends", &dispatcher(Quantity::Sends), bounds::SENDS);
 }
 
 #[test]
 fn published_rates_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Tenants);
-    let teller = |quantity| worst(&found, Role::RateTeller, Condition::Calm, quantity);
-    within("messages", &teller(Quantity::MessagesOut), bounds::RATES_MESSAGES);
-    within("bytes", &teller(Quantity::BytesOut), bounds::RATES_BYTES);
+    let publisher = |quantity| worst(&found, Role::RatePublisher, Condition::Steady, quantity);
+    assert_within("messages", &publisher(Quantity::MessagesOut), bounds::RATES_MESSAGES);
+    assert_within("bytes", &publisher(Quantity::BytesOut), bounds::RATES_BYTES);
 }
 
 #[test]
 fn list_broadcast_and_voters_stay_within_their_bounds() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let found = measured(Axis::Zones);
     let relay = |quantity| worst(&found, Role::ListRelay, Condition::LiveWeights, quantity);
-    within("state", &relay(Quantity::StateBytes), bounds::RELAY_STATE);
-    within("messages", &relay(Quantity::MessagesOut), bounds::RELAY_MESSAGES);
-    within("bytes", &relay(Quantity::BytesOut), bounds::RELAY_BYTES);
-    within("in force", &relay(Quantity::InForceMs), bounds::IN_FORCE_MS);
-    let voter = |quantity| worst(&found, Role::Voter, Condition::Calm, quantity);
-    within("state of a voter", &voter(Quantity::StateBytes), bounds::VOTER_STATE);
-    within("messages of a voter", &voter(Quantity::MessagesOut), bounds::VOTER_MESSAGES);
+    assert_within("state", &relay(Quantity::StateBytes), bounds::RELAY_STATE);
+    assert_within("messages", &relay(Quantity::MessagesOut), bounds::RELAY_MESSAGES);
+    assert_within("bytes", &relay(Quantity::BytesOut), bounds::RELAY_BYTES);
+    assert_within("in force", &relay(Quantity::InForceMs), bounds::IN_FORCE_MS);
+    let voter = |quantity| worst(&found, Role::Voter, Condition::Steady, quantity);
+    assert_within("state of a voter", &voter(Quantity::StateBytes), bounds::VOTER_STATE);
+    assert_within("messages of a voter", &voter(Quantity::MessagesOut), bounds::VOTER_MESSAGES);
 }
 
-/// All counts of some measurements, without processor time and allocated bytes.
+/// Removes processor times and allocated bytes, so that only counts remain.
 fn counts(mut measurements: Vec<Measurement>) -> Vec<Measurement> {
     let measured = [
         Quantity::StateBytes,
         Quantity::ListStateBytes,
         Quantity::ProcessorShare,
         Quantity::ListProcessorUs,
-        Quantity::JobProcessorUs,
+        Quantity::RequestProcessorUs,
     ];
     for measurement in &mut measurements {
         if let Outcome::Measured(figures) = &mut measurement.outcome {
@@ -141,9 +150,9 @@
 
 #[test]
 fn same_seed_gives_same_counts() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let small = PLAN.replace("nodes = [20, 40, 80]", "nodes = [10, 15, 20]");
-    let small = Plan::parse(&small).expect("its sizes ascend");
+    let small = Plan::parse(&small).expect("its sizes are in ascending order");
     for axis in [Axis::Nodes, Axis::Workers, Axis::Zones] {
         let (once, again) = (measured_by(&small, axis), measured_by(&small, axis));
         assert_eq!(counts(once), counts(again), "{axis:?}");
@@ -152,12 +161,12 @@
 
 #[test]
 fn measurement_beyond_a_limit_is_recorded_as_not_run() {
-    let _alone = alone();
+    let _lock = lock_measurement();
     let spec = membership::Spec {
         nodes: 20,
         seed: 1,
         warm_up: Duration::from_secs(1),
-        calm: Duration::from_secs(1),
+        steady_time: Duration::from_secs(1),
         crashes: 1,
         zones: 4,
     };
@@ -167,16 +176,18 @@
         let mut recorder = Recorder::new(Axis::Nodes, 20);
         membership::measure(&spec, &limits, &mut recorder);
         let found = recorder.finish();
-        let right = |m: &Measurement| matches!(&m.outcome, Outcome::NotRun(why) if why.starts_with(reason));
+        let is_expected =
+            |m: &Measurement| matches!(&m.outcome, Outcome::NotRun(why) if why.starts_with(reason));
         assert_eq!(found.len(), membership::CONDITIONS.len());
-        assert!(found.iter().all(right), "{found:?}");
+        assert!(found.iter().all(is_expected), "{found:?}");
     }
 }
 
 #[test]
 fn invalid_plan_is_reported_by_its_line() {
-    let line_of =
-        |start: &str| 1 + PLAN.lines().position(|line| line.starts_with(start)).expect("it is there");
+    let line_of = |start: &str| {
+        1 + PLAN.lines().position(|line| line.starts_with(start)).expect("the plan has this line")
+    };
     for (from, to) in [
         ("memory_mb = 2000", "memory_mb = 0"),
         ("starts = 40.0", "starts = -1.0"),
@@ -190,8 +201,8 @@
         ("calm_s = 10", "calm_s = 0"),
         ("job_s = 2.0", "job_s = \"long\""),
     ] {
-        let bad = Plan::parse(&PLAN.replace(from, to)).expect_err(to);
-        assert_eq!(bad.line, line_of(from), "{to}: {bad}");
+        let error = Plan::parse(&PLAN.replace(from, to)).expect_err(to);
+        assert_eq!(error.line, line_of(from), "{to}: {error}");
     }
     assert!(Plan::parse(include_str!("../plans/scale.toml")).is_ok());
 }
@@ -200,19 +211,19 @@
     values.iter().map(|(size, value)| Point { size: *size, value: *value }).collect()
 }
 
-fn close(a: f64, b: f64) -> bool {
+fn is_close(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-6 * b.abs().max(1.0)
 }
 
-/// The interval was worked out by hand with the quantile 4.302653 of two degrees of freedom.
+/// The interval was calculated by hand with the quantile 4.302653 of two degrees of freedom.
 #[test]
 fn line_is_fitted_with_its_prediction_interval() {
     let measured = points(&[(1.0, 2.0), (2.0, 4.1), (3.0, 5.9), (4.0, 8.2)]);
     let fit = Fit::with(Model::Linear, &measured).expect("four sizes are enough");
-    assert!(close(fit.intercept, -0.05) && close(fit.slope, 2.04), "{fit:?}");
+    assert!(is_close(fit.intercept, -0.05) && is_close(fit.slope, 2.04), "{fit:?}");
     let estimate = fit.estimate(10.0);
-    assert!(close(estimate.value, 20.35), "{estimate:?}");
-    assert!(close(estimate.low, 18.145546) && close(estimate.high, 22.554453), "{estimate:?}");
+    assert!(is_close(estimate.value, 20.35), "{estimate:?}");
+    assert!(is_close(estimate.low, 18.145546) && is_close(estimate.high, 22.554453), "{estimate:?}");
 }
 
 #[test]
@@ -221,18 +232,18 @@
         [10.0, 100.0, 1000.0].map(|size: f64| Point { size, value: 3.0 * size.powf(0.5) }).to_vec();
     let fit = Fit::of(&power).expect("three sizes are enough");
     assert_eq!(fit.model, Model::Power);
-    assert!(close(fit.slope, 0.5) && close(fit.estimate(10_000.0).value, 300.0), "{fit:?}");
+    assert!(is_close(fit.slope, 0.5) && is_close(fit.estimate(10_000.0).value, 300.0), "{fit:?}");
     let line = Fit::of(&points(&[(10.0, 120.0), (100.0, 300.0), (1000.0, 2100.0)])).expect("three sizes");
     assert_eq!(line.model, Model::Linear);
-    assert!(close(line.estimate(0.0).value, 100.0), "{line:?}");
+    assert!(is_close(line.estimate(0.0).value, 100.0), "{line:?}");
     assert_eq!(Fit::of(&points(&[(1.0, 1.0), (2.0, 2.0)])), None, "two sizes have no interval");
 }
 
-/// Results in which a member's state grows with the number of nodes.
-fn kept(per_node: f64) -> Vec<Run> {
+/// Returns results in which a member's state grows with the number of nodes.
+fn saved_results(per_node: f64) -> Vec<Run> {
     let measurement = |size: u64| {
         let figures = Figures::from([(Quantity::StateBytes, Value::single(per_node * size as f64))]);
-        let (role, condition) = (Role::Member, Condition::Calm);
+        let (role, condition) = (Role::Member, Condition::Steady);
         Measurement { axis: Axis::Nodes, size, role, condition, outcome: Outcome::Measured(figures) }
     };
     let run = Run {
@@ -253,30 +264,32 @@
 fn page_that_differs_from_its_results_is_reported_by_its_line() {
     let path = std::env::temp_dir().join(format!("capacity-{}.md", std::process::id()));
     std::fs::write(&path, format!("# Page\n{BEGIN}\nold\n{END}\nmore\n")).expect("a temporary file");
-    assert!(matches!(page::check(&path, &kept(1000.0)), Err(PageError::Differs { .. })));
-    page::write(&path, &kept(1000.0)).expect("it has both markers");
-    page::check(&path, &kept(1000.0)).expect("it was written just now");
-    let text = std::fs::read_to_string(&path).expect("it was written just now");
+    assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::Differs { .. })));
+    page::write(&path, &saved_results(1000.0)).expect("the page has both markers");
+    page::check(&path, &saved_results(1000.0)).expect("the page was written before");
+    let text = std::fs::read_to_string(&path).expect("the page was written before");
     let at = text.lines().position(|line| line.contains("3.6 MB at 3,600 nodes")).expect("the extrapolation");
-    assert!(text.ends_with(&format!("{END}\nmore\n")), "what follows stays");
-    assert!(matches!(page::check(&path, &kept(1001.0)), Ok(())), "three digits are shown");
-    for (results, page) in
-        [(kept(1100.0), text.clone()), (kept(1000.0), text.replace("3.6 MB at", "3.5 MB at"))]
-    {
+    assert!(text.ends_with(&format!("{END}\nmore\n")), "text after the markers stays");
+    assert!(matches!(page::check(&path, &saved_results(1001.0)), Ok(())), "three digits are shown");
+    for (results, page) in [
+        (saved_results(1100.0), text.clone()),
+        (saved_results(1000.0), text.replace("3.6 MB at", "3.5 MB at")),
+    ] {
         std::fs::write(&path, page).expect("a temporary file");
         let found = page::check(&path, &results);
         assert!(matches!(found, Err(PageError::Differs { line, .. }) if line == at + 1), "{found:?}");
     }
     std::fs::write(&path, "no markers").expect("a temporary file");
-    assert!(matches!(page::check(&path, &kept(1000.0)), Err(PageError::NoMarkers { .. })));
-    std::fs::remove_file(&path).expect("it is there");
+    assert!(matches!(page::check(&path, &saved_results(1000.0)), Err(PageError::NoMarkers { .. })));
+    std::fs::remove_file(&path).expect("the file exists");
 }
 
-/// The page of this version is what its kept results give.
+/// Checks the page of this version against its saved results.
 #[test]
-fn capacity_page_agrees_with_the_kept_results() {
+fn capacity_page_agrees_with_the_saved_results() {
     let docs = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
-    let runs = testbed::scale::store::read_all(&docs.join("capacity")).expect("the kept results can be read");
+    let runs =
+        testbed::scale::store::read_all(&docs.join("capacity")).expect("the saved results can be read");
     page::check(&docs.join("CAPACITY.md"), &runs)
-        .expect("`testbed scale --page docs/CAPACITY.md` writes it anew");
+        .expect("`testbed scale --page docs/CAPACITY.md` updates the page");
 }
