--- a/node/tests/faktory.rs
+++ b/node/tests/faktory.rs
@@ -154,9 +154,9 @@
     assert_eq!(client.push("lodge", "job-00001", "a").await, "+OK");
     assert!(client.push("lodge", "job-00001", "b").await.starts_with("-ERR"));
     assert!(client.push("check", "job-00001", "a").await.starts_with("-ERR"));
-    for bad in ["\"sava\"", "\"lodge\""] {
-        let bad = faktory_job("lodge", "job-00009", "c").replace(bad, "\"nobody\"");
-        assert!(client.send_command(&format!("PUSH {bad}")).await.starts_with("-ERR"), "{bad}");
+    for valid_name in ["\"sava\"", "\"lodge\""] {
+        let push = faktory_job("lodge", "job-00009", "c").replace(valid_name, "\"nobody\"");
+        assert!(client.send_command(&format!("PUSH {push}")).await.starts_with("-ERR"), "{push}");
     }
     let later =
         faktory_job("lodge", "job-00009", "c").replace("\"jid\"", "\"at\":\"2030-01-01T00:00:00Z\",\"jid\"");
@@ -406,11 +406,11 @@
     stop_until_closing(&phases).await;
     server.await.unwrap().unwrap();
     worker_tasks.iter().for_each(|w| w.abort());
-    let mut seen = BTreeSet::new();
+    let mut executed_jids = BTreeSet::new();
     while let Some(jid) = executions.recv().await {
-        assert!(seen.insert(jid.clone()), "{jid} was executed twice");
+        assert!(executed_jids.insert(jid.clone()), "{jid} was executed twice");
     }
-    assert!(served > 0 && seen.len() >= served, "{served} of {seen:?}");
+    assert!(served > 0 && executed_jids.len() >= served, "{served} of {executed_jids:?}");
 }
 
 /// A step of a random sequence; the flag selects one of two workers.
--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -122,9 +122,9 @@
 }
 
 async fn record_client_errors(transcript: &mut Transcript, client: &mut FaktoryConnection) {
-    let good = faktory_job("lodge", "job-00009", "k");
-    let custom = |fields: &str| good.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
-    let many: String = (0..65).map(|n| format!(" q{n}")).collect();
+    let valid = faktory_job("lodge", "job-00009", "k");
+    let custom = |fields: &str| valid.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
+    let queues: String = (0..65).map(|n| format!(" q{n}")).collect();
     let lines = [
         String::new(),
         "NONSENSE".into(),
@@ -142,12 +142,12 @@
         "PUSH {\"jid\":\"long-enough\",\"jobtype\":\"\",\"args\":[]}".into(),
         "PUSH {\"jid\":\"long-enough\",\"jobtype\":\"x\",\"args\":{}}".into(),
         "PUSH {\"jid\":\"long-enough\",\"jobtype\":\"x\",\"args\":[]}".into(),
-        format!("PUSH {}", good.replace("\"key\":\"k\"", "\"key\":\"\"")),
-        format!("PUSH {}", good.replace("\"lodge\"", "\"nobody\"")),
-        format!("PUSH {}", good.replace("\"sava\"", "\"nobody\"")),
-        format!("PUSH {}", good.replace("\"tenant\":\"sava\"", "\"x\":1")),
-        format!("PUSH {}", good.replace("\"jid\"", "\"at\":\"2030-01-01T00:00:00Z\",\"jid\"")),
-        format!("PUSH {}", good.replace("{\"key\":\"k\",\"tenant\":\"sava\"}", "2")),
+        format!("PUSH {}", valid.replace("\"key\":\"k\"", "\"key\":\"\"")),
+        format!("PUSH {}", valid.replace("\"lodge\"", "\"nobody\"")),
+        format!("PUSH {}", valid.replace("\"sava\"", "\"nobody\"")),
+        format!("PUSH {}", valid.replace("\"tenant\":\"sava\"", "\"x\":1")),
+        format!("PUSH {}", valid.replace("\"jid\"", "\"at\":\"2030-01-01T00:00:00Z\",\"jid\"")),
+        format!("PUSH {}", valid.replace("{\"key\":\"k\",\"tenant\":\"sava\"}", "2")),
         "PUSH 2".into(),
         "BEAT 2".into(),
         format!("PUSH {}", custom("\"deadline\":0")),
@@ -156,7 +156,7 @@
         format!("PUSH {}", custom("\"cost_hint\":\"x\"")),
         format!("PUSH {}", "x".repeat(70_000)),
         "FETCH lodge".into(),
-        format!("FETCH{many}"),
+        format!("FETCH{queues}"),
         "ACK".into(),
         "ACK 2".into(),
         "ACK []".into(),
@@ -272,18 +272,18 @@
 
 #[test]
 fn errors_in_the_faktory_file_are_as_recorded() {
-    let good = "listen = \"127.0.0.1:7419\"\n";
+    let valid = "listen = \"127.0.0.1:7419\"\n";
     let mut text = String::new();
     for file in [
         String::new(),
-        good.into(),
+        valid.into(),
         "listen = \"nowhere\"\n".into(),
-        format!("{good}unknown = 1\n"),
-        format!("{good}settings = 1\n"),
-        format!("{good}[settings]\nSiblings = \"two\"\n"),
-        append_settings(good, true),
-        append_settings(&format!("{good}connections = 0\n"), false),
-        append_settings(&format!("{good}connections = -1\n"), false),
+        format!("{valid}unknown = 1\n"),
+        format!("{valid}settings = 1\n"),
+        format!("{valid}[settings]\nSiblings = \"two\"\n"),
+        append_settings(valid, true),
+        append_settings(&format!("{valid}connections = 0\n"), false),
+        append_settings(&format!("{valid}connections = -1\n"), false),
     ] {
         let Err(error) = molevale::faktory::FaktoryConfig::parse(&file) else { panic!("{file}") };
         text += &format!("{error}\n");
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -183,48 +183,48 @@
 
 /// Malformed requests, each with what is wrong with it.
 fn malformed_requests() -> Vec<(&'static str, String)> {
-    let good = request("lodge", ID, 60.0, "");
-    let without = |line: &str| good.replace(&format!("{line}\r\n"), "");
-    let with = |line: &str| good.replace("Content-Length", &format!("{line}\r\nContent-Length"));
-    let unknown = good.replace("X-Class: lodge", "X-Class: render");
+    let valid = request("lodge", ID, 60.0, "");
+    let without = |line: &str| valid.replace(&format!("{line}\r\n"), "");
+    let with = |line: &str| valid.replace("Content-Length", &format!("{line}\r\nContent-Length"));
+    let unknown = valid.replace("X-Class: lodge", "X-Class: render");
     vec![
         ("an unknown class in the header", unknown.clone()),
-        ("another class in the header", good.replace("X-Class: lodge", "X-Class: check")),
+        ("another class in the header", valid.replace("X-Class: lodge", "X-Class: check")),
         ("an unknown class in both", unknown.replace("/lodge", "/render")),
-        ("an unknown tenant", good.replace("sava", "drava")),
+        ("an unknown tenant", valid.replace("sava", "drava")),
         ("no tenant", without("X-Tenant: sava")),
         ("no id", without("X-Request-Id: 9b1f03aa5c7e2d41")),
-        ("an empty id", good.replace(ID, "")),
-        ("a long id", good.replace(ID, &"7".repeat(257))),
+        ("an empty id", valid.replace(ID, "")),
+        ("a long id", valid.replace(ID, &"7".repeat(257))),
         ("two ids", with("X-Request-Id: 9b1f03aa5c7e2d42")),
         ("no deadline", without("X-Deadline: 60.000")),
-        ("a deadline that is no number", good.replace("60.000", "soon")),
-        ("a negative deadline", good.replace("60.000", "-1")),
-        ("a deadline of more than a day", good.replace("60.000", "86400.001")),
+        ("a deadline that is no number", valid.replace("60.000", "soon")),
+        ("a negative deadline", valid.replace("60.000", "-1")),
+        ("a deadline of more than a day", valid.replace("60.000", "86400.001")),
         ("no key", without("Idempotency-Key: k1")),
-        ("an unknown path", good.replace("/lodge", "/nowhere")),
+        ("an unknown path", valid.replace("/lodge", "/nowhere")),
         ("an unknown path and no class", without("X-Class: lodge").replace("/lodge", "/nowhere")),
-        ("another method", good.replace("POST", "GET")),
-        ("another method and an unknown path", good.replace("POST /lodge", "PUT /nowhere")),
+        ("another method", valid.replace("POST", "GET")),
+        ("another method and an unknown path", valid.replace("POST /lodge", "PUT /nowhere")),
         ("the state by another method", UP.replace("GET", "POST")),
         ("a long body", request("check", ID, 60.0, &"x".repeat(64 * 1024 + 1))),
         (
             "a long body in chunks",
-            good.replace("Content-Length: 0", "Transfer-Encoding: chunked")
+            valid.replace("Content-Length: 0", "Transfer-Encoding: chunked")
                 + &format!("10001\r\n{}\r\n0\r\n\r\n", "x".repeat(64 * 1024 + 1)),
         ),
         (
             "a malformed chunk",
-            good.replace("Content-Length: 0", "Transfer-Encoding: chunked") + "zz\r\nabc\r\n0\r\n\r\n",
+            valid.replace("Content-Length: 0", "Transfer-Encoding: chunked") + "zz\r\nabc\r\n0\r\n\r\n",
         ),
         (
             "both framings",
-            good.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
+            valid.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
                 + "0\r\n\r\n",
         ),
-        ("a length that is no number", good.replace("Content-Length: 0", "Content-Length: x")),
+        ("a length that is no number", valid.replace("Content-Length: 0", "Content-Length: x")),
         ("no HTTP", "nonsense\r\n\r\n".to_string()),
-        ("another version of HTTP", good.replace("HTTP/1.1", "HTTP/3.7")),
+        ("another version of HTTP", valid.replace("HTTP/1.1", "HTTP/3.7")),
         ("a long head", with(&format!("X-Long: {}", "x".repeat(20_000)))),
     ]
 }
