--- a/node/tests/golden_faktory.rs
+++ b/node/tests/golden_faktory.rs
@@ -59,11 +59,7 @@
         bytes
     }
 
-    async fn send_command(
-        &mut self,
-        (name, connection): (&str, &mut FaktoryConnection),
-        line: impl AsRef<[u8]>,
-    ) {
+    async fn exchange(&mut self, (name, connection): (&str, &mut FaktoryConnection), line: impl AsRef<[u8]>) {
         self.send((name, &mut *connection), line).await;
         self.read_reply((name, connection)).await;
     }
@@ -88,17 +84,17 @@
 
     async fn connect_with_hello(&mut self, node: &Server, name: &str, hello: &str) -> FaktoryConnection {
         let mut connection = self.connect(node, name).await;
-        self.send_command((name, &mut connection), format!("HELLO {hello}")).await;
+        self.exchange((name, &mut connection), format!("HELLO {hello}")).await;
         connection
     }
 }
 
-async fn record_greetings(transcript: &mut Transcript) {
+async fn record_greetings(log: &mut Transcript) {
     let (node, _, _phases) = start_faktory(Some("secret"));
     for hello in ["HELLO {\"v\":2}", "HELLO {\"v\":2,\"pwdhash\":\"00\"}"] {
-        let mut connection = transcript.connect(&node, "password").await;
-        transcript.send_command(("password", &mut connection), hello).await;
-        transcript.read_reply(("password", &mut connection)).await;
+        let mut connection = log.connect(&node, "password").await;
+        log.exchange(("password", &mut connection), hello).await;
+        log.read_reply(("password", &mut connection)).await;
     }
     let (node, _, _phases) = start_faktory(None);
     let long = format!("HELLO {{\"v\":2,\"wid\":\"{}\"}}", "w".repeat(257));
@@ -115,13 +111,13 @@
         "NONSENSE",
         "END",
     ] {
-        let mut connection = transcript.connect(&node, "first").await;
-        transcript.send_command(("first", &mut connection), first).await;
-        transcript.read_reply(("first", &mut connection)).await;
+        let mut connection = log.connect(&node, "first").await;
+        log.exchange(("first", &mut connection), first).await;
+        log.read_reply(("first", &mut connection)).await;
     }
 }
 
-async fn record_client_errors(transcript: &mut Transcript, client: &mut FaktoryConnection) {
+async fn record_client_errors(log: &mut Transcript, client: &mut FaktoryConnection) {
     let valid = faktory_job("lodge", "job-00009", "k");
     let custom = |fields: &str| valid.replace("\"custom\":{", &format!("\"custom\":{{{fields},"));
     let queues: String = (0..65).map(|n| format!(" q{n}")).collect();
@@ -167,107 +163,93 @@
         "HELLO {\"v\":2}".into(),
     ];
     for line in lines {
-        transcript.send_command(("client", &mut *client), line).await;
+        log.exchange(("client", &mut *client), line).await;
     }
-    transcript.send_command(("client", &mut *client), b"PUSH \xff\xfe").await;
+    log.exchange(("client", &mut *client), b"PUSH \xff\xfe").await;
 }
 
-async fn record_job_lifecycles(transcript: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
-    let mut w1 = transcript.connect_with_hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
-    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
-    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    transcript.send_command(("w1", &mut w1), "FETCH").await;
-    transcript.send_command(("w1", &mut w1), "FETCH check nobody").await;
+async fn record_job_lifecycles(log: &mut Transcript, node: &Server, client: &mut FaktoryConnection) {
+    let mut w1 = log.connect_with_hello(node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    log.exchange(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    log.exchange(("w1", &mut w1), "BEAT {\"wid\":\"w2\"}").await;
+    log.exchange(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    log.exchange(("w1", &mut w1), "FETCH").await;
+    log.exchange(("w1", &mut w1), "FETCH check nobody").await;
     // A job that is served; its JSON keeps the spaces of its client.
-    transcript.send(("w1", &mut w1), "FETCH check").await;
+    log.send(("w1", &mut w1), "FETCH check").await;
     let spaced = faktory_job("check", "job-00001", "a").replace(',', " , ");
-    transcript.send_command(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
-    transcript.read_reply(("w1", &mut w1)).await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00001").await;
-    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00001").await;
+    log.exchange(("client", &mut *client), format!("PUSH   {spaced}  ")).await;
+    log.read_reply(("w1", &mut w1)).await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00001").await;
+    log.exchange(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    log.exchange(("w1", &mut w1), "ACK {\"jid\":\"job-00001\"}").await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00001").await;
     // A waiting job, duplicates of it, and a jid in use for another job.
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b")))
-        .await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00002").await;
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b")))
-        .await;
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c")))
-        .await;
-    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00003").await;
-    transcript.send_command(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
-    transcript.send_command(("client", &mut *client), "INFO").await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "b"))).await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00002").await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00003", "b"))).await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00002", "c"))).await;
+    log.exchange(("w1", &mut w1), "FETCH lodge").await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00003").await;
+    log.exchange(("w1", &mut w1), "ACK {\"jid\":\"job-00003\"}").await;
+    log.exchange(("client", &mut *client), "INFO").await;
     // Fails until no attempt is left or its deadline passes.
-    transcript
-        .send_command(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}")
-        .await;
-    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
+    log.exchange(("w1", &mut w1), "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\"}").await;
+    log.exchange(("w1", &mut w1), "FETCH lodge").await;
     sleep(Duration::from_secs(9)).await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00002").await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00003").await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00002").await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00003").await;
     // A draining worker.
-    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
-    transcript.send_command(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
-    transcript.send_command(("w1", &mut w1), "FETCH lodge").await;
+    log.exchange(("w1", &mut w1), "BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}").await;
+    log.exchange(("w1", &mut w1), "BEAT {\"wid\":\"w1\"}").await;
+    log.exchange(("w1", &mut w1), "FETCH lodge").await;
     // No worker fetches it before its deadline.
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d")))
-        .await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00004", "d"))).await;
     sleep(Duration::from_secs(9)).await;
-    transcript.send_command(("client", &mut *client), "TRACK GET job-00004").await;
+    log.exchange(("client", &mut *client), "TRACK GET job-00004").await;
     for n in 0..70 {
         client.push("lodge", &format!("job-100{n:02}"), "e").await;
     }
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e")))
-        .await;
-    transcript.send(("w1", &mut w1), "END").await;
-    transcript.read_reply(("w1", &mut w1)).await;
-    transcript.send_command(("client", &mut *client), "INFO").await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-20000", "e"))).await;
+    log.send(("w1", &mut w1), "END").await;
+    log.read_reply(("w1", &mut w1)).await;
+    log.exchange(("client", &mut *client), "INFO").await;
 }
 
-async fn record_drain(transcript: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
+async fn record_drain(log: &mut Transcript, client: &mut FaktoryConnection, phases: &Phases) {
     assert!(phases.drain());
-    transcript
-        .send_command(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f")))
-        .await;
-    transcript.send(("client", &mut *client), "END").await;
-    transcript.read_reply(("client", client)).await;
+    log.exchange(("client", &mut *client), format!("PUSH {}", faktory_job("lodge", "job-00005", "f"))).await;
+    log.send(("client", &mut *client), "END").await;
+    log.read_reply(("client", client)).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn each_reply_is_as_recorded() {
-    let mut transcript = Transcript::default();
-    record_greetings(&mut transcript).await;
+    let mut log = Transcript::default();
+    record_greetings(&mut log).await;
     let (node, _, phases) = start_faktory(None);
-    let mut client = transcript.connect_with_hello(&node, "client", "{\"v\":2}").await;
-    record_client_errors(&mut transcript, &mut client).await;
-    record_job_lifecycles(&mut transcript, &node, &mut client).await;
-    record_drain(&mut transcript, &mut client, &phases).await;
-    assert_golden("session.txt", &transcript.0);
+    let mut client = log.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    record_client_errors(&mut log, &mut client).await;
+    record_job_lifecycles(&mut log, &node, &mut client).await;
+    record_drain(&mut log, &mut client, &phases).await;
+    assert_golden("session.txt", &log.0);
 }
 
 /// A push that can't be served before its deadline is shed at once, with the time to wait before a retry.
 #[tokio::test(start_paused = true)]
 async fn a_shed_push_names_the_time_to_wait() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (node, _, _phases) = start_faktory(None);
-    let mut client = transcript.connect_with_hello(&node, "client", "{\"v\":2}").await;
-    let _worker = transcript.connect_with_hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
+    let mut client = log.connect_with_hello(&node, "client", "{\"v\":2}").await;
+    let _worker = log.connect_with_hello(&node, "w1", "{\"v\":2,\"wid\":\"w1\"}").await;
     for deadline in ["1e-9", "0.001", "0.02"] {
         let custom = format!("\"custom\":{{\"deadline\":{deadline},");
         let push = faktory_job("check", "job-00001", "k").replace("\"custom\":{", &custom);
-        transcript.send_command(("client", &mut client), format!("PUSH {push}")).await;
-        transcript.send_command(("client", &mut client), "TRACK GET job-00001").await;
+        log.exchange(("client", &mut client), format!("PUSH {push}")).await;
+        log.exchange(("client", &mut client), "TRACK GET job-00001").await;
     }
-    assert!(transcript.0.contains("-ERR refused: try again in "), "no push was shed");
-    assert_golden("refused.txt", &transcript.0);
+    assert!(log.0.contains("-ERR refused: try again in "), "no push was shed");
+    assert_golden("refused.txt", &log.0);
 }
 
 #[test]
--- a/node/tests/golden_platform.rs
+++ b/node/tests/golden_platform.rs
@@ -87,11 +87,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn answers_to_requests_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("lodge", ID, 60.0, "{\"a\" : 1}")).await;
     worker.receive_request().await.complete("a \"result\" \u{fc}").await;
-    transcript.add_answer("served", &mut client).await;
+    log.add_answer("served", &mut client).await;
 
     client.send_after_pause(&request("check", ID, 60.0, "")).await;
     let mut received = worker.receive_request().await;
@@ -99,32 +99,32 @@
     received.send_update(json!({"state": "started"})).await;
     received.send_update(json!({"state": "running", "share": 0.5})).await;
     received.send_update(json!({"state": "done", "result": {"sum": [1, 2.50]}})).await;
-    transcript.add_answer("served, with progress and a result that is no string", &mut client).await;
+    log.add_answer("served, with progress and a result that is no string", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     let chunks = request("check", ID, 60.0, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     client.send_after_pause(&format!("{chunks}3\r\nabc\r\n0\r\n\r\n")).await;
     worker.receive_request().await.complete("").await;
-    transcript.add_answer("served, of a chunked request and with an empty result", &mut client).await;
-    transcript.add_answer("and after that", &mut client).await;
+    log.add_answer("served, of a chunked request and with an empty result", &mut client).await;
+    log.add_answer("and after that", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     let http_1_0 = request("check", ID, 60.0, "").replace("HTTP/1.1", "HTTP/1.0");
     client.send_after_pause(&http_1_0).await;
     worker.receive_request().await.complete("r").await;
-    transcript.add_answer("served, of HTTP/1.0", &mut client).await;
+    log.add_answer("served, of HTTP/1.0", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("lodge", ID, 0.2, "")).await;
     let _received = worker.receive_request().await;
     advance(Duration::from_millis(200)).await;
-    transcript.add_answer("no time left for another attempt", &mut client).await;
-    transcript.assert_golden("answers_to_jobs.txt");
+    log.add_answer("no time left for another attempt", &mut client).await;
+    log.assert_golden("answers_to_jobs.txt");
 }
 
 #[tokio::test(start_paused = true)]
 async fn answers_to_failed_and_shed_requests_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let worker = Worker::start().await;
     let mut settings = common::settings(true, 60_000_000);
     settings["Profiles"][0]["Semantics"] = "unsafe".into();
@@ -135,20 +135,19 @@
     let mut received = worker.receive_request().await;
     received.begin_response().await;
     received.send_update(json!({"state": "failed"})).await;
-    transcript.add_answer("failed, and it must not run twice", &mut client).await;
+    log.add_answer("failed, and it must not run twice", &mut client).await;
 
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(&request("check", ID, 0.2, "")).await;
     let mut received = worker.receive_request().await;
     received.begin_response().await;
-    advance_until("the request is acknowledged", Duration::ZERO, || node.counters.acknowledged.get() == 1)
-        .await;
+    advance_until("it is acknowledged", Duration::ZERO, || node.counters.acknowledged.get() == 1).await;
     advance(Duration::from_millis(200)).await;
-    transcript.add_answer("its deadline has passed while it ran", &mut client).await;
+    log.add_answer("its deadline has passed while it ran", &mut client).await;
 
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "").replace("60.000", "0.0000001")).await;
-    transcript.add_answer("less than a microsecond is left", &mut client).await;
+    log.add_answer("less than a microsecond is left", &mut client).await;
 
     let node = PlatformNode::start_with_memory(vec![worker.list_entry("s-1", "in_service")], 1024, 1).await;
     let body = "x".repeat(64 * 1024);
@@ -161,7 +160,7 @@
     wait_until_accepted(&node, 4).await;
     let mut excess = Client::connect(&node).await;
     excess.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    transcript.add_answer("no memory for its body", &mut excess).await;
+    log.add_answer("no memory for its body", &mut excess).await;
 
     let node = PlatformNode::start(vec![worker.list_entry("s-1", "in_service")], 70).await;
     let mut clients = Vec::new();
@@ -173,12 +172,12 @@
     wait_until_accepted(&node, 4).await;
     let mut excess = Client::connect(&node).await;
     excess.send_after_pause(&request("check", "9b1f03aa5c7e2d45", 60.0, "x")).await;
-    transcript.add_answer("no descriptor for its connection", &mut excess).await;
-    transcript.add_answer("and after that", &mut excess).await;
+    log.add_answer("no descriptor for its connection", &mut excess).await;
+    log.add_answer("and after that", &mut excess).await;
     let mut excess = Client::connect(&node).await;
     excess.send_after_pause("nonsense\r\n\r\n").await;
-    transcript.add_answer("no descriptor, and it is no HTTP", &mut excess).await;
-    transcript.assert_golden("answers_to_failed_and_refused_jobs.txt");
+    log.add_answer("no descriptor, and it is no HTTP", &mut excess).await;
+    log.assert_golden("answers_to_failed_and_refused_jobs.txt");
 }
 
 /// Malformed requests, each with what is wrong with it.
@@ -231,19 +230,19 @@
 
 #[tokio::test(start_paused = true)]
 async fn answers_to_malformed_requests_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (worker, node, _) = start_node_with_worker().await;
     for (title, text) in malformed_requests() {
         let mut client = Client::connect(&node).await;
         client.send_after_pause(&text).await;
-        transcript.add_answer(title, &mut client).await;
+        log.add_answer(title, &mut client).await;
     }
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "x")).await;
     let _received = worker.receive_request().await;
     let mut second = Client::connect(&node).await;
     second.send_after_pause(&request("check", ID, 60.0, "x")).await;
-    transcript.add_answer("an id that is open", &mut second).await;
+    log.add_answer("an id that is open", &mut second).await;
 
     let mut slow = Client::connect(&node).await;
     slow.send_after_pause(
@@ -258,16 +257,16 @@
         tokio::task::yield_now().await;
     }
     advance(Duration::from_millis(2500)).await;
-    transcript.add_answer("a body that does not come", &mut slow).await;
-    transcript.assert_golden("answers_to_malformed_requests.txt");
+    log.add_answer("a body that does not come", &mut slow).await;
+    log.assert_golden("answers_to_malformed_requests.txt");
 }
 
 #[tokio::test(start_paused = true)]
 async fn health_answers_of_each_phase_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (worker, node, mut client) = start_node_with_worker().await;
     client.send_after_pause(UP).await;
-    transcript.add_answer("serving", &mut client).await;
+    log.add_answer("serving", &mut client).await;
 
     let mut fresh = Client::connect(&node).await;
     let mut busy = Client::connect(&node).await;
@@ -277,12 +276,12 @@
     .await;
     node.phases.drain();
     fresh.send_after_pause(UP).await;
-    transcript.add_answer("draining", &mut fresh).await;
-    transcript.add_answer("and after that", &mut fresh).await;
+    log.add_answer("draining", &mut fresh).await;
+    log.add_answer("and after that", &mut fresh).await;
     busy.send_after_pause(&request("check", ID, 60.0, "")).await;
     worker.receive_request().await.complete("r").await;
-    transcript.add_answer("a job while draining", &mut busy).await;
-    transcript.add_answer("and after that", &mut busy).await;
+    log.add_answer("a job while draining", &mut busy).await;
+    log.add_answer("and after that", &mut busy).await;
     assert!(node.phases.resume());
 
     let mut fresh = Client::connect(&node).await;
@@ -292,7 +291,7 @@
     .await;
     let before = node.phases.hand_over();
     fresh.send_after_pause(UP).await;
-    transcript.add_answer("handed over", &mut fresh).await;
+    log.add_answer("handed over", &mut fresh).await;
     node.phases.undo_hand_over(before);
 
     let mut fresh = Client::connect(&node).await;
@@ -303,26 +302,25 @@
     .await;
     begin_stop(&node.phases).await;
     fresh.send_after_pause(UP).await;
-    transcript.add_answer("stopping", &mut fresh).await;
+    log.add_answer("stopping", &mut fresh).await;
     stop_until_closing(&node.phases).await;
     fresh.send_after_pause(UP).await;
-    transcript.add_answer("and after that", &mut fresh).await;
+    log.add_answer("and after that", &mut fresh).await;
     late.send_after_pause(UP).await;
-    transcript.add_answer("closing", &mut late).await;
-    transcript.assert_golden("answers_about_the_state.txt");
+    log.add_answer("closing", &mut late).await;
+    log.assert_golden("answers_about_the_state.txt");
 }
 
 #[tokio::test(start_paused = true)]
 async fn requests_to_workers_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (worker, _node, mut client) = start_node_with_worker().await;
     let text = request("lodge", ID, 60.0, "{\"a\" : 1}");
     let headers =
         "X-Cost-Hint: 900\r\nX-Retry: 1\r\nX-Extras: slots=2,memory=1.5\r\nX-Other: o\r\nContent-Length";
     client.send_after_pause(&text.replace("Content-Length", headers)).await;
     let mut received = worker.receive_request().await;
-    transcript
-        .add("a job with a key", &(received.head.clone() + std::str::from_utf8(&received.body).unwrap()));
+    log.add("a job with a key", &(received.head.clone() + std::str::from_utf8(&received.body).unwrap()));
     received.complete("r").await;
     assert_eq!(client.read_answer().await.unwrap().status, 200);
 
@@ -330,7 +328,7 @@
     let plain = request("check", "UPPER lower", 60.0, "").replace("?user=00ff&x=a%20b", "");
     client.send_after_pause(&plain).await;
     let mut received = worker.receive_request().await;
-    transcript.add(
+    log.add(
         "a job without a key or a body",
         &(received.head.clone() + std::str::from_utf8(&received.body).unwrap()),
     );
@@ -347,16 +345,16 @@
             () = tokio::task::yield_now() => advance(POLL_INTERVAL).await,
         }
     };
-    transcript.add(
+    log.add(
         "its next attempt",
         &(second_attempt.head.clone() + std::str::from_utf8(&second_attempt.body).unwrap()),
     );
-    transcript.assert_golden("requests_to_workers.txt");
+    log.assert_golden("requests_to_workers.txt");
 }
 
 #[tokio::test(start_paused = true)]
 async fn probes_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let mut settings = common::settings(true, 60_000_000);
     settings["FamilyInfo"]["TellsStart"] = false.into();
     settings["Limits"]["Probes"] = true.into();
@@ -366,32 +364,32 @@
     let mut client = Client::connect(&node).await;
     client.send_after_pause(&request("check", ID, 60.0, "x")).await;
     let probe = worker.receive_request().await;
-    transcript.add("a probe", &(probe.head.clone() + std::str::from_utf8(&probe.body).unwrap()));
-    transcript.assert_golden("probes.txt");
+    log.add("a probe", &(probe.head.clone() + std::str::from_utf8(&probe.body).unwrap()));
+    log.assert_golden("probes.txt");
 }
 
 #[tokio::test(start_paused = true)]
 async fn calls_to_discovery_are_as_recorded() {
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let worker = Worker::start().await;
     for mode in ["ask", "push"] {
         let mut settings = common::settings(true, 60_000_000);
         settings["Discovery"] = mode.into();
         let mut node =
             PlatformNode::start_with_settings(settings, vec![worker.list_entry("s-1", "in_service")]).await;
-        transcript.add(&format!("{mode}: a watch since the known list"), &node.next_discovery_call().await);
+        log.add(&format!("{mode}: a watch since the known list"), &node.next_discovery_call().await);
         node.answer_discovery_call(json!({"revision": 7, "complete": false, "members": []}));
-        transcript.add(&format!("{mode}: a watch after an answer"), &node.next_discovery_call().await);
+        log.add(&format!("{mode}: a watch after an answer"), &node.next_discovery_call().await);
         node.answer_discovery_call("[]");
-        transcript.add(&format!("{mode}: the whole list after a bad one"), &node.next_discovery_call().await);
+        log.add(&format!("{mode}: the whole list after a bad one"), &node.next_discovery_call().await);
         node.answer_discovery_call(
             json!({"revision": 9, "complete": true, "members": [worker.list_entry("s-1", "in_service")]}),
         );
-        transcript.add(&format!("{mode}: a watch after the whole list"), &node.next_discovery_call().await);
+        log.add(&format!("{mode}: a watch after the whole list"), &node.next_discovery_call().await);
         let mut calls = node.move_discovery().await;
-        transcript.add(&format!("{mode}: the first call after a move"), &calls.recv().await.unwrap());
+        log.add(&format!("{mode}: the first call after a move"), &calls.recv().await.unwrap());
     }
-    transcript.assert_golden("calls_to_discovery.txt");
+    log.assert_golden("calls_to_discovery.txt");
 }
 
 /// A socket on an address that the node can bind as well.
@@ -423,8 +421,8 @@
     })
     .await;
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let mut transcript = Transcript::default();
+    let mut log = Transcript::default();
     let (head, rates) = (hex(&buffer[..5]), hex(&buffer[9..length]));
-    transcript.add("version, tenants, time in ms, rates", &format!("{head} <4 bytes> {rates}"));
-    transcript.assert_golden("datagrams_between_nodes.txt");
+    log.add("version, tenants, time in ms, rates", &format!("{head} <4 bytes> {rates}"));
+    log.assert_golden("datagrams_between_nodes.txt");
 }
--- a/node/tests/process_handover.rs
+++ b/node/tests/process_handover.rs
@@ -55,13 +55,9 @@
         yield_now().await;
     }
     transferred.write("38\r\n{\"id\":\"9b1f03aa").await; // the first part of a line, which spans the handover
-    let lookup = look_up(&path).await.expect("the predecessor answers");
-    assert!(
-        predecessor.phases.subscribe().borrow().is_serving(),
-        "the predecessor serves until the successor does"
-    );
-    let successor =
-        PlatformNode::start_with_handover(Some(path.clone()), vec![], 256, 32, Some(lookup)).await;
+    let link = look_up(&path).await.expect("the predecessor answers");
+    assert!(predecessor.phases.subscribe().borrow().is_serving(), "it serves until the successor does");
+    let successor = PlatformNode::start_with_handover(Some(path.clone()), vec![], 256, 32, Some(link)).await;
     assert_eq!(successor.address, predecessor.address);
     assert!(idle.read_answer().await.is_none(), "an idle connection is closed");
     let mut late = Client::connect(&predecessor).await;
