--- a/node/src/phase.rs
+++ b/node/src/phase.rs
@@ -13,8 +13,8 @@
 /// Time after SIGTERM within which an arriving request may be interrupted by SIGKILL; later ones must be answered
 /// before.
 const INTERRUPTIBLE_PERIOD: Duration = Duration::from_millis(700);
-/// Upper bound of the longest deadline in the time of SIGKILL, which comes no sooner than 0.7 s plus the longest
-/// deadline of a class, or plus this if that deadline is longer.
+/// Cap on the deadline that counts towards the time of SIGKILL. SIGKILL comes no sooner after SIGTERM than 0.7 s plus
+/// the longest deadline of a class, of which at most this much is counted.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Reserve before SIGKILL: time for an answer to reach its client, and for a SIGTERM that is noticed late because the
 /// process was blocked or a wake-up was lost (see [`crate::signals`]).
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -31,8 +31,8 @@
         self.allows_within(settings, now, 1.0)
     }
 
-    /// Returns whether the budget allows retrying a request that may have been executed, or that was proven
-    /// not executed.
+    /// Returns whether the budget allows another retry after a failed attempt. If `may_have_executed`, the
+    /// whole budget is available; if not, only `NOT_EXECUTED_BUDGET_RATIO` of it.
     pub fn allows_after(&mut self, settings: &Settings, now: Micros, may_have_executed: bool) -> bool {
         let budget_ratio = if may_have_executed { 1.0 } else { NOT_EXECUTED_BUDGET_RATIO };
         self.allows_within(settings, now, budget_ratio)
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -26,9 +26,10 @@
 const MIN_SLOT_US: Micros = 50_000;
 /// Lower bound of the mean work of a request.
 const MIN_MEAN_WORK_S: f64 = 0.001;
-/// Fraction of the allowed requests that is used at a capacity of zero, and the additional fraction that is
-/// used at full capacity, where the sum of many requests varies less.
+/// Fraction of the allowed requests that is used at a capacity of zero.
 const COLD_BUDGET_RATIO: f64 = 0.45;
+/// Additional fraction at full capacity, where the total work of many requests varies less. It grows in
+/// proportion to the capacity.
 const WARM_UP_BUDGET_RATIO: f64 = 0.25;
 /// Maximum size of a request, as a fraction of the work that makes the worker fail within the overload
 /// window, so that a few simultaneous ones stay below it.
