--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -24,7 +24,7 @@
     /// Numbers of the classes that are no longer offered.
     pub retired_classes: Vec<usize>,
     /// For each class, the number of the class that had its name before a reload, if any.
-    pub previous_classes: Vec<Option<usize>>,
+    pub inherits_from: Vec<Option<usize>>,
     /// For each class, whether its requests need an idempotency key.
     pub requires_idempotency_key: Vec<bool>,
     /// Names of the tenants.
@@ -102,7 +102,7 @@
         pairs.unsigned(key, default.as_micros() as u64).map(Duration::from_micros)
     };
     Ok(Names {
-        previous_classes: vec![None; classes.len()],
+        inherits_from: vec![None; classes.len()],
         classes,
         retired_classes: Vec::new(),
         requires_idempotency_key: settings
--- a/node/src/platform/attempt.rs
+++ b/node/src/platform/attempt.rs
@@ -84,7 +84,7 @@
     report: Option<LoadReport>,
     result: Bytes,
     /// Whether the outcome is not evidence about the worker.
-    is_unattributable: bool,
+    not_attributable: bool,
     /// Rest of the response, to be read before the connection is reused; `None` closes the connection.
     unread: Option<UnreadResponse>,
 }
@@ -99,12 +99,12 @@
 impl AttemptEnd {
     /// An end after which the connection is closed.
     fn without_response(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { outcome, report: None, result: Bytes::new(), is_unattributable: false, unread: None }
+        AttemptEnd { outcome, report: None, result: Bytes::new(), not_attributable: false, unread: None }
     }
 
     /// An end after which the connection is closed, and which is not evidence about the worker.
-    fn unattributable(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { is_unattributable: true, ..AttemptEnd::without_response(outcome) }
+    fn not_attributable(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { not_attributable: true, ..AttemptEnd::without_response(outcome) }
     }
 }
 
@@ -143,14 +143,14 @@
 
     /// Reports the outcome, and returns the connection to the pool or closes it.
     async fn report(&self, request: AttemptRequest, connection: Option<Connection>, end: AttemptEnd) {
-        let AttemptEnd { outcome, report, result, is_unattributable, unread } = end;
+        let AttemptEnd { outcome, report, result, not_attributable, unread } = end;
         let (attempt_id, worker) = (request.attempt_id, request.worker);
         let Some(unread) = unread else {
             // At most one copy may be executed: closed before the dispatcher can start another attempt.
             if let Some(connection) = connection {
                 connection.close().await;
             }
-            return match is_unattributable {
+            return match not_attributable {
                 true => self.handle.ended_not_attributable(attempt_id, outcome),
                 false => self.handle.ended(attempt_id, outcome, report, result),
             };
@@ -194,7 +194,7 @@
         match connection.sender.send_request(http_request).await {
             // Possibly a second response to the previous request: 'not executed' is no proof for this one.
             Ok(response) if may_be_stray && response.status() != StatusCode::OK => {
-                AttemptEnd::unattributable(Outcome::ConnectionLost)
+                AttemptEnd::not_attributable(Outcome::ConnectionLost)
             }
             Ok(response) => self.read_response(request, response).await,
             Err(error) => self.end_of_failed_send(request, connection, is_adopted, &error),
@@ -213,7 +213,7 @@
                 connection.ok_or(AttemptEnd::without_response(Outcome::ConnectionLost))
             }
             None => self.pool.acquire(request.worker).await.map_err(|error| match error {
-                ConnectError::LocalResources => AttemptEnd::unattributable(Outcome::ConnectFailed),
+                ConnectError::LocalResources => AttemptEnd::not_attributable(Outcome::ConnectFailed),
                 ConnectError::Unreachable => AttemptEnd::without_response(Outcome::ConnectFailed),
             }),
         }
@@ -255,7 +255,7 @@
             return match reason {
                 SendBlocked::ClientLeft => AttemptEnd::without_response(Outcome::Cancelled),
                 SendBlocked::DeadlinePassed | SendBlocked::EndpointDraining => {
-                    AttemptEnd::unattributable(Outcome::ConnectFailed)
+                    AttemptEnd::not_attributable(Outcome::ConnectFailed)
                 }
             };
         }
@@ -265,7 +265,7 @@
             // The request was not written completely, so it was not executed.
             (false, _) => AttemptEnd::without_response(Outcome::ConnectFailed),
             // An idle connection can break unnoticed: its failure is not evidence about the worker.
-            (true, true) => AttemptEnd::unattributable(Outcome::ConnectionLost),
+            (true, true) => AttemptEnd::not_attributable(Outcome::ConnectionLost),
             (true, false) => AttemptEnd::without_response(Outcome::ConnectionLost),
         }
     }
@@ -325,7 +325,7 @@
                 }
             };
             let unread = Some(UnreadResponse { body: lines.body, limit: 0 });
-            return AttemptEnd { outcome, report, result, is_unattributable: false, unread };
+            return AttemptEnd { outcome, report, result, not_attributable: false, unread };
         }
     }
 }
--- a/node/src/platform/settings_updates.rs
+++ b/node/src/platform/settings_updates.rs
@@ -42,7 +42,7 @@
         let fleet_size = self.fleet_size.as_mut().map(|size| size.borrow_and_update().clone());
         let settings = platform_settings(settings, &names, fleet_size.as_ref());
         // The dispatcher is updated first: no request may arrive with a class that it does not know yet.
-        self.handle.update_settings(settings, names.previous_classes.clone());
+        self.handle.update_settings(settings, names.inherits_from.clone());
         if **self.names.borrow() != names {
             self.names.send_replace(Arc::new(names));
         }
--- a/node/src/settings_merge.rs
+++ b/node/src/settings_merge.rs
@@ -29,7 +29,7 @@
             names: Names {
                 classes: old.classes.clone(),
                 requires_idempotency_key: old.requires_idempotency_key.clone(),
-                previous_classes: old.previous_classes.clone(),
+                inherits_from: old.inherits_from.clone(),
                 tenants: old.tenants.clone(),
                 retired_tenants: Vec::new(),
                 zones: union(&old.zones, &newer.names.zones),
@@ -54,7 +54,7 @@
                 |j: &usize| new.names.classes[*j] == *name && new.settings.classes[*j] == class;
             let number = (0..new.settings.classes.len()).find(is_unchanged).unwrap_or_else(|| {
                 // Its requests are expected to run about as long as those of the class that had the name before.
-                new.names.previous_classes.push(new.names.classes.iter().rposition(|n| n == name));
+                new.names.inherits_from.push(new.names.classes.iter().rposition(|n| n == name));
                 new.names.classes.push(name.clone());
                 new.names.requires_idempotency_key.push(newer.names.requires_idempotency_key[i]);
                 new.settings.classes.push(class);
--- a/node/tests/golden/node/rendering.rs
+++ b/node/tests/golden/node/rendering.rs
@@ -158,7 +158,7 @@
     let Names {
         classes,
         retired_classes,
-        previous_classes,
+        inherits_from,
         requires_idempotency_key,
         tenants,
         retired_tenants,
@@ -175,7 +175,7 @@
     let fields: [(&str, &dyn Debug); 13] = [
         ("classes", classes),
         ("classes retired", retired_classes),
-        ("classes continue", previous_classes),
+        ("classes continue", inherits_from),
         ("classes keyed", requires_idempotency_key),
         ("tenants", tenants),
         ("tenants gone", retired_tenants),
--- a/node/tests/settings_merge.rs
+++ b/node/tests/settings_merge.rs
@@ -29,7 +29,7 @@
     let names = Names {
         classes: classes.keys().map(u8::to_string).collect(),
         requires_idempotency_key: classes.values().map(|kind| *kind == 1).collect(),
-        previous_classes: vec![None; classes.len()],
+        inherits_from: vec![None; classes.len()],
         zones: zones.map(String::from).to_vec(),
         ..Names::default()
     };
@@ -57,7 +57,7 @@
                 assert!(number.is_none_or(|n| new.names.requires_idempotency_key[n] == (wanted[&name] == 1)));
             }
             assert!(now.len() <= 1 + 4 * 3, "a class that returns gets its number again");
-            assert_eq!((new.names.previous_classes.len(), new.settings.validate()), (now.len(), Ok(())));
+            assert_eq!((new.names.inherits_from.len(), new.settings.validate()), (now.len(), Ok(())));
             assert_eq!(new.names.zones[usize::from(new.settings.zone)], "c");
             running = new;
         }
